--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -208,13 +208,16 @@
         """
         reused = host.take_idle(idempotency)
 
-        def ended(answer: Response, undelivered: NoResponseError | None) -> None:  # one of them is None
+        def ended(answer: Response | None, undelivered: NoResponseError | None) -> None:  # one is None
             host.connecting.pop(exchange, None)
             if exchange.connection is not None:
                 host.release(exchange.connection)
-            if undelivered is not None and undelivered.any_byte_sent and reused is not None:
-                self._count_reuse_race(exchange)
-            on_ended(answer if undelivered is None else undelivered)
+            if answer is not None:
+                on_ended(answer)
+            elif undelivered is not None:
+                if undelivered.any_byte_sent and reused is not None:
+                    self._count_reuse_race(exchange)
+                on_ended(undelivered)
 
         exchange = Exchange(self.loop, data, ended, until, wanted)
         if reused is not None:
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -1,4 +1,4 @@
-"""A client's connection that is used for one exchange after the other, and what its failures prove."""
+"""A client's connection that carries one exchange after the other, and what its failures prove."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
         # Called when the connection ends while idle
         self.on_idle_end: Callable[[ClientConnection], object] | None = None
         self.responses = 0
-        # For how long the server said that it keeps an idle connection, ns
+        # For how long the server keeps an idle connection, as its last response said, ns
         self.keep_alive_timeout: int | None = None
         self.unrequested_response = False  # whether a response came without a request
 
@@ -65,8 +65,9 @@
         return self.stream.bytes_sent > self.sent_before
 
     def send(self, exchange: PendingExchange, data: bytes) -> None:
-        """Sends the request, if it may still begin; otherwise its exchange fails soon, as one that never
-        ran.
+        """Sends the request, if the connection takes any byte of it.
+
+        If it takes none, the exchange fails soon, as one whose request never ran.
         """
         self.exchange, self.sent_before = exchange, self.stream.bytes_sent
         if not self.stream.try_begin(data):
@@ -127,9 +128,9 @@
 
 
 def _keep_alive_timeout(value: bytes | None) -> int | None:
-    """The timeout of a header `Keep-Alive: timeout=5` in ns, or None."""
+    """The timeout of a header such as `Keep-Alive: timeout=5` in ns, or None."""
     for parameter in (value or b"").split(b","):
-        name, _, figure = parameter.strip().partition(b"=")
-        if name.lower() == b"timeout" and figure.strip().isdigit():
-            return int(figure) * SECOND
+        name, _, seconds = parameter.strip().partition(b"=")
+        if name.lower() == b"timeout" and seconds.strip().isdigit():
+            return int(seconds) * SECOND
     return None
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -1,8 +1,9 @@
-"""A server's connection that is in use: reads requests, writes the answers in the order of the requests.
+"""A server's connection that is in use: reads requests, and writes their answers in the same order.
 
-A client that closes its side counts as gone: HTTP/1.1 cannot tell it from a half-closed one before bytes are
-written to it, and a request for which nobody waits must end at once. Answers are still written then. The
-handler of a request whose client has closed after it (`client_closed`) answers it and begins nothing.
+A client that closes its side counts as gone. A server cannot distinguish it from one that has only closed its
+sending side until bytes are written to it, and a request for which nobody waits must end at once. Answers are
+still written then. The handler of a request whose client has closed after it (`client_closed`) answers it
+and begins no attempt.
 """
 
 from __future__ import annotations
@@ -44,24 +45,29 @@
         request_count: int,
     ) -> None:
         self.server, self.address_id, self.request_count = server, address_id, request_count
-        self.queue, self.closing, self.client_closed = [], False, False
-        self.timer, self.deadline, self.idle_end, self.in_quiet_queue = None, None, 0, False
+        self.queue = []
+        self.closing = False
+        self.client_closed = False
+        self.timer, self.deadline = None, None
+        self.idle_end = 0
+        self.in_quiet_queue = False
         self.presence_checked_at = 0  # when the client was last known not to have closed, ns
         self.buffered_bytes = 0  # bytes of an incomplete request
         self.read_delay = 0  # how long the bytes that are being read may have lain unread, ns
         limits = server.limits
-        self.reader = RequestReader(self._sent_at, limits.head, limits.body)
+        self.reader = RequestReader(self._arrival_time, limits.head, limits.body)
         self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
-        self.stream.on_half_close, self.stream.on_writable = self._on_client_closed, self._resume_reading
+        self.stream.on_half_close = self._on_client_closed
+        self.stream.on_writable = self._resume_reading
 
-    def _sent_at(self) -> int:
-        """When the bytes that are being read came, from which the time of requests counts; ns."""
+    def _arrival_time(self) -> int:
+        """When the bytes that are being read arrived, ns: the time of their requests counts from then on."""
         return self.server.loop.now() - self.read_delay
 
     # Reading
 
     def receive(self, data: bytes) -> None:
-        """Decodes received bytes and hands over the requests that they complete."""
+        """Decodes received bytes and dispatches the requests that they complete."""
         if self.closing:
             return
         self.read_delay = max(self.server.loop.read_delay, self.stream.unread_age())
@@ -74,7 +80,7 @@
         self._note_buffered(self.reader.size if self.reader.mid_message else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
-            if not self.queue:  # a request behind an answer that is still owed waits for that anyway
+            if not self.queue:  # otherwise the request has to wait for the answers before its own
                 self.stream.write(CONTINUE)
         if self.stream.open:
             self._set_deadline()
@@ -82,7 +88,7 @@
                 self.stream.pause()
 
     def _dispatch_all(self, requests: Iterable[Request]) -> None:
-        """Hands over complete requests, after asking the kernel whether their client is still connected."""
+        """Dispatches complete requests, after asking the kernel whether their client is still connected."""
         if not requests:
             return
         client_closed = self.stream.hung_up()
@@ -95,8 +101,10 @@
     def _dispatch(self, request: Request) -> None:
         server = self.server
         request.connection = self
-        if self.closing or request.client_closed and server.loop.read_delay and not server.counted:
-            return  # the client has left while this process stood still, so the request is dropped
+        if self.closing:
+            return
+        if request.client_closed and server.loop.read_delay and not server.counted:
+            return  # the client gave up while this process stood still, so the request is dropped
         self.request_count += 1
         if not request.keep_alive or server.says_close():
             self.closing = True
@@ -104,7 +112,7 @@
         server.handle(request)
 
     def client_present(self) -> bool:
-        """Whether the client has not closed, by asking the kernel; called when an attempt begins."""
+        """Whether the client is still connected, by asking the kernel; called when an attempt begins."""
         if self.client_closed or not self.stream.open:
             return False
         now = self.server.loop.now()
@@ -116,7 +124,7 @@
         return True
 
     def _note_buffered(self, size: int) -> None:
-        """Takes account of the memory of an incomplete request."""
+        """Updates the account of the memory of incomplete requests; `size`: of this connection's, bytes."""
         server = self.server
         server.buffered_bytes += size - self.buffered_bytes
         self.buffered_bytes = size
@@ -124,7 +132,7 @@
             server.enforce_memory_limit()
 
     def _is_saturated(self) -> bool:
-        """Whether nothing more is read: enough requests are open, or the client receives no answers."""
+        """Whether reading stops: enough requests are open, or the client does not read its answers."""
         return len(self.queue) >= self.server.limits.pipelined or self.stream.bytes_unsent >= WRITE_HIGH_WATER
 
     def _reject(self, error: HttpError) -> None:
@@ -147,14 +155,14 @@
         """Writes the answer to a request, in order. Errors: RuntimeError for a second answer to one
         request.
         """
-        place = next((place for place, each in enumerate(self.queue) if each.request is request), None)
-        if place is None:
+        position = next((index for index, each in enumerate(self.queue) if each.request is request), None)
+        if position is None:
             return
-        pending = self.queue[place]
+        pending = self.queue[position]
         if pending.data is not None:
             raise RuntimeError("a second answer to one request")
         request.on_client_left = None
-        is_last = place == len(self.queue) - 1 and (self.closing or self.server.stopping)
+        is_last = position == len(self.queue) - 1 and (self.closing or self.server.stopping)
         close = is_last or self.client_closed
         if close:
             self.closing = True  # the answer announces the close, so no further request is taken
@@ -162,7 +170,7 @@
         self._write_answers()
 
     def _write_answers(self) -> None:
-        """Writes the answers that are next in order; closes after the last one if it is to close."""
+        """Writes the answers that are next in order; closes after the last if the connection is to close."""
         wrote = False
         while self.queue and (data := self.queue[0].data) is not None:
             wrote = True
@@ -174,7 +182,7 @@
             self._resume_reading()
 
     def _resume_reading(self) -> None:
-        """Called when the client has received answers: reads again."""
+        """Reads on after the client has received answers, unless reading must still stop."""
         if not self.stream.reading and not self._is_saturated() and not self.client_closed:
             self.stream.resume()
         self._set_deadline()
@@ -182,7 +190,7 @@
     # The end
 
     def park(self) -> None:
-        """Parks the connection, or closes it if its time is over; an unread request is answered first."""
+        """Parks the connection, or closes it if its idle time is over; answers an unread request before."""
         server = self.server
         if server.loop.now() < self.idle_end and self.stream.open and not server.stopping:
             self._clear_deadline()
@@ -195,8 +203,8 @@
     def stop(self) -> None:
         """Closes a quiet connection; one with an unread or incomplete request is closed after its answer.
 
-        With grace, a quiet one is closed when it would be parked, so that a busy client's next request is
-        answered.
+        After a stop with grace, a quiet one is closed only when it would be parked, so that the next request
+        of a busy client is still answered.
         """
         if self.reader.mid_message:
             self._set_deadline()
@@ -204,7 +212,7 @@
             self.close_gracefully()
 
     def _on_client_closed(self) -> None:
-        """Ends the requests of a client that has closed its side; a half-closed one gets answers."""
+        """Abandons the requests of a client that has closed its side; answers owed to it are still sent."""
         self._abandon_requests()
         if not self.queue:
             self.close_gracefully()
@@ -224,7 +232,7 @@
                 on_client_left()
 
     def close_gracefully(self) -> None:
-        """Closes after all that was written is sent. The connection counts until its descriptor is free."""
+        """Closes after all that was written is sent; the connection counts until its descriptor is free."""
         self._clear_deadline()
         self.closing = True
         self.stream.close(lambda error: self.unregister())
@@ -243,7 +251,7 @@
         self.unregister()
 
     def unregister(self) -> None:
-        """Handles a closed socket: cancels the timer and removes the connection from the server."""
+        """Cancels the timer and removes the connection, whose socket is closed, from the server."""
         self._clear_deadline()
         if self in self.server.active_connections:
             self._note_buffered(0)
--- a/gaproute/http1/connection_owner.py
+++ b/gaproute/http1/connection_owner.py
@@ -16,8 +16,9 @@
 class ServerConnectionOwner(DeadlineOwner, Protocol[Connection]):
     """The part of `Server` that its connections use.
 
-    `handle`: called with each complete request; `render_error`: makes the answer for an error.
-    `buffered_bytes`: of all incomplete requests; `protocol_errors`: of all connections.
+    `handle`: called with each complete request; `render_error`: makes the answer for an error. `counted`:
+    whether its connections count as those of clients. `buffered_bytes`: of all incomplete requests;
+    `protocol_errors`: of all connections.
     """
 
     counted: bool
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline of a connection in use: for a request to arrive, for a client to read, or for parking."""
+"""The deadline of a connection in use: for a request to arrive, for its client to read, or for parking."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class DeadlineConnection:
-    """The base of a server's connection: its one timer, and what happens when that fires.
+    """The base of a server's connection: its one timer, and what happens when the timer fires.
 
     A subclass sets all fields, and implements `park`, `_reject` and `_on_closed`.
     """
@@ -57,7 +57,7 @@
     timer: Timer | None
     deadline: int | None  # of the timer, or of the queue of quiet connections; ns of the loop's clock
     idle_end: int  # when the connection is closed if no further request comes
-    # Whether the server's queue has it, to park it at its deadline if it is still quiet then
+    # Whether the server's queue has the connection, to park it at its deadline if it is still quiet then
     in_quiet_queue: bool
 
     def park(self) -> None:
@@ -71,10 +71,10 @@
         raise NotImplementedError
 
     def _set_deadline(self) -> None:
-        """Sets the deadline: for an incomplete request, for the client to read, or for parking; none while an
-        answer is owed.
+        """Sets the deadline for an incomplete request, for the client to read, or for parking.
 
-        The one timer is moved only when it fires, as most deadlines move before that.
+        There is none while an answer is owed. The timer is moved only when it fires, as most deadlines move
+        before that.
         """
         server = self.server
         read_time = server.limits.read_time
@@ -94,8 +94,9 @@
             self._start_timer(self.deadline)
 
     def _wait_for_parking(self) -> bool:
-        """Has a quiet connection parked later; returns whether the server's queue does so, without a
-        timer.
+        """Arranges for a quiet connection to be parked.
+
+        Returns whether the server's queue of quiet connections sees to that, so that no timer is needed.
         """
         server = self.server
         now = server.loop.now()
@@ -105,7 +106,9 @@
             return False
         deadline = now + QUIET_TIME
         if not self.in_quiet_queue or self.deadline is None or deadline - self.deadline > SWEEP_INTERVAL:
-            self.idle_end, self.deadline, self.in_quiet_queue = server.idle_end(now), deadline, True
+            self.idle_end = server.idle_end(now)
+            self.deadline = deadline
+            self.in_quiet_queue = True
             server.enqueue_quiet(self, deadline)
         return True
 
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -5,7 +5,6 @@
 import socket
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from gaproute.http1.client import ClientConnection
 from gaproute.http1.errors import NoResponseError
@@ -13,12 +12,12 @@
 from gaproute.loop import Loop, connect
 from gaproute.loop.addresses import Address
 
-OnDone = Callable[[Any, Any], object]  # (Response or None, NoResponseError or None)
+OnDone = Callable[[Response | None, NoResponseError | None], object]  # one of them is None
 OnConnection = Callable[[ClientConnection], object]
 
 
 class Exchange:
-    """One request. `on_done(response, failure)`, with one of them None, is called once, later."""
+    """One request. `on_done(response, failure)`, one of which is None, is called once and never at once."""
 
     __slots__ = (
         "loop",
@@ -40,10 +39,10 @@
         start_before: int | None = None,
         still_wanted: Callable[[], bool] | None = None,
     ) -> None:
-        """`request`: its bytes, or a function of the time `now` that makes them when they are sent.
+        """`request`: its bytes, or a function of the time `now` (ns) that makes them when they are sent.
 
         `start_before`: when the request may begin at the latest, ns; `still_wanted()`: whether it may still
-        begin. Otherwise it fails as `lapsed`.
+        begin. If it may not, the exchange fails as `lapsed`.
         """
         self.loop, self.request, self.on_done = loop, request, on_done
         self.start_before, self.still_wanted = start_before, still_wanted
@@ -118,7 +117,7 @@
         """Ends the exchange with a response or a failure; does nothing if it has ended already."""
         if not self.finished:
             self.finished = True
-            # The closure refers to this exchange, so it is dropped to break the cycle
+            # The closure often refers to this exchange, so it is dropped to break the reference cycle
             on_done, self.on_done = self.on_done, _ignore
             on_done(response, failure)
 
--- a/gaproute/http1/message.py
+++ b/gaproute/http1/message.py
@@ -50,10 +50,13 @@
     def __init__(self, arrived_at: int) -> None:
         """`arrived_at`: when its first byte came, ns of the loop's clock."""
         self.arrived_at = arrived_at
-        self.method, self.target, self.headers, self.body, self.keep_alive = b"", b"", {}, b"", True
-        # Called if the client leaves before the answer
+        self.method = self.target = self.body = b""
+        self.headers = {}
+        self.keep_alive = True
+        # Called if the client leaves before the answer is given
         self.on_client_left: Callable[[], object] | None = None
-        self.client_closed = False  # whether its client had closed its side when the request was read
+        # Whether the client had closed its side when the request was read
+        self.client_closed = False
 
 
 class Response(Message):
@@ -62,7 +65,10 @@
     __slots__ = ("status",)
 
     def __init__(self) -> None:
-        self.status, self.headers, self.body, self.keep_alive = 0, {}, b"", True
+        self.status = 0
+        self.headers = {}
+        self.body = b""
+        self.keep_alive = True
 
 
 class PendingAnswer:
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Generic, TypeVar
+from typing import Generic, TypeVar
 
 import httptools
 
@@ -18,6 +18,7 @@
 
 CONTENT_LENGTH, TRANSFER_ENCODING = b"content-length", b"transfer-encoding"
 
+Parser = httptools.HttpRequestParser | httptools.HttpResponseParser
 MessageType = TypeVar("MessageType", Request, Response)
 
 
@@ -29,13 +30,13 @@
 
     UNSUPPORTED_CODING: int  # status for a transfer coding other than chunked
 
-    def __init__(self, parser: Any, head_limit: int, body_limit: int) -> None:
-        self.parser = parser
+    def __init__(self, parser: Parser, head_limit: int, body_limit: int) -> None:
+        self.parser: Parser = parser
         self.head_limit, self.body_limit = head_limit, body_limit
         self.message: MessageType | None = None  # the one being read
         self.headers: dict[bytes, bytes] = {}  # of `message`
         self.in_head = False
-        self.head_bytes = 0  # received of incomplete heads
+        self.head_bytes = 0  # bytes received while a head was incomplete
         self.size = 0  # bytes of the head's fields, then of the body
         self.length_count = 0  # fields of the head that give the length of the body
         self.parts: list[bytes] = []  # of the body
@@ -47,7 +48,7 @@
 
     @property
     def mid_message(self) -> bool:
-        """Whether a part of a message has come."""
+        """Whether a message has arrived in part."""
         return self.message is not None
 
     def feed(self, data: bytes) -> list[MessageType]:
@@ -129,17 +130,18 @@
 
 
 class RequestReader(MessageReader[Request]):
-    """Reads requests. `clock()`: when the present bytes came, ns."""
+    """Reads requests. `arrival_time()`: when the bytes that are being read arrived, ns."""
 
     UNSUPPORTED_CODING = 501
+    parser: httptools.HttpRequestParser
 
-    def __init__(self, clock: Callable[[], int], head_limit: int, body_limit: int) -> None:
+    def __init__(self, arrival_time: Callable[[], int], head_limit: int, body_limit: int) -> None:
         super().__init__(httptools.HttpRequestParser(self), head_limit, body_limit)
-        self.clock = clock
+        self.arrival_time = arrival_time
 
     def on_message_begin(self) -> None:
         """Called for the first byte of a request."""
-        self._begin(Request(self.clock()))
+        self._begin(Request(self.arrival_time()))
 
     def on_url(self, url: bytes) -> None:
         """Called for a part of the request's target."""
@@ -167,6 +169,7 @@
     """Reads responses."""
 
     UNSUPPORTED_CODING = 502
+    parser: httptools.HttpResponseParser
 
     def __init__(self, head_limit: int, body_limit: int) -> None:
         super().__init__(httptools.HttpResponseParser(self), head_limit, body_limit)
