--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -15,7 +15,7 @@
 from gaproute.config.directives.cell_table import CELL_DIRECTIVES, CellLine, TableLine
 from gaproute.config.errors import ConfigurationError, Mistake, example, in_order_of_lines, unreadable
 from gaproute.config.files import FilePath
-from gaproute.config.parsing import read_lines
+from gaproute.config.parsing import directives_of, read_lines
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.errors import RowError, TableError
 from gaproute.decisions.cells.table import Cell, CellTable, check_cell, validate
@@ -37,10 +37,10 @@
     found, mistakes, first = read_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
     if "table" not in first:
         mistakes.append(Mistake(file, 0, "table", "no table line", example(TableLine.example)))
-    lines = [line for directive, line in found if directive == "cell"]
+    lines = directives_of(found, CellLine)
     mistakes += islice(_across_lines(file, lines), MAX_MISTAKES)
     if not mistakes:
-        head = next(line for directive, line in found if directive == "table")
+        (head,) = directives_of(found, TableLine)
         try:
             return validate(head.fleet, Version(head.term, head.number), map(_cell, lines))
         except TableError as error:
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -4,19 +4,33 @@
 from typing import Any
 
 from gaproute import interface
-from gaproute.config.directives import DIRECTIVES
 from gaproute.config.directives.fleet import (
     CellHostsLine,
     CellsLine,
+    GossipLine,
     HostLine,
     HostsFileLine,
+    ListenLine,
+    NameLine,
+    ObservationFileLine,
     PeerLine,
     PeersFileLine,
     RaftGroupLine,
 )
-from gaproute.config.directives.process import ClientLimitsLine, HostLimitsLine
-from gaproute.config.directives.requests import ModelLine, RequestClassLine
-from gaproute.config.parsing import NamedDirective
+from gaproute.config.directives.process import ClientLimitsLine, DecisionsLine, HostLimitsLine, LogLine
+from gaproute.config.directives.requests import (
+    AttemptsLine,
+    CapacitiesLine,
+    ModelLine,
+    OverShareWeightLine,
+    ReportsLine,
+    RequestClassLine,
+    RetryAfterLine,
+    SlowStartLine,
+    TenantLine,
+    WarmInstancesLine,
+)
+from gaproute.config.parsing import DirectiveType, NamedDirective, directives_of
 
 IDEMPOTENCY = {kind.value: kind for kind in interface.Idempotency}
 GROUPS = {"all": interface.Group.ALL, "zone": interface.Group.ZONE, "rack": interface.Group.CELL}
@@ -29,30 +43,29 @@
         """Errors: ImportError, AttributeError for a class of decisions that does not exist."""
         lines = _Lines(found)
         self.file = file
-        self.name: str = lines.one("name").name
+        self.name: str = lines.one(NameLine).name
         self.listen_addresses: list[tuple[str, str]] = [
-            (line.kind, line.where) for line in lines.all("listen")
+            (line.kind, line.where) for line in lines.all(ListenLine)
         ]
-        self.hosts: list[HostLine] = lines.all("host")
-        self.hosts_file: HostsFileLine | None = lines.first("hosts-file")
-        self.cells: CellsLine | None = lines.first("cells")
-        self.cell_hosts: CellHostsLine | None = lines.first("cell-hosts")
-        self.request_classes: list[RequestClassLine] = lines.all("track")
-        self.models: dict[str, ModelLine] = {line.name: line for line in lines.all("model")}
-        self.tenants: dict[str, int] = {line.name: place for place, line in enumerate(lines.all("tenant"))}
-        self.peers: list[PeerLine] = lines.all("peer")
-        self.peers_file: PeersFileLine | None = lines.first("peers-file")
-        self.observation_file: str | None = next((line.path for line in lines.all("memory")), None)
-        self.raft_group: RaftGroupLine | None = lines.first("keepers")
-        self.client_limits: ClientLimitsLine = lines.one("clients")
-        self.host_limits: HostLimitsLine = lines.one("reach")
-        self.log_level: str = lines.one("log").level
-        self.decisions: Any = lines.one("decisions").load()
-        self.max_deadline: int = max(
-            line.limit for line in self.request_classes
-        )  # ns that a request may take
-        self.capacities_reported: bool = lines.one("sizes").enabled
-        self.gossip_enabled: bool = lines.one("weak-word").enabled
+        self.hosts = lines.all(HostLine)
+        self.hosts_file = lines.first(HostsFileLine)
+        self.cells = lines.first(CellsLine)
+        self.cell_hosts = lines.first(CellHostsLine)
+        self.request_classes = lines.all(RequestClassLine)
+        self.models = {line.name: line for line in lines.all(ModelLine)}
+        self.tenants = {line.name: index for index, line in enumerate(lines.all(TenantLine))}
+        self.peers = lines.all(PeerLine)
+        self.peers_file = lines.first(PeersFileLine)
+        self.observation_file: str | None = next((line.path for line in lines.all(ObservationFileLine)), None)
+        self.raft_group = lines.first(RaftGroupLine)
+        self.client_limits = lines.one(ClientLimitsLine)
+        self.host_limits = lines.one(HostLimitsLine)
+        self.log_level: str = lines.one(LogLine).level
+        self.decisions: Any = lines.one(DecisionsLine).load()  # a class that only the file names
+        # ns that a request may take
+        self.max_deadline = max(line.limit for line in self.request_classes)
+        self.capacities_reported = lines.one(CapacitiesLine).enabled
+        self.gossip_enabled = lines.one(GossipLine).enabled
         self.terms = _terms(lines, self.request_classes, self.cells)
 
     def assign_process_slot(self, number: int, count: int) -> None:
@@ -81,41 +94,40 @@
 
 
 class _Lines:
-    """The directives of a file by their name."""
+    """The directives of a file by their class."""
 
     def __init__(self, found: Sequence[NamedDirective]) -> None:
-        self._by_name: dict[str, list[Any]] = {}
-        for name, directive in found:
-            self._by_name.setdefault(name, []).append(directive)
+        self._found = found
 
-    def all(self, name: str) -> list[Any]:
-        return list(self._by_name.get(name, ()))
+    def all(self, kind: type[DirectiveType]) -> list[DirectiveType]:
+        return directives_of(self._found, kind)
 
-    def first(self, name: str) -> Any:
-        """The first directive of that name, or None."""
-        return next(iter(self._by_name.get(name, ())), None)
+    def first(self, kind: type[DirectiveType]) -> DirectiveType | None:
+        """The first directive of that class, or None."""
+        return next(iter(self.all(kind)), None)
 
-    def one(self, name: str) -> Any:
-        """The directive of that name; its defaults where there is none."""
-        return self.first(name) or DIRECTIVES[name].model_construct()
+    def one(self, kind: type[DirectiveType]) -> DirectiveType:
+        """The first directive of that class; one with all its defaults if there is none."""
+        return self.first(kind) or kind.model_construct()
 
 
 def _terms(
     lines: _Lines, request_classes: list[RequestClassLine], cells: CellsLine | None
 ) -> interface.Terms:
     """The terms of the deployment, as the decisions take them."""
-    copies, relays, cold, reports = (lines.one(name) for name in ("copies", "relays", "cold", "reports"))
+    instances, attempts = lines.one(WarmInstancesLine), lines.one(AttemptsLine)
+    slow_start, reports = lines.one(SlowStartLine), lines.one(ReportsLine)
     return interface.Terms(
         request_classes=tuple(map(_request_class, request_classes)),
-        tenant_shares=tuple(line.share for line in lines.all("tenant")),
-        over_share_value=lines.one("over-share").value,
-        keep_alive=copies.keep,
-        load_orders_allowed=copies.orders,
-        load_orders_free=copies.free,
-        load_order_share=copies.share,
-        load_order_window=copies.window,
-        same_function_counted=copies.alike,
-        warmth_reported=copies.notes,
+        tenant_shares=tuple(line.share for line in lines.all(TenantLine)),
+        over_share_value=lines.one(OverShareWeightLine).value,
+        keep_alive=instances.keep,
+        load_orders_allowed=instances.orders,
+        load_orders_free=instances.free,
+        load_order_share=instances.share,
+        load_order_window=instances.window,
+        same_function_counted=instances.alike,
+        warmth_reported=instances.notes,
         probes_allowed=reports.probes,
         reports_by_probe=reports.source == "probe",
         reported_figures=(),
@@ -123,12 +135,12 @@
         peer_price=0.0,
         peers_allowed=False,  # gateways of the appliance exchange more, over their own protocol
         gateways=cells.gateways if cells else 1,
-        cancel_allowed=relays.cancel,
-        hedging_allowed=relays.twins,
-        attempt_limit=relays.limit,
-        retry_after_limit=lines.one("advice").limit,
-        warm_up_share=cold.share,
-        warm_up_time=cold.time,
+        cancel_allowed=attempts.cancel,
+        hedging_allowed=attempts.twins,
+        attempt_limit=attempts.limit,
+        retry_after_limit=lines.one(RetryAfterLine).limit,
+        warm_up_share=slow_start.share,
+        warm_up_time=slow_start.time,
         host_list_polled=False,
         zone=-1,
         crossing_price=0.0,
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -8,11 +8,12 @@
     HostLine,
     ListenLine,
     NameLine,
+    PeerLine,
     RaftGroupLine,
 )
 from gaproute.config.directives.requests import ModelLine, RequestClassLine
 from gaproute.config.errors import Mistake, example
-from gaproute.config.parsing import NamedDirective
+from gaproute.config.parsing import NamedDirective, directives_of
 
 KEEP_ONE = "keep one of the two"
 NAMED = ("host", "track", "model", "tenant", "peer")  # directives whose names stand once each
@@ -79,7 +80,7 @@
 
 def _without_peers_address(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
     """Directives that need an address for the other gateways."""
-    if any(directive == "listen" and line.kind == "peers" for directive, line in found):
+    if any(line.kind == "peers" for line in directives_of(found, ListenLine)):
         return
     for directive, line in found:
         if directive in ("keepers", "cells") or (directive == "weak-word" and line.enabled):
@@ -89,11 +90,11 @@
 
 def _raft_group(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
     """Mistakes of the `keepers` line beside the others."""
-    line = next((line for directive, line in found if directive == "keepers"), None)
+    line = next(iter(directives_of(found, RaftGroupLine)), None)
     if line is None:
         return
-    own = next((each.name for directive, each in found if directive == "name"), None)
-    known = {own} | {each.name for directive, each in found if directive == "peer"}
+    own = next((each.name for each in directives_of(found, NameLine)), None)
+    known = {own} | {each.name for each in directives_of(found, PeerLine)}
     if own is None:
         text = "keepers without a name line: which of them is this gateway?"
         yield Mistake(file, line.line, "keepers", text, example(NameLine.example))
@@ -112,9 +113,9 @@
 
 
 def _unknown_tracks(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    tracks = [line.name for directive, line in found if directive == "track"]
-    for directive, line in found:
-        if directive == "model" and line.track not in tracks:
+    tracks = [line.name for line in directives_of(found, RequestClassLine)]
+    for line in directives_of(found, ModelLine):
+        if line.track not in tracks:
             expected = f"the tracks here: {', '.join(tracks) or 'none'}"
             yield Mistake(file, line.line, f"model {line.name}", f"no track {line.track!r}", expected)
 
@@ -137,9 +138,7 @@
 
 def _listened_on_twice(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
     first: dict[str, int] = {}
-    for directive, line in found:
-        if directive != "listen":
-            continue
+    for line in directives_of(found, ListenLine):
         if line.where in first and not line.where.endswith(":0"):
             text = f"{line.where} is listened on twice"
             yield Mistake(file, line.line, "listen", text, f"see line {first[line.where]}")
--- a/gaproute/config/directives/cell_table.py
+++ b/gaproute/config/directives/cell_table.py
@@ -1,6 +1,7 @@
 """Lines of a cell table."""
 
-from typing import Annotated, Any, ClassVar
+from collections.abc import Iterable
+from typing import Annotated, ClassVar
 
 from pydantic import BeforeValidator, Field
 
@@ -14,16 +15,16 @@
 VersionPart = Annotated[int, Field(ge=0, le=LARGEST_VERSION)]
 
 
-def _parts(value: Any, most: int, what: str) -> Any:
-    """The parts between commas."""
+def _parts(value: str | Iterable[str], max_parts: int, what: str) -> Iterable[str]:
+    """The parts between commas; a value that is no text is returned as it is."""
     if not isinstance(value, str):
         return value
-    if value.count(",") >= most:
-        raise ValueError(f"more than {most} {what}")
+    if value.count(",") >= max_parts:
+        raise ValueError(f"more than {max_parts} {what}")
     return value.split(",")
 
 
-def _points(value: Any) -> tuple[PointRange, ...]:
+def _points(value: str | Iterable[str]) -> tuple[PointRange, ...]:
     return tuple(_point(part) for part in _parts(value, bounds.MAX_RANGES, "ranges of ring points"))
 
 
@@ -39,7 +40,7 @@
     return text.isascii() and text.isdigit() and len(text) <= len(str(bounds.MAX_RING_POINTS))
 
 
-def _entries(value: Any) -> tuple[EntryGateway, ...]:
+def _entries(value: str | Iterable[str]) -> tuple[EntryGateway, ...]:
     return tuple(_entry(part) for part in _parts(value, bounds.MAX_ENTRIES, "entry gateways"))
 
 
--- a/gaproute/config/directives/process.py
+++ b/gaproute/config/directives/process.py
@@ -60,6 +60,9 @@
     made_by: str = Field("gaproute.decisions.routing:Gateway", pattern=r"^[\w.]+:\w+$")
 
     def load(self) -> Any:
-        """The class. Errors: ImportError, AttributeError where there is none."""
+        """The class, which is called with (seed, terms, now).
+
+        Errors: ImportError, AttributeError if there is none.
+        """
         module, _, name = FORMER_DECISIONS.get(self.made_by, self.made_by).partition(":")
         return getattr(importlib.import_module(module), name)
--- a/gaproute/config/files.py
+++ b/gaproute/config/files.py
@@ -3,7 +3,6 @@
 import os
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
 
 from gaproute.config.configuration import Configuration
 from gaproute.config.consistency import across_lines, named_twice
@@ -11,7 +10,7 @@
 from gaproute.config.directives.fleet import HostLine, PeerLine
 from gaproute.config.directives.process import DecisionsLine
 from gaproute.config.errors import ConfigurationError, Mistake, example, in_order_of_lines, unreadable
-from gaproute.config.parsing import Directive, read_lines
+from gaproute.config.parsing import Directive, DirectiveType, directives_of, read_lines
 
 FilePath = str | os.PathLike[str]
 
@@ -33,21 +32,27 @@
 
 def read_hosts(path: FilePath, text: str | None = None) -> list[HostLine]:
     """The `host` lines of a host list. Errors: `ConfigurationError`."""
-    return _read_list(path, text, HOST_DIRECTIVES)
+    return _read_list(path, text, HOST_DIRECTIVES, HostLine)
 
 
 def read_peers(path: FilePath, text: str | None = None) -> list[PeerLine]:
     """The `peer` lines of a list of gateways. Errors: `ConfigurationError`."""
-    return _read_list(path, text, PEER_DIRECTIVES)
+    return _read_list(path, text, PEER_DIRECTIVES, PeerLine)
 
 
-def _read_list(path: FilePath, text: str | None, kinds: Mapping[str, type[Directive]]) -> list[Any]:
+def _read_list(
+    path: FilePath,
+    text: str | None,
+    directives: Mapping[str, type[Directive]],
+    kind: type[DirectiveType],
+) -> list[DirectiveType]:
+    """The directives of a file that has only those of one class."""
     file = str(path)
-    found, mistakes, _ = read_lines(file, read_text(file) if text is None else text, kinds)
+    found, mistakes, _ = read_lines(file, read_text(file) if text is None else text, directives)
     mistakes += named_twice(file, found)
     if mistakes:
         raise ConfigurationError(mistakes)
-    return [line for _, line in found]
+    return directives_of(found, kind)
 
 
 def read_text(path: FilePath) -> str:
--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -7,9 +7,9 @@
 import difflib
 import re
 import shlex
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from typing import Any, ClassVar, NamedTuple
+from typing import Any, ClassVar, NamedTuple, TypeVar
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 from pydantic_core import ErrorDetails
@@ -44,11 +44,19 @@
         }
 
 
+DirectiveType = TypeVar("DirectiveType", bound=Directive)
+
+
 class NamedDirective(NamedTuple):
     """A directive with its name, which its line begins with."""
 
     name: str
-    directive: Any  # of the class that belongs to the name
+    directive: Any  # of the class that its reader has for the name
+
+
+def directives_of(found: Iterable[NamedDirective], kind: type[DirectiveType]) -> list[DirectiveType]:
+    """The directives of one class, in the order of their lines."""
+    return [directive for _, directive in found if isinstance(directive, kind)]
 
 
 class ParsedLines(NamedTuple):
@@ -107,7 +115,8 @@
         given, wrong = _arguments(kind, arguments)
         if not wrong:
             try:
-                self.found.append(NamedDirective(name, kind(line=number, **given)))
+                directive = kind.model_validate({"line": number, **given})
+                self.found.append(NamedDirective(name, directive))
             except ValidationError as error:
                 wrong = [_invalid_field(detail) for detail in error.errors()]
         for field_name, found in wrong:
@@ -133,13 +142,13 @@
     found: str
 
 
-def _arguments(kind: type[Directive], arguments: list[str]) -> tuple[dict[str, Any], list[_InvalidField]]:
+def _arguments(kind: type[Directive], arguments: list[str]) -> tuple[dict[str, str], list[_InvalidField]]:
     """The values of a line by field, and what is wrong with the line's form."""
     positional = kind.positional_in(arguments)
     if len(arguments) < len(positional):
         missing = " ".join(name.upper() for name in positional[len(arguments) :])
         return {}, [_InvalidField("", f"{missing} is missing")]
-    given: dict[str, Any] = dict(zip(positional, arguments[: len(positional)], strict=True))
+    given = dict(zip(positional, arguments[: len(positional)], strict=True))
     rest = arguments[len(positional) :]
     keywords = kind.keywords()
     wrong = []
--- a/gaproute/config/values.py
+++ b/gaproute/config/values.py
@@ -1,7 +1,7 @@
 """Values that directives hold: durations, sizes, switches, names, addresses, times of a start."""
 
 import datetime
-from typing import Annotated, Any
+from typing import Annotated
 
 from pydantic import BeforeValidator, Field
 
@@ -20,8 +20,8 @@
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
 
 
-def _duration(value: Any) -> Any:
-    """A number with its unit as ns; what is no text is taken as it is."""
+def _duration(value: object) -> object:
+    """A number with its unit as ns; a value that is no text is returned as it is."""
     if not isinstance(value, str):
         return value
     number = value.rstrip("abcdefghijklmnopqrstuvwxyz")
@@ -35,8 +35,8 @@
     return round(duration)
 
 
-def _size(value: Any) -> Any:
-    """A number with its unit as bytes; what is no text is taken as it is."""
+def _size(value: object) -> object:
+    """A number with its unit as bytes; a value that is no text is returned as it is."""
     if not isinstance(value, str):
         return value
     number = value.rstrip("kmg")
@@ -46,16 +46,16 @@
     return int(number) * BYTES[unit]
 
 
-def _yes_or_no(value: Any) -> bool:
+def _yes_or_no(value: object) -> bool:
     if value in ("yes", "no"):
-        return bool(value == "yes")
+        return value == "yes"
     if isinstance(value, bool):
         return value
     raise ValueError(f"{value!r} is neither yes nor no")
 
 
-def split_commas(value: Any) -> Any:
-    """The parts between commas; what is no text is taken as it is."""
+def split_commas(value: object) -> object:
+    """The parts between commas; a value that is no text is returned as it is."""
     return tuple(value.split(",")) if isinstance(value, str) else value
 
 
