--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -1,72 +1,18 @@
-"""The wall clock steps by an hour, either way, at any time: what the gateway takes from it, and what not."""
-
-import os
-import re
-from pathlib import Path
-from types import SimpleNamespace
+"""The wall clock steps by an hour, either way, at any time: what becomes of the starts in the change log."""
 
 import pytest
-from followed_cells import hosts
-from helpers import makers
-from scripted import MILLI, SECOND, Followed, Handed
-
-import gaproute
-from gaproute.appliance.cell_lists import CellLists
-from gaproute.appliance.cell_rows import CellRows
-from gaproute.appliance.cells import CellServices
-from gaproute.config import read_hosts
-from gaproute.config.directives.fleet import CellHostsLine, HostLine
+from scripted import MILLI, SECOND
+from stepped_walls import BEGUN, HOUR
+
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog import events, watcher
 from gaproute.discovery.changelog.cell_watcher import CellWatcher
 from gaproute.discovery.changelog.members import MemberConverter
-from gaproute.discovery.file_watch import FileWatch
-from gaproute.discovery.host_lines import HostLineConverter
-from gaproute.loop import Loop
 from gaproute.standins.platform import ScriptedChangeLog, event, sse
 
-HOUR = 3600 * SECOND
-BEGUN = 1_800_000_000 * SECOND  # ns since 1970 when the tests' monotonic clock reads nought
 ACTIVE = "Ready"
 
 
-class Wall:
-    """A wall clock that runs with a handed one, `ahead` of the true time."""
-
-    def __init__(self, clock, ahead=0):
-        self.clock, self.ahead = clock, ahead
-
-    def true(self):
-        return BEGUN + self.clock.now
-
-    def __call__(self):
-        return self.true() + self.ahead
-
-
-class Swinging(Wall):
-    """An hour ahead and back each two seconds."""
-
-    def __call__(self):
-        return self.true() + (HOUR if self.clock.now // (2 * SECOND) % 2 else 0)
-
-
-@pytest.fixture
-def clock():
-    return Handed()
-
-
-@pytest.fixture
-def wall(clock):
-    return Wall(clock)
-
-
-@pytest.fixture
-def loop(clock):
-    made = Loop(clock)
-    yield made
-    made.close()
-
-
 # Members of the change log
 
 
@@ -169,17 +115,12 @@
 # When the log was last known to be current
 
 
-@pytest.fixture
-def followed():
-    yield from makers(lambda *args, **options: Followed(*args, clock=Handed(), **options))
-
-
 def whole(seq=1):
     return event(seq, ("s-1", "127.0.0.1:5", ACTIVE), complete=True)
 
 
-def test_a_log_that_has_told_no_list_yet_is_never_known_whatever_it_says(followed):
-    made = followed(lambda last: b":\n\n")
+def test_a_log_that_has_told_no_list_yet_is_never_known_whatever_it_says(follow):
+    made = follow(lambda last: b":\n\n")
     made.passes(100 * MILLI)
     assert made.log.came
     assert made.follower.current_at is None
@@ -188,9 +129,9 @@
     assert made.follower.current_at is not None
 
 
-def test_comments_and_events_tell_that_the_list_is_as_told_and_a_head_alone_does_not(followed):
+def test_comments_and_events_tell_that_the_list_is_as_told_and_a_head_alone_does_not(follow):
     known = events.decode_initial({"results": [whole()]})[1]
-    made = followed(lambda last: b"", last=1, known=known)
+    made = follow(lambda last: b"", last=1, known=known)
     begun = made.follower.current_at
     seen = []
     made.follower.on_event = lambda each: seen.append(made.follower.current_at)
@@ -208,9 +149,9 @@
     assert made.follower.current_at > by_comment + SECOND // 2
 
 
-def test_while_a_log_is_away_the_list_is_as_old_as_its_last_sign_of_life(followed):
+def test_while_a_log_is_away_the_list_is_as_old_as_its_last_sign_of_life(follow):
     known = events.decode_initial({"results": [whole()]})[1]
-    made = followed(lambda last: b":\n\n" if len(made.log.came) == 1 else b"", last=1, known=known)
+    made = follow(lambda last: b":\n\n" if len(made.log.came) == 1 else b"", last=1, known=known)
     made.passes(100 * MILLI)
     last = made.follower.current_at
     made.passes(3 * watcher.SILENCE_TIMEOUT)
@@ -244,191 +185,3 @@
     made.close()
     first.close()
     silent.close()
-
-
-# The host list as a file
-
-
-def lines(**starts):
-    """Host lines of a file. `starts`: ns since 1970, by name."""
-    text = "".join(
-        f"host {name} 127.0.0.1:1 zone z rack r started {start / SECOND:.3f}\n"
-        for name, start in starts.items()
-    )
-    return read_hosts("l", text)
-
-
-@pytest.mark.parametrize("ahead", [0, HOUR, -HOUR])
-def test_a_line_that_appears_is_no_older_than_since_the_file_was_seen_without_it(loop, wall, clock, ahead):
-    converter = HostLineConverter(loop, wall)
-    old = wall.true() - HOUR
-    (first,) = converter.endpoints(lines(a=old))
-    assert first.listed.started == clock.now - HOUR
-    absent_at = clock.now
-    clock.now += SECOND
-    wall.ahead = ahead
-    known, fresh = converter.endpoints(lines(a=old, b=wall.true() - SECOND // 5), absent_at)
-    assert known.listed.started == first.listed.started
-    assert absent_at <= fresh.listed.started <= clock.now
-    anew, _ = converter.endpoints(lines(a=wall.true(), b=wall.true() - SECOND // 5), clock.now)
-    assert anew.listed.started == clock.now
-
-
-def test_a_line_whose_start_is_told_only_later_is_as_old_as_told(loop, wall, clock):
-    converter = HostLineConverter(loop, wall)
-    (untold,) = converter.endpoints(read_hosts("l", "host a 127.0.0.1:1\n"))
-    clock.now += SECOND
-    (known,) = converter.endpoints(lines(a=wall.true() - HOUR), clock.now)
-    assert untold.listed.started is None
-    assert known.listed.started == clock.now - HOUR
-
-
-def test_a_file_is_known_by_each_look_that_finds_it_unchanged_and_by_no_other(loop, clock, tmp_path):
-    path, seen, look = tmp_path / "hosts", [], SECOND
-    path.write_text("host a 127.0.0.1:1\n")
-    watch = None
-    watch = FileWatch(loop, path, look, lambda hosts: seen.append(watch and watch.current_at), seen.append)
-    first = clock.now
-    assert seen == [None]
-    assert watch.current_at <= first
-    clock.now += HOUR
-    watch.check()
-    looked = watch.current_at
-    assert looked >= first + HOUR
-    path.write_text("host a nowhere\n")  # refused: the list in force is not the file any more
-    for _ in range(2):
-        clock.now += SECOND
-        watch.check()
-    assert watch.current_at == looked
-    path.write_text("host b 127.0.0.1:1\n")
-    watch.check()
-    assert seen[0] is None
-    assert seen[-1] == looked
-    assert watch.current_at > looked
-    watch.close()
-
-
-def test_a_file_written_while_the_clock_was_behind_is_read_all_the_same(loop, clock, tmp_path):
-    path, seen = tmp_path / "hosts", []
-    path.write_text("host a 127.0.0.1:1\n")
-    watch = FileWatch(loop, path, SECOND, lambda hosts: seen.append(hosts[0].name), seen.append)
-    path.write_text("host b 127.0.0.1:1\n")
-    before = os.stat(path).st_mtime_ns - HOUR
-    os.utime(path, ns=(before, before))
-    watch.check()
-    assert seen == ["a", "b"]
-    watch.close()
-
-
-def test_the_gateway_hands_on_when_its_file_was_last_seen(rig):
-    made = rig(hosts=2)
-    converter = made.gate.host_list.listing
-    converter.start_times.wall = lambda: BEGUN + HOUR + made.loop.now()
-    converter.start_times.offset = BEGUN + HOUR  # ahead from the start: no step to be seen
-    both = made.list.read_text().splitlines()
-    made.relist(both[0])
-    made.until(lambda: set(made.gate.rows) == {"h0"})
-    without = made.loop.now()
-    began = (BEGUN + made.loop.now()) / SECOND
-    made.relist(both[0], f"{both[1]} started {began:.6f}")
-    made.until(lambda: set(made.gate.rows) == {"h0", "h1"})
-    assert made.gate.rows["h1"].listed.started >= without - SECOND
-    assert made.loop.now() < made.gate.core.gateway.hosts_by_id["h1"].warm_at
-
-
-# Lists of cells
-
-
-def test_hosts_of_a_cell_are_bounded_by_the_list_of_that_cell_before(clock, wall):
-    rows = CellRows(Loop(clock), sizes=True)
-    rows.listing = HostLineConverter(rows.listing.start_times.loop, wall)
-    wall.ahead = HOUR
-    rows.listing.start_times.offset = BEGUN + HOUR
-    zones = {"a1": "a", "b1": "b"}
-
-    def line(name, started):
-        return HostLine(name=name, where="127.0.0.1:1", started=str(started / SECOND))
-
-    old = line("u", wall.true() - HOUR)
-    rows.of({"a1": [old]}, zones, {"a1": None})
-    absent_at = clock.now
-    clock.now += SECOND
-    made = rows.of(
-        {"a1": [old, line("v", wall.true())], "b1": [line("w", wall.true() - HOUR)]},
-        zones,
-        {"a1": absent_at, "b1": clock.now},
-    )
-    assert made["a1"][1].listed.started == absent_at
-    assert made["b1"][0].listed.started < absent_at  # a cell that was not followed before
-
-
-def test_a_gateway_of_cells_hands_on_when_each_list_was_known():
-    given = []
-    rows = SimpleNamespace(of=lambda *arguments: given.append(arguments) or {})
-    lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
-    CellServices._apply_lists(SimpleNamespace(rows=rows, lists=lists, hosts_changed=list, lists_given={}), {})
-    assert given == [({}, {"a1": "a"}, {"a1": 5})]
-
-
-def test_both_kinds_of_cell_lists_tell_when_each_was_known(tmp_path, followed_cells):
-    (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\n")
-    loop, seen = Loop(), []
-    lists = CellLists(
-        loop,
-        CellHostsLine(folder=str(tmp_path), look=2 * MILLI),
-        lambda arguments: seen.append(lists.current_at()),
-        seen.append,
-    )
-    lists.set_cells({"a1": "a"})
-    known = lists.current_at()["a1"]
-    assert seen == [{}]
-    assert known <= loop.now()
-    (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\nhost x 127.0.0.1:2\n")
-    lists.watches["a1"].check()
-    assert seen[1] == {"a1": known}
-    assert lists.current_at()["a1"] > known
-    lists.close()
-    loop.close()
-
-    made = followed_cells()
-    made.lists.set_cells(made.zones)
-    assert set(made.lists.current_at().values()) == {None}
-    made.begin(a1=hosts("uv"), b1=hosts("w"))
-    made.passes(3 * SECOND)
-    assert all(each > made.clock.now - 3 * SECOND for each in made.lists.current_at().values())
-
-
-# Where the wall clock is read at all
-
-READS = re.compile(
-    r"time\.time\b|\btime_ns\b|CLOCK_REALTIME|datetime\.|strftime|gmtime|localtime|st_[mca]time"
-    r"|CURRENT_TIMESTAMP"
-)
-ALLOWED = {  # lines that read it, by file; each has its row in docs/crossings.md
-    "appliance/leases.py": 1,
-    "config/values.py": 1,
-    "discovery/changelog/members.py": 1,
-    "discovery/file_watch.py": 1,
-    "discovery/host_lines.py": 1,
-    "peers/membership.py": 1,
-    "platform/log.py": 1,
-    "storage/cell_table_file.py": 1,
-    "storage/observation_store.py": 1,
-    "storage/raft_log_file.py": 1,
-}
-BENCH = {
-    "cluster",
-    "faultinjection",
-    "hollow",
-    "scenarios",
-}  # they play fleets, and judge by taps that hosts write
-
-
-def test_no_other_line_of_a_gateway_reads_the_wall_clock():
-    root, found = Path(gaproute.__file__).parent, {}
-    for path in sorted(root.rglob("*.py")):
-        name = path.relative_to(root)
-        count = sum(bool(READS.search(line)) for line in path.read_text().splitlines())
-        if count and name.parts[0] not in BENCH:
-            found[str(name)] = count
-    assert found == ALLOWED
