--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -115,8 +115,8 @@
         given, wrong = _arguments(kind, arguments)
         if not wrong:
             try:
-                directive = kind.model_validate({"line": number, **given})
-                self.found.append(NamedDirective(name, directive))
+                fields: dict[str, object] = {"line": number, **given}
+                self.found.append(NamedDirective(name, kind.model_validate(fields)))
             except ValidationError as error:
                 wrong = [_invalid_field(detail) for detail in error.errors()]
         for field_name, found in wrong:
