--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -88,7 +88,7 @@
         self.ends = [
             event
             for event in read_tap(folder / "clients.tap")
-            if event["what"] in ("answer", "broken", "overdue")
+            if event["what"] in ("answer", "answered late", "broken", "overdue")
         ]
         self.cpu_shares = [
             line["observation_cpu_share"] for line in read_logs(folder) if line.get("event") == "stopped"
--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import signal
-from pathlib import Path
 from typing import Any, NamedTuple, Protocol
 
 from gaproute.cluster.context import ClusterContext
@@ -19,6 +18,7 @@
 from gaproute.cluster.start_limiter import StartLimiter
 from gaproute.scenarios.clients import DayClients
 from gaproute.scenarios.context import DayContext
+from gaproute.scenarios.cpu_waits import read_cpu_wait
 from gaproute.scenarios.gateways import DayGateways
 from gaproute.scenarios.processes import DayProcess, Routine
 
@@ -124,11 +124,9 @@
         waits = {}
         for process in self.processes.values():
             pid = process.child.pid
-            try:
-                fields = Path(f"/proc/{pid}/schedstat").read_text().split()
-                waits[pid] = CpuWait(int(fields[1]), self.loop.now())
-            except (OSError, IndexError):
-                continue  # it has ended, or this kernel does not tell
+            waited = read_cpu_wait(pid)
+            if waited is not None:
+                waits[pid] = CpuWait(waited, self.loop.now())
         return waits
 
     # Faults; a gateway that is under one already is left alone
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -168,6 +168,10 @@
             ),
         ]
 
+    def measuring_routines(self) -> list[Routine]:
+        """None: `lateness` measures the whole play, and a play on a machine that was too busy is void."""
+        return []
+
     def shut_down(self) -> Routine:
         """A coroutine: ends the gateways, then all other processes."""
         yield from self.lateness.finish()
--- a/gaproute/judge/day.py
+++ b/gaproute/judge/day.py
@@ -6,6 +6,7 @@
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
 
+from gaproute.judge.cpu_waits import CpuWaits
 from gaproute.judge.downtime import Downtime
 from gaproute.judge.events import (
     Attempt,
@@ -14,6 +15,7 @@
     HostRun,
     LinkFaultEvent,
     ListNotification,
+    ProcessCpuWait,
     RequestEnd,
     UnmatchedAnswer,
 )
@@ -44,6 +46,7 @@
         self.gateway_events = [event for event in run_events if isinstance(event, GatewayEvent)]
         self.notifications = [event for event in run_events if isinstance(event, ListNotification)]
         self.downtime = Downtime(self.gateway_events)
+        self.cpu_waits = CpuWaits(event for event in run_events if isinstance(event, ProcessCpuWait))
         self.senders = Senders(self.hosts, self.ends, self.gateway_events)
         self.link_faults = LinkFaults(event for event in run_events if isinstance(event, LinkFaultEvent))
 
--- a/gaproute/judge/downtime.py
+++ b/gaproute/judge/downtime.py
@@ -102,7 +102,7 @@
         history = self.histories.get(end.gateway)
         if history is None:
             return False
-        if end.kind is EndKind.OVERDUE and any(
+        if end.kind in (EndKind.OVERDUE, EndKind.ANSWERED_LATE) and any(
             pause.begin <= end.at <= pause.end + LATE_ANSWER_GRACE for pause in history.pauses
         ):
             return True
--- a/gaproute/judge/events.py
+++ b/gaproute/judge/events.py
@@ -80,7 +80,8 @@
     """How a request ended at its client."""
 
     ANSWERED = "answer"
-    OVERDUE = "overdue"  # no answer came in time
+    ANSWERED_LATE = "answered late"  # after its deadline, while its client still waited
+    OVERDUE = "overdue"  # no answer came
     CLIENT_LEFT = "left"
     BROKEN = "broken"  # its connection ended
 
@@ -89,7 +90,7 @@
     """The end of a request as its client saw it."""
 
     kind: EndKind
-    at: int
+    at: int  # where no answer came in time: when it was due
     request: str
     request_class: str
     gateway: int
@@ -98,6 +99,12 @@
     outcome: str  # as the answer names it; empty without one
     status: int
     text: str  # how the connection ended
+    late_by: int = 0  # ns from the deadline until the answer, where that came late
+
+    @property
+    def answered(self) -> bool:
+        """Whether an answer came, in time or late."""
+        return self.kind in (EndKind.ANSWERED, EndKind.ANSWERED_LATE)
 
     @property
     def deadline(self) -> int:
@@ -133,6 +140,18 @@
     name: str
 
 
+class ProcessCpuWait(NamedTuple):
+    """Between `begin` and `end` a process was ready to run, and waited for a core for `waited` ns.
+
+    The process is that of a gateway, or one of the clients' where `gateway` is None.
+    """
+
+    begin: int
+    end: int
+    gateway: int | None
+    waited: int
+
+
 class ListNotification(NamedTuple):
     """The host list notified one gateway, or all where `gateway` is None, of a host's state."""
 
--- a/gaproute/judge/tap_reading.py
+++ b/gaproute/judge/tap_reading.py
@@ -19,6 +19,7 @@
     LinkFaultEvent,
     ListNotification,
     LoadOrderArrival,
+    ProcessCpuWait,
     RequestEnd,
     UnmatchedAnswer,
     WarmUp,
@@ -90,23 +91,29 @@
         if event["what"] == "stray":
             yield UnmatchedAnswer(event["at"], event["gateway"], event.get("text"))
         elif event["what"] in kinds:
-            yield RequestEnd(
-                kind=EndKind(event["what"]),
-                at=event["at"],
-                request=event["id"],
-                request_class=event["track"],
-                gateway=event["gateway"],
-                sent_at=event["asked"],
-                patience=event["patience"],
-                outcome=event.get("outcome", ""),
-                status=event.get("status", 0),
-                text=event.get("text", ""),
-            )
+            yield _read_request_end(event)
+
+
+def _read_request_end(event: TapEvent) -> RequestEnd:
+    kind, due = EndKind(event["what"]), event.get("due", event["at"])
+    return RequestEnd(
+        kind=kind,
+        at=due,
+        request=event["id"],
+        request_class=event["track"],
+        gateway=event["gateway"],
+        sent_at=event["asked"],
+        patience=event["patience"],
+        outcome=event.get("outcome", ""),
+        status=event.get("status", 0),
+        text=event.get("text", ""),
+        late_by=event["at"] - due if kind is EndKind.ANSWERED_LATE else 0,
+    )
 
 
 def read_run_events(
     events: Iterable[TapEvent],
-) -> Iterator[GatewayEvent | ListNotification | LinkFaultEvent]:
+) -> Iterator[GatewayEvent | ListNotification | LinkFaultEvent | ProcessCpuWait]:
     """The tap of what played the day."""
     gateway_kinds = set(GatewayEventKind)
     for event in events:
@@ -118,6 +125,8 @@
             yield GatewayEvent(event["at"], kind, number, event.get("name", str(number)))
         elif event["what"] == "fault" and event.get("ways"):
             yield _read_link_fault(event)
+        elif event["what"] == "cpu wait":
+            yield ProcessCpuWait(event["since"], event["at"], event.get("gateway"), event["by"])
 
 
 def _read_link_fault(event: TapEvent) -> LinkFaultEvent:
--- a/tests/judge/test_terms.py
+++ b/tests/judge/test_terms.py
@@ -99,6 +99,64 @@
         assert kinds({}, [end(at, "overdue")], run) == found
 
 
+def late_answer(by, **fields):
+    """The end of a request whose answer was due at 1000 ms and came `by` ms later."""
+    return end(1000 + by, "answered late", **fields) | {"due": SECOND}
+
+
+def cpu_wait(since, at, by, gateway=0):
+    """A gateway, or the clients where it is None, waited for a core for `by` ms of that time."""
+    whose = {} if gateway is None else {"gateway": gateway}
+    return {"at": at * MILLI, "what": "cpu wait", "since": since * MILLI, "by": by * MILLI} | whose
+
+
+def test_an_answer_after_its_deadline_is_lost_where_the_machine_had_a_core_for_its_gateway():
+    assert kinds({}, [late_answer(1)]) == [ViolationKind.LOST]
+    assert kinds({}, [late_answer(1)], [cpu_wait(980, 1000, 0)]) == [ViolationKind.LOST]
+
+
+@pytest.mark.parametrize(
+    ("waits", "allowed"),
+    [
+        ([cpu_wait(980, 1000, 15)], 15),
+        ([cpu_wait(980, 1000, 15), cpu_wait(1000, 1020, 5), cpu_wait(1000, 1020, 4, None)], 24),
+        ([cpu_wait(900, 1020, 30)], 30),
+        ([cpu_wait(880, 900, 15)], 0),  # long before the deadline
+        ([cpu_wait(980, 1000, 15, gateway=1)], 0),
+    ],
+)
+def test_a_wait_for_a_core_explains_an_answer_that_is_late_by_as_much_and_no_more(waits, allowed):
+    if allowed:
+        assert kinds({}, [late_answer(allowed)], waits) == []
+    assert kinds({}, [late_answer(allowed + 1)], waits) == [ViolationKind.LOST]
+
+
+def test_a_wait_for_a_core_explains_neither_a_missing_answer_nor_a_closed_connection():
+    waits = [cpu_wait(900, 1500, 600)]
+    for what in ("overdue", "broken"):
+        assert kinds({}, [end(1000, what)], waits) == [ViolationKind.LOST]
+
+
+def test_a_late_answer_is_judged_as_any_other_answer():
+    waits = [cpu_wait(980, 1000, 15)]
+    hosts = {"h1": [task(100, track="e")]}
+    declined = late_answer(10, track="e", outcome="declined")
+    assert kinds(hosts, [declined], waits) == [ViolationKind.REJECTED]
+    assert kinds({}, [late_answer(10, outcome="", status=502)], waits) == [ViolationKind.NO_OUTCOME]
+
+
+def test_an_attempt_after_the_deadline_of_a_late_answer_is_reported():
+    waits = [cpu_wait(900, 1020, 300)]
+    ends = [late_answer(300)]
+    assert kinds({"h1": [task(1100)]}, ends, waits) == []
+    assert kinds({"h1": [task(1101)]}, ends, waits) == [ViolationKind.ATTEMPT_AFTER_CLIENT_LEFT]
+
+
+def test_an_answer_that_is_due_while_its_gateway_is_paused_may_be_late():
+    run = gateway_events((800, "stopped"), (1400, "continued"))
+    assert kinds({}, [late_answer(450)], run) == []
+
+
 def test_a_gateway_that_is_paused_closes_no_connection():
     run = gateway_events((800, "stopped"), (2000, "continued"))
     assert kinds({}, [end(1000, "broken")], run) == [ViolationKind.LOST]
--- a/tests/scenarios/test_result.py
+++ b/tests/scenarios/test_result.py
@@ -74,6 +74,15 @@
     assert result(tmp_path, answered("b", at=200 * MILLI), unreachable, DONE).service == 1.0  # a retry was
 
 
+def test_a_late_answer_counts_as_none(tmp_path):
+    late = answered("b", at=1010 * MILLI) | {"what": "answered late", "due": SECOND}
+    played = result(tmp_path, answered("a"), late, DONE)
+    assert played.service == 0.5
+    assert played.outcomes("fault-check")["overdue"] == 1
+    assert played.outcomes("fault-check")["delivered"] == 1
+    assert [violation.kind for violation in played.broken] == [ViolationKind.LOST]
+
+
 @pytest.mark.parametrize(
     ("kind", "verdict"),
     [
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -120,3 +120,53 @@
     assert noted["first"] == noted["id"]
     assert noted["track"] == "p"
     assert noted["asked"] > 0
+
+
+def answered_after(span):
+    """A gateway that delivers each answer `span` ms after its request."""
+    return lambda played, request, name: played.loop.after(span * MILLI, played.deliver, request, name)
+
+
+def test_an_answer_before_its_deadline_is_in_time(play):
+    played = play(answered_after(150), patience=(0.2, 0.2))
+    played.until("answer")
+    assert played.seen("answered late") == played.seen("overdue") == []
+
+
+def test_an_answer_within_half_a_second_after_its_deadline_is_late_and_not_lost(play):
+    played = play(answered_after(300), patience=(0.2, 0.2))
+    played.until("answered late")
+    (noted,) = played.seen("answered late")
+    assert noted["due"] == noted["asked"] + 200 * MILLI < noted["at"]
+    assert (noted["status"], noted["outcome"]) == (200, "delivered")
+    assert played.seen("answer") == played.seen("overdue") == []
+
+
+def test_a_client_gives_up_half_a_second_after_the_deadline(play):
+    played = play(answered_after(900), patience=(0.2, 0.2))
+    played.until("overdue")
+    (noted,) = played.seen("overdue")
+    assert noted["due"] == noted["asked"] + 200 * MILLI
+    assert noted["at"] >= noted["due"] + 500 * MILLI
+    assert played.clients.open_requests == 0
+
+
+def test_a_late_rejection_is_not_retried(play):
+    def reject_late(played, request, name):
+        rejected = (b"Gaproute-Outcome", b"declined")
+        played.loop.after(300 * MILLI, played.server.answer, request, 503, (rejected,), b"")
+
+    played = play(reject_late, patience=(0.2, 0.2), retries=1)
+    played.until("done")
+    assert len(played.came) == len(played.seen("answered late")) == 1
+
+
+def test_a_connection_that_ends_after_the_deadline_leaves_its_request_overdue(play):
+    def close_late(played, request, name):
+        played.loop.after(300 * MILLI, read_and_closed, played, request, name)
+
+    played = play(close_late, patience=(0.2, 0.2))
+    played.until("overdue")
+    (noted,) = played.seen("overdue")
+    assert noted["due"] == noted["asked"] + 200 * MILLI
+    assert played.seen("broken") == []
