--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -12,8 +12,8 @@
 from benchmarks.scale.stub_document import change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.errors import GaprouteError
-from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
 from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.units import MILLISECOND, SECOND
 
 CHANGE_INTERVAL = 1_878 * MILLISECOND  # 46,000 a day
 WARM_CHANGES = 2  # of a play at that pace, which are not counted
--- a/benchmarks/scale/dissemination_fleet.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -16,8 +16,9 @@
 from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer, Send
-from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES, MILLISECOND, SECOND
+from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES
 from gaproute.shared.dissemination.messages import Announcement, Busy, Changes, Part, Pull, Push, wire_size
+from gaproute.units import MILLISECOND, SECOND
 
 REGIONS, ZONES = 5, 13
 CELL_GATEWAYS, CELL_ENTRIES = 33, 3  # 16,000 gateways in 490 cells
--- a/benchmarks/scale/dissemination_links.py
+++ b/benchmarks/scale/dissemination_links.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from gaproute.decisions.chance import Chance
-from gaproute.shared.dissemination.bounds import MILLISECOND
+from gaproute.units import MILLISECOND
 
 PERMILLE = 1_000
 SLOW_DELAY = 250 * MILLISECOND  # that a slow gateway takes for each message in and out
--- a/benchmarks/scale/dissemination_traffic.py
+++ b/benchmarks/scale/dissemination_traffic.py
@@ -3,7 +3,7 @@
 from array import array
 from collections import defaultdict
 
-from gaproute.shared.dissemination.bounds import SECOND
+from gaproute.units import SECOND
 
 COUNTER_BYTES = 8  # of one counter of an array of type "Q"
 
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -11,9 +11,9 @@
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.payload_transport import PayloadTransport
 from gaproute.shared.gossip import GossipNode
-from gaproute.shared.gossip.messages import SECOND
 from gaproute.shared.gossip.scheduler import RATE
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import SECOND
 
 # Between two reads of the decisions: as often as a message is sent to one peer
 OBSERVATION_INTERVAL = SECOND // 2
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -5,9 +5,9 @@
 
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import Disseminator, DocumentError
-from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.messages import NOTHING
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
+from gaproute.units import SECOND
 
 WRITE_INTERVAL = 60 * SECOND  # between two writes, as each waits for the disk
 RETRY_INTERVAL = 5 * SECOND  # until a failed read or write is tried again
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -20,12 +20,12 @@
 from gaproute.peers.tables.pull_exchange import TARGET, PullClient, pull_route
 from gaproute.peers.tables.table_storage import TableStorage
 from gaproute.shared.dissemination import Disseminator, DocumentError, Peer, Send
-from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.cell_peers import candidates
 from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
 from gaproute.shared.dissemination.partial_view import Candidates
 from gaproute.shared.dissemination.version_reports import Propagation
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import SECOND
 
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
 LIST_INTERVAL = 5 * SECOND  # between two reads of the members
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -1,6 +1,6 @@
 """Intervals, budgets and bounds of the dissemination. Times are nanoseconds, sizes bytes."""
 
-MILLISECOND, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLISECOND, SECOND
 
 # Sending
 FANOUT = 4  # peers to which a newer version is pushed; without loss, pushes miss 1 gateway in 50
--- a/gaproute/shared/gossip/arrivals.py
+++ b/gaproute/shared/gossip/arrivals.py
@@ -6,7 +6,8 @@
 from math import sqrt
 from typing import NamedTuple
 
-from gaproute.shared.gossip.messages import LIMITS, SECOND, DemandEntry, EntryKind
+from gaproute.shared.gossip.messages import LIMITS, DemandEntry, EntryKind
+from gaproute.units import SECOND
 
 BUCKET = 2 * SECOND  # of one bucket; the spread over shorter ones would be mostly chance
 BUCKETS = 10  # stored buckets: 20 s, so that a burst shows within some seconds
--- a/gaproute/shared/gossip/entry_sets.py
+++ b/gaproute/shared/gossip/entry_sets.py
@@ -6,13 +6,13 @@
 from gaproute.shared.gossip.messages import (
     LIMITS,
     MAX_AMOUNT,
-    SECOND,
     Entries,
     EntryKind,
     EntrySet,
     HostEntry,
     WarmInstanceEntry,
 )
+from gaproute.units import SECOND
 
 # By kind: how long a set is sent again unchanged, only with a greater age, ns. Otherwise 25 messages per
 # second would sort a thousand hosts 25 times.
--- a/gaproute/shared/gossip/fleet_view.py
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -9,7 +9,6 @@
 from gaproute.shared.gossip.local_observations import LocalObservations
 from gaproute.shared.gossip.messages import (
     LIMITS,
-    SECOND,
     WARM_PARTITIONS,
     EntryKind,
     HostEntry,
@@ -18,6 +17,7 @@
 from gaproute.shared.gossip.name_keys import NameKeys
 from gaproute.shared.gossip.peer_rounds import PeerRounds
 from gaproute.shared.gossip.table import GossipTable
+from gaproute.units import SECOND
 
 REUSE_TIME = SECOND // 2  # ns for which sums are cached; their figures are seconds old anyway
 MAX_WITNESSES = 8  # gateways that are named for one instance
--- a/gaproute/shared/gossip/scheduler.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -8,7 +8,6 @@
 
 from gaproute.shared.gossip.entry_sets import LocalEntrySets
 from gaproute.shared.gossip.messages import (
-    SECOND,
     WARM_PARTITIONS,
     EntryKind,
     EntrySet,
@@ -16,6 +15,7 @@
     wire_size,
 )
 from gaproute.shared.gossip.peer_rounds import PeerRounds
+from gaproute.units import SECOND
 
 RATE = 3_000  # bytes per second with headers: under 4 kB with bursts and with membership's messages
 # In a fleet of cells, where the cell table uses a share of the 4 kB: 0.9 kB at 46,000 changes a day
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -31,11 +31,10 @@
 from gaproute.shared.messages import HIGHEST
 from gaproute.shared.raft.messages import Reply, Request
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import MILLISECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-
-RESEND_AFTER = 500 * MILLI  # to the next member; above a sync and a round trip, below an election
-RETRY_PAUSE = 100 * MILLI  # before the next member is tried after one that knows no leader
+RESEND_AFTER = 500 * MILLISECOND  # to the next member; above a sync and a round trip, below an election
+RETRY_PAUSE = 100 * MILLISECOND  # before the next member is tried after one that knows no leader
 MAX_REDIRECTS = 2  # followed without a pause: members that name one another must not cause a flood
 
 
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -20,8 +20,7 @@
 from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.leases.requests import LeaseRequest, LeaseRequestError, LeaseState
 from gaproute.shared.messages import HIGHEST, NAME
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLISECOND, SECOND
 
 MAX_REQUESTS = 1024  # at a time: as many as the client takes
 # How long a request that has ended is still shown, so that the reason can be read
@@ -144,7 +143,7 @@
             "state": state.value,
             "why": request.reason,
             "fence": request.fencing_token,
-            "ms_left": max(0, left) // MILLI,
+            "ms_left": max(0, left) // MILLISECOND,
         }
 
     def table(self, now: int) -> list[RequestStatus]:
@@ -173,8 +172,8 @@
 
 def _duration(milliseconds: int, longest: int) -> int:
     """The duration in ns. Errors: `LeaseRequestError` if it is out of bounds."""
-    if not MIN_DURATION <= milliseconds * MILLI <= longest:
+    if not MIN_DURATION <= milliseconds * MILLISECOND <= longest:
         raise LeaseRequestError(
-            f"{milliseconds} ms: {MIN_DURATION // MILLI} to {longest // MILLI} are possible"
+            f"{milliseconds} ms: {MIN_DURATION // MILLISECOND} to {longest // MILLISECOND} are possible"
         )
-    return milliseconds * MILLI
+    return milliseconds * MILLISECOND
--- a/gaproute/shared/membership/membership.py
+++ b/gaproute/shared/membership/membership.py
@@ -32,8 +32,7 @@
 from gaproute.shared.membership.state_transfer import StateTransfer
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 SUSPICION_PERIODS = 3  # times the power of two of the number of members, until a suspect counts as dead
 DEAD_RETENTION = 600 * SECOND  # after which a dead member that is not configured is forgotten
--- a/gaproute/shared/raft/timing.py
+++ b/gaproute/shared/raft/timing.py
@@ -1,9 +1,9 @@
 """The times of the group, in ns. They affect how soon it acts, never its safety."""
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLISECOND, SECOND
 
 # Between a leader's messages: a fifth of the shortest election timeout.
-HEARTBEAT_INTERVAL = 200 * MILLI
+HEARTBEAT_INTERVAL = 200 * MILLISECOND
 # Without a leader's message until an election, at least; as long again by chance. Far above a late turn, a
 # sync and a round trip, below any lease's duration.
 ELECTION_TIMEOUT = SECOND
--- a/gaproute/shared/token_bucket.py
+++ b/gaproute/shared/token_bucket.py
@@ -1,6 +1,6 @@
 """A token bucket: a rate, and a bounded burst. Times are ns."""
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 
 class TokenBucket:
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -39,8 +39,7 @@
     decode_row,
     encode_row,
 )
-
-SECOND = 1_000_000_000  # ns
+from gaproute.units import SECOND
 
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # between attempts at a disk that fails, doubled each time
 # Quarantined in this order: a write-ahead log left alone would be played into the file that takes the place.
--- a/tests/dissemination/test_asking.py
+++ b/tests/dissemination/test_asking.py
@@ -5,9 +5,9 @@
 
 from gaproute.shared.dissemination import Change, DocumentError, Peer, bounds
 from gaproute.shared.dissemination.assembly import Assembly
-from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.messages import NOTHING, Announcement, Busy, Part, Pull, Push
 from gaproute.shared.dissemination.replica import Replica
+from gaproute.units import SECOND
 
 HELD, NEXT = Version(1, 1), Version(1, 2)
 
--- a/tests/dissemination/test_dissemination.py
+++ b/tests/dissemination/test_dissemination.py
@@ -6,9 +6,9 @@
 from benchmarks.scale.stub_document import FLEET, WHOLE_BYTES, change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import bounds
-from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
 from gaproute.shared.dissemination.invariants import check
 from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.units import MILLISECOND, SECOND
 
 COUNT = 300
 CHANGE_INTERVAL = 1_878 * MILLISECOND  # 46,000 a day
--- a/tests/dissemination/test_orders.py
+++ b/tests/dissemination/test_orders.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as some
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import LOG_CHANGES, MILLISECOND
+from gaproute.shared.dissemination.bounds import LOG_CHANGES
+from gaproute.units import MILLISECOND
 
 STEP = some.one_of(
     some.tuples(some.just("publish"), some.integers(1, 3)),
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -8,7 +8,6 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Peer, bounds
-from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.cell_peers import candidates
 from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
 from gaproute.shared.dissemination.partial_view import PartialView
@@ -16,6 +15,7 @@
 from gaproute.shared.dissemination.recent_changes import RecentChanges
 from gaproute.shared.dissemination.version_reports import VersionReports
 from gaproute.shared.token_bucket import TokenBucket
+from gaproute.units import SECOND
 
 
 def logged(count, data=b"x" * 200):
--- a/tests/support/dissemination_mesh.py
+++ b/tests/support/dissemination_mesh.py
@@ -4,9 +4,9 @@
 from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer
-from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
 from gaproute.shared.dissemination.invariants import Watch
 from gaproute.shared.dissemination.messages import Pull
+from gaproute.units import MILLISECOND, SECOND
 
 __all__ = ["FLEET", "Mesh", "StubDocument", "Version", "change_from", "digest_of", "term_change"]
 
