--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
-from gaproute.shared.membership.dissemination import Outgoing
+from gaproute.shared.membership.message_builder import Outgoing
 
 SECOND = 1_000_000_000
 MEMBERS = (16, 64, 256, 1_024, 4_096)
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -10,7 +10,7 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers.membership_wire import Payload, PayloadKind, decode_datagram, encode, encode_payload
 from gaproute.shared.membership import Membership, MembershipMessage
-from gaproute.shared.membership.dissemination import Outgoing
+from gaproute.shared.membership.message_builder import Outgoing
 from gaproute.shared.membership.messages import Member
 from gaproute.shared.randomness import RandomSource
 
--- a/gaproute/shared/membership/membership.py
+++ b/gaproute/shared/membership/membership.py
@@ -18,8 +18,8 @@
 
 from collections.abc import Mapping
 
-from gaproute.shared.membership.dissemination import MessageBuilder, Outgoing
 from gaproute.shared.membership.identity import Identity
+from gaproute.shared.membership.message_builder import MessageBuilder, Outgoing
 from gaproute.shared.membership.messages import (
     Member,
     MembershipMessage,
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from gaproute.shared.membership.dissemination import MessageBuilder, Outgoing
+from gaproute.shared.membership.message_builder import MessageBuilder, Outgoing
 from gaproute.shared.membership.messages import Member, MembershipMessage, MemberState
 from gaproute.shared.membership.probe_order import ProbeOrder
 from gaproute.shared.membership.table import MemberTable
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -7,8 +7,8 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
-from gaproute.shared.membership.dissemination import MAX_MESSAGE_BYTES
 from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.message_builder import MAX_MESSAGE_BYTES
 from gaproute.shared.membership.messages import ENTRY_BYTES, MAX_INCARNATION
 from gaproute.shared.membership.prober import MAX_INDIRECT_PROBES
 from gaproute.shared.membership.table import MAX_MEMBERS
