--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -1,28 +1,18 @@
 """The invariants of a gateway's dissemination, as named checks that return violations as text."""
 
 from collections.abc import Iterator, Sequence
-from typing import NamedTuple
 
 from gaproute.shared.dissemination import bounds
 from gaproute.shared.dissemination.disseminator import Disseminator
 from gaproute.shared.dissemination.messages import changes_size
+from gaproute.shared.invariants import Bound, exceeded
 
 MAX_PEERS = bounds.VIEW_NEIGHBOURS + bounds.VIEW_ENTRIES + bounds.VIEW_CONFIGURED
 
 
-class Bound(NamedTuple):
-    """How many of something there are, and how many there may be."""
-
-    name: str
-    size: int
-    limit: int
-
-
 def bounded(disseminator: Disseminator) -> Iterator[str]:
     """Every collection is bounded."""
-    for name, size, limit in (*_document_bounds(disseminator), *_peer_bounds(disseminator)):
-        if size > limit:
-            yield f"{size} {name}, {limit} at most"
+    yield from exceeded((*_document_bounds(disseminator), *_peer_bounds(disseminator)))
 
 
 def _document_bounds(disseminator: Disseminator) -> Sequence[Bound]:
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,7 +1,6 @@
 """The invariants of a gateway's gossip, as named checks that return violations as text."""
 
 from collections.abc import Iterator, Sequence
-from typing import NamedTuple
 
 from gaproute.shared.gossip import arrivals, hosts, local_observations, name_keys, table
 from gaproute.shared.gossip.messages import (
@@ -17,21 +16,12 @@
 )
 from gaproute.shared.gossip.node import GossipNode
 from gaproute.shared.gossip.table import SetName, Version
-
-
-class Bound(NamedTuple):
-    """How many of something there are, and how many there may be."""
-
-    name: str
-    size: int
-    limit: int
+from gaproute.shared.invariants import Bound, exceeded
 
 
 def bounded(node: GossipNode) -> Iterator[str]:
     """Every map is bounded. This check is cheap and can always be called."""
-    for name, size, limit in (*_peer_bounds(node), *_local_bounds(node)):
-        if size > limit:
-            yield f"{size} {name}, {limit} at most"
+    yield from exceeded((*_peer_bounds(node), *_local_bounds(node)))
 
 
 def _peer_bounds(node: GossipNode) -> Sequence[Bound]:
@@ -102,9 +92,10 @@
             for origin, sets in node.table.received.items()
             for name, received in sets.items()
         }
-        for held_set, at in observed.items():
-            if at > self.observed.get(held_set, at):
-                yield f"{held_set} was observed at {self.observed[held_set]}, now at {at}"
+        for stored_set, observed_at in observed.items():
+            earlier = self.observed.get(stored_set, observed_at)
+            if observed_at > earlier:
+                yield f"{stored_set} was observed at {earlier}, now at {observed_at}"
         self.observed = observed
 
 
--- a/gaproute/shared/membership/invariants.py
+++ b/gaproute/shared/membership/invariants.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Iterator
 
+from gaproute.shared.invariants import Bound, exceeded
 from gaproute.shared.membership.membership import Membership
 from gaproute.shared.membership.messages import MAX_INCARNATION, MemberState
 from gaproute.shared.membership.prober import MAX_INDIRECT_PROBES
@@ -11,32 +12,27 @@
 def sizes_are_bounded(membership: Membership) -> Iterator[str]:
     """Every map is bounded. This check is cheap and can always be called."""
     table, prober, count = membership.table, membership.prober, len(membership.members)
-    unknown = count - MAX_MEMBERS
-    if unknown > 0 and unknown > sum(member.configured for member in membership.members.values()):
+    excess = count - MAX_MEMBERS
+    if excess > 0 and excess > sum(member.configured for member in membership.members.values()):
         yield f"{count} members are known, over {MAX_MEMBERS} and those configured"
-    for name, size, limit in (
-        ("indirect probes", len(prober.indirect_probes), MAX_INDIRECT_PROBES),
-        ("names of the round", len(prober.order.remaining), len(prober.order.remaining_names)),
-        ("pending updates", len(table.pending_updates), count),
-        ("suspects and departed", len(table.suspects) + len(table.departed), count),
-    ):
-        if size > limit:
-            yield f"{size} {name}, {limit} at most"
+    bounds = (
+        Bound("indirect probes", len(prober.indirect_probes), MAX_INDIRECT_PROBES),
+        Bound("names of the round", len(prober.order.remaining), len(prober.order.remaining_names)),
+        Bound("pending updates", len(table.pending_updates), count),
+        Bound("suspects and departed", len(table.suspects) + len(table.departed), count),
+    )
+    yield from exceeded(bounds)
 
 
 def lists_match_states(membership: Membership) -> Iterator[str]:
     """Each member is in the lists of its state and in no other. Expensive, as it reads all members."""
     table = membership.table
     for name, member in membership.members.items():
-        found = (name in table.alive, name in table.suspects, name in table.dead, name in table.all_names)
+        listed = (name in table.alive, name in table.suspects, name in table.dead, name in table.all_names)
         state = member.state
-        if found != (
-            state == MemberState.ALIVE,
-            state == MemberState.SUSPECT,
-            state >= MemberState.DEAD,
-            True,
-        ):
-            yield f"{name} in state {state} is in {found} of the alive, suspects, dead and all"
+        expected = (state == MemberState.ALIVE, state == MemberState.SUSPECT, state >= MemberState.DEAD, True)
+        if listed != expected:
+            yield f"{name} in state {state} is in {listed} of the alive, suspects, dead and all"
         if not 0 <= member.incarnation <= MAX_INCARNATION:
             yield f"{name} has incarnation {member.incarnation}"
     if membership.name in membership.members:
