--- a/gaproute/shared/membership/identity.py
+++ b/gaproute/shared/membership/identity.py
@@ -19,5 +19,6 @@
         not alive.
         """
         if (update.incarnation, update.state) > (self.incarnation, MemberState.ALIVE):
-            self.refutations += update.state != MemberState.ALIVE
+            if update.state != MemberState.ALIVE:
+                self.refutations += 1
             self.incarnation = update.incarnation + 1
--- a/gaproute/shared/membership/membership.py
+++ b/gaproute/shared/membership/membership.py
@@ -10,10 +10,10 @@
 - a message with few updates carries some entries of the table in turn;
 - a gateway that joins requests the complete state from one member, as does one that finds a dead member alive
   again (`state_transfer`);
-- a gateway that was itself stalled does not count that time against others.
+- the time in which a gateway was itself stalled counts for none of its suspicions.
 
-Only a new round and a new list read all members: the cost of a period does not depend on their number. No
-rule on requests depends on membership.
+Only the start of a round of probes and a new configuration read all members, so the cost of a period does not
+depend on their number. No rule on requests depends on membership.
 """
 
 from collections.abc import Mapping
@@ -34,7 +34,8 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-SUSPICION_PERIODS = 3  # times the power of two of the number of members, until a suspect counts as dead
+# A suspect counts as dead after so many periods for every power of two of the number of members
+SUSPICION_PERIODS = 3
 DEAD_RETENTION = 600 * SECOND  # after which a dead member that is not configured is forgotten
 
 
@@ -96,9 +97,9 @@
         if not self._is_acceptable(message.sender):
             self.table.rejected += 1
             return []
-        member = self._learn(now, message)
-        if member is None:
-            return []  # the table is full
+        member = self._take_updates(now, message)
+        if member is None:  # not added: the table is full, or an unknown gateway leaves
+            return []
         match message.kind:
             case MessageKind.PING:
                 return [self._ack(member, message)]
@@ -127,7 +128,7 @@
             and sender.state in (MemberState.ALIVE, MemberState.LEFT)
         )
 
-    def _learn(self, now: int, message: MembershipMessage) -> Member | None:
+    def _take_updates(self, now: int, message: MembershipMessage) -> Member | None:
         """Takes the updates of the message; returns the entry of its sender."""
         known = self.members.get(message.sender.name)
         was_dead = known is not None and known.state >= MemberState.DEAD
--- a/gaproute/shared/membership/message_builder.py
+++ b/gaproute/shared/membership/message_builder.py
@@ -1,6 +1,4 @@
-"""Makes messages with piggybacked updates: first those that were sent least often, then entries of the
-table.
-"""
+"""Makes messages with piggybacked updates: first those that were sent least often, then table entries."""
 
 from typing import NamedTuple
 
@@ -16,13 +14,12 @@
 )
 from gaproute.shared.membership.table import MemberTable
 
-SENDS = 3  # of each update, for every power of two of the number of members
+SENDS = 3  # times that each update is sent, for every power of two of the number of members
 MAX_MESSAGE_BYTES = 1200  # fits in a datagram that is not fragmented on any network
-HEADER_BYTES = 32  # of a message, beside the sender's names, the target and the updates; upper bound
-FILL_BYTES = (
-    320  # up to which a message with few updates is filled with entries in turn, which mends what was
-)
-#                          lost or held back; more of it costs bytes only
+HEADER_BYTES = 32  # upper bound for a message beside the sender, the target and the updates
+# A message with few updates is filled up to this size with entries of the table, each in turn. That repairs
+# what was lost or delayed; a greater size would only cost bytes.
+FILL_BYTES = 320
 PING_REQUEST_BYTES = 400  # at most, as three are sent at a time if a path loses messages
 
 
@@ -38,7 +35,7 @@
 
     def __init__(self, identity: Identity, table: MemberTable) -> None:
         self._identity, self._table = identity, table
-        self._turn = 0  # position in the table of the entry that is sent next
+        self._next_entry = 0  # position in the table of the entry with which the next message is filled
 
     def ping(self, receiver: Member, sequence: int) -> Outgoing:
         """Probes the receiver."""
@@ -93,6 +90,7 @@
             chosen[first.name] = first.update
             bytes_left -= encoded_size(first)
         bytes_left = self._add_pending(chosen, bytes_left)
+        # A PING_REQUEST is never filled, as its limit leaves it fewer bytes than are subtracted here
         self._fill(chosen, bytes_left - (MAX_MESSAGE_BYTES - FILL_BYTES))
         return MembershipMessage(kind, sequence, sender, target, tuple(chosen.values()))
 
@@ -121,12 +119,12 @@
         return bytes_left
 
     def _fill(self, chosen: dict[str, MemberUpdate], bytes_left: int) -> None:
-        """Adds entries of the table, continuing where the last message ended."""
+        """Adds entries of the table in turn, beginning after the last one that an earlier message had."""
         names = self._table.all_names.names
         for _ in range(min(len(names), FILL_BYTES // ENTRY_BYTES)):
-            member = self._table.members[names[self._turn % len(names)]]
+            member = self._table.members[names[self._next_entry % len(names)]]
             bytes_left -= encoded_size(member)
             if bytes_left < 0:
                 return
             chosen.setdefault(member.name, member.update)
-            self._turn = (self._turn + 1) % len(names)
+            self._next_entry = (self._next_entry + 1) % len(names)
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -94,8 +94,11 @@
         return [self._builder.ping(target, self._sequence)]
 
     def ack_received(self, member: Member, message: MembershipMessage) -> list[Outgoing]:
-        """Handles an answer; it is passed on if the probe was for another member."""
-        if self._probe in ((message.sequence, member.name), (message.sequence, message.target)):
+        """Handles an answer; it is forwarded if the probe was for another member."""
+        probe = self._probe
+        # The answer comes from the target itself, or from a member that probed the target for this gateway
+        answered_targets = (member.name, message.target)
+        if probe is not None and probe.sequence == message.sequence and probe.target in answered_targets:
             self._probe = None
         indirect = self.indirect_probes.pop(message.sequence, None)
         if indirect is None or indirect.target != member.name:
