--- a/gaproute/shared/gossip/arrivals.py
+++ b/gaproute/shared/gossip/arrivals.py
@@ -9,9 +9,9 @@
 from gaproute.shared.gossip.messages import LIMITS, DemandEntry, EntryKind
 from gaproute.units import SECOND
 
-BUCKET = 2 * SECOND  # of one bucket; the spread over shorter ones would be mostly chance
-BUCKETS = 10  # stored buckets: 20 s, so that a burst shows within some seconds
-MAX_FUNCTIONS = 4096  # counted by name in a bucket; arrivals of other functions count as the rest
+BUCKET = 2 * SECOND  # length of a bucket; the deviation over shorter ones would be mostly chance
+BUCKETS = 10  # number of buckets that are stored: 20 s, so that a burst shows within some seconds
+MAX_FUNCTIONS = 4096  # counted separately in a bucket; arrivals of others are summed as unnamed
 MAX_NAMED = LIMITS[EntryKind.DEMAND].max_entries
 
 FunctionClass = tuple[int, int]  # the function's key, and the number of its request class
@@ -46,19 +46,19 @@
     def __init__(self, now: int) -> None:
         self.counted_until = now  # ns: when the present bucket began
         self.counts: dict[FunctionClass, int] = {}  # of the present bucket
-        self.unnamed = 0
-        self.past: deque[Bucket] = deque()
-        self.sums: dict[FunctionClass, int] = {}
-        self._squares: dict[FunctionClass, int] = {}
+        self.unnamed = 0  # of the present bucket: arrivals of functions beyond the bound
+        self.past: deque[Bucket] = deque()  # buckets that have ended, the oldest first
+        self.sums: dict[FunctionClass, int] = {}  # of the counts in `past`
+        self._squares: dict[FunctionClass, int] = {}  # sums of the squares of those counts
         self._unnamed_sum = 0
 
     def record(self, now: int, function: int, request_class: int, count: int = 1) -> None:
         """Counts arrivals."""
         if now - self.counted_until >= BUCKET:
             self.advance(now)
-        name = function, request_class
-        if name in self.counts or len(self.counts) < MAX_FUNCTIONS:
-            self.counts[name] = self.counts.get(name, 0) + count
+        subject = function, request_class
+        if subject in self.counts or len(self.counts) < MAX_FUNCTIONS:
+            self.counts[subject] = self.counts.get(subject, 0) + count
         else:
             self.unnamed += count
 
@@ -71,14 +71,14 @@
                 self._drop_oldest()
         self.counted_until += ended * BUCKET
 
-    def rate(self, name: FunctionClass) -> Rate:
+    def rate(self, subject: FunctionClass) -> Rate:
         """The rate of one function in one request class."""
         buckets, seconds = len(self.past), BUCKET / SECOND
-        total = self.sums.get(name, 0)
+        total = self.sums.get(subject, 0)
         if not buckets or not total:
             return Rate(0.0, 0.0)
         mean = total / buckets
-        variance = max(0.0, self._squares[name] / buckets - mean * mean) * buckets / max(1, buckets - 1)
+        variance = max(0.0, self._squares[subject] / buckets - mean * mean) * buckets / max(1, buckets - 1)
         return Rate(mean / seconds, sqrt(variance) / seconds)
 
     def total(self) -> float:
@@ -90,15 +90,15 @@
         self.advance(now)
         if not self.past:
             return MostWanted(0.0, ())
-        names = sorted(self.sums, key=lambda name: (-self.sums[name], name))[:MAX_NAMED]
-        named = sum(self.sums[name] for name in names) * SECOND / BUCKET / len(self.past)
-        entries = [DemandEntry(*name, *self.rate(name)) for name in names]
-        return MostWanted(max(0.0, self.total() - named), tuple(entries))
+        subjects = sorted(self.sums, key=lambda subject: (-self.sums[subject], subject))[:MAX_NAMED]
+        named_rate = sum(self.sums[subject] for subject in subjects) * SECOND / BUCKET / len(self.past)
+        entries = [DemandEntry(*subject, *self.rate(subject)) for subject in subjects]
+        return MostWanted(max(0.0, self.total() - named_rate), tuple(entries))
 
     def _end_bucket(self) -> None:
-        for name, count in self.counts.items():
-            self.sums[name] = self.sums.get(name, 0) + count
-            self._squares[name] = self._squares.get(name, 0) + count * count
+        for subject, count in self.counts.items():
+            self.sums[subject] = self.sums.get(subject, 0) + count
+            self._squares[subject] = self._squares.get(subject, 0) + count * count
         self._unnamed_sum += self.unnamed
         self.past.append(Bucket(self.counts, self.unnamed))
         self.counts, self.unnamed = {}, 0
@@ -106,8 +106,8 @@
     def _drop_oldest(self) -> None:
         oldest = self.past.popleft()
         self._unnamed_sum -= oldest.unnamed
-        for name, count in oldest.counts.items():
-            self.sums[name] -= count
-            self._squares[name] -= count * count
-            if not self.sums[name]:
-                del self.sums[name], self._squares[name]
+        for subject, count in oldest.counts.items():
+            self.sums[subject] -= count
+            self._squares[subject] -= count * count
+            if not self.sums[subject]:
+                del self.sums[subject], self._squares[subject]
--- a/gaproute/shared/gossip/entry_sets.py
+++ b/gaproute/shared/gossip/entry_sets.py
@@ -14,16 +14,21 @@
 )
 from gaproute.units import SECOND
 
-# By kind: how long a set is sent again unchanged, only with a greater age, ns. Otherwise 25 messages per
-# second would sort a thousand hosts 25 times.
-REUSE_TIME = (SECOND // 10, SECOND // 2, SECOND, 0)
+# By kind: how long a set is sent again with only its age changed, ns. If each of 25 messages per second had a
+# new set, a thousand hosts would be sorted 25 times.
+REUSE_TIME = (
+    SECOND // 10,  # IN_FLIGHT
+    SECOND // 2,  # AVAILABLE_CAPACITY
+    SECOND,  # DEMAND
+    0,  # WARM_INSTANCES
+)
 
 
 class CachedSet(NamedTuple):
     """A set that is sent for a while."""
 
     made_at: int
-    entries: EntrySet
+    entry_set: EntrySet
 
 
 class LocalEntrySets:
@@ -44,7 +49,7 @@
         cached = self.cached.get(kind)
         if cached is None or now - cached.made_at >= REUSE_TIME[kind]:
             cached = self.cached[kind] = CachedSet(now, self._make(now, kind, partition))
-        return cached.entries._replace(age=now - cached.made_at)
+        return cached.entry_set._replace(age=now - cached.made_at)
 
     def _make(self, now: int, kind: EntryKind, partition: int) -> EntrySet:
         remainder, entries = self._entries(now, kind, partition)
@@ -52,12 +57,13 @@
         return EntrySet(kind, partition, sequence, 0, min(remainder, MAX_AMOUNT), entries)
 
     def _entries(self, now: int, kind: EntryKind, partition: int) -> tuple[float, Entries]:
+        """The remainder and the entries of a new set."""
         observations = self._observations
         match kind:
             case EntryKind.IN_FLIGHT:
                 entries = _greatest(observations.in_flight, LIMITS[kind].max_entries)
-                named = sum([entry.amount for entry in entries])
-                return max(0.0, sum(observations.in_flight.values()) - named), entries
+                named_amount = sum([entry.amount for entry in entries])
+                return max(0.0, sum(observations.in_flight.values()) - named_amount), entries
             case EntryKind.AVAILABLE_CAPACITY:
                 return 0.0, _greatest(observations.available_capacity, LIMITS[kind].max_entries)
             case EntryKind.DEMAND:
@@ -66,6 +72,7 @@
                 return 0.0, self._seen_last(now, partition)
 
     def _seen_last(self, now: int, partition: int) -> tuple[WarmInstanceEntry, ...]:
+        """The warm instances that were seen last, the latest first."""
         limits = LIMITS[EntryKind.WARM_INSTANCES]
         entries: list[WarmInstanceEntry] = []
         for (host, function), seen in reversed(self._observations.warm_instances[partition].items()):
--- a/gaproute/shared/gossip/estimates.py
+++ b/gaproute/shared/gossip/estimates.py
@@ -2,7 +2,7 @@
 
 The influence of one origin is bounded: its set may sum to at most `MEDIAN_MULTIPLE` times the lower median of
 all sets, including this gateway's own, and one subject of it to a part of that; larger figures are scaled
-down. If one gateway really has more, the estimate is too small.
+down. If one gateway really has more than that, the estimate is too small.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,12 +12,11 @@
 from gaproute.shared.gossip.messages import DemandEntry, HostEntry
 from gaproute.shared.gossip.table import ReceivedSet
 
-MEDIAN_MULTIPLE = 16  # ten times the mean was measured on a real day
-SUBJECT_DIVISOR = 4  # one subject may have this part of an origin's bound
+MEDIAN_MULTIPLE = 16  # on a real day one gateway was measured at ten times the mean
+SUBJECT_DIVISOR = 4  # one subject may have this fraction (a fourth) of an origin's bound
 MIN_IN_FLIGHT_BOUND = 32.0  # requests in flight that are never scaled down, as most gateways may be idle
 MIN_DEMAND_BOUND = 50.0  # arrivals per second that are never scaled down
 
-
 Subject = TypeVar("Subject")
 
 
@@ -48,9 +47,9 @@
         self._sums: dict[Subject, float] = {}
         self._variances: dict[Subject, float] = {}
 
-    def add_remainder(self, remainder: float, total: float, bound: float) -> float:
-        """Begins the set of an origin; returns the factor by which its figures are scaled down to the
-        bound.
+    def start_origin(self, remainder: float, total: float, bound: float) -> float:
+        """Adds the remainder of an origin, whose figures sum to `total`; returns the factor that scales them
+        down to the bound.
         """
         scale = min(1.0, bound / total) if total else 1.0
         self.clipped += scale < 1
@@ -85,7 +84,7 @@
     sums: FleetSums[int] = FleetSums(now, received)
     sets = [cast(tuple[HostEntry, ...], each.entries) for each in received]
     figures = [[entry.amount for entry in entries] for entries in sets]
-    bound, scales = _add_remainders(sums, received, figures, local_total, MIN_IN_FLIGHT_BOUND)
+    bound, scales = _start_origins(sums, received, figures, local_total, MIN_IN_FLIGHT_BOUND)
     for each, entries, scale in zip(received, sets, scales, strict=True):
         for host, amount in entries:
             if is_current(host, each.observed_at):
@@ -98,7 +97,7 @@
     sums: FleetSums[FunctionClass] = FleetSums(now, received)
     sets = [cast(tuple[DemandEntry, ...], each.entries) for each in received]
     figures = [[entry.rate for entry in entries] for entries in sets]
-    bound, scales = _add_remainders(sums, received, figures, local_total, MIN_DEMAND_BOUND)
+    bound, scales = _start_origins(sums, received, figures, local_total, MIN_DEMAND_BOUND)
     for entries, scale in zip(sets, scales, strict=True):
         for function, request_class, rate, deviation in entries:
             # A deviation is limited to that of arrivals in a few large bursts.
@@ -110,22 +109,22 @@
     return sums
 
 
-def _add_remainders(
+def _start_origins(
     sums: FleetSums[Subject],
     received: Sequence[ReceivedSet],
     figures: Sequence[Sequence[float]],
     local_total: float,
     floor: float,
 ) -> tuple[float, list[float]]:
-    """Begins the set of each origin, of which `figures` has the figures of all subjects.
+    """Adds the remainder of each origin. `figures`: for each origin, those of its subjects.
 
-    Returns the bound of the sum of one origin, and for each origin the factor by which its figures are scaled
-    down to it.
+    Returns the bound of the sum of one origin, and for each origin the factor that scales its figures down to
+    that bound.
     """
-    totals = [each.remainder + sum(own) for each, own in zip(received, figures, strict=True)]
+    totals = [each.remainder + sum(amounts) for each, amounts in zip(received, figures, strict=True)]
     bound = _bound(totals, local_total, floor)
     scales = [
-        sums.add_remainder(each.remainder, total, bound) for each, total in zip(received, totals, strict=True)
+        sums.start_origin(each.remainder, total, bound) for each, total in zip(received, totals, strict=True)
     ]
     return bound, scales
 
--- a/gaproute/shared/gossip/fleet_view.py
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -1,10 +1,10 @@
 """Estimates for the fleet by one gateway: its own observations with those that other gateways sent."""
 
 from statistics import median
-from typing import NamedTuple, cast
+from typing import Generic, NamedTuple, cast
 
 from gaproute.shared.gossip.arrivals import FunctionClass
-from gaproute.shared.gossip.estimates import FleetEstimate, FleetSums, sum_demand, sum_in_flight
+from gaproute.shared.gossip.estimates import FleetEstimate, FleetSums, Subject, sum_demand, sum_in_flight
 from gaproute.shared.gossip.hosts import ListedHosts
 from gaproute.shared.gossip.local_observations import LocalObservations
 from gaproute.shared.gossip.messages import (
@@ -40,6 +40,13 @@
     origins: tuple[str, ...]
 
 
+class CachedSums(NamedTuple, Generic[Subject]):
+    """Sums that are used for a while."""
+
+    made_at: int
+    sums: FleetSums[Subject]
+
+
 class FleetView:
     """Reads the state of the other parts of a gateway's gossip. Sums are cached for a moment."""
 
@@ -55,14 +62,14 @@
         self._name = name
         self._keys, self._local, self._table = keys, local, table
         self._hosts, self._peers = hosts, peers
-        self._in_flight_sums: tuple[int, FleetSums[int]] | None = None  # (when they were made, sums)
-        self._demand_sums: tuple[int, FleetSums[FunctionClass]] | None = None
+        self._in_flight_sums: CachedSums[int] | None = None
+        self._demand_sums: CachedSums[FunctionClass] | None = None
 
     @property
     def clipped(self) -> int:
         """Sets that the present sums scale down."""
         cached = (self._in_flight_sums, self._demand_sums)
-        return sum([entry[1].clipped for entry in cached if entry is not None])
+        return sum([each.sums.clipped for each in cached if each is not None])
 
     def clear(self) -> None:
         """Drops the cached sums."""
@@ -94,18 +101,18 @@
     def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
         """The estimated available capacity of the host; None if no gateway has an estimate."""
         key = self._keys.key(host)
-        beliefs: list[tuple[float, int]] = []  # (capacity, age)
+        estimates: list[tuple[float, int]] = []  # (capacity, age)
         for _, received in self._table.current(now, EntryKind.AVAILABLE_CAPACITY):
             if self._hosts.is_current(key, received.observed_at):
                 entries = cast(tuple[HostEntry, ...], received.entries)
                 age = now - received.observed_at
-                beliefs += [(entry.amount, age) for entry in entries if entry.host == key]
+                estimates += [(entry.amount, age) for entry in entries if entry.host == key]
         if key in self._local.available_capacity:
-            beliefs.append((self._local.available_capacity[key], 0))
-        if not beliefs:
+            estimates.append((self._local.available_capacity[key], 0))
+        if not estimates:
             return None
-        mean_age = sum(age for _, age in beliefs) // len(beliefs)
-        return CapacityEstimate(median([capacity for capacity, _ in beliefs]), len(beliefs), mean_age)
+        mean_age = sum(age for _, age in estimates) // len(estimates)
+        return CapacityEstimate(median([capacity for capacity, _ in estimates]), len(estimates), mean_age)
 
     def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
         """By host: warm instances; a lower bound, as gateways name only those that they saw last."""
@@ -130,20 +137,20 @@
 
     def _in_flight(self, now: int) -> FleetSums[int]:
         cached = self._in_flight_sums
-        if cached is None or now - cached[0] >= REUSE_TIME:
+        if cached is None or now - cached.made_at >= REUSE_TIME:
             received = [each for _, each in self._table.current(now, EntryKind.IN_FLIGHT)]
             local_total = sum(self._local.in_flight.values())
             sums = sum_in_flight(now, received, local_total, self._hosts.is_current)
-            cached = self._in_flight_sums = now, sums
-        return cached[1]
+            cached = self._in_flight_sums = CachedSums(now, sums)
+        return cached.sums
 
     def _demand(self, now: int) -> FleetSums[FunctionClass]:
         cached = self._demand_sums
-        if cached is None or now - cached[0] >= REUSE_TIME:
+        if cached is None or now - cached.made_at >= REUSE_TIME:
             received = [each for _, each in self._table.current(now, EntryKind.DEMAND)]
             sums = sum_demand(now, received, self._local.arrivals.total())
-            cached = self._demand_sums = now, sums
-        return cached[1]
+            cached = self._demand_sums = CachedSums(now, sums)
+        return cached.sums
 
 
 def _sighting(seen: list[tuple[int, str]]) -> WarmSighting:
--- a/gaproute/shared/gossip/hosts.py
+++ b/gaproute/shared/gossip/hosts.py
@@ -30,7 +30,7 @@
             else:
                 self.key_collisions += 1
         gone = [host for host, start in self._starts.items() if host not in starts or starts[host] != start]
-        self._bury(now, gone)
+        self._add_tombstones(now, gone)
         self.names, self._starts = names, starts
         return gone
 
@@ -44,7 +44,7 @@
         """Whether the host is listed and has not restarted since the time `seen`."""
         return host in self.names and seen > self.tombstones.get(host, seen - 1)
 
-    def _bury(self, now: int, hosts: list[int]) -> None:
+    def _add_tombstones(self, now: int, hosts: list[int]) -> None:
         for host in hosts:
             self.tombstones.pop(host, None)
             self.tombstones[host] = now
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -101,18 +101,19 @@
 
 def own_observations_alone(node: GossipNode, message: GossipMessage) -> Iterator[str]:
     """A message contains only own observations, of now or of a cached set."""
-    for entries in message.sets:
-        for entry in () if _is_cached(node, entries) else entries.entries:
+    for entry_set in message.sets:
+        # What a cached set has may have ended since it was made, such as requests in flight
+        for entry in () if _is_cached(node, entry_set) else entry_set.entries:
             if not _was_observed(node, entry):
-                yield f"{entry} of kind {entries.kind} is sent and was not observed here"
-        reason = rejection_reason(entries)
+                yield f"{entry} of kind {entry_set.kind} is sent and was not observed here"
+        reason = rejection_reason(entry_set)
         if reason is not None:
-            yield f"a set of kind {entries.kind} is sent that cannot be: {reason}"
+            yield f"a set of kind {entry_set.kind} is sent that cannot be: {reason}"
 
 
-def _is_cached(node: GossipNode, entries: EntrySet) -> bool:
-    cached = node.local_sets.cached.get(entries.kind)
-    return cached is not None and cached.entries.entries is entries.entries and entries.age > 0
+def _is_cached(node: GossipNode, entry_set: EntrySet) -> bool:
+    cached = node.local_sets.cached.get(entry_set.kind)
+    return cached is not None and cached.entry_set.entries is entry_set.entries and entry_set.age > 0
 
 
 def _was_observed(node: GossipNode, entry: HostEntry | DemandEntry | WarmInstanceEntry) -> bool:
--- a/gaproute/shared/gossip/local_observations.py
+++ b/gaproute/shared/gossip/local_observations.py
@@ -18,8 +18,8 @@
         self.arrivals = ArrivalRates(now)
         self.in_flight: dict[int, float] = {}  # by host: requests of this gateway, for hosts that have any
         self.available_capacity: dict[int, float] = {}  # by host: estimated available capacity
+        # By partition: when each instance was seen last, the latest at the end
         self.warm_instances: list[dict[Instance, int]] = [{} for _ in range(WARM_PARTITIONS)]
-        # by partition: when each was seen last, the latest last
 
     def record_in_flight(self, host: int, requests: float) -> None:
         """Records the requests of this gateway that are in flight at the host now."""
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -48,10 +48,10 @@
 
 
 LIMITS = (  # by kind: requests end within seconds; demand lasts for minutes, as do idle instances
-    KindLimits("hands", 1, 64, 5, 15 * SECOND),
-    KindLimits("room", 1, 64, 5, 20 * SECOND),
-    KindLimits("demand", 1, 24, 8, 120 * SECOND),
-    KindLimits("warm", 8, 32, 10, 300 * SECOND),
+    KindLimits("hands", 1, 64, 5, 15 * SECOND),  # IN_FLIGHT
+    KindLimits("room", 1, 64, 5, 20 * SECOND),  # AVAILABLE_CAPACITY
+    KindLimits("demand", 1, 24, 8, 120 * SECOND),  # DEMAND
+    KindLimits("warm", 8, 32, 10, 300 * SECOND),  # WARM_INSTANCES
 )
 MAX_SETS = sum(limits.partitions for limits in LIMITS)  # of one gateway
 MAX_AGE = max(limits.max_age for limits in LIMITS)
@@ -126,20 +126,20 @@
     return ENVELOPE_BYTES + HEADER_BYTES + sets
 
 
-def rejection_reason(entries: EntrySet) -> RejectionReason | None:
+def rejection_reason(entry_set: EntrySet) -> RejectionReason | None:
     """Why a set is invalid; None if it is valid."""
-    if not 0 <= entries.kind < len(LIMITS):
+    if not 0 <= entry_set.kind < len(LIMITS):
         return RejectionReason.INVALID
-    limits = LIMITS[entries.kind]
-    if not 0 <= entries.partition < limits.partitions or not 0 <= entries.sequence <= MAX_SEQUENCE:
+    limits = LIMITS[entry_set.kind]
+    if not 0 <= entry_set.partition < limits.partitions or not 0 <= entry_set.sequence <= MAX_SEQUENCE:
         return RejectionReason.INVALID
-    if len(entries.entries) > limits.max_entries:
+    if len(entry_set.entries) > limits.max_entries:
         return RejectionReason.TOO_LARGE
-    if entries.age > limits.max_age:
+    if entry_set.age > limits.max_age:
         return RejectionReason.EXPIRED
-    if entries.age < 0 or not _is_amount(entries.remainder):
+    if entry_set.age < 0 or not _is_amount(entry_set.remainder):
         return RejectionReason.INVALID
-    if not all(map(_is_plausible, entries.entries)):
+    if not all(map(_is_plausible, entry_set.entries)):
         return RejectionReason.INVALID
     return None
 
--- a/gaproute/shared/gossip/table.py
+++ b/gaproute/shared/gossip/table.py
@@ -60,20 +60,19 @@
         self.tombstones: dict[str, Tombstone] = {}  # by origin, the oldest first
         self.rejections: Counter[RejectionReason] = Counter()
 
-    def merge(self, now: int, origin: str, incarnation: int, entries: EntrySet) -> bool:
+    def merge(self, now: int, origin: str, incarnation: int, entry_set: EntrySet) -> bool:
         """Merges one set; returns whether it was newer than the stored one. An invalid set is counted."""
-        reason = self._rejection_reason(origin, incarnation, entries)
+        reason = self._rejection_reason(origin, incarnation, entry_set)
         if reason is not None:
             self.rejections[reason] += 1
             return False
-        version = Version(incarnation, entries.sequence)
-        observed_at = now - entries.age - TRAVEL_TIME
+        version = Version(incarnation, entry_set.sequence)
+        observed_at = now - entry_set.age - TRAVEL_TIME
         sets = self.received.setdefault(origin, {})
-        stored = sets.get((entries.kind, entries.partition))
+        name = entry_set.kind, entry_set.partition
+        stored = sets.get(name)
         if stored is None or version > stored.version:
-            sets[entries.kind, entries.partition] = ReceivedSet(
-                version, observed_at, entries.remainder, entries.entries
-            )
+            sets[name] = ReceivedSet(version, observed_at, entry_set.remainder, entry_set.entries)
             return True
         if version == stored.version:
             stored.observed_at = min(stored.observed_at, observed_at)
@@ -113,10 +112,10 @@
             if (stored := sets.get(name)) is not None and now - stored.observed_at <= max_age
         ]
 
-    def _rejection_reason(self, origin: str, incarnation: int, entries: EntrySet) -> RejectionReason | None:
+    def _rejection_reason(self, origin: str, incarnation: int, entry_set: EntrySet) -> RejectionReason | None:
         if not 0 < incarnation <= MAX_INCARNATION:
             return RejectionReason.INVALID
-        reason = rejection_reason(entries)
+        reason = rejection_reason(entry_set)
         if reason is not None:
             return reason
         tombstone = self.tombstones.get(origin)
