--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -8,7 +8,7 @@
 
 from gaproute.decisions.cells.bounds import MAX_NAME
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import ANSWER_BYTES, MAX_WHOLE, PART_BYTES, PUSH_BYTES
+from gaproute.shared.dissemination.bounds import ANSWER_BYTES, MAX_DOCUMENT_BYTES, PART_BYTES, PUSH_BYTES
 from gaproute.shared.dissemination.messages import (
     Announcement,
     Busy,
@@ -28,7 +28,7 @@
 Text = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
 VersionPart = Annotated[int, Meta(ge=-1, le=MAX_INTEGER)]
 WireVersion = tuple[VersionPart, VersionPart]
-Offset = Annotated[int, Meta(ge=0, le=MAX_WHOLE)]
+Offset = Annotated[int, Meta(ge=0, le=MAX_DOCUMENT_BYTES)]
 
 
 class _Message(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
--- a/gaproute/shared/dissemination/assembly.py
+++ b/gaproute/shared/dissemination/assembly.py
@@ -1,6 +1,6 @@
 """Assembles a complete document that arrives in parts."""
 
-from gaproute.shared.dissemination.bounds import MAX_WHOLE
+from gaproute.shared.dissemination.bounds import MAX_DOCUMENT_BYTES
 from gaproute.shared.dissemination.messages import NOTHING, Part
 
 
@@ -17,7 +17,7 @@
 
     def take(self, part: Part) -> bool:
         """Takes a part; returns whether it was the next one."""
-        if not 0 < part.size <= MAX_WHOLE or not part.data:
+        if not 0 < part.size <= MAX_DOCUMENT_BYTES or not part.data:
             return False
         if (part.version, part.digest, part.size) != (self.version, self.digest, self.size):
             if part.offset != 0:
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -20,7 +20,7 @@
 MAX_SOURCES = 4  # further peers stored that have the newer version
 MAX_WAIT = 5 * SECOND  # longest time by which a busy source may delay a fetch
 BUSY_PAUSE = 500 * MILLISECOND  # before another source is asked after a busy one
-MAX_WHOLE = 4 << 20  # of an encoded complete document
+MAX_DOCUMENT_BYTES = 4 << 20  # of a complete document, encoded
 
 # Answering pulls
 LOG_CHANGES = 64  # changes stored for gateways that are a little behind: two minutes at 46,000 a day
--- a/gaproute/shared/dissemination/document.py
+++ b/gaproute/shared/dissemination/document.py
@@ -34,4 +34,4 @@
         """Takes over a complete document of a higher version. Errors: DocumentError."""
 
     def whole(self) -> bytes:
-        """The complete document, encoded; at most `MAX_WHOLE` bytes."""
+        """The complete document, encoded; at most `MAX_DOCUMENT_BYTES` bytes."""
--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -20,7 +20,7 @@
     return (
         Bound("changes", len(log.changes), bounds.LOG_CHANGES),
         Bound("bytes of changes", log.bytes, bounds.LOG_BYTES),
-        Bound("bytes of a whole document", len(disseminator.assembly.data), bounds.MAX_WHOLE),
+        Bound("bytes of a whole document", len(disseminator.assembly.data), bounds.MAX_DOCUMENT_BYTES),
         Bound("snapshots", len(disseminator.pull_server.snapshots), bounds.MAX_SNAPSHOTS),
         Bound("reasons of rejection", len(disseminator.rejections), bounds.MAX_REASONS),
     )
--- a/tests/dissemination/test_asking.py
+++ b/tests/dissemination/test_asking.py
@@ -152,7 +152,7 @@
     assert not assembly.take(part(4, digest=6, version=Version(1, 3)))
     assert not assembly.take(part(0, size=0))
     assert not assembly.take(part(0, b""))
-    assert not assembly.take(part(0, size=bounds.MAX_WHOLE + 1))
+    assert not assembly.take(part(0, size=bounds.MAX_DOCUMENT_BYTES + 1))
 
 
 # Asking, in detail
