--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -78,10 +78,10 @@
             self._schedule_announcement(now)
             for peer in self.view.sample(1):
                 sends += self.message_sender.announce(now, peer)
-        if self._fetch_is_due(now) and self.fetch.deadline_passed(
-            now, self.document.version, amid_parts=self.assembly.begun
-        ):
-            sends += self._ask(now)
+        if self._fetch_is_due(now):
+            current, amid_parts = self.document.version, self.assembly.begun
+            if self.fetch.deadline_passed(now, current, amid_parts=amid_parts):
+                sends += self._send_request(now)
         return sends
 
     # Publishing
@@ -89,12 +89,12 @@
     def publish(self, now: int, change: Change) -> list[Send]:
         """Publishes a change that was made at this gateway. Errors: DocumentError."""
         self.replica.apply(change)
-        return self._taken(now, "", (change,))
+        return self._version_taken(now, "", (change,))
 
     def publish_whole(self, now: int, version: Version, digest: int, data: bytes) -> list[Send]:
         """Publishes a complete document that was made here or read from disk. Errors: DocumentError."""
         self.replica.replace(version, digest, data)
-        return self._taken(now, "", ())
+        return self._version_taken(now, "", ())
 
     # Datagrams
 
@@ -135,10 +135,10 @@
         """Fetches from a sender that has a newer version."""
         current, known = self.document.version, self.fetch.knows(sender)
         if self.fetch.announced(now, sender, version, current):
-            return self._ask(now)
-        # The sender's push may arrive if the source's was lost. The sender is asked only once: one that has
-        # no changes to push announces again, and two gateways that answer each other's announcements would
-        # never stop.
+            return self._send_request(now)
+        # The sender may push the changes as well, in case the push of the source is lost. It is asked only
+        # once: a gateway without changes to push announces its version again, so two gateways would answer each
+        # other's announcements without end.
         if not known and self.fetch.is_near(current):
             return self.message_sender.announce(now, sender)
         return []
@@ -146,15 +146,15 @@
     def _receive_changes(self, now: int, sender: Peer, changes: tuple[Change, ...]) -> list[Send]:
         newest = changes[-1]
         if newest.version <= self.document.version:
-            self._check_held(newest)
+            self._check_known_change(newest)
             return []
         applied = self.replica.apply_following(changes)
-        sends = self._taken(now, sender.name, applied) if applied else []
+        sends = self._version_taken(now, sender.name, applied) if applied else []
         if newest.version > self.document.version:
             sends += self._fetch_from(now, sender, newest.version)
         return sends
 
-    def _check_held(self, change: Change) -> None:
+    def _check_known_change(self, change: Change) -> None:
         """Checks a change that is not new: whether it contradicts the current document."""
         current = self.document.version
         if change.version < current:
@@ -178,13 +178,13 @@
         """Handles the answer to a pull; None if none came or it could not be decoded."""
         fetch = self.fetch
         if fetch.source != peer or not fetch.by_exchange or fetch.waiting:
-            return []  # too late: another peer was asked
+            return []  # too late: another peer is asked by now
         if answer is not None and answer.fleet != self.document.fleet:
             self.replica.reject(RejectionReason.OTHER_FLEET)
         elif isinstance(answer, Changes):
             applied = self.replica.apply_following(answer.changes)
             if applied:
-                return self._taken(now, peer.name, applied)
+                return self._version_taken(now, peer.name, applied)
         elif isinstance(answer, Part):
             return self._receive_part(now, answer)
         elif isinstance(answer, Busy):
@@ -199,7 +199,7 @@
             self.fetch.failed(now)
             return []
         self.fetch.part_received(now)
-        return self._take_whole(now) if self.assembly.complete else self._ask(now)
+        return self._take_whole(now) if self.assembly.complete else self._send_request(now)
 
     def _take_whole(self, now: int) -> list[Send]:
         """Takes over a complete document once all its parts have come."""
@@ -212,14 +212,16 @@
             self.replica.reject(str(reason))
             self.fetch.failed(now)
             return []
-        return self._taken(now, "", ())
+        return self._version_taken(now, "", ())
 
     # Sending
 
-    def _taken(self, now: int, sender: str, changes: tuple[Change, ...]) -> list[Send]:
-        """Handles a newer version that was taken: pushes it, and goes on fetching if there is more."""
-        more = self.fetch.progressed(now, self.document.version)
-        sends = self._ask(now) if more else []
+    def _version_taken(self, now: int, sender: str, changes: tuple[Change, ...]) -> list[Send]:
+        """Handles a newer version that this gateway now has: pushes it to others except `sender`, and goes on
+        fetching if there is a still newer one.
+        """
+        fetch_continues = self.fetch.progressed(now, self.document.version)
+        sends = self._send_request(now) if fetch_continues else []
         self._eager_until = now + EAGER_TIME
         self._next_announcement = min(self._next_announcement, now + EAGER_INTERVAL)
         return sends + self.message_sender.spread(now, changes, sender)
@@ -232,13 +234,15 @@
         interval = EAGER_INTERVAL if now < self._eager_until else ANNOUNCE_INTERVAL
         self._next_announcement = now + interval * 3 // 4 + self._random.below(interval // 2)
 
-    def _ask(self, now: int) -> list[Send]:
+    def _send_request(self, now: int) -> list[Send]:
         """Sends the open request to the source."""
         source, current = self.fetch.source, self.document.version
         if source is None:
             return []
         if not self.fetch.by_exchange:
             return self.message_sender.announce(now, source)
-        whole, assembly = self.fetch.wants_whole(current), self.assembly
-        pull = Pull(self.document.fleet, current, whole, assembly.version, len(assembly.data))
+        whole = self.fetch.wants_whole(current)
+        pull = Pull(
+            self.document.fleet, current, whole, target=self.assembly.version, offset=len(self.assembly.data)
+        )
         return self.message_sender.send(now, source, pull)
--- a/gaproute/shared/dissemination/fetch.py
+++ b/gaproute/shared/dissemination/fetch.py
@@ -1,4 +1,4 @@
-"""How a gateway that is behind fetches what it lacks: which peer it asks, in which way, and when the next.
+"""How a gateway that is behind fetches what it lacks: which peer it asks, in which way, and when another one.
 
 There is one fetch at a time. A gateway that is a little behind announces its own version to the peer that
 announced the newer one, which then pushes the changes. If it is further behind, or that fails, it pulls by
@@ -47,17 +47,19 @@
         return None if self.source is None else self._deadline
 
     def wants_whole(self, current: Version) -> bool:
-        """Whether to request the complete document, as stored changes of others do not reach back or did not
-        help.
+        """Whether to request the complete document, as the changes that others store do not reach back that
+        far, or requests for changes failed.
         """
         if self._replica.needs_whole or current == NOTHING or self.failures >= MAX_CHANGES_FAILURES:
             return True
-        return current.term == self.target.term and self.target.number - current.number > LOG_CHANGES
+        same_term = current.term == self.target.term
+        return same_term and self.target.number - current.number > LOG_CHANGES
 
     def is_near(self, current: Version) -> bool:
         """Whether the lacking changes may fit in a datagram."""
-        few = current.term == self.target.term and self.target.number - current.number <= MAX_DATAGRAM_GAP
-        return few and not self._replica.needs_whole
+        same_term = current.term == self.target.term
+        gap_is_small = same_term and self.target.number - current.number <= MAX_DATAGRAM_GAP
+        return gap_is_small and not self._replica.needs_whole
 
     def knows(self, peer: Peer) -> bool:
         """Whether the peer has announced a newer version since this fetch began."""
@@ -134,11 +136,11 @@
             del self.other_sources[next(iter(self.other_sources))]
 
     def _next_source(self, now: int, pause: int) -> None:
-        """Asks the peer that announced last next; the one that failed comes after all others."""
+        """Makes the peer that announced last the source; the one that failed comes after all others."""
         if self.other_sources and self.source is not None:
-            _, following = self.other_sources.popitem()
+            _, last_announced = self.other_sources.popitem()
             self.other_sources = {self.source.name: self.source, **self.other_sources}
-            self.source = following
+            self.source = last_announced
         self._wait(now, pause)
 
     def _wait(self, now: int, pause: int) -> None:
--- a/gaproute/shared/dissemination/partial_view.py
+++ b/gaproute/shared/dissemination/partial_view.py
@@ -16,7 +16,7 @@
     VIEW_NEIGHBOURS,
 )
 from gaproute.shared.dissemination.messages import Peer
-from gaproute.shared.randomness import RandomSource
+from gaproute.shared.randomness import RandomSource, partial_shuffle
 
 SHARE_UNITS = 1 << 20  # the unit of shares
 ATTEMPTS_PER_PEER = 3  # draws for each peer, as a draw may give a peer twice; unneeded draws cost nothing
@@ -45,8 +45,8 @@
 
     def set_candidates(self, candidates: Candidates) -> None:
         """Takes over the present candidates; the sample is drawn again."""
-        self.inside = self._draw_some(candidates.neighbours, VIEW_NEIGHBOURS)
-        outside = self._draw_some(candidates.configured, VIEW_CONFIGURED)
+        self.inside = self._draw_sample(candidates.neighbours, VIEW_NEIGHBOURS)
+        outside = self._draw_sample(candidates.configured, VIEW_CONFIGURED)
         outside += self._draw_entries(candidates.entries)
         self.names = {peer.name: None for peer in self.inside}
         self.outside = []
@@ -62,48 +62,40 @@
         for _ in range(ATTEMPTS_PER_PEER * count):
             if len(found) == count:
                 break
-            peer = self._one()
+            peer = self._draw_peer()
             if peer is not None and peer.name != excluded:
                 found[peer.name] = peer
         return list(found.values())
 
-    def _one(self) -> Peer | None:
+    def _draw_peer(self) -> Peer | None:
         wants_outside = self._random.below(SHARE_UNITS) < self._outside_share
-        use_outside = wants_outside and self.outside or not self.inside
+        use_outside = (wants_outside and self.outside) or not self.inside
         peers = self.outside if use_outside else self.inside
         return peers[self._random.below(len(peers))] if peers else None
 
-    def _draw_some(self, candidates: Iterable[Peer], count: int) -> list[Peer]:
+    def _draw_sample(self, candidates: Iterable[Peer], count: int) -> list[Peer]:
         """Up to `count` of the candidates, except this gateway."""
         peers = [peer for peer in candidates if peer.name != self.name]
-        for position in range(min(count, len(peers))):
-            other = position + self._random.below(len(peers) - position)
-            peers[position], peers[other] = peers[other], peers[position]
+        partial_shuffle(peers, count, self._random)
         return peers[:count]
 
     def _draw_entries(self, entries: Mapping[str, tuple[Peer, ...]]) -> list[Peer]:
         """A sample of the entries, in which no zone has two peers more than another one with peers left."""
-        by_zone = [self._draw_some(peers, VIEW_ENTRIES) for _, peers in sorted(entries.items())]
-        zones = self._shuffled([peers for peers in by_zone if peers])
+        by_zone = [self._draw_sample(peers, VIEW_ENTRIES) for _, peers in sorted(entries.items())]
+        zones = [peers for peers in by_zone if peers]
+        # In an order that differs between gateways, so that they use different zones if there are many
+        partial_shuffle(zones, len(zones), self._random)
         found: list[Peer] = []
         turn = 0
         while zones and len(found) < VIEW_ENTRIES:
-            found.append(zones[turn % len(zones)].pop())
-            if zones[turn % len(zones)]:
+            position = turn % len(zones)
+            found.append(zones[position].pop())
+            if zones[position]:
                 turn += 1
             else:
-                del zones[turn % len(zones)]
+                del zones[position]
         return found
 
-    def _shuffled(self, zones: list[list[Peer]]) -> list[list[Peer]]:
-        """The zones in an order that differs between gateways, so that they use different zones if there are
-        many.
-        """
-        for position in range(len(zones)):
-            other = position + self._random.below(len(zones) - position)
-            zones[position], zones[other] = zones[other], zones[position]
-        return zones
-
 
 def _outside_share(candidates: Candidates) -> int:
     """The share of messages that are sent outside the own cell, in `SHARE_UNITS`."""
@@ -111,6 +103,9 @@
         return SHARE_UNITS
     entries = sum(len(peers) for peers in candidates.entries.values())
     outside = max(1, entries + len(candidates.configured))
-    cell = len(candidates.neighbours) + 1
-    fair = SHARE_UNITS * outside // (2 * (outside + max(candidates.gateways, cell)))
-    return min(SHARE_UNITS, max(fair, SHARE_UNITS * MIN_OUTSIDE_PUSHES // (FANOUT * cell)))
+    cell_size = len(candidates.neighbours) + 1
+    # So that entry gateways receive about half as many messages more than others
+    fair_share = SHARE_UNITS * outside // (2 * (outside + max(candidates.gateways, cell_size)))
+    # So that a few pushes of each change leave the cell, whose gateways push it FANOUT times each
+    min_share = SHARE_UNITS * MIN_OUTSIDE_PUSHES // (FANOUT * cell_size)
+    return min(SHARE_UNITS, max(fair_share, min_share))
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -1,8 +1,9 @@
 """Answers pulls: changes, or the complete document in parts, at a bounded rate.
 
-A complete document is encoded once and given to all who request it within `SNAPSHOT_TIME`; later changes are
-sent separately. A gateway that got the first part is granted the others: to serve one gateway after the other
-is sooner for all than many slow transfers at a time, as each one serves others then. Times are ns.
+A complete document is encoded once and given to all that request it within `SNAPSHOT_TIME`; later changes are
+sent separately. A gateway that got the first part is granted the others: one transfer after the other reaches
+all gateways sooner than many slow transfers at a time, as each gateway that has the
+document serves others. Times are ns.
 """
 
 from dataclasses import dataclass
@@ -33,15 +34,15 @@
 
 
 class PullServer:
-    """Answers from the document and its stored changes, which the owner updates."""
+    """Answers from the document and its stored changes, both of which `Disseminator` updates."""
 
     def __init__(self, document: Document, log: RecentChanges, now: int) -> None:
         self.snapshots: list[Snapshot] = []  # the latest last
-        self.bytes = 0  # of answers
-        self.busy = 0  # answers that the server is busy
+        self.bytes = 0  # of all answers so far
+        self.busy = 0  # number of answers that the server is busy
         self._document, self._log = document, log
         self._budget = TokenBucket(SERVE_RATE, SERVE_BURST, now)
-        self._granted = 0  # bytes of parts that were granted and not requested yet
+        self._granted = 0  # bytes of parts that are paid for and not requested yet
 
     def answer(self, now: int, pull: Pull) -> Changes | Part | Busy:
         """The answer to a pull."""
@@ -68,7 +69,7 @@
         return max(1, self._budget.wait(now, size))
 
     def _pay_part(self, now: int, part: Part) -> int:
-        """The same for a part; the first part pays for all."""
+        """How long the asking gateway must wait for a part; the first part pays for all of them."""
         size = wire_size(part)
         if part.offset == 0 or self._granted < size:
             remaining = part.size - part.offset
--- a/gaproute/shared/randomness.py
+++ b/gaproute/shared/randomness.py
@@ -13,6 +13,13 @@
         """A number from 0 to `bound` - 1, all equally likely."""
 
 
+def partial_shuffle(items: MutableSequence[Item], count: int, random: RandomSource) -> None:
+    """Puts a random sample of `count` items, in random order, in front of the others, in place."""
+    for position in range(min(count, len(items))):
+        other = position + random.below(len(items) - position)
+        items[position], items[other] = items[other], items[position]
+
+
 def shuffle(items: MutableSequence[Item], random: RandomSource) -> None:
     """Puts the items in random order, in place (Fisher and Yates)."""
     for position in range(len(items) - 1, 0, -1):
