--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -137,8 +137,8 @@
         if self.fetch.announced(now, sender, version, current):
             return self._send_request(now)
         # The sender may push the changes as well, in case the push of the source is lost. It is asked only
-        # once: a gateway without changes to push announces its version again, so two gateways would answer each
-        # other's announcements without end.
+        # once: a gateway without changes to push announces its version again, so two gateways would answer
+        # each other's announcements without end.
         if not known and self.fetch.is_near(current):
             return self.message_sender.announce(now, sender)
         return []
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -2,8 +2,8 @@
 
 A complete document is encoded once and given to all that request it within `SNAPSHOT_TIME`; later changes are
 sent separately. A gateway that got the first part is granted the others: one transfer after the other reaches
-all gateways sooner than many slow transfers at a time, as each gateway that has the
-document serves others. Times are ns.
+all gateways sooner than many slow transfers at a time, as each gateway that has the document serves others.
+Times are ns.
 """
 
 from dataclasses import dataclass
