--- a/gaproute/shared/raft/bootstrap.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -11,6 +11,7 @@
 from gaproute.shared.raft.log import encode_membership
 from gaproute.shared.raft.messages import BootstrapProbe, Entry, EntryKind, Member, Membership, Outbox
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 
 
 def _may_bootstrap(node: NodeState) -> bool:
@@ -32,7 +33,7 @@
     if not message.echoed_incarnation:
         outbox.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
     elif message.echoed_incarnation != node.incarnation or not _may_bootstrap(node):
-        node.reject("founding is over")
+        node.reject(MessageRejection.BOOTSTRAP_IS_OVER)
     else:
         node.blank_peers.pop(sender, None)
         if message.blank:
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -8,6 +8,7 @@
 
 from gaproute.shared.raft.messages import EntryKind, Outbox, RequestVote, RequestVoteResponse
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.store import NOBODY
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT
@@ -48,7 +49,7 @@
     """Answers whether the vote is granted; no answer while a leader's messages arrive."""
     leader_heard = node.is_leader or now - node.leader_heard_at < ELECTION_TIMEOUT
     if leader_heard and request.term > node.term:
-        node.reject("asked while a leader is heard")
+        node.reject(MessageRejection.LEADER_IS_ALIVE)
         return
     known = node.log.is_up_to_date(request.last_log_index, request.last_log_term)
     if request.pre_vote:
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -11,6 +11,7 @@
     Outbox,
 )
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
 
 
@@ -66,7 +67,7 @@
         try:
             node.store.append(at, entry)
         except ValueError:
-            node.reject("entry not understood")
+            node.reject(MessageRejection.INVALID_ENTRY)
             return False
     return True
 
@@ -94,7 +95,7 @@
         try:
             node.sessions.unpack(message.state)
         except ValueError:
-            node.reject("snapshot not understood")
+            node.reject(MessageRejection.INVALID_SNAPSHOT)
             return
         node.store.install(index, message.last_included_term, message.members, message.state)
         node.commit_index = node.last_applied = index
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -17,6 +17,7 @@
     Outbox,
 )
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.timing import (
     HEARTBEAT_INTERVAL,
@@ -140,14 +141,14 @@
         node.enter_term(now, response.term)
         return
     if node.role is not Role.LEADER or leader is None or response.term < node.term:
-        node.reject("late")
+        node.reject(MessageRejection.LATE)
         return
     progress = leader.follower(sender)
     if progress.incarnation != response.incarnation:
         progress.restart(response.incarnation, node.log.last_index)
     progress.answered_at, progress.in_flight = now, False
     if response.success and response.match_index > node.log.last_index:
-        node.reject("acknowledged what was not sent")
+        node.reject(MessageRejection.NEVER_SENT_ENTRY)
     elif response.success:
         progress.match_index = max(progress.match_index, response.match_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -21,6 +21,7 @@
     RequestVoteResponse,
 )
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.state_machine import StateMachine
 from gaproute.shared.raft.timing import STORAGE_RETRY_INTERVAL
@@ -47,8 +48,8 @@
 
     After a failure of the disk the node sends nothing, as it must not promise what it cannot store:
     `storage_failure` says why. It writes everything again every few seconds until that succeeds.
-    `rejections`: by a fixed set of reasons, the messages that were rejected; `breaches`: the first violations
-    that the invariants found.
+    `rejections`: by reason, how many messages were rejected; `breaches`: the first violations that the
+    invariants found.
     """
 
     def __init__(
@@ -89,11 +90,11 @@
         if isinstance(message, Request):
             requests.on_request(self, sender, message, outbox)
         elif sender not in self.peer_names():
-            self.reject("stranger")
+            self.reject(MessageRejection.UNKNOWN_SENDER)
         elif type(message) not in _HANDLERS:
-            self.reject("not a message of the group")
+            self.reject(MessageRejection.UNKNOWN_TYPE)
         elif getattr(message, "term", 0) > self.term + MAX_TERM_JUMP:
-            self.reject("term from far future")
+            self.reject(MessageRejection.TERM_TOO_HIGH)
         else:
             _HANDLERS[type(message)](self, now, sender, message, outbox)
         return self._flush(now, outbox)
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -8,6 +8,7 @@
 from gaproute.shared.raft.log import ReplicatedLog
 from gaproute.shared.raft.membership import distinct_names
 from gaproute.shared.raft.messages import Entry, EntryKind, Member
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.sessions import Sessions
 from gaproute.shared.raft.state_machine import StateMachine
@@ -39,14 +40,14 @@
         self.store = Store(name, disk, chance, self.sessions.unpack)
         self.storage_failure = self.store.failure
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
-        self.role, self.leader, self.leader_heard_at = Role.FOLLOWER, "", now - 2 * ELECTION_TIMEOUT
-        self.granted_votes: dict[str, int] = {}  # by name: incarnation; in this election
-        # By name: incarnation; of nodes that may take part in a bootstrap
-        self.blank_peers: dict[str, int] = {}
-        # After a crash there is only what the store has.
+        self.role, self.leader = Role.FOLLOWER, ""
+        self.leader_heard_at = now - 2 * ELECTION_TIMEOUT  # so long ago that this node may vote at once
+        self.granted_votes: dict[str, int] = {}  # by name, the incarnation of each voter in this election
+        self.blank_peers: dict[str, int] = {}  # the same of each node that may take part in a bootstrap
+        # After a restart only what the snapshot has is known to be committed
         self.commit_index = self.last_applied = self.log.snapshot_index
         self.leader_state: LeaderState | None = None  # set while it is leader
-        self.rejections: Counter[str] = Counter()
+        self.rejections: Counter[str] = Counter()  # by the text of a `MessageRejection`
         self.breaches: list[str] = []
         self.configured_members: tuple[str, ...] = ()
         self.set_configured_members(now, configured_members)
@@ -62,6 +63,11 @@
         """The incarnation of its disk; 0 until that was read."""
         return self.store.incarnation
 
+    @property
+    def identity(self) -> Member:
+        """This node as a member of the group: its name with the incarnation of its disk."""
+        return Member(self.name, self.incarnation)
+
     @property
     def log(self) -> ReplicatedLog:
         """The log."""
@@ -80,7 +86,7 @@
     @property
     def is_member(self) -> bool:
         """Whether it is among the members, with the incarnation of its disk."""
-        return Member(self.name, self.incarnation) in self.members
+        return self.identity in self.members
 
     @property
     def may_campaign(self) -> bool:
@@ -89,8 +95,7 @@
         A member whose removal is not committed may have more entries than all that stay (dissertation 4.2.2);
         its own vote counts by the last membership only.
         """
-        itself = Member(self.name, self.incarnation)
-        return any(itself in members for members in self.log.memberships_since(self.commit_index))
+        return any(self.identity in members for members in self.log.memberships_since(self.commit_index))
 
     def set_configured_members(self, now: int, names: Iterable[str]) -> None:
         """Takes over the names in the configuration; the members change one at a time.
@@ -111,9 +116,9 @@
         """Stores the first few violations."""
         self.breaches += breaches[: MAX_BREACHES - len(self.breaches)]
 
-    def reject(self, reason: str) -> None:
+    def reject(self, reason: MessageRejection) -> None:
         """Counts a message that was rejected."""
-        self.rejections[reason] += 1
+        self.rejections[reason.value] += 1
 
     def enter_term(self, now: int, term: int) -> None:
         """Enters a term above the own one, without a leader or a vote."""
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -6,6 +6,7 @@
 from gaproute.shared.raft.leader_state import LeaderState, PendingReply
 from gaproute.shared.raft.messages import EntryKind, Outbox, Reply, ReplyStatus, Request
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.sessions import OLD_NONCE, Outcome
 
 MAX_PENDING_PER_CLIENT = 4  # requests that wait to be committed; a client sends one at a time
@@ -15,7 +16,7 @@
 def on_request(node: NodeState, sender: str, request: Request, outbox: Outbox) -> None:
     """Logs a request, or answers it immediately."""
     if not 0 < len(sender) <= NAME or not request.nonce:
-        node.reject("request not understood")
+        node.reject(MessageRejection.INVALID_REQUEST)
         return
     leader = node.leader_state
     if leader is None:
@@ -44,7 +45,7 @@
     if not why and request.nonce < session.nonce:
         why = OLD_NONCE
     if why:
-        node.reject("request refused")
+        node.reject(MessageRejection.REFUSED_REQUEST)
         return Outcome(ReplyStatus.REFUSED, why.encode())
     if request.nonce == session.nonce:
         return Outcome(ReplyStatus.DONE, session.result)
@@ -64,7 +65,7 @@
     if len(own) < MAX_PENDING_PER_CLIENT:
         index = node.propose(kind, request.session, request.nonce, body)
     if not index:
-        node.reject("busy")
+        node.reject(MessageRejection.BUSY)
         return Outcome(ReplyStatus.BUSY)
     leader.pending_replies[index] = pending
     return None
