--- a/gaproute/shared/raft/committed.py
+++ b/gaproute/shared/raft/committed.py
@@ -6,9 +6,9 @@
 from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.requests import reply_to
 
-COMPACT_AFTER = 1024  # applied entries in the log, above which a snapshot replaces them
-# Times as many: above that a snapshot is made even if a follower that answers lacks some of them
-COMPACT_ANYWAY = 4
+COMPACT_AFTER = 1024  # applied entries in the log, from which on a snapshot replaces them
+# From this multiple of `COMPACT_AFTER` on it does so even if a follower that answers lacks some entries
+FORCED_COMPACTION_FACTOR = 4
 
 
 def apply_entries(node: NodeState, now: int, outbox: Outbox) -> None:
@@ -17,12 +17,12 @@
         node.last_applied += 1
         entry = node.log.entry_at(node.last_applied)
         outcome = node.sessions.apply(node.last_applied, entry)
-        change = node.machine.pop_change()
+        deadline_change = node.machine.pop_change()
         leader = node.leader_state
         if leader is None:
             continue
-        if change is not None:
-            leader.timers.update(now, *change)
+        if deadline_change is not None:
+            leader.timers.update(now, *deadline_change)
         reply_to(leader, node.last_applied, outcome, outbox)
         if entry.kind == EntryKind.MEMBERSHIP and not node.is_member:
             node.step_down(now)
@@ -33,9 +33,10 @@
 
     While a follower that answers would need the snapshot, this is done only if there are very many.
     """
-    applied, leader = node.last_applied - node.log.snapshot_index, node.leader_state
-    if applied < COMPACT_AFTER:
+    applied_count = node.last_applied - node.log.snapshot_index
+    if applied_count < COMPACT_AFTER:
         return
-    waits = leader is not None and not leader.all_answering_have(now, node.last_applied)
-    if not waits or applied >= COMPACT_ANYWAY * COMPACT_AFTER:
+    leader = node.leader_state
+    entries_are_needed = leader is not None and not leader.all_answering_have(now, node.last_applied)
+    if not entries_are_needed or applied_count >= FORCED_COMPACTION_FACTOR * COMPACT_AFTER:
         node.store.compact(node.last_applied, node.sessions.pack())
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -1,7 +1,7 @@
-"""Elections (Raft 5.2, 5.4.1), with pre-vote, and votes refused while the leader is alive.
+"""Elections (Raft 5.2, 5.4.1), with pre-vote, and with votes refused while the leader is alive.
 
-The latter two are of Ongaro's dissertation, 9.6 and 4.2.3. A vote is given once in a term, to a log that is
-at least as up-to-date as the own one, and is durable before it is sent.
+Pre-vote and the refusal are of Ongaro's dissertation, 9.6 and 4.2.3. A node votes once in a term, for a
+candidate whose log is at least as up-to-date as its own; the vote is durable before it is sent.
 """
 
 from __future__ import annotations
@@ -51,15 +51,15 @@
     if leader_heard and request.term > node.term:
         node.reject(MessageRejection.LEADER_IS_ALIVE)
         return
-    known = node.log.is_up_to_date(request.last_log_index, request.last_log_term)
+    up_to_date = node.log.is_up_to_date(request.last_log_index, request.last_log_term)
     if request.pre_vote:
-        granted = request.term > node.term and known
+        granted = request.term > node.term and up_to_date
         outbox.append((sender, RequestVoteResponse(node.term, node.incarnation, True, granted)))
         return
     if request.term > node.term:
         node.enter_term(now, request.term)
     voted_for, candidate = node.store.voted_for, (sender, request.incarnation)
-    granted = request.term == node.term and known and voted_for in (NOBODY, candidate)
+    granted = request.term == node.term and up_to_date and voted_for in (NOBODY, candidate)
     if granted and voted_for == NOBODY:
         node.store.save_vote(node.term, sender, request.incarnation)
         node.reset_election_timer(now)
@@ -74,8 +74,8 @@
         node.enter_term(now, response.term)
         return
     if response.pre_vote:
-        counts = node.role is Role.PRE_CANDIDATE
+        is_awaited = node.role is Role.PRE_CANDIDATE
     else:
-        counts = node.role is Role.CANDIDATE and response.term == node.term
-    if counts and response.vote_granted:
+        is_awaited = node.role is Role.CANDIDATE and response.term == node.term
+    if is_awaited and response.vote_granted:
         node.granted_votes[sender] = response.incarnation
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -58,14 +58,15 @@
 def _append(node: NodeState, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
     """Appends the entries that the log lacks; returns False where that is not possible."""
     log = node.log
-    for at, entry in enumerate(entries, prev_index + 1):
-        if log.term_at(at) == entry.term:
+    for index, entry in enumerate(entries, prev_index + 1):
+        if log.term_at(index) == entry.term:
             continue
-        if at <= node.commit_index:
-            node.record_breaches([f"never unsaid: {sender} replaces {at}, committed to {node.commit_index}"])
+        if index <= node.commit_index:
+            breach = f"never unsaid: {sender} replaces {index}, committed to {node.commit_index}"
+            node.record_breaches([breach])
             return False
         try:
-            node.store.append(at, entry)
+            node.store.append(index, entry)
         except ValueError:
             node.reject(MessageRejection.INVALID_ENTRY)
             return False
@@ -73,15 +74,13 @@
 
 
 def _conflict_hint(log: ReplicatedLog, index: int) -> int:
-    """The index that the leader should try next: before the term that differs, so that all of that is
-    skipped.
-    """
+    """The index that the leader should try next: that before all entries of the term that differs."""
     if index > log.last_index:
         return log.last_index
-    term, at = log.term_at(index), index
-    while at > log.snapshot_index and log.term_at(at) == term:
-        at -= 1
-    return at
+    term, hint = log.term_at(index), index
+    while hint > log.snapshot_index and log.term_at(hint) == term:
+        hint -= 1
+    return hint
 
 
 def on_install_snapshot(
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from gaproute.shared.raft.messages import MAX_MEMBERS, Entry
+from gaproute.shared.raft.messages import MAX_MEMBERS, Entry, Member
 from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.sessions import MAX_SESSIONS, MAX_SESSIONS_PER_CLIENT
 from gaproute.shared.raft.store import Candidate
@@ -55,24 +55,25 @@
 
     def _compare(self, node: NodeState) -> list[str]:
         store, before = node.store, self.seen
-        now = _Seen(
+        present = _Seen(
             store.incarnation, store.term, node.commit_index, node.machine.last_token, store.voted_for
         )
-        self.seen = now
-        if before is None or before.incarnation != now.incarnation:
+        self.seen = present
+        if before is None or before.incarnation != present.incarnation:
             return []
         breaches = [
-            f"{name} only grows: {was} to {value} at {node.name}"
-            for name, was, value in (
-                ("term", before.term, now.term),
-                ("commit index", before.commit_index, now.commit_index),
-                ("fencing number", before.last_token, now.last_token),
+            f"{name} only grows: {old} to {new} at {node.name}"
+            for name, old, new in (
+                ("term", before.term, present.term),
+                ("commit index", before.commit_index, present.commit_index),
+                ("fencing number", before.last_token, present.last_token),
             )
-            if value < was
+            if new < old
         ]
-        if before.term == now.term and before.voted_for.name and before.voted_for != now.voted_for:
-            votes = f"{tuple(before.voted_for)} to {tuple(now.voted_for)}"
-            breaches.append(f"one vote a term: {votes} in {now.term} at {node.name}")
+        vote_changed = before.voted_for.name and before.voted_for != present.voted_for
+        if before.term == present.term and vote_changed:
+            votes = f"{tuple(before.voted_for)} to {tuple(present.voted_for)}"
+            breaches.append(f"one vote a term: {votes} in {present.term} at {node.name}")
         return breaches
 
 
@@ -93,33 +94,31 @@
     """The state of earlier checks, which the caller stores for a whole run."""
 
     def __init__(self) -> None:
-        self.leaders: dict[int, tuple[str, int]] = {}  # by term: (name, incarnation)
+        self.leaders: dict[int, Member] = {}  # by term: the first node that was seen to lead it
         self.committed: dict[int, Entry] = {}  # by index: the entry that some node had committed
-        # By (name, incarnation): the index up to which it was compared
-        self.compared: dict[tuple[str, int], int] = {}
+        self.compared: dict[Member, int] = {}  # by node: the index up to which it was compared
         self.states: dict[int, bytes] = {}  # by last applied index: digest of the state
 
 
 def check_all(nodes: Iterable[NodeState], history: History) -> list[str]:
     """Checks the nodes that are up against each other."""
-    up = list(nodes)
+    nodes_up = list(nodes)
     breaches: list[str] = []
-    for node in up:
+    for node in nodes_up:
         breaches += node.breaches + check_deep(node)
         if node.is_leader:
-            itself = node.name, node.incarnation
-            first = history.leaders.setdefault(node.term, itself)
-            if first != itself:
-                breaches.append(f"one leader a term: {first[0]} and {node.name} in {node.term}")
+            first = history.leaders.setdefault(node.term, node.identity)
+            if first != node.identity:
+                breaches.append(f"one leader a term: {first.name} and {node.name} in {node.term}")
         breaches += _check_committed(node, history)
-    return breaches + _check_matching(up)
+    return breaches + _check_matching(nodes_up)
 
 
 def _check_committed(node: NodeState, history: History) -> list[str]:
     """Committed entries are the same at every node, for ever."""
-    log, itself = node.log, (node.name, node.incarnation)
+    log = node.log
     breaches: list[str] = []
-    compared = history.compared.get(itself)
+    compared = history.compared.get(node.identity)
     first = max(log.snapshot_index, min(compared or 0, node.commit_index))
     for index in range(first + 1, node.commit_index + 1):
         entry = log.entry_at(index)
@@ -129,7 +128,7 @@
         state = blake2b(node.sessions.pack(), digest_size=16).digest()
         if history.states.setdefault(node.last_applied, state) != state:
             breaches.append(f"same entries, same state: {node.name} after {node.last_applied}")
-    history.compared[itself] = node.commit_index
+    history.compared[node.identity] = node.commit_index
     return breaches
 
 
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -25,7 +25,7 @@
     QUORUM_TIMEOUT,
 )
 
-MAX_EXPIRIES_A_TURN = 64  # a leader that was stopped may find many
+MAX_EXPIRIES_A_TURN = 64  # deadlines; a leader whose process was stopped may find many that have passed
 
 
 def _answering_incarnations(node: NodeState, leader: LeaderState, now: int) -> dict[str, int]:
@@ -82,7 +82,7 @@
 
 
 def advance_commit_index(node: NodeState, leader: LeaderState) -> None:
-    """Commits what a majority of the members has on disk; its own part is what is synced."""
+    """Commits what a majority of the members has on disk. The leader's own log was synced before."""
     matched = sorted((_match_index(node, leader, member) for member in node.members), reverse=True)
     index = matched[len(matched) // 2]
     if index > node.commit_index and node.log.term_at(index) == node.term:
@@ -93,8 +93,9 @@
     if member.name == node.name:
         return node.log.last_index if member.incarnation == node.incarnation else 0
     progress = leader.followers.get(member.name)
-    known = progress is not None and progress.incarnation == member.incarnation
-    return progress.match_index if progress is not None and known else 0
+    if progress is not None and progress.incarnation == member.incarnation:
+        return progress.match_index
+    return 0
 
 
 def replicate(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
@@ -106,11 +107,12 @@
 
 
 def _send_entries(node: NodeState, leader: LeaderState, now: int, name: str, outbox: Outbox) -> None:
-    """Sends a follower what it lacks: a snapshot, entries, or only a heartbeat."""
+    """Sends a follower the entries or the snapshot that it lacks, or only a heartbeat."""
     progress, log = leader.follower(name), node.log
     entries: tuple[Entry, ...] = ()
     if progress.next_index > log.snapshot_index:
-        entries, previous = log.entries_from(progress.next_index), progress.next_index - 1
+        previous_index = progress.next_index - 1
+        entries = log.entries_from(progress.next_index)
         progress.in_flight = bool(entries)
     elif progress.snapshot_due(now):
         progress.snapshot_sent_at = now
@@ -118,9 +120,11 @@
         return
     else:
         # Heartbeats go on, so that the follower starts no election while it decodes the snapshot
-        previous = log.snapshot_index
-    previous_term = log.term_at(previous) or 0
-    message = AppendEntries(node.term, node.incarnation, previous, previous_term, node.commit_index, entries)
+        previous_index = log.snapshot_index
+    previous_term = log.term_at(previous_index) or 0
+    message = AppendEntries(
+        node.term, node.incarnation, previous_index, previous_term, node.commit_index, entries
+    )
     outbox.append((name, message))
 
 
@@ -153,6 +157,7 @@
         progress.match_index = max(progress.match_index, response.match_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
     else:
+        # A hint that comes late must not lead back before the entries that are known to match
         hint = min(progress.next_index - 1, response.match_index)
         progress.next_index = max(progress.match_index, hint) + 1
         if progress.next_index > node.log.snapshot_index or progress.snapshot_due(now):
--- a/gaproute/shared/raft/membership.py
+++ b/gaproute/shared/raft/membership.py
@@ -33,15 +33,16 @@
     members: Members,
     configured: Collection[str],
     incarnations: Mapping[str, int],
-    matches: Mapping[str, tuple[int, int]],
+    matches: Mapping[str, MatchedLog],
     commit_index: int,
 ) -> Members | None:
     """The members after the next step; None if there is none to take.
 
-    `incarnations`: by name, of the nodes that answered lately; `matches`: by name, a `MatchedLog`;
-    `commit_index`: what a new member must have, so that the larger majority can go on at once.
+    `incarnations`: by name, of the nodes that answered lately. `matches`: by name, how far the logs of nodes
+    agree with the leader's. `commit_index`: the entry up to which a new member must have the log, so that the
+    larger majority can go on at once.
     """
-    for member in members:  # a member that is back with another disk: the old one is removed
+    for member in members:  # one that is back with another disk is removed under its old incarnation
         if member.name in incarnations and incarnations[member.name] != member.incarnation:
             return _without(members, member, incarnations)
     known = {member.name for member in members}
@@ -58,11 +59,11 @@
 
 
 def _without(members: Members, gone: Member, incarnations: Mapping[str, int]) -> Members | None:
-    """The members without one; None if those that are left could not agree on it, which would stop the
-    group.
+    """The members except `gone`; None if the remaining ones have no majority that answers, as the group would
+    stop.
     """
-    left = tuple(member for member in members if member != gone)
-    return left if is_majority(left, incarnations) else None
+    remaining = tuple(member for member in members if member != gone)
+    return remaining if is_majority(remaining, incarnations) else None
 
 
 def is_majority(members: Members, incarnations: Mapping[str, int]) -> bool:
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -25,10 +25,10 @@
         return
     outcome = _answer_at_once(node, leader, sender, request)
     if outcome is None:
-        outcome = _log(node, leader, sender, request)
+        outcome = _append_request(node, leader, sender, request)
     if outcome is not None:
-        status, body, _ = outcome
-        outbox.append((sender, Reply(request.session, request.nonce, status, body)))
+        reply = Reply(request.session, request.nonce, outcome.status, outcome.body)
+        outbox.append((sender, reply))
 
 
 def _answer_at_once(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
@@ -41,28 +41,30 @@
     session = node.sessions.table.get(request.session)
     if session is None:
         return Outcome(ReplyStatus.UNKNOWN_SESSION)
-    why = NOT_THE_OWNER if session.owner != sender else node.machine.check(sender, request.body)
-    if not why and request.nonce < session.nonce:
-        why = OLD_NONCE
-    if why:
+    reason = NOT_THE_OWNER if session.owner != sender else node.machine.check(sender, request.body)
+    if not reason and request.nonce < session.nonce:
+        reason = OLD_NONCE
+    if reason:
         node.reject(MessageRejection.REFUSED_REQUEST)
-        return Outcome(ReplyStatus.REFUSED, why.encode())
+        return Outcome(ReplyStatus.REFUSED, reason.encode())
     if request.nonce == session.nonce:
         return Outcome(ReplyStatus.DONE, session.result)
     return None
 
 
-def _log(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
-    """Appends the request to the log; returns None, as it is answered once it is committed."""
+def _append_request(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
+    """Appends the request to the log. Returns None, as it is answered once it is committed, or that the
+    leader is busy.
+    """
     pending = PendingReply(sender, request.session, request.nonce)
-    own = [each for each in leader.pending_replies.values() if each.client == sender]
-    if pending in own:
+    of_sender = [each for each in leader.pending_replies.values() if each.client == sender]
+    if pending in of_sender:
         return None  # it is in the log already and will be answered
     kind, body = EntryKind.COMMAND, request.body
     if not request.session:
         kind, body = EntryKind.OPEN_SESSION, sender.encode()
     index = 0
-    if len(own) < MAX_PENDING_PER_CLIENT:
+    if len(of_sender) < MAX_PENDING_PER_CLIENT:
         index = node.propose(kind, request.session, request.nonce, body)
     if not index:
         node.reject(MessageRejection.BUSY)
@@ -75,6 +77,5 @@
     """Answers the client of the entry at `index`, if it has one."""
     pending = leader.pending_replies.pop(index, None)
     if pending is not None:
-        client, session, nonce = pending
-        status, body, opened = outcome
-        outbox.append((client, Reply(session, nonce, status, body, "", opened)))
+        reply = Reply(pending.session, pending.nonce, outcome.status, outcome.body, opened=outcome.opened)
+        outbox.append((pending.client, reply))
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -16,8 +16,6 @@
 MAX_SESSIONS_PER_CLIENT = 4  # a gateway needs one; lost answers to openings make more
 OLD_NONCE = "an old nonce"
 
-_decoder = msgspec.msgpack.Decoder(tuple[list[tuple[int, str, int, bytes]], bytes])
-
 
 class Session(NamedTuple):
     """A client's session: the nonce of the last command, and its result."""
@@ -27,6 +25,19 @@
     result: bytes
 
 
+class SessionRow(NamedTuple):
+    """A session with its number, as it is stored in a snapshot."""
+
+    number: int
+    owner: str
+    nonce: int
+    result: bytes
+
+
+# The sessions, and the packed state of the machine
+_decoder = msgspec.msgpack.Decoder(tuple[list[SessionRow], bytes])
+
+
 class Outcome(NamedTuple):
     """The result of an entry. `opened`: the session that it opened, or 0."""
 
@@ -38,7 +49,7 @@
 class Sessions:
     """The sessions, and the machine to which their commands are applied; the same at every node.
 
-    `table`: by number, the longest unused first; `owned`: by client, the numbers of its sessions.
+    `table`: by number, the least recently used first; `owned`: by client, the numbers of its sessions.
     """
 
     def __init__(self, machine: StateMachine) -> None:
@@ -68,7 +79,7 @@
             return Outcome(ReplyStatus.REFUSED, OLD_NONCE.encode())
         if entry.nonce > nonce:
             result = self.machine.apply(index, entry.body, owner)
-        del self.table[entry.session]
+        del self.table[entry.session]  # so that the session moves to the end of the table
         self.table[entry.session] = Session(owner, entry.nonce, result)
         return Outcome(ReplyStatus.DONE, result)
 
@@ -78,6 +89,7 @@
             self._drop(own[0])
         if len(self.table) >= MAX_SESSIONS:
             self._drop(next(iter(self.table)))
+        # The last drop may have removed the list of this client
         self.owned.setdefault(owner, []).append(index)
         self.table[index] = Session(owner, 0, b"")
 
@@ -89,14 +101,14 @@
 
     def pack(self) -> bytes:
         """Encodes the complete state for a snapshot. A stored form."""
-        rows = [(number, *session) for number, session in self.table.items()]
+        rows = [SessionRow(number, *session) for number, session in self.table.items()]
         return msgspec.msgpack.encode((rows, self.machine.pack()))
 
     def unpack(self, data: bytes) -> None:
         """Takes over an encoded state. Errors: ValueError if `data` is none."""
         rows, state = _decoder.decode(data)
         self.machine.unpack(state)
-        self.table = {number: Session(owner, nonce, result) for number, owner, nonce, result in rows}
+        self.table = {row.number: Session(row.owner, row.nonce, row.result) for row in rows}
         self.owned = {}
         for number in sorted(self.table):
             self.owned.setdefault(self.table[number].owner, []).append(number)
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -35,17 +35,21 @@
 
 
 class Store:
-    """`restore(state)` restores the machine from a snapshot; errors of it: ValueError."""
+    """The state of the node called `name`.
+
+    `restore` takes over the machine's state from a snapshot; it raises ValueError for a state that is none.
+    """
 
     def __init__(self, name: str, disk: Disk, chance: RandomSource, restore: Callable[[bytes], None]) -> None:
         self.name, self.disk, self.chance, self.restore = name, disk, chance, restore
         self.incarnation = self.term = 0
         self.voted_for = NOBODY  # in the present term
         self.log = ReplicatedLog()
-        self.snapshot: bytes | None = None  # the machine's state at the log's `snapshot_index`
+        self.snapshot: bytes | None = None  # the state of sessions and machine at the log's `snapshot_index`
         self.failure = ""  # why the disk cannot be written, or ''
         self.discard_reason = ""  # why the content of the disk could not be used, or ''
-        self.is_open = self.dirty = False
+        self.is_open = False  # whether the disk was read, and an incarnation is on it
+        self.dirty = False  # whether records were appended since the last sync
         self.open()
 
     @property
@@ -55,24 +59,24 @@
 
     def open(self) -> None:
         """Reads the disk. `failure` is set if it cannot be read or written at the moment."""
-        unusable = ""
+        found_unusable = ""
         try:
             self._load(self.disk.read())
-        except UnusableDiskError as fault:
-            unusable = self.discard_reason = fault.why
-        except OSError as fault:
-            self.failure = f"not read: {fault}"
+        except UnusableDiskError as error:
+            found_unusable = self.discard_reason = error.why
+        except OSError as error:
+            self.failure = f"not read: {error}"
             return
         try:
-            if unusable:
-                self.disk.quarantine(unusable)
+            if found_unusable:
+                self.disk.quarantine(found_unusable)
             if not self.incarnation:
                 # A new disk means a new node: it does not know what the name promised or voted before.
                 incarnation = 1 + self.chance.below(HIGHEST)
                 self.disk.replace([encode(IdentityRecord(self.name, incarnation))])
                 self.incarnation = incarnation
-        except OSError as fault:
-            self.failure = f"not written: {fault}"
+        except OSError as error:
+            self.failure = f"not written: {error}"
             return
         self.failure, self.is_open = "", True
 
@@ -80,8 +84,9 @@
         """Takes over the records. Errors: UnusableDiskError, after which nothing was taken over."""
         loaded = LoadedState(self.name)
         try:
-            for place, record in enumerate(map(decode, records)):
-                if isinstance(record, IdentityRecord) is not (place == 0):
+            for position, record in enumerate(map(decode, records)):
+                is_first = position == 0
+                if isinstance(record, IdentityRecord) is not is_first:
                     raise UnusableDiskError("its head is not where it belongs")
                 loaded.take(record)
             if loaded.log.last_term > loaded.term:
@@ -89,8 +94,8 @@
             if loaded.snapshot is not None:
                 # Last, so that the machine stays empty if the disk cannot be used
                 self.restore(loaded.snapshot)
-        except ValueError as fault:
-            raise UnusableDiskError(f"not understood: {fault}") from fault
+        except ValueError as error:
+            raise UnusableDiskError(f"not understood: {error}") from error
         self.incarnation, self.term, self.voted_for = loaded.incarnation, loaded.term, loaded.voted_for
         self.log, self.snapshot = loaded.log, loaded.snapshot
 
@@ -100,8 +105,8 @@
         self.dirty = True
         try:
             self.disk.append(encode(record))
-        except OSError as fault:
-            self.failure = f"not written: {fault}"
+        except OSError as error:
+            self.failure = f"not written: {error}"
 
     def save_vote(self, term: int, name: str = "", incarnation: int = 0) -> None:
         """Enters a term or votes in it; an empty name: no vote yet."""
@@ -119,8 +124,8 @@
             try:
                 self.disk.sync()
                 self.dirty = False
-            except OSError as fault:
-                self.failure = f"not synced: {fault}"
+            except OSError as error:
+                self.failure = f"not synced: {error}"
         return not self.failure
 
     def compact(self, index: int, state: bytes) -> None:
@@ -156,8 +161,8 @@
         )
         try:
             self.disk.replace([encode(record) for record in records])
-        except OSError as fault:
-            self.failure = f"not rewritten: {fault}"
+        except OSError as error:
+            self.failure = f"not rewritten: {error}"
             return False
         self.failure, self.dirty = "", False
         return True
--- a/gaproute/simulation/raft_group/planted_raft_faults.py
+++ b/gaproute/simulation/raft_group/planted_raft_faults.py
@@ -68,8 +68,8 @@
         edits=(
             Edit(
                 election.on_request_vote,
-                "known = node.log.is_up_to_date(request.last_log_index, request.last_log_term)",
-                "known = True",
+                "up_to_date = node.log.is_up_to_date(request.last_log_index, request.last_log_term)",
+                "up_to_date = True",
             ),
         ),
     ),
@@ -126,7 +126,9 @@
         "an entry in conflict is not cut",
         found_by=(names.NEVER_UNSAID, names.SAME_STATE, names.LOG_MATCHING),
         seed=9,
-        edits=(Edit(follower._append, "if log.term_at(at) == entry.term:", "if at <= log.last_index:"),),
+        edits=(
+            Edit(follower._append, "if log.term_at(index) == entry.term:", "if index <= log.last_index:"),
+        ),
     ),
     PlantedFault(
         "the entry before is not compared",
