--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -29,13 +29,15 @@
     result_of,
 )
 from gaproute.shared.messages import HIGHEST
-from gaproute.shared.raft.messages import Reply, Request
+from gaproute.shared.raft.messages import Reply, ReplyStatus, Request
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLISECOND
 
-RESEND_AFTER = 500 * MILLISECOND  # to the next member; above a sync and a round trip, below an election
+# After which a command without an answer is sent to the next member; above a sync and a round trip, below an
+# election
+RESEND_AFTER = 500 * MILLISECOND
 RETRY_PAUSE = 100 * MILLISECOND  # before the next member is tried after one that knows no leader
-MAX_REDIRECTS = 2  # followed without a pause: members that name one another must not cause a flood
+MAX_REDIRECTS = 2  # that are followed without a pause: members that name one another must not cause a flood
 
 
 class LeaseClient:
@@ -48,8 +50,8 @@
     def __init__(self, name: str, members: Iterable[str], chance: RandomSource, now: int) -> None:
         self.name, self.chance = name, chance
         self.session = self.nonce = 0  # session 0: none is open
-        self.urgent: deque[QueuedCommand] = deque()  # renewals and releases are sent before new requests
-        self.queue: deque[QueuedCommand] = deque()
+        self.urgent: deque[QueuedCommand] = deque()  # renewals and releases, which are sent first
+        self.queue: deque[QueuedCommand] = deque()  # requests for leases, and new sizes of pools
         self.outstanding: OutstandingCommand | None = None
         self.resend_at, self.redirects = now, 0
         self.requests: list[LeaseRequest] = []
@@ -116,8 +118,8 @@
             return []
         if self.outstanding is None:
             return self._begin_next(now)
-        after = self.members.index(self.target) + 1 if self.target in self.members else 0
-        self.target = self.members[after % len(self.members)]
+        next_position = self.members.index(self.target) + 1 if self.target in self.members else 0
+        self.target = self.members[next_position % len(self.members)]
         return self._send(now, self.outstanding)
 
     def hear(self, now: int, sender: str, message: object) -> list[tuple[str, Request]]:
@@ -129,17 +131,16 @@
         if command is None or (message.session, message.nonce) != (command.session, command.nonce):
             self.rejected["late"] += 1
             return []
-        if message.state == "elsewhere":
+        if message.state == ReplyStatus.NOT_LEADER:
             return self._redirect(now, sender, message.leader, command)
-        if message.state == "busy" or message.state == "done" and not (command.session or message.opened):
-            self.resend_at = now + RETRY_PAUSE + self.chance.below(RETRY_PAUSE)
-            # So that the next member is the sender
-            self.target = self.members[self.members.index(sender) - 1]
+        opens_session = message.state == ReplyStatus.DONE and not command.session
+        if message.state == ReplyStatus.BUSY or (opens_session and not message.opened):
+            self._retry_later(now, sender)
             return []
         self.target, self.outstanding, self.resend_at = sender, None, now
-        if message.state == "forgotten":
+        if message.state == ReplyStatus.UNKNOWN_SESSION:
             self._session_lost(command)
-        elif message.state == "done" and not command.session:
+        elif opens_session:
             self.session, self.nonce = message.opened, 0
         else:
             self._completed(now, command, result_of(message))
@@ -166,35 +167,46 @@
                 self.urgent.append(QueuedCommand(command, request))
 
     def _begin_next(self, now: int) -> list[tuple[str, Request]]:
-        """Sends the next command that is still needed, or opens a session for it."""
+        """Sends the next command, if there is one."""
+        self.redirects = 0
+        self.outstanding = self._next_command(now)
+        return [] if self.outstanding is None else self._send(now, self.outstanding)
+
+    def _next_command(self, now: int) -> OutstandingCommand | None:
+        """The next command that is still needed, or the one that opens a session for it."""
         while self.urgent or self.queue:
             if not self.session:
                 nonce = 1 + self.chance.below(HIGHEST)
-                self.outstanding = OutstandingCommand(None, None, 0, nonce, b"", now)
-                break
+                return OutstandingCommand(
+                    command=None, request=None, session=0, nonce=nonce, body=b"", first_sent=now
+                )
             queued = (self.urgent or self.queue).popleft()
             if self._outdated(queued):
                 continue
             self.nonce += 1
-            self.outstanding = OutstandingCommand(
-                queued.command, queued.request, self.session, self.nonce, encode(queued.command), now
-            )
-            break
-        self.redirects = 0
-        return [] if self.outstanding is None else self._send(now, self.outstanding)
+            body = encode(queued.command)
+            return OutstandingCommand(queued.command, queued.request, self.session, self.nonce, body, now)
+        return None
 
     @staticmethod
     def _outdated(queued: QueuedCommand) -> bool:
+        """Whether the lease request has changed its state, so that the command is not needed any more."""
         request = queued.request
         if request is None:
             return False
-        needed = LeaseState.REQUESTED if isinstance(queued.command, AcquireLease) else LeaseState.HELD
-        return request.state != needed
+        expected = LeaseState.REQUESTED if isinstance(queued.command, AcquireLease) else LeaseState.HELD
+        return request.state != expected
 
     def _send(self, now: int, command: OutstandingCommand) -> list[tuple[str, Request]]:
         self.resend_at = now + RESEND_AFTER
         return [(self.target, Request(command.session, command.nonce, command.body))]
 
+    def _retry_later(self, now: int, sender: str) -> None:
+        """Has the command sent to the same member again after a pause."""
+        self.resend_at = now + RETRY_PAUSE + self.chance.below(RETRY_PAUSE)
+        # `tick` sends it to the member after the target, which then is the sender
+        self.target = self.members[self.members.index(sender) - 1]
+
     def _redirect(
         self, now: int, sender: str, leader: str, command: OutstandingCommand
     ) -> list[tuple[str, Request]]:
@@ -228,18 +240,18 @@
                 self._extend(request, command.first_sent)
 
     def _acquired(self, now: int, request: LeaseRequest, first_sent: int, result: CommandResult) -> None:
-        wanted = request.state == LeaseState.REQUESTED
+        still_wanted = request.state == LeaseState.REQUESTED
         if result.error:
-            if wanted:
+            if still_wanted:
                 self._end(request, LeaseState.REJECTED, result.error)
             return
         request.fencing_token = result.fencing_token
-        if wanted and now < first_sent + request.duration:
+        if still_wanted and now < first_sent + request.duration:
             request.state = LeaseState.HELD
             self._extend(request, first_sent)
             return
         self._queue_release(result.fencing_token)  # granted too late, or not wanted any more
-        if wanted:
+        if still_wanted:
             self._end(request, LeaseState.EXPIRED, "answered too late")
 
     @staticmethod
--- a/gaproute/shared/leases/invariants.py
+++ b/gaproute/shared/leases/invariants.py
@@ -12,15 +12,15 @@
 
 def check_table(table: LeaseTable) -> list[str]:
     """Checks the table of one member; expensive, as it reads all of it."""
-    held: dict[str, int] = {}
+    amounts: dict[str, int] = {}  # by resource
     breaches: list[str] = []
     for token, lease in table.leases.items():
-        held[lease.resource] = held.get(lease.resource, 0) + lease.amount
+        amounts[lease.resource] = amounts.get(lease.resource, 0) + lease.amount
         if token > table.last_token or token != lease.fencing_token:
             breaches.append(f"fencing number only grows: {token} stands above {table.last_token}")
-    if held != table.amounts_held:
+    if amounts != table.amounts_held:
         breaches.append("amounts held are those of the leases")
-    breaches += _overspent(table, held, "pool never overspent")
+    breaches += _overspent(table, amounts, "pool never overspent")
     if len(table.leases) > MAX_LEASES or len(table.pools) > MAX_POOLS:
         breaches.append("maps are bounded: leases")
     return breaches
@@ -41,7 +41,7 @@
     """Checks all clients against the table that has applied the most. `clients`: each with its own clock's
     time.
     """
-    spent: dict[str, int] = {}
+    amounts: dict[str, int] = {}  # by resource: of the leases that clients consider valid
     holders: dict[int, str] = {}  # by fencing token
     breaches: list[str] = []
     for client, now in clients:
@@ -49,9 +49,9 @@
         for request in client.requests:
             if not request.valid_at(now) or request.fencing_token > table.last_token:
                 continue  # this member has not applied the entry yet
-            spent[request.resource] = spent.get(request.resource, 0) + request.amount
+            amounts[request.resource] = amounts.get(request.resource, 0) + request.amount
             breaches += _check_valid(table, client, request, holders)
-    return breaches + _overspent(table, spent, "one holder, no pool overspent")
+    return breaches + _overspent(table, amounts, "one holder, no pool overspent")
 
 
 def _check_valid(
@@ -68,9 +68,10 @@
 
 
 def _overspent(table: LeaseTable, amounts: dict[str, int], name: str) -> list[str]:
+    """The violations of the check `name`: resources of which more than their size is held."""
     breaches: list[str] = []
     for resource, amount in amounts.items():
         pool = table.pools.get(resource, SINGLE)
-        if amount > max(pool):
+        if amount > max(pool.size, pool.excess):
             breaches.append(f"{name}: {amount} of {resource}, which has {pool.size}")
     return breaches
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -1,9 +1,10 @@
-"""Leases that this gateway holds for somebody who asks at the operators' address, such as a crew.
+"""Leases that this gateway holds for a requester at the operators' address, such as a maintenance crew.
 
-Whoever asked may die without a release, and the gateway would renew its lease for ever. So each request has a
-deadline of its own, by this gateway's clock from when it was made; who still needs the lease extends it in
-time. The asker counts from when it sent its own question, which was earlier, so its deadline is never the
-later one. A crew that forgets to extend works on without a lease, as if the gateway had died.
+A requester may die without a release, and the gateway would renew its lease for ever. So each request has a
+deadline of its own, counted by this gateway's clock from when it got the request; a requester that still
+needs the lease extends it in time. The requester counts from when it sent the request, which was earlier, so
+its deadline is never later than the gateway's. A crew that forgets to extend works on without a lease, as if
+the gateway had died.
 
 The JSON keys at that address are older than the names here: `take` acquires, `keep` extends, `give` releases,
 `size` resizes a pool; a request's number is its `errand`.
@@ -97,8 +98,8 @@
 
     def execute(self, now: int, command: OperatorCommand) -> RequestStatus | PoolStatus:
         """Carries out the command. Errors: `LeaseRequestError`, whose text says what is wrong."""
-        fields = [name for name in JSON_KEYS if getattr(command, name)]
-        if len(fields) != 1:
+        actions = [name for name in JSON_KEYS if getattr(command, name)]
+        if len(actions) != 1:
             raise LeaseRequestError("one of take, keep, give and size is asked for at a time")
         if command.resize:
             self.client.resize_pool(now, command.resize, command.amount)
@@ -106,35 +107,35 @@
         if command.acquire:
             return self._acquire(now, command)
         number = command.extend or command.release
-        held = self.requests.get(number)
-        if held is None:
+        known = self.requests.get(number)
+        if known is None:
             raise LeaseRequestError(f"no errand {number}")
         if command.release:
-            self.client.release(now, held.request)
-        elif held.ended_at is None:
-            wanted = _duration(command.for_ms, MAX_DURATION) if command.for_ms else held.request.duration
-            held.deadline = max(held.deadline, now + wanted)
+            self.client.release(now, known.request)
+        elif known.ended_at is None:
+            time_to_deadline = _time_to_deadline(command, known.request.duration)
+            known.deadline = max(known.deadline, now + time_to_deadline)
         return self.status(now, number)
 
     def _acquire(self, now: int, command: OperatorCommand) -> RequestStatus:
         duration = _duration(command.span_ms, self.max_duration)
-        wanted = _duration(command.for_ms, MAX_DURATION) if command.for_ms else duration
+        time_to_deadline = _time_to_deadline(command, duration)
         self.tick(now)
         if len(self.requests) >= MAX_REQUESTS:
             raise LeaseRequestError(f"{MAX_REQUESTS} errands at once")
         self.last_number += 1
         request = self.client.acquire(now, command.acquire, duration, command.amount)
-        self.requests[self.last_number] = OperatorRequest(request, now + wanted)
+        self.requests[self.last_number] = OperatorRequest(request, now + time_to_deadline)
         return self.status(now, self.last_number)
 
     def status(self, now: int, number: int) -> RequestStatus:
         """The status of one request at the operators' address."""
-        held = self.requests[number]
-        request, left = held.request, 0
+        known = self.requests[number]
+        request, time_left = known.request, 0
         if request.valid_at(now) and request.expires_at is not None:
-            left = min(request.expires_at, held.deadline) - now
+            time_left = min(request.expires_at, known.deadline) - now
         state = request.state
-        if state == LeaseState.HELD and left <= 0:
+        if state == LeaseState.HELD and time_left <= 0:
             state = LeaseState.EXPIRED
         return {
             "errand": number,
@@ -143,7 +144,7 @@
             "state": state.value,
             "why": request.reason,
             "fence": request.fencing_token,
-            "ms_left": max(0, left) // MILLISECOND,
+            "ms_left": max(0, time_left) // MILLISECOND,
         }
 
     def table(self, now: int) -> list[RequestStatus]:
@@ -157,17 +158,22 @@
 
     def tick(self, now: int) -> None:
         """Releases leases that were not extended, and forgets requests that ended long ago."""
-        for number, held in list(self.requests.items()):
-            if held.ended_at is None and now >= held.deadline:
-                self.client.release(now, held.request)
-            if held.ended_at is None and not held.request.open:
-                held.ended_at = now
-            if held.ended_at is not None and now >= held.ended_at + SHOWN_AFTER_END:
+        for number, known in list(self.requests.items()):
+            if known.ended_at is None and now >= known.deadline:
+                self.client.release(now, known.request)
+            if known.ended_at is None and not known.request.open:
+                known.ended_at = now
+            if known.ended_at is not None and now >= known.ended_at + SHOWN_AFTER_END:
                 del self.requests[number]
 
 
-def _due(held: OperatorRequest) -> int:
-    return held.deadline if held.ended_at is None else held.ended_at + SHOWN_AFTER_END
+def _due(known: OperatorRequest) -> int:
+    return known.deadline if known.ended_at is None else known.ended_at + SHOWN_AFTER_END
+
+
+def _time_to_deadline(command: OperatorCommand, duration: int) -> int:
+    """The time after which the gateway releases the lease, ns. Errors: `LeaseRequestError`."""
+    return _duration(command.for_ms, MAX_DURATION) if command.for_ms else duration
 
 
 def _duration(milliseconds: int, longest: int) -> int:
--- a/gaproute/shared/leases/requests.py
+++ b/gaproute/shared/leases/requests.py
@@ -5,7 +5,7 @@
 
 from gaproute.errors import GaprouteError
 from gaproute.shared.leases.commands import ClientCommand, CommandResult, decode_result
-from gaproute.shared.raft.messages import Reply
+from gaproute.shared.raft.messages import Reply, ReplyStatus
 
 REASON_LENGTH = 64  # characters of a rejection's reason that are stored
 
@@ -72,7 +72,7 @@
 
 def result_of(reply: Reply) -> CommandResult:
     """The result of the command in a final reply; a reply without a result is an error."""
-    if reply.state == "done":
+    if reply.state == ReplyStatus.DONE:
         try:
             return decode_result(reply.body)
         except ValueError:
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -57,8 +57,9 @@
 
 
 class Pool(NamedTuple):
-    """A resource of which `size` may be held. `excess`: the amount that was held when it shrank below that,
-    or 0.
+    """A resource of which `size` may be held.
+
+    `excess`: the amount that is held if that is more than `size`, as the pool shrank; else 0.
     """
 
     size: int
@@ -107,7 +108,9 @@
             return NOT_UNDERSTOOD
         if command.holder != sender:
             return NOT_THE_HOLDERS
-        return TOO_LONG if getattr(command, "duration", 0) > self.max_duration else ""
+        if isinstance(command, AcquireLease | RenewLease) and command.duration > self.max_duration:
+            return TOO_LONG
+        return ""
 
     def raise_last_token(self, lowest: int) -> None:
         """Has later fencing tokens be above `lowest`."""
@@ -145,20 +148,26 @@
         return CommandResult("", lease.fencing_token)
 
     def _acquire(self, index: int, command: AcquireLease) -> CommandResult:
-        held = self.amounts_held.get(command.resource, 0)
         if self.initial_wait:
             return CommandResult(INITIAL_WAIT)
         if len(self.leases) >= MAX_LEASES:
             return CommandResult(TOO_MANY_LEASES)
+        held = self.amounts_held.get(command.resource, 0)
         if command.amount > self.pool_size(command.resource):
             return CommandResult(ABOVE_POOL_SIZE)
         if held + command.amount > self.pool_size(command.resource):
             return CommandResult(TAKEN)
         self.last_token += 1
         self.amounts_held[command.resource] = held + command.amount
-        self._put(
-            Lease(self.last_token, command.resource, command.holder, command.amount, command.duration, index)
+        lease = Lease(
+            fencing_token=self.last_token,
+            resource=command.resource,
+            holder=command.holder,
+            amount=command.amount,
+            duration=command.duration,
+            log_index=index,
         )
+        self._put(lease)
         return CommandResult("", self.last_token)
 
     def _put(self, lease: Lease) -> None:
@@ -174,6 +183,7 @@
         return CommandResult()
 
     def _update_excess(self, resource: str) -> None:
+        """Updates the pool after its size or the amount that is held of it has changed."""
         held = self.amounts_held.get(resource, 0)
         size = self.pool_size(resource)
         if size == 1 and held <= 1:
@@ -195,9 +205,9 @@
     def _remove(self, lease: Lease) -> None:
         del self.leases[lease.fencing_token]
         self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, None)
-        left = self.amounts_held[lease.resource] - lease.amount
-        if left:
-            self.amounts_held[lease.resource] = left
+        remaining = self.amounts_held[lease.resource] - lease.amount
+        if remaining:
+            self.amounts_held[lease.resource] = remaining
         else:
             del self.amounts_held[lease.resource]
         self._update_excess(lease.resource)
