--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -1,10 +1,10 @@
-"""The last good cell table on disk: a gateway that starts serves by it until it hears of a newer one.
+"""The last good cell table on disk, which a gateway uses after its start until it receives a newer one.
 
-One file, replaced atomically. It holds a magic, a checksum over the rest, and the table. A file that is torn,
-of another fleet or no table is quarantined for the operator and never fatal: the gateway starts without a
-table. Failures are counted and reported once an outage; the table in memory is served meanwhile. A file that
-could not be read for a moment may hold a newer table than the other gateways: it has to be read before it is
-overwritten.
+One file, replaced atomically, with a magic number, a checksum of the rest, and the table. A file that is
+torn, of another fleet or without a table is quarantined for the operator and never fatal: the gateway starts
+without a table. Failures are counted, and reported once in an outage; the table in memory is used meanwhile.
+A file that could not be read for a moment may have a newer table than the other gateways, so it is not
+overwritten before it was read.
 """
 
 import os
@@ -25,7 +25,7 @@
 BODY_OFFSET = len(MAGIC) + CHECKSUM_LENGTH
 MAX_FILE_LENGTH = 5 << 20  # bytes: a whole encoded table and its header
 ANY_VERSION = (-1, -1)  # lower than the version of any table
-MAX_FAILED_READS = 12  # in a row, before the file is quarantined: the disk works, but has a bad block there
+MAX_FAILED_READS = 12  # in a row, until the file is quarantined: the disk works, but has a bad block there
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
@@ -77,7 +77,7 @@
     def read(self, newest_known: tuple[int, int] = ANY_VERSION) -> StoredTable | None:
         """Return the stored table, None where there is none that can be used.
 
-        A table older than `newest_known`, the version (term, number) that others hold, is quarantined.
+        A table older than `newest_known`, the version (term, number) that others have, is quarantined.
         """
         content = self._content()
         if content is None:
@@ -108,7 +108,7 @@
     def quarantine(self, reason: str) -> None:
         """Rename a file that cannot be used, for the operator to inspect."""
         self.counts.quarantined += 1
-        target = f"{self.path}.broken-{self.wall_clock()}"
+        target = files.quarantine_path(self.path, self.wall_clock())
         try:
             os.rename(self.path, target)
         except OSError as error:
--- a/gaproute/storage/files.py
+++ b/gaproute/storage/files.py
@@ -6,6 +6,7 @@
 """
 
 import errno
+import fcntl
 import os
 from contextlib import suppress
 from pathlib import Path
@@ -29,6 +30,29 @@
 )
 
 
+def lock_file(path: str | Path) -> int:
+    """Lock the file `path` against other processes, by a lock file beside it.
+
+    Returns the descriptor of the lock file; closing it releases the lock. Errors: OSError, which is
+    BlockingIOError where another process has the lock.
+    """
+    descriptor = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY)
+    try:
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError:
+        close(descriptor)
+        raise
+    return descriptor
+
+
+def quarantine_path(path: str | Path, wall_time: int) -> str:
+    """Return the name under which a file that cannot be used is left for the operator.
+
+    `wall_time`: ns since 1970, so that an earlier one is not overwritten.
+    """
+    return f"{path}.broken-{wall_time}"
+
+
 def read_file(path: str | Path, limit: int | None = None) -> bytes:
     """Return the file's content, its first `limit` bytes at most. Errors: OSError."""
     descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
@@ -46,7 +70,7 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of `data`, continuing after short writes (a disk that is nearly full) until an error comes.
+    """Write all of `data`, continuing after short writes, as of a disk that is nearly full.
 
     Errors: OSError; any part of the data may have been written then.
     """
@@ -100,12 +124,12 @@
         sync_directory(Path(path).parent)
     except BaseException:
         close(descriptor)
-        _free_space(temporary)
+        _remove_unfinished(temporary)
         raise
     return descriptor
 
 
-def _free_space(path: str) -> None:
+def _remove_unfinished(path: str) -> None:
     """Remove an unfinished file where possible; the next attempt truncates it otherwise."""
     with suppress(OSError):
         remove_if_present(path)
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -2,16 +2,15 @@
 
 SQLite rather than LMDB: a mapped file that is cut short ends its reader with SIGBUS, which cannot be caught,
 while SQLite reports it. Each row carries a checksum of its own, as SQLite has none (observation_rows.py).
-Nothing is synced: what a crash of the machine loses is advice, and the checks tell what it tore.
+Nothing is synced: a crash of the machine loses only advice, and the checksums show which rows it tore.
 
 A transient failure (the disk is full, does not answer, is locked) is no reason to quarantine a file: the
 connection is closed and opened again after an exponential backoff. What was written before is still there.
 
 The column `wall`, by which rows are ordered and deleted, is the monotonic clock plus its offset from the wall
-clock when the store was made: setting the wall clock meanwhile neither deletes rows nor keeps them.
+clock when the store was made: setting the wall clock meanwhile makes no row seem older or younger.
 """
 
-import fcntl
 import os
 import sqlite3
 import time
@@ -41,8 +40,10 @@
 )
 from gaproute.units import SECOND
 
-MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # between attempts at a disk that fails, doubled each time
-# Quarantined in this order: a write-ahead log left alone would be played into the file that takes the place.
+# Between two attempts at a disk that fails: the first pause, and the limit up to which it is doubled
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND
+# Quarantined in this order: a write-ahead log that is left alone would be replayed into the file that takes
+# the place of the damaged one.
 FILE_SUFFIXES = ("-shm", "-wal", "")
 
 
@@ -54,7 +55,7 @@
     """The store of one gateway, locked against other processes. Call `open` before use; where that failed a
     later write opens it.
 
-    `report(text)` is called with what an operator should know, once an outage. `clock` (ns, monotonic),
+    `report(text)` is called with messages for operators, once in an outage. `clock` (ns, monotonic),
     `wall_clock` (ns since 1970) and `boot` are handed in by tests. `written` counts rows, `failed` writes
     that failed, `torn_rows` rows left out by reads.
     """
@@ -75,8 +76,7 @@
         self.lock: int | None = None  # descriptor of the lock file
         self.torn_rows = self.written = self.failed = 0
         self.damage = ""  # what was found wrong with the file since it was opened
-        # Whether the complete file was checked, which is done once for each process, as it takes long
-        self.checked = False
+        self.checked = False  # whether the complete file was checked: once for each process, as it takes long
         self.backoff = 0  # ns; 0: no attempt has failed since the last write
         self.retry_at = self.clock()
 
@@ -127,8 +127,8 @@
     def write(self, observations: Iterable[tuple[Subject, Value, int]]) -> bool:
         """Write (subject, value, time by the monotonic clock in ns) in one transaction.
 
-        Returns whether they are written. A failure is counted; the caller should write them again, a restart
-        knows less where it does not.
+        Returns whether they are written. A failure is counted; the caller should write them again, as they
+        would be missing after a restart.
         """
         clocks = Clocks(self.clock(), self.wall_clock(), self.boot)
         rows = [
@@ -138,7 +138,7 @@
         return self._change(INSERT_ROW, rows)
 
     def forget(self, age: int) -> None:
-        """Delete rows older than `age` (ns), and those that claim to be of the future by more than that."""
+        """Delete rows older than `age` (ns), and those whose time is further than that in the future."""
         now = self.clock() + self.wall_offset
         self._change(DELETE_OUTSIDE, [(now - age, now + age)])
 
@@ -153,8 +153,7 @@
         if self.lock is not None:
             return
         try:
-            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.OWNER_ONLY)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.lock = files.lock_file(self.path)
         except OSError as error:
             raise ObservationStoreError(f"{self.path}: not locked: {error.strerror}") from error
 
@@ -177,7 +176,7 @@
 
     def _quarantine(self, reason: str) -> None:
         self._disconnect()
-        target = f"{self.path}.broken-{self.wall_clock()}"
+        target = files.quarantine_path(self.path, self.wall_clock())
         for suffix in FILE_SUFFIXES:
             try:
                 os.replace(f"{self.path}{suffix}", f"{target}{suffix}")
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -16,7 +16,6 @@
 """
 
 import errno
-import fcntl
 import os
 import time
 from collections.abc import Callable, Iterator, Sequence
@@ -60,8 +59,7 @@
     def open(self) -> "RaftLogFile":
         """Lock the file. Errors: OSError: the directory is not writable, or another process holds it."""
         try:
-            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.OWNER_ONLY)
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self.lock = files.lock_file(self.path)
             files.remove_if_present(files.temporary_path(self.path))  # a replacement that was not finished
         except OSError:
             self.close()
@@ -113,7 +111,7 @@
         """Rename the file, for the operator to inspect; afterwards there is none. Errors: OSError."""
         with self._failures_noted():
             self._close_file()
-            target = f"{self.path}.broken-{self.wall_clock()}"
+            target = files.quarantine_path(self.path, self.wall_clock())
             os.rename(self.path, target)
             self.report(f"{self.path}: {reason}; quarantined as {target}; this Raft node starts empty")
             files.sync_directory(self.path.parent)
@@ -142,15 +140,15 @@
         torn = length - decoded.valid_length
         if torn:
             self.torn_tails += 1
-            kept = len(decoded.payloads)
-            self.report(f"{self.path}: a torn tail of {torn} bytes cut off, {kept} records stay")
+            record_count = len(decoded.payloads)
+            self.report(f"{self.path}: a torn tail of {torn} bytes cut off, {record_count} records stay")
 
     def _usable_descriptor(self) -> int:
         if self.failure is None and self.descriptor is not None:
             return self.descriptor
         reason = self.failure or "not read yet"
-        number = getattr(reason, "errno", errno.EBADF)
-        raise OSError(number, f"{self.path}: not used until it is written again: {reason}")
+        error_number = getattr(reason, "errno", errno.EBADF)
+        raise OSError(error_number, f"{self.path}: not used until it is written again: {reason}")
 
     @contextmanager
     def _failures_noted(self) -> Iterator[None]:
