--- a/gaproute/shared/leases/group_invariants.py
+++ b/gaproute/shared/leases/group_invariants.py
@@ -45,5 +45,5 @@
         given = lease.resource, lease.holder
         first = history.given.setdefault(token, given)
         if first != given:
-            breaches.append(f"a fencing number is given once: {token} to {first} and {given}")
+            breaches.append(f"a fencing token is given once: {token} to {first} and {given}")
     return breaches
--- a/gaproute/shared/leases/invariants.py
+++ b/gaproute/shared/leases/invariants.py
@@ -17,7 +17,7 @@
     for token, lease in table.leases.items():
         amounts[lease.resource] = amounts.get(lease.resource, 0) + lease.amount
         if token > table.last_token or token != lease.fencing_token:
-            breaches.append(f"fencing number only grows: {token} stands above {table.last_token}")
+            breaches.append(f"fencing token only grows: {token} is above {table.last_token}")
     if amounts != table.amounts_held:
         breaches.append("amounts held are those of the leases")
     breaches += _overspent(table, amounts, "pool never overspent")
@@ -33,7 +33,7 @@
     if len(client.requests) > MAX_LEASES_PER_CLIENT or queued > MAX_QUEUED:
         breaches.append(f"maps are bounded: {client.name}")
     if not all(request.open for request in client.requests):
-        breaches.append(f"requests at work are asked or held: {client.name}")
+        breaches.append(f"requests are open: {client.name}")
     return breaches
 
 
@@ -63,7 +63,7 @@
         breaches.append(f"one holder: {client.name} and {holders[token]} by lease {token}")
     holders[token] = client.name
     if token not in table.leases:
-        breaches.append(f"a lease stands while its holder may: {token} of {client.name} is gone")
+        breaches.append(f"a lease lasts while its holder may use it: {token} of {client.name} is gone")
     return breaches
 
 
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -62,8 +62,8 @@
         if log.term_at(index) == entry.term:
             continue
         if index <= node.commit_index:
-            breach = f"never unsaid: {sender} replaces {index}, committed to {node.commit_index}"
-            node.record_breaches([breach])
+            found = f"{sender} replaces {index}, committed to {node.commit_index}"
+            node.record_breaches([f"a committed entry never changes: {found}"])
             return False
         try:
             node.store.append(index, entry)
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -40,14 +40,12 @@
         store, log = node.store, node.log
         breaches = self._compare(node)
         if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
-            breaches.append(
-                f"applied after committed after held: {node.name} {log.snapshot_index} {node.last_applied} "
-                f"{node.commit_index} {log.last_index}"
-            )
+            indexes = f"{log.snapshot_index} {node.last_applied} {node.commit_index} {log.last_index}"
+            breaches.append(f"applied, committed and last index in order: {node.name} {indexes}")
         if log.last_term > store.term:
             breaches.append(f"no entry of a later term: {log.last_term} above {store.term} at {node.name}")
         if node.is_leader is not (node.leader_state is not None):
-            breaches.append(f"who leads has a leader's state: {node.name}")
+            breaches.append(f"a leader has a leader's state: {node.name}")
         followers = node.leader_state.followers if node.leader_state is not None else {}
         if len(node.sessions.table) > MAX_SESSIONS or len(followers) > 2 * MAX_MEMBERS:
             breaches.append(f"maps are bounded: {node.name}")
@@ -66,7 +64,7 @@
             for name, old, new in (
                 ("term", before.term, present.term),
                 ("commit index", before.commit_index, present.commit_index),
-                ("fencing number", before.last_token, present.last_token),
+                ("fencing token", before.last_token, present.last_token),
             )
             if new < old
         ]
@@ -123,7 +121,7 @@
     for index in range(first + 1, node.commit_index + 1):
         entry = log.entry_at(index)
         if history.committed.setdefault(index, entry) != entry:
-            breaches.append(f"never unsaid: entry {index} at {node.name}")
+            breaches.append(f"a committed entry never changes: entry {index} at {node.name}")
     if node.last_applied == node.commit_index != compared:
         state = blake2b(node.sessions.pack(), digest_size=16).digest()
         if history.states.setdefault(node.last_applied, state) != state:
--- a/gaproute/simulation/raft_group/planted_raft_faults.py
+++ b/gaproute/simulation/raft_group/planted_raft_faults.py
@@ -44,7 +44,7 @@
     PlantedFault(
         "a restart forgets the log",
         found_by=(
-            names.NEVER_UNSAID,
+            names.COMMITTED_NEVER_CHANGES,
             names.ONE_LEADER,
             names.SAME_STATE,
             names.LOG_MATCHING,
@@ -63,7 +63,7 @@
     ),
     PlantedFault(
         "a vote is given to a log that knows less",
-        found_by=(names.NEVER_UNSAID, names.LOG_MATCHING, names.SAME_STATE),
+        found_by=(names.COMMITTED_NEVER_CHANGES, names.LOG_MATCHING, names.SAME_STATE),
         seed=15,
         edits=(
             Edit(
@@ -78,7 +78,7 @@
         found_by=(
             names.MAJORITY_OF_VOTES,
             names.ONE_LEADER,
-            names.NEVER_UNSAID,
+            names.COMMITTED_NEVER_CHANGES,
             names.SAME_STATE,
             names.LOG_MATCHING,
         ),
@@ -101,7 +101,7 @@
         "a node without memory bootstraps anew",
         found_by=(
             names.ONE_LEADER,
-            names.NEVER_UNSAID,
+            names.COMMITTED_NEVER_CHANGES,
             names.SAME_STATE,
             names.LOG_MATCHING,
             names.ONE_VOTE,
@@ -112,7 +112,7 @@
     ),
     PlantedFault(
         "a leader of an old term is followed",
-        found_by=(names.NEVER_UNSAID, names.LOG_MATCHING, names.SAME_STATE, names.ONE_LEADER),
+        found_by=(names.COMMITTED_NEVER_CHANGES, names.LOG_MATCHING, names.SAME_STATE, names.ONE_LEADER),
         seed=13,
         edits=(Edit(follower._follow, "if message.term < node.term:", "if False:"),),
     ),
@@ -124,7 +124,7 @@
     ),
     PlantedFault(
         "an entry in conflict is not cut",
-        found_by=(names.NEVER_UNSAID, names.SAME_STATE, names.LOG_MATCHING),
+        found_by=(names.COMMITTED_NEVER_CHANGES, names.SAME_STATE, names.LOG_MATCHING),
         seed=9,
         edits=(
             Edit(follower._append, "if log.term_at(index) == entry.term:", "if index <= log.last_index:"),
@@ -132,7 +132,7 @@
     ),
     PlantedFault(
         "the entry before is not compared",
-        found_by=(names.NEVER_UNSAID, names.SAME_STATE, names.LOG_MATCHING),
+        found_by=(names.COMMITTED_NEVER_CHANGES, names.SAME_STATE, names.LOG_MATCHING),
         seed=30,
         edits=(
             Edit(
@@ -144,7 +144,7 @@
     ),
     PlantedFault(
         "committed beyond what was compared",
-        found_by=(names.NEVER_UNSAID, names.SAME_STATE, names.RAISED, names.APPLIED_IN_ORDER),
+        found_by=(names.COMMITTED_NEVER_CHANGES, names.SAME_STATE, names.RAISED, names.APPLIED_IN_ORDER),
         seed=2,
         edits=(Edit(follower.on_append_entries, "min(message.leader_commit, end)", "message.leader_commit"),),
     ),
@@ -152,7 +152,7 @@
         "committed by a minority",
         found_by=(
             names.COMMITTED_BY_MAJORITY,
-            names.NEVER_UNSAID,
+            names.COMMITTED_NEVER_CHANGES,
             names.SAME_STATE,
             names.LOG_MATCHING,
             names.LEASE_OUTLASTS_HOLDER,
@@ -162,7 +162,12 @@
     ),
     PlantedFault(
         "committed by an entry of an old term",
-        found_by=(names.COMMITS_OWN_TERM, names.NEVER_UNSAID, names.SAME_STATE, names.LEASE_OUTLASTS_HOLDER),
+        found_by=(
+            names.COMMITS_OWN_TERM,
+            names.COMMITTED_NEVER_CHANGES,
+            names.SAME_STATE,
+            names.LEASE_OUTLASTS_HOLDER,
+        ),
         seed=15,
         edits=(Edit(leader.advance_commit_index, " and node.log.term_at(index) == node.term", ""),),
     ),
@@ -170,7 +175,7 @@
         "what the old disk had is counted for the new one",
         found_by=(
             names.COMMITTED_BY_MAJORITY,
-            names.NEVER_UNSAID,
+            names.COMMITTED_NEVER_CHANGES,
             names.SAME_STATE,
             names.LEASE_OUTLASTS_HOLDER,
         ),
@@ -211,7 +216,7 @@
         found_by=(
             names.ONE_MEMBER_AT_A_TIME,
             names.ONE_LEADER,
-            names.NEVER_UNSAID,
+            names.COMMITTED_NEVER_CHANGES,
             names.SAME_STATE,
             names.LOG_MATCHING,
         ),
