--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -47,8 +47,8 @@
     `requests` has those that are requested or held. `due`, `tick` and `hear` are as of `RaftNode`.
     """
 
-    def __init__(self, name: str, members: Iterable[str], chance: RandomSource, now: int) -> None:
-        self.name, self.chance = name, chance
+    def __init__(self, name: str, members: Iterable[str], random: RandomSource, now: int) -> None:
+        self.name, self.random = name, random
         self.session = self.nonce = 0  # session 0: none is open
         self.urgent: deque[QueuedCommand] = deque()  # renewals and releases, which are sent first
         self.queue: deque[QueuedCommand] = deque()  # requests for leases, and new sizes of pools
@@ -64,7 +64,7 @@
         """Takes over the names of the group's members in the configuration."""
         self.members = tuple(sorted(set(members)))
         if self.target not in self.members:
-            self.target = self.members[self.chance.below(len(self.members))]
+            self.target = self.members[self.random.below(len(self.members))]
 
     def acquire(self, now: int, resource: str, duration: int, amount: int = 1) -> LeaseRequest:
         """Requests a lease of `duration` ns. Errors: `LeaseRequestError`."""
@@ -176,7 +176,7 @@
         """The next command that is still needed, or the one that opens a session for it."""
         while self.urgent or self.queue:
             if not self.session:
-                nonce = 1 + self.chance.below(HIGHEST)
+                nonce = 1 + self.random.below(HIGHEST)
                 return OutstandingCommand(
                     command=None, request=None, session=0, nonce=nonce, body=b"", first_sent=now
                 )
@@ -203,7 +203,7 @@
 
     def _retry_later(self, now: int, sender: str) -> None:
         """Has the command sent to the same member again after a pause."""
-        self.resend_at = now + RETRY_PAUSE + self.chance.below(RETRY_PAUSE)
+        self.resend_at = now + RETRY_PAUSE + self.random.below(RETRY_PAUSE)
         # `tick` sends it to the member after the target, which then is the sender
         self.target = self.members[self.members.index(sender) - 1]
 
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -57,13 +57,13 @@
         name: str,
         configured_members: Iterable[str],
         disk: Disk,
-        chance: RandomSource,
+        random: RandomSource,
         now: int,
         machine: StateMachine,
         *,
         fencing_base: int = 0,
     ) -> None:
-        super().__init__(name, configured_members, disk, chance, now, machine, fencing_base=fencing_base)
+        super().__init__(name, configured_members, disk, random, now, machine, fencing_base=fencing_base)
         self.check = NodeCheck()
 
     def tick(self, now: int) -> Outbox:
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -28,16 +28,16 @@
         name: str,
         configured_members: Iterable[str],
         disk: Disk,
-        chance: RandomSource,
+        random: RandomSource,
         now: int,
         machine: StateMachine,
         *,
         fencing_base: int = 0,
     ) -> None:
-        self.name, self.chance, self.fencing_base = name, chance, fencing_base
+        self.name, self.random, self.fencing_base = name, random, fencing_base
         self.machine = machine
         self.sessions = Sessions(machine)
-        self.store = Store(name, disk, chance, self.sessions.unpack)
+        self.store = Store(name, disk, random, self.sessions.unpack)
         self.storage_failure = self.store.failure
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
         self.role, self.leader = Role.FOLLOWER, ""
@@ -110,7 +110,7 @@
 
     def reset_election_timer(self, now: int) -> None:
         """Restarts the election timeout."""
-        self.election_due = now + ELECTION_TIMEOUT + self.chance.below(ELECTION_TIMEOUT)
+        self.election_due = now + ELECTION_TIMEOUT + self.random.below(ELECTION_TIMEOUT)
 
     def record_breaches(self, breaches: list[str]) -> None:
         """Stores the first few violations."""
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -40,8 +40,8 @@
     `restore` takes over the machine's state from a snapshot; it raises ValueError for a state that is none.
     """
 
-    def __init__(self, name: str, disk: Disk, chance: RandomSource, restore: Callable[[bytes], None]) -> None:
-        self.name, self.disk, self.chance, self.restore = name, disk, chance, restore
+    def __init__(self, name: str, disk: Disk, random: RandomSource, restore: Callable[[bytes], None]) -> None:
+        self.name, self.disk, self.random, self.restore = name, disk, random, restore
         self.incarnation = self.term = 0
         self.voted_for = NOBODY  # in the present term
         self.log = ReplicatedLog()
@@ -72,7 +72,7 @@
                 self.disk.quarantine(found_unusable)
             if not self.incarnation:
                 # A new disk means a new node: it does not know what the name promised or voted before.
-                incarnation = 1 + self.chance.below(HIGHEST)
+                incarnation = 1 + self.random.below(HIGHEST)
                 self.disk.replace([encode(IdentityRecord(self.name, incarnation))])
                 self.incarnation = incarnation
         except OSError as error:
