--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -150,16 +150,16 @@
         self.logged: dict[str, Any] = {}  # by name of the figure: the last logged value
         self.rejections: dict[str, int] = {}
         self.rejections_looked_at = now
-        self.breaches = 0  # how many were logged so far
+        self.logged_violations = 0  # how many were logged so far
 
     def turn(self, node: RaftNode, begun: int, now: int, counts: Mapping[str, int]) -> None:
         """Logs after a turn of the node from `begun` to `now`; `counts`: those of the transport."""
         if now - begun > SLOW_TURN:
             self.record.event("warning", "raft_turn_slow", took_ms=(now - begun) // MILLI)
         self._log_changes(node)
-        for breach in node.breaches[self.breaches :]:
-            self.record.event("error", "raft_invariant_violated", violation=breach, replay=replay(node))
-        self.breaches = len(node.breaches)
+        for violation in node.violations[self.logged_violations :]:
+            self.record.event("error", "raft_invariant_violated", violation=violation, replay=replay(node))
+        self.logged_violations = len(node.violations)
         if now - self.rejections_looked_at >= REJECTIONS_INTERVAL:
             self.rejections_looked_at = now
             refused = {what: count for what, count in counts.items() if what.startswith("refused")}
--- a/gaproute/shared/leases/group_invariants.py
+++ b/gaproute/shared/leases/group_invariants.py
@@ -28,22 +28,22 @@
     nodes: Sequence[RaftNode], clients: Iterable[tuple[LeaseClient, int]], history: GroupHistory
 ) -> list[str]:
     """The violations at the nodes that are up. `clients`: each with the time of its own clock."""
-    breaches = check_all(nodes, history)
+    violations = check_all(nodes, history)
     for node in nodes:
         table = table_of(node)
-        breaches += check_table(table) + _check_tokens(table, history)
+        violations += check_table(table) + _check_tokens(table, history)
     working = [node for node in nodes if not node.storage_failure]
     if working:
         latest = max(working, key=lambda node: node.last_applied)
-        breaches += check_clients(table_of(latest), clients)
-    return breaches
+        violations += check_clients(table_of(latest), clients)
+    return violations
 
 
 def _check_tokens(table: LeaseTable, history: GroupHistory) -> list[str]:
-    breaches: list[str] = []
+    violations: list[str] = []
     for token, lease in table.leases.items():
         given = lease.resource, lease.holder
         first = history.given.setdefault(token, given)
         if first != given:
-            breaches.append(f"a fencing token is given once: {token} to {first} and {given}")
-    return breaches
+            violations.append(f"a fencing token is given once: {token} to {first} and {given}")
+    return violations
--- a/gaproute/shared/leases/invariants.py
+++ b/gaproute/shared/leases/invariants.py
@@ -13,28 +13,28 @@
 def check_table(table: LeaseTable) -> list[str]:
     """Checks the table of one member; expensive, as it reads all of it."""
     amounts: dict[str, int] = {}  # by resource
-    breaches: list[str] = []
+    violations: list[str] = []
     for token, lease in table.leases.items():
         amounts[lease.resource] = amounts.get(lease.resource, 0) + lease.amount
         if token > table.last_token or token != lease.fencing_token:
-            breaches.append(f"fencing token only grows: {token} is above {table.last_token}")
+            violations.append(f"fencing token only grows: {token} is above {table.last_token}")
     if amounts != table.amounts_held:
-        breaches.append("amounts held are those of the leases")
-    breaches += _overspent(table, amounts, "pool never overspent")
+        violations.append("amounts held are those of the leases")
+    violations += _overspent(table, amounts, "pool never overspent")
     if len(table.leases) > MAX_LEASES or len(table.pools) > MAX_POOLS:
-        breaches.append("maps are bounded: leases")
-    return breaches
+        violations.append("maps are bounded: leases")
+    return violations
 
 
 def check_client(client: LeaseClient) -> list[str]:
     """Checks one client by itself; cheap."""
-    breaches: list[str] = []
+    violations: list[str] = []
     queued = max(len(client.queue), len(client.urgent))
     if len(client.requests) > MAX_LEASES_PER_CLIENT or queued > MAX_QUEUED:
-        breaches.append(f"maps are bounded: {client.name}")
+        violations.append(f"maps are bounded: {client.name}")
     if not all(request.open for request in client.requests):
-        breaches.append(f"requests are open: {client.name}")
-    return breaches
+        violations.append(f"requests are open: {client.name}")
+    return violations
 
 
 def check_clients(table: LeaseTable, clients: Iterable[tuple[LeaseClient, int]]) -> list[str]:
@@ -43,35 +43,36 @@
     """
     amounts: dict[str, int] = {}  # by resource: of the leases that clients consider valid
     holders: dict[int, str] = {}  # by fencing token
-    breaches: list[str] = []
+    violations: list[str] = []
     for client, now in clients:
-        breaches += check_client(client)
+        violations += check_client(client)
         for request in client.requests:
             if not request.valid_at(now) or request.fencing_token > table.last_token:
                 continue  # this member has not applied the entry yet
             amounts[request.resource] = amounts.get(request.resource, 0) + request.amount
-            breaches += _check_valid(table, client, request, holders)
-    return breaches + _overspent(table, amounts, "one holder, no pool overspent")
+            violations += _check_valid(table, client, request, holders)
+    return violations + _overspent(table, amounts, "one holder, no pool overspent")
 
 
 def _check_valid(
     table: LeaseTable, client: LeaseClient, request: LeaseRequest, holders: dict[int, str]
 ) -> list[str]:
     """Checks a lease that its client considers valid; `holders`: those of the earlier clients."""
-    token, breaches = request.fencing_token, []
+    token = request.fencing_token
+    violations: list[str] = []
     if token in holders:
-        breaches.append(f"one holder: {client.name} and {holders[token]} by lease {token}")
+        violations.append(f"one holder: {client.name} and {holders[token]} by lease {token}")
     holders[token] = client.name
     if token not in table.leases:
-        breaches.append(f"a lease lasts while its holder may use it: {token} of {client.name} is gone")
-    return breaches
+        violations.append(f"a lease lasts while its holder may use it: {token} of {client.name} is gone")
+    return violations
 
 
 def _overspent(table: LeaseTable, amounts: dict[str, int], name: str) -> list[str]:
     """The violations of the check `name`: resources of which more than their size is held."""
-    breaches: list[str] = []
+    violations: list[str] = []
     for resource, amount in amounts.items():
         pool = table.pools.get(resource, SINGLE)
         if amount > max(pool.size, pool.excess):
-            breaches.append(f"{name}: {amount} of {resource}, which has {pool.size}")
-    return breaches
+            violations.append(f"{name}: {amount} of {resource}, which has {pool.size}")
+    return violations
--- a/gaproute/shared/membership/invariants.py
+++ b/gaproute/shared/membership/invariants.py
@@ -44,7 +44,7 @@
 
 def check(membership: Membership, *, thorough: bool = False) -> list[str]:
     """The violations as text; empty if there are none. `thorough`: the expensive checks as well."""
-    breaches = list(sizes_are_bounded(membership))
+    violations = list(sizes_are_bounded(membership))
     if thorough:
-        breaches += lists_match_states(membership)
-    return breaches
+        violations += lists_match_states(membership)
+    return violations
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -29,7 +29,7 @@
     if message.term > node.term:
         node.enter_term(now, message.term)
     if node.role is Role.LEADER:
-        node.record_breaches([f"one leader a term: {sender} and {node.name} lead {node.term}"])
+        node.record_violations([f"one leader a term: {sender} and {node.name} lead {node.term}"])
         return False
     node.step_down(now)
     node.leader, node.leader_heard_at = sender, now
@@ -63,7 +63,7 @@
             continue
         if index <= node.commit_index:
             found = f"{sender} replaces {index}, committed to {node.commit_index}"
-            node.record_breaches([f"a committed entry never changes: {found}"])
+            node.record_violations([f"a committed entry never changes: {found}"])
             return False
         try:
             node.store.append(index, entry)
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -38,18 +38,18 @@
     def run(self, node: NodeState) -> list[str]:
         """The violations at this node."""
         store, log = node.store, node.log
-        breaches = self._compare(node)
+        violations = self._compare(node)
         if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
             indexes = f"{log.snapshot_index} {node.last_applied} {node.commit_index} {log.last_index}"
-            breaches.append(f"applied, committed and last index in order: {node.name} {indexes}")
+            violations.append(f"applied, committed and last index in order: {node.name} {indexes}")
         if log.last_term > store.term:
-            breaches.append(f"no entry of a later term: {log.last_term} above {store.term} at {node.name}")
+            violations.append(f"no entry of a later term: {log.last_term} above {store.term} at {node.name}")
         if node.is_leader is not (node.leader_state is not None):
-            breaches.append(f"a leader has a leader's state: {node.name}")
+            violations.append(f"a leader has a leader's state: {node.name}")
         followers = node.leader_state.followers if node.leader_state is not None else {}
         if len(node.sessions.table) > MAX_SESSIONS or len(followers) > 2 * MAX_MEMBERS:
-            breaches.append(f"maps are bounded: {node.name}")
-        return breaches
+            violations.append(f"maps are bounded: {node.name}")
+        return violations
 
     def _compare(self, node: NodeState) -> list[str]:
         store, before = node.store, self.seen
@@ -59,7 +59,7 @@
         self.seen = present
         if before is None or before.incarnation != present.incarnation:
             return []
-        breaches = [
+        violations = [
             f"{name} only grows: {old} to {new} at {node.name}"
             for name, old, new in (
                 ("term", before.term, present.term),
@@ -71,21 +71,21 @@
         vote_changed = before.voted_for.name and before.voted_for != present.voted_for
         if before.term == present.term and vote_changed:
             votes = f"{tuple(before.voted_for)} to {tuple(present.voted_for)}"
-            breaches.append(f"one vote a term: {votes} in {present.term} at {node.name}")
-        return breaches
+            violations.append(f"one vote a term: {votes} in {present.term} at {node.name}")
+        return violations
 
 
 def check_deep(node: NodeState) -> list[str]:
     """Expensive checks, which read the log and all sessions."""
     log = node.log
     terms = [log.snapshot_term, *(entry.term for entry in log.entries)]
-    breaches = [] if terms == sorted(terms) else [f"terms grow along the log: {node.name}"]
+    violations = [] if terms == sorted(terms) else [f"terms grow along the log: {node.name}"]
     table, owned = node.sessions.table, node.sessions.owned
     if sorted(table) != sorted(number for own in owned.values() for number in own):
-        breaches.append(f"sessions have owners: {node.name}")
+        violations.append(f"sessions have owners: {node.name}")
     if any(len(own) > MAX_SESSIONS_PER_CLIENT for own in owned.values()):
-        breaches.append(f"session table bounded: {node.name}")
-    return breaches
+        violations.append(f"session table bounded: {node.name}")
+    return violations
 
 
 class History:
@@ -101,46 +101,46 @@
 def check_all(nodes: Iterable[NodeState], history: History) -> list[str]:
     """Checks the nodes that are up against each other."""
     nodes_up = list(nodes)
-    breaches: list[str] = []
+    violations: list[str] = []
     for node in nodes_up:
-        breaches += node.breaches + check_deep(node)
+        violations += node.violations + check_deep(node)
         if node.is_leader:
             first = history.leaders.setdefault(node.term, node.identity)
             if first != node.identity:
-                breaches.append(f"one leader a term: {first.name} and {node.name} in {node.term}")
-        breaches += _check_committed(node, history)
-    return breaches + _check_matching(nodes_up)
+                violations.append(f"one leader a term: {first.name} and {node.name} in {node.term}")
+        violations += _check_committed(node, history)
+    return violations + _check_matching(nodes_up)
 
 
 def _check_committed(node: NodeState, history: History) -> list[str]:
     """Committed entries are the same at every node, for ever."""
     log = node.log
-    breaches: list[str] = []
+    violations: list[str] = []
     compared = history.compared.get(node.identity)
     first = max(log.snapshot_index, min(compared or 0, node.commit_index))
     for index in range(first + 1, node.commit_index + 1):
         entry = log.entry_at(index)
         if history.committed.setdefault(index, entry) != entry:
-            breaches.append(f"a committed entry never changes: entry {index} at {node.name}")
+            violations.append(f"a committed entry never changes: entry {index} at {node.name}")
     if node.last_applied == node.commit_index != compared:
         state = blake2b(node.sessions.pack(), digest_size=16).digest()
         if history.states.setdefault(node.last_applied, state) != state:
-            breaches.append(f"same entries, same state: {node.name} after {node.last_applied}")
+            violations.append(f"same entries, same state: {node.name} after {node.last_applied}")
     history.compared[node.identity] = node.commit_index
-    return breaches
+    return violations
 
 
 def _check_matching(nodes: Sequence[NodeState]) -> list[str]:
     """Log matching: with the same term at an index, the entries up to there are the same."""
-    breaches: list[str] = []
+    violations: list[str] = []
     for one, other in combinations(nodes, 2):
         first = max(one.log.snapshot_index, other.log.snapshot_index)
         last = min(one.log.last_index, other.log.last_index)
         while last > first and one.log.term_at(last) != other.log.term_at(last):
             last -= 1
         if last > first and _entries(one, first, last) != _entries(other, first, last):
-            breaches.append(f"log matching: {one.name} and {other.name} up to {last}")
-    return breaches
+            violations.append(f"log matching: {one.name} and {other.name} up to {last}")
+    return violations
 
 
 def _entries(node: NodeState, after: int, last: int) -> list[Entry]:
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -48,7 +48,7 @@
 
     After a failure of the disk the node sends nothing, as it must not promise what it cannot store:
     `storage_failure` says why. It writes everything again every few seconds until that succeeds.
-    `rejections`: by reason, how many messages were rejected; `breaches`: the first violations that the
+    `rejections`: by reason, how many messages were rejected; `violations`: the first violations that the
     invariants found.
     """
 
@@ -131,7 +131,7 @@
                 break
             if self.leader_state is not None:
                 leader.replicate(self, self.leader_state, now, outbox)
-            self.record_breaches(self.check.run(self))
+            self.record_violations(self.check.run(self))
             return outbox
         self.storage_failure, self.storage_retry_at = self.store.failure, now + STORAGE_RETRY_INTERVAL
         self._follow_nobody()
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -16,7 +16,7 @@
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
 from gaproute.shared.randomness import RandomSource
 
-MAX_BREACHES = 16  # stored by a node; the first ones are the most useful
+MAX_VIOLATIONS = 16  # stored by a node; the first ones are the most useful
 MAX_UNCOMMITTED = 512  # entries, a megabyte at most; above it clients get the answer that the leader is busy
 
 
@@ -48,7 +48,7 @@
         self.commit_index = self.last_applied = self.log.snapshot_index
         self.leader_state: LeaderState | None = None  # set while it is leader
         self.rejections: Counter[str] = Counter()  # by the text of a `MessageRejection`
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
         self.configured_members: tuple[str, ...] = ()
         self.set_configured_members(now, configured_members)
         self.reset_election_timer(now)
@@ -112,9 +112,9 @@
         """Restarts the election timeout."""
         self.election_due = now + ELECTION_TIMEOUT + self.random.below(ELECTION_TIMEOUT)
 
-    def record_breaches(self, breaches: list[str]) -> None:
+    def record_violations(self, violations: list[str]) -> None:
         """Stores the first few violations."""
-        self.breaches += breaches[: MAX_BREACHES - len(self.breaches)]
+        self.violations += violations[: MAX_VIOLATIONS - len(self.violations)]
 
     def reject(self, reason: MessageRejection) -> None:
         """Counts a message that was rejected."""
--- a/tests/raft/test_node.py
+++ b/tests/raft/test_node.py
@@ -98,7 +98,7 @@
     again = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
     assert again.log.entries == one.log.entries
     assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (noop(1),))) == []
-    assert "a committed entry never changes" in one.breaches[0]
+    assert "a committed entry never changes" in one.violations[0]
     assert one.log.entry_at(2).term == 2
 
 
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -114,7 +114,7 @@
     assert node.incarnation == incarnation
     assert node.log.last_index >= agreed - 1
     group.until(lambda: len(node.machine.leases) == 2)
-    assert not any(host.node.breaches for host in group.hosts.values() if host.node)
+    assert not any(host.node.violations for host in group.hosts.values() if host.node)
     assert "leader" in [
         fields["role"]
         for _, what, fields in group.hosts[group.leader].record.events
