--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -8,6 +8,7 @@
 
 from collections import Counter, deque
 from collections.abc import Iterable
+from typing import TypeAlias
 
 from gaproute.shared.leases.commands import (
     MAX_DURATION,
@@ -40,6 +41,9 @@
 MAX_REDIRECTS = 2  # that are followed without a pause: members that name one another must not cause a flood
 
 
+ClientOutbox: TypeAlias = list[tuple[str, Request]]  # (member's name, message)
+
+
 class LeaseClient:
     """Acquires leases for the holder `name` from the group `members`, and renews them until they are
     released.
@@ -110,8 +114,8 @@
             times.append(self.resend_at)
         return min(times, default=None)
 
-    def tick(self, now: int) -> list[tuple[str, Request]]:
-        """Expires and renews leases and sends what is due; returns (member, message) pairs."""
+    def tick(self, now: int) -> ClientOutbox:
+        """Expires and renews leases and sends what is due; returns the messages to send."""
         self._release_expired(now)
         self._renew(now)
         if now < self.resend_at:
@@ -122,7 +126,7 @@
         self.target = self.members[next_position % len(self.members)]
         return self._send(now, self.outstanding)
 
-    def hear(self, now: int, sender: str, message: object) -> list[tuple[str, Request]]:
+    def hear(self, now: int, sender: str, message: object) -> ClientOutbox:
         """Handles a member's reply; returns the messages to send."""
         if sender not in self.members or not isinstance(message, Reply):
             self.rejected["stranger"] += 1
@@ -166,7 +170,7 @@
                 command = RenewLease(request.fencing_token, self.name, request.duration)
                 self.urgent.append(QueuedCommand(command, request))
 
-    def _begin_next(self, now: int) -> list[tuple[str, Request]]:
+    def _begin_next(self, now: int) -> ClientOutbox:
         """Sends the next command, if there is one."""
         self.redirects = 0
         self.outstanding = self._next_command(now)
@@ -197,7 +201,7 @@
         expected = LeaseState.REQUESTED if isinstance(queued.command, AcquireLease) else LeaseState.HELD
         return request.state != expected
 
-    def _send(self, now: int, command: OutstandingCommand) -> list[tuple[str, Request]]:
+    def _send(self, now: int, command: OutstandingCommand) -> ClientOutbox:
         self.resend_at = now + RESEND_AFTER
         return [(self.target, Request(command.session, command.nonce, command.body))]
 
@@ -207,9 +211,7 @@
         # `tick` sends it to the member after the target, which then is the sender
         self.target = self.members[self.members.index(sender) - 1]
 
-    def _redirect(
-        self, now: int, sender: str, leader: str, command: OutstandingCommand
-    ) -> list[tuple[str, Request]]:
+    def _redirect(self, now: int, sender: str, leader: str, command: OutstandingCommand) -> ClientOutbox:
         if leader in self.members and leader != sender and self.redirects < MAX_REDIRECTS:
             self.redirects, self.target = self.redirects + 1, leader
             return self._send(now, command)
--- a/gaproute/shared/leases/expiry.py
+++ b/gaproute/shared/leases/expiry.py
@@ -6,30 +6,16 @@
 
 import heapq
 from collections.abc import Iterable
-from typing import NamedTuple
 
-SPARE_HEAP_ENTRIES = 64  # outdated entries that the heap may have even if there are few leases
-
-
-class LeaseVersion(NamedTuple):
-    """A lease as of its last grant or renewal, which was the log entry at `log_index`."""
-
-    fencing_token: int
-    log_index: int
+from gaproute.shared.raft.state_machine import DeadlineChange, MachineDeadline
 
-
-class ExpiryUpdate(NamedTuple):
-    """A lease that was granted or renewed at `log_index` and expires `wait` ns later; None: it has ended."""
-
-    fencing_token: int
-    log_index: int
-    wait: int | None
+SPARE_HEAP_ENTRIES = 64  # outdated entries that the heap may have even if there are few leases
 
 
 class ExpiryTimers:
-    """One timer for each lease, in ns of the clock of `now`."""
+    """One timer for each lease, in ns of the clock of `now`. A lease's token is its fencing token."""
 
-    def __init__(self, now: int, updates: Iterable[ExpiryUpdate]) -> None:
+    def __init__(self, now: int, updates: Iterable[DeadlineChange]) -> None:
         self.deadlines: dict[int, tuple[int, int]] = {}  # by fencing token: (log index, expiry time)
         self.heap: list[tuple[int, int, int]] = []  # (expiry time, fencing token, log index)
         for fencing_token, log_index, wait in updates:
@@ -47,7 +33,10 @@
 
     def _drop_outdated(self) -> None:
         """Rebuilds the heap without former expiry times, which renewals leave in it."""
-        self.heap = [(expires_at, token, index) for token, (index, expires_at) in self.deadlines.items()]
+        self.heap = [
+            (expires_at, fencing_token, log_index)
+            for fencing_token, (log_index, expires_at) in self.deadlines.items()
+        ]
         heapq.heapify(self.heap)
 
     @property
@@ -55,12 +44,12 @@
         """When `pop_expired` is to be called next; None while there is no lease."""
         return self.heap[0][0] if self.heap else None
 
-    def pop_expired(self, now: int, limit: int) -> list[LeaseVersion]:
+    def pop_expired(self, now: int, limit: int) -> list[MachineDeadline]:
         """The leases that have expired, at most `limit`; the rest is returned by the next call."""
-        expired: list[LeaseVersion] = []
+        expired: list[MachineDeadline] = []
         while self.heap and self.heap[0][0] <= now and len(expired) < limit:
             expires_at, fencing_token, log_index = heapq.heappop(self.heap)
             if self.deadlines.get(fencing_token) == (log_index, expires_at):
                 del self.deadlines[fencing_token]
-                expired.append(LeaseVersion(fencing_token, log_index))
+                expired.append(MachineDeadline(fencing_token, log_index))
         return expired
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -23,8 +23,9 @@
     encode,
     expiry_wait,
 )
-from gaproute.shared.leases.expiry import ExpiryTimers, ExpiryUpdate
+from gaproute.shared.leases.expiry import ExpiryTimers
 from gaproute.shared.messages import Message
+from gaproute.shared.raft.state_machine import DeadlineChange
 
 # At a time: the maintenance of hosts and the lent capacity of a large fleet; 200 bytes each
 MAX_LEASES = 4096
@@ -94,7 +95,7 @@
         self.leases: dict[int, Lease] = {}  # by fencing token
         self.amounts_held: dict[str, int] = {}  # by resource
         self.pools: dict[str, Pool] = {}  # by resource
-        self.last_change: ExpiryUpdate | None = None  # the change to a lease by the last entry
+        self.last_change: DeadlineChange | None = None  # the change to a lease by the last entry
 
     def pool_size(self, resource: str) -> int:
         """How much of the resource may be held in total."""
@@ -173,7 +174,7 @@
     def _put(self, lease: Lease) -> None:
         """Stores a lease that was granted or renewed."""
         self.leases[lease.fencing_token] = lease
-        self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
+        self.last_change = DeadlineChange(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
 
     def _resize(self, command: ResizePool) -> CommandResult:
         if command.resource not in self.pools and command.amount != 1 and len(self.pools) >= MAX_POOLS:
@@ -204,7 +205,7 @@
 
     def _remove(self, lease: Lease) -> None:
         del self.leases[lease.fencing_token]
-        self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, None)
+        self.last_change = DeadlineChange(lease.fencing_token, lease.log_index, None)
         remaining = self.amounts_held[lease.resource] - lease.amount
         if remaining:
             self.amounts_held[lease.resource] = remaining
@@ -212,7 +213,7 @@
             del self.amounts_held[lease.resource]
         self._update_excess(lease.resource)
 
-    def pop_change(self) -> ExpiryUpdate | None:
+    def pop_change(self) -> DeadlineChange | None:
         """The last change by the entries since the last call, if any; each change is returned once."""
         change, self.last_change = self.last_change, None
         return change
@@ -221,14 +222,14 @@
         """Makes the timers of a new leader for all leases, counted from now."""
         return ExpiryTimers(now, self.expiry_waits())
 
-    def expiry_waits(self) -> list[ExpiryUpdate]:
+    def expiry_waits(self) -> list[DeadlineChange]:
         """For each lease, how long a new leader waits before it lets the lease expire."""
         waits = [
-            ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
+            DeadlineChange(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
             for lease in self.leases.values()
         ]
         if self.initial_wait:
-            waits.insert(0, ExpiryUpdate(INITIAL_WAIT_TOKEN, 0, expiry_wait(self.max_duration)))
+            waits.insert(0, DeadlineChange(INITIAL_WAIT_TOKEN, 0, expiry_wait(self.max_duration)))
         return waits
 
     @staticmethod
--- a/gaproute/shared/raft/state_machine.py
+++ b/gaproute/shared/raft/state_machine.py
@@ -5,14 +5,30 @@
 """
 
 from collections.abc import Sequence
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 
-class DeadlineTimers(Protocol):
-    """The leader's timers. A deadline is identified by its token and the index of the entry that last set
-    it.
+class MachineDeadline(NamedTuple):
+    """A deadline, identified by its token and the index of the entry that last set it."""
+
+    token: int
+    log_index: int
+
+
+class DeadlineChange(NamedTuple):
+    """A deadline that the entry at `log_index` has set, or has removed (`wait` None).
+
+    `wait`: ns from when the entry is applied.
     """
 
+    token: int
+    log_index: int
+    wait: int | None
+
+
+class DeadlineTimers(Protocol):
+    """The leader's timers, one for each deadline."""
+
     @property
     def due(self) -> int | None:
         """The earliest deadline, ns; None while there is none."""
@@ -20,8 +36,8 @@
     def update(self, now: int, token: int, log_index: int, wait: int | None, /) -> None:
         """Sets a deadline to `wait` ns from now; None removes it."""
 
-    def pop_expired(self, now: int, limit: int, /) -> Sequence[tuple[int, int]]:
-        """The (token, log index) of deadlines that have passed, at most `limit`."""
+    def pop_expired(self, now: int, limit: int, /) -> Sequence[MachineDeadline]:
+        """The deadlines that have passed, at most `limit`."""
 
 
 class StateMachine(Protocol):
@@ -42,10 +58,8 @@
         itself.
         """
 
-    def pop_change(self) -> tuple[int, int, int | None] | None:
-        """The last change by the commands since the last call: (token, log index, wait in ns) of a
-        deadline.
-        """
+    def pop_change(self) -> DeadlineChange | None:
+        """The last change of a deadline by the commands since the last call."""
 
     def start_timers(self, now: int, /) -> DeadlineTimers:
         """Timers of a new leader for all deadlines, counted from now."""
