--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from gaproute.errors import GaprouteError
-from gaproute.shared.messages import NAME
+from gaproute.shared.messages import MAX_NAME_LENGTH
 from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, RaftMessage
 
 VERSION = 1
@@ -25,7 +25,7 @@
 _decoder = msgspec.msgpack.Decoder(
     tuple[
         int,
-        Annotated[str, Meta(min_length=1, max_length=NAME)],
+        Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)],
         Annotated[list[RaftMessage], Meta(min_length=1, max_length=MAX_MESSAGES)],
     ]
 )
--- a/gaproute/rollouts/campaign_validation.py
+++ b/gaproute/rollouts/campaign_validation.py
@@ -10,7 +10,7 @@
     strictest_reservations,
 )
 from gaproute.shared.leases.commands import MAX_DURATION
-from gaproute.shared.messages import HIGHEST
+from gaproute.shared.messages import MAX_COUNT
 
 MAX_CAMPAIGNS = 32  # at once: each costs every gateway a row for each host
 MAX_STEPS = 1_000_000
@@ -22,7 +22,7 @@
     "steps": (1, MAX_STEPS),
     "max_version_lag": (0, MAX_STEPS),
     "group_size": (1, MAX_ROLLOUTS),
-    "copy_size": (1, HIGHEST),
+    "copy_size": (1, MAX_COUNT),
     "typical_duration": (1, MAX_DURATION),
     "max_duration": (1, MAX_DURATION),
     "deadline": (0, 1 << 60),
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -10,7 +10,7 @@
 
 from xxhash import xxh32_intdigest
 
-from gaproute.shared.messages import HIGHEST
+from gaproute.shared.messages import MAX_COUNT
 from gaproute.units import MILLISECOND, SECOND
 
 HEADER_BYTES = 10  # of a message
@@ -19,7 +19,7 @@
 ENVELOPE_BYTES = 60
 TRAVEL_TIME = 5 * MILLISECOND  # assumed for every message, as clocks of gateways are not compared
 
-MAX_INCARNATION = HIGHEST
+MAX_INCARNATION = MAX_COUNT
 MAX_SEQUENCE = (1 << 32) - 1
 REQUEST_CLASSES = 256  # number of request classes that an entry can name
 
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -29,7 +29,7 @@
     QueuedCommand,
     result_of,
 )
-from gaproute.shared.messages import HIGHEST
+from gaproute.shared.messages import MAX_COUNT
 from gaproute.shared.raft.messages import Reply, ReplyStatus, Request
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLISECOND
@@ -72,7 +72,7 @@
 
     def acquire(self, now: int, resource: str, duration: int, amount: int = 1) -> LeaseRequest:
         """Requests a lease of `duration` ns. Errors: `LeaseRequestError`."""
-        if not MIN_DURATION <= duration <= MAX_DURATION or not 1 <= amount <= HIGHEST:
+        if not MIN_DURATION <= duration <= MAX_DURATION or not 1 <= amount <= MAX_COUNT:
             raise LeaseRequestError(f"a lease of {amount} of {resource} for {duration} ns")
         if len(self.requests) >= MAX_LEASES_PER_CLIENT:
             raise LeaseRequestError(f"{MAX_LEASES_PER_CLIENT} lease requests at once")
@@ -180,7 +180,7 @@
         """The next command that is still needed, or the one that opens a session for it."""
         while self.urgent or self.queue:
             if not self.session:
-                nonce = 1 + self.random.below(HIGHEST)
+                nonce = 1 + self.random.below(MAX_COUNT)
                 return OutstandingCommand(
                     command=None, request=None, session=0, nonce=nonce, body=b"", first_sent=now
                 )
--- a/gaproute/shared/leases/commands.py
+++ b/gaproute/shared/leases/commands.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from gaproute.shared.messages import HIGHEST, Message, Name
+from gaproute.shared.messages import MAX_COUNT, Message, Name
 from gaproute.units import MILLISECOND, SECOND
 
 MAX_DURATION = 600 * SECOND  # longest time for which a resource stays taken by a holder that died
@@ -19,7 +19,7 @@
 # The number of hosts in a large fleet; bounds the state that one client can cause
 MAX_LEASES_PER_CLIENT = 1024
 
-Amount = Annotated[int, Meta(ge=0, le=HIGHEST)]
+Amount = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
 Duration = Annotated[int, Meta(ge=MIN_DURATION, le=MAX_DURATION)]
 FencingToken = Annotated[int, Meta(ge=0, le=1 << 62)]
 
@@ -29,7 +29,7 @@
 
     resource: Name
     holder: Name
-    amount: Annotated[int, Meta(ge=1, le=HIGHEST)]
+    amount: Annotated[int, Meta(ge=1, le=MAX_COUNT)]
     duration: Duration
 
 
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -20,14 +20,14 @@
 from gaproute.shared.leases.client import LeaseClient
 from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.leases.requests import LeaseRequest, LeaseRequestError, LeaseState
-from gaproute.shared.messages import HIGHEST, NAME
+from gaproute.shared.messages import MAX_COUNT, MAX_NAME_LENGTH
 from gaproute.units import MILLISECOND, SECOND
 
 MAX_REQUESTS = 1024  # at a time: as many as the client takes
 # How long a request that has ended is still shown, so that the reason can be read
 SHOWN_AFTER_END = 60 * SECOND
 
-Resource = Annotated[str, Meta(max_length=NAME)]
+Resource = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 
 JSON_KEYS = {"acquire": "take", "extend": "keep", "release": "give", "resize": "size"}
 
@@ -43,7 +43,7 @@
     extend: int = 0
     release: int = 0
     resize: Resource = ""
-    amount: Annotated[int, Meta(ge=0, le=HIGHEST)] = 1
+    amount: Annotated[int, Meta(ge=0, le=MAX_COUNT)] = 1
     span_ms: int = 30_000
     for_ms: int = 0
 
--- a/gaproute/shared/messages.py
+++ b/gaproute/shared/messages.py
@@ -7,11 +7,11 @@
 
 from msgspec import Meta, Struct
 
-HIGHEST = 1 << 48  # of a term, an index or an incarnation: no correct value comes near it
-NAME = 128  # characters of a name
+MAX_COUNT = 1 << 48  # of a term, an index or an incarnation: no correct value comes near it
+MAX_NAME_LENGTH = 128  # characters of a name
 
-Count = Annotated[int, Meta(ge=0, le=HIGHEST)]
-Name = Annotated[str, Meta(max_length=NAME)]
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+Name = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 
 
 class Message(Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gaproute.shared.messages import NAME
+from gaproute.shared.messages import MAX_NAME_LENGTH
 from gaproute.shared.raft.leader_state import LeaderState, PendingReply
 from gaproute.shared.raft.messages import EntryKind, Outbox, Reply, ReplyStatus, Request
 from gaproute.shared.raft.node_state import NodeState
@@ -15,7 +15,7 @@
 
 def on_request(node: NodeState, sender: str, request: Request, outbox: Outbox) -> None:
     """Logs a request, or answers it immediately."""
-    if not 0 < len(sender) <= NAME or not request.nonce:
+    if not 0 < len(sender) <= MAX_NAME_LENGTH or not request.nonce:
         node.reject(MessageRejection.INVALID_REQUEST)
         return
     leader = node.leader_state
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from gaproute.shared.messages import HIGHEST
+from gaproute.shared.messages import MAX_COUNT
 from gaproute.shared.raft.disk import Disk, UnusableDiskError
 from gaproute.shared.raft.log import ReplicatedLog
 from gaproute.shared.raft.messages import Entry, Member
@@ -72,7 +72,7 @@
                 self.disk.quarantine(found_unusable)
             if not self.incarnation:
                 # A new disk means a new node: it does not know what the name promised or voted before.
-                incarnation = 1 + self.random.below(HIGHEST)
+                incarnation = 1 + self.random.below(MAX_COUNT)
                 self.disk.replace([encode(IdentityRecord(self.name, incarnation))])
                 self.incarnation = incarnation
         except OSError as error:
--- a/gaproute/simulation/raft_group/planted_raft_faults.py
+++ b/gaproute/simulation/raft_group/planted_raft_faults.py
@@ -95,7 +95,7 @@
         "a lost disk comes back as if it remembered",
         found_by=(names.ONE_VOTE, names.TERM_GROWS, names.VOTE_REMEMBERED),
         seed=7,
-        edits=(Edit(Store.open, "incarnation = 1 + self.random.below(HIGHEST)", "incarnation = 1"),),
+        edits=(Edit(Store.open, "incarnation = 1 + self.random.below(MAX_COUNT)", "incarnation = 1"),),
     ),
     PlantedFault(
         "a node without memory bootstraps anew",
