--- a/gaproute/shared/raft/timing.py
+++ b/gaproute/shared/raft/timing.py
@@ -2,16 +2,16 @@
 
 from gaproute.units import MILLISECOND, SECOND
 
-# Between a leader's messages: a fifth of the shortest election timeout.
+# Between two messages of a leader to a follower: a fifth of the shortest election timeout.
 HEARTBEAT_INTERVAL = 200 * MILLISECOND
-# Without a leader's message until an election, at least; as long again by chance. Far above a late turn, a
-# sync and a round trip, below any lease's duration.
+# A follower without messages of a leader begins an election after this time and a random part of it. Far
+# above a late turn, a sync and a round trip; below the usual durations of leases.
 ELECTION_TIMEOUT = SECOND
-# Without a majority's answers until a leader steps down: the longest wait for an election.
+# A leader without answers of a majority steps down after this time: the longest wait for an election.
 QUORUM_TIMEOUT = 2 * SECOND
-# Until a snapshot that was not acknowledged is sent again: it is large.
+# A snapshot that was not acknowledged is sent again after this time, as it is large.
 SNAPSHOT_RESEND_INTERVAL = 2 * SECOND
-# Between changes of the members: two nodes that claim one name must not fill the log.
+# Between two changes of the members, so that two nodes that claim one name do not fill the log.
 MEMBERSHIP_CHANGE_INTERVAL = 2 * SECOND
-# Until a disk that failed is written anew.
+# A disk that failed is written anew after this time.
 STORAGE_RETRY_INTERVAL = 5 * SECOND
