--- a/gaproute/shared/raft/disk.py
+++ b/gaproute/shared/raft/disk.py
@@ -7,11 +7,11 @@
 
 
 class UnusableDiskError(GaprouteError):
-    """What was synced to the disk cannot be read, or is of another node; `why` says what was found."""
+    """What was synced to the disk cannot be read, or is of another node; `reason` says what was found."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(f"the node's disk cannot be used: {why}")
-        self.why = why
+    def __init__(self, reason: str) -> None:
+        super().__init__(f"the node's disk cannot be used: {reason}")
+        self.reason = reason
 
 
 class Disk(Protocol):
@@ -34,5 +34,5 @@
         ones.
         """
 
-    def quarantine(self, why: str, /) -> None:
+    def quarantine(self, reason: str, /) -> None:
         """Stores the records under another name for the operator; then the disk is empty."""
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -63,7 +63,7 @@
         try:
             self._load(self.disk.read())
         except UnusableDiskError as error:
-            found_unusable = self.discard_reason = error.why
+            found_unusable = self.discard_reason = error.reason
         except OSError as error:
             self.failure = f"not read: {error}"
             return
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -209,7 +209,7 @@
     disk.corrupt("bad")
     with pytest.raises(UnusableDiskError) as error:
         disk.read()
-    assert error.value.why == "bad"
+    assert error.value.reason == "bad"
     disk.quarantine("bad")
     assert disk.read() == []
     assert disk.quarantined == [("bad", [b"a"])]
--- a/tests/support/storage_file_scenarios.py
+++ b/tests/support/storage_file_scenarios.py
@@ -37,7 +37,7 @@
         try:
             read = self.retried(self.log_file.read)
         except UnusableDiskError as fault:
-            raise BrokenGuaranteeError(SOUND_FILE_REFUSED, fault.why) from fault
+            raise BrokenGuaranteeError(SOUND_FILE_REFUSED, fault.reason) from fault
         if read not in self.possible:
             raise BrokenGuaranteeError(
                 RECORD_LOST if len(read) < len(self.acknowledged) else RECORD_INVENTED,
