--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -84,7 +84,7 @@
     net.run(10 * SECOND)
     figures = _calm(net, size) | _death(net)
     figures |= _newcomer(net, size, seed)
-    assert not [breach for node in net.nodes.values() for breach in check(node, thorough=True)]
+    assert not [violation for node in net.nodes.values() for violation in check(node, thorough=True)]
     return figures
 
 
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -135,6 +135,6 @@
         "overrun": counts.overrun,
         "spilt": counts.discarded,
         "errors": counts.errors,
-        "breaches": counts.breaches,
+        "breaches": counts.violations,
     }
     yield from (f"wire {place}: {found} {what}" for what, found in faults.items() if found)
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -30,7 +30,7 @@
 # For so long a gateway renews a lease that nobody extends: a client that is not heard of again has a
 # resource for it, and a lease request waits for it.
 RENEWED_FOR = 1200 * MILLI
-BREACH = b'"event":"raft_invariant_violated"'  # in a gateway's log: one of its own checks does not hold
+LOGGED_VIOLATION = b'"event":"raft_invariant_violated"'  # in a gateway's log: its Raft node found one
 MAX_LOG_TEXT = 300  # characters of such a line in the verdict
 # What a client does when its work is done, drawn: of ten leases five are released, two are extended, three
 # are left to expire as if the client had died.
@@ -91,12 +91,12 @@
         violations = [*leases.judge_leases(run), *progress.violations]
         broken = [f"permits, {violation.check}: {violation.text}" for violation in violations]
         granted = len(leases.grant_times(run))
-        return LeaseJudgement(granted, progress.healings, [*broken, *self._logged_breaches()])
+        return LeaseJudgement(granted, progress.healings, [*broken, *self._logged_violations()])
 
-    def _logged_breaches(self) -> Iterator[str]:
+    def _logged_violations(self) -> Iterator[str]:
         for path in sorted(self.context.out.glob("g*.log")):
             for line in path.read_bytes().split(b"\n"):
-                if BREACH in line.replace(b" ", b""):
+                if LOGGED_VIOLATION in line.replace(b" ", b""):
                     yield f"{path.stem}: {line.decode()[:MAX_LOG_TEXT]}"
 
 
--- a/gaproute/cluster/links/counts.py
+++ b/gaproute/cluster/links/counts.py
@@ -14,6 +14,7 @@
     "discarded": "spilt",
     "held": "kept",
     "effects": "weather",
+    "violations": "breaches",
 }
 
 
@@ -24,7 +25,7 @@
     `refused`: connections that the far end or a slot refused; `pending`: those that cannot open yet;
     `given_up`: those whose caller left before; `unmatched`: addresses between no two slots; `overrun`:
     datagrams that found the socket's buffer full; `discarded`: datagrams beyond the emulator's own bounds;
-    `late_ns`: the longest lateness since the last report. `errors` and `breaches` are texts.
+    `late_ns`: the longest lateness since the last report. `errors` and `violations` are texts.
     """
 
     bytes: int
@@ -46,7 +47,7 @@
     late_ns: int
     late_most_ns: int
     errors: list[str]
-    breaches: list[str]
+    violations: list[str]
 
     def as_json(self) -> dict[str, Any]:
         """The report as it is sent, and as a run's verdict has it."""
--- a/gaproute/cluster/links/emulator.py
+++ b/gaproute/cluster/links/emulator.py
@@ -9,7 +9,7 @@
 from gaproute.cluster.links.context import EmulatorContext
 from gaproute.cluster.links.counts import LinkCounts
 from gaproute.cluster.links.datagrams import DatagramRelay
-from gaproute.cluster.links.invariants import find_breaches
+from gaproute.cluster.links.invariants import find_violations
 from gaproute.cluster.links.lateness import LinkLateness
 from gaproute.cluster.links.messages import (
     BeginFault,
@@ -71,9 +71,9 @@
             self.streams.conditions_changed()
             self.datagrams.conditions_changed()
 
-    def find_breaches(self) -> list[str]:
+    def find_violations(self) -> list[str]:
         """The invariants that do not hold, as text."""
-        return find_breaches(self.conditions, self.datagrams, self.streams.relays.values())
+        return find_violations(self.conditions, self.datagrams, self.streams.relays.values())
 
     def report(self) -> LinkCounts:
         """The counts until now. The lateness is that since the last report."""
@@ -98,7 +98,7 @@
             late_ns=self.lateness.take(),
             late_most_ns=self.lateness.most,
             errors=[repr(error) for error in self.loop.errors],
-            breaches=self.find_breaches(),
+            violations=self.find_violations(),
         )
 
     def close(self) -> None:
--- a/gaproute/cluster/links/invariants.py
+++ b/gaproute/cluster/links/invariants.py
@@ -11,7 +11,7 @@
 from gaproute.cluster.links.stream_relay import StreamRelay
 
 
-def find_breaches(
+def find_violations(
     conditions: NetworkConditions, datagrams: DatagramRelay, relays: Iterable[StreamRelay]
 ) -> list[str]:
     """Runs all checks; returns those that fail, as text."""
--- a/gaproute/rollouts/invariants.py
+++ b/gaproute/rollouts/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of rollouts. Each check returns breaches as texts that begin with the invariant's
+"""What must always hold of rollouts. Each check returns violations as texts that begin with the invariant's
 name; all are cheap enough to run at every step."""
 
 from collections import Counter
@@ -13,27 +13,27 @@
 
 def check_dispatcher(dispatcher: RolloutDispatcher, now: int) -> list[str]:
     """Of one gateway: its rollouts are in flight under leases that outlast them, and are counted rightly."""
-    breaches = []
+    violations = []
     by_lease: Counter[LeaseRequest] = Counter()
     by_campaign: Counter[tuple[str, str]] = Counter()
     for name, sent in dispatcher.in_flight.items():
         by_lease[sent.lease] += 1
         by_campaign[sent.host, sent.campaign] += 1
         if sent.ends_by > now and not _outlasts(sent.lease, sent.ends_by):
-            breaches.append(f"nothing sent without a lease: {name} at {sent.host}, {sent.lease.state}")
+            violations.append(f"nothing sent without a lease: {name} at {sent.host}, {sent.lease.state}")
     for lease, count in by_lease.items():
         if count > lease.amount:
-            breaches.append(
+            violations.append(
                 f"capacity never overspent: {count} under a lease of {lease.amount} of {lease.resource}"
             )
     for host, allotment in dispatcher.allotments.items():
         wrong_leases = any(by_lease[lease] != count for lease, count in allotment.leases.items())
         wrong_campaigns = any(by_campaign[host, name] != count for name, count in allotment.in_flight.items())
         if wrong_leases or wrong_campaigns:
-            breaches.append(f"counts are those of what is in flight: {host}")
+            violations.append(f"counts are those of what is in flight: {host}")
     if len(dispatcher.allotments) > MAX_HOSTS or len(dispatcher.in_flight) > MAX_IN_FLIGHT:
-        breaches.append("maps are bounded: rollouts in flight")
-    return breaches
+        violations.append("maps are bounded: rollouts in flight")
+    return violations
 
 
 def _outlasts(lease: LeaseRequest, until: int) -> bool:
@@ -50,13 +50,13 @@
 
 def check_groups(groups: RolloutGroups) -> list[str]:
     """Of one gateway's groups."""
-    breaches = []
+    violations = []
     for name, group in groups.open.items():
         if group.answer_count != sum(group.answered.values()) or len(group.answered) > group.size:
-            breaches.append(f"a group counts its own: {name}")
+            violations.append(f"a group counts its own: {name}")
     if len(groups.open) > MAX_OPEN_GROUPS or len(groups.ended) > MAX_ENDED_GROUPS:
-        breaches.append("maps are bounded: groups")
-    return breaches
+        violations.append("maps are bounded: groups")
+    return violations
 
 
 def check_reservations(
@@ -65,13 +65,13 @@
     """That what may be lent leaves each host and each zone the lanes that are reserved there."""
     left: Counter[str] = Counter()
     totals: Counter[str] = Counter()
-    breaches = []
+    violations = []
     for host in hosts:
         left[host.zone] += host.lanes - lendable[host.name]
         totals[host.zone] += host.lanes
         if not 0 <= lendable[host.name] <= max(0, host.lanes - reserved.get(host.name, 0)):
-            breaches.append(f"reserved lanes are not lent: {host.name}")
-    return breaches + [
+            violations.append(f"reserved lanes are not lent: {host.name}")
+    return violations + [
         f"reserved lanes are not lent: zone {zone}"
         for zone, lanes in left.items()
         if lanes < min(reserved.get(zone, 0), totals[zone])
--- a/gaproute/standins/model_server/invariants.py
+++ b/gaproute/standins/model_server/invariants.py
@@ -1,24 +1,17 @@
 """What must hold of a stand-in host at any time.
 
 A host that breaks one of these cannot exist, and gateways must not be judged by it. Each check gives its
-breaches as text; its name stands in taps.
+violations as text; its name stands in taps.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import NamedTuple
 
+from gaproute.standins.invariant_violation import InvariantViolation
 from gaproute.standins.model_server.server_state import ServerState
 
 
-class Breach(NamedTuple):
-    """A check that failed, and what it found."""
-
-    check: str
-    text: str
-
-
 def lanes(server: ServerState) -> Iterator[str]:
     """No instance runs more requests than it has lanes."""
     for name, instances in server.pool.instances.items():
@@ -68,6 +61,6 @@
 CHECKS = (lanes, tasks_at_work, memory, loads, bounded)
 
 
-def breaches(server: ServerState) -> list[Breach]:
-    """All breaches at this moment."""
-    return [Breach(check.__name__, text) for check in CHECKS for text in check(server)]
+def find_violations(server: ServerState) -> list[InvariantViolation]:
+    """All violations at this moment."""
+    return [InvariantViolation(check.__name__, text) for check in CHECKS for text in check(server)]
--- a/gaproute/standins/model_server/server.py
+++ b/gaproute/standins/model_server/server.py
@@ -15,11 +15,12 @@
 
 from gaproute.loop import Loop, Promise
 from gaproute.loop.loop import MILLI
-from gaproute.standins.model_server import invariants
+from gaproute.standins.invariant_violation import note_violations
 from gaproute.standins.model_server.coroutines import CoroutineGroup
 from gaproute.standins.model_server.faults import ActiveFaults, FaultCommand, RequestFault
 from gaproute.standins.model_server.fetching import Fetch
 from gaproute.standins.model_server.instance_pool import InstancePool
+from gaproute.standins.model_server.invariants import find_violations
 from gaproute.standins.model_server.model_instances import ModelInstances
 from gaproute.standins.model_server.processor import Processor
 from gaproute.standins.model_server.profiles import HostSetup, ModelProfile
@@ -229,8 +230,7 @@
         if self.stopped:
             return
         self.pool.unload_idle(self.loop.now())
-        for breach in invariants.breaches(self):
-            self.tap.note("breach", check=breach.check, text=breach.text)
+        note_violations(self.tap, find_violations(self))
         self.loop.after(UPKEEP_INTERVAL, self._upkeep)
 
 
--- a/gaproute/standins/platform/change_log.py
+++ b/gaproute/standins/platform/change_log.py
@@ -10,7 +10,8 @@
 from gaproute.errors import GaprouteError
 from gaproute.loop import Loop
 from gaproute.loop.loop import SECOND
-from gaproute.standins.platform import change_log_invariants
+from gaproute.standins.invariant_violation import note_violations
+from gaproute.standins.platform.change_log_invariants import find_violations
 from gaproute.standins.platform.gateway_feed import FeedFaultCommand, GatewayFeed
 from gaproute.standins.platform.host_list import ChangeEvent
 from gaproute.standins.tap import EventRecorder
@@ -47,8 +48,7 @@
     def _upkeep(self) -> None:
         for feed in self.feeds:
             feed.upkeep()
-        for breach in change_log_invariants.breaches(self.feeds, len(self.events)):
-            self.tap.note("breach", check=breach.check, text=breach.text)
+        note_violations(self.tap, find_violations(self.feeds, len(self.events)))
         self.loop.after(UPKEEP_INTERVAL, self._upkeep)
 
     # Commands
--- a/gaproute/standins/platform/change_log_invariants.py
+++ b/gaproute/standins/platform/change_log_invariants.py
@@ -1,23 +1,16 @@
 """What must hold of the stand-in change log at any time, as gateways are judged by what it noted.
 
-Each check gives its breaches as text; its name stands in taps.
+Each check gives its violations as text; its name stands in taps.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
-from typing import NamedTuple
 
+from gaproute.standins.invariant_violation import InvariantViolation
 from gaproute.standins.platform.gateway_feed import GatewayFeed
 
 
-class Breach(NamedTuple):
-    """A check that failed, and what it found."""
-
-    check: str
-    text: str
-
-
 def numbers(feeds: Sequence[GatewayFeed], event_count: int) -> Iterator[str]:
     """No feed has released or counted an event that is not written."""
     for feed in feeds:
@@ -36,6 +29,8 @@
 CHECKS = (numbers, counted)
 
 
-def breaches(feeds: Sequence[GatewayFeed], event_count: int) -> list[Breach]:
-    """All breaches at this moment."""
-    return [Breach(check.__name__, text) for check in CHECKS for text in check(feeds, event_count)]
+def find_violations(feeds: Sequence[GatewayFeed], event_count: int) -> list[InvariantViolation]:
+    """All violations at this moment."""
+    return [
+        InvariantViolation(check.__name__, text) for check in CHECKS for text in check(feeds, event_count)
+    ]
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -50,4 +50,4 @@
         b"%d" % number for number in range(300)
     ]
     assert network.loop.now() == at_once
-    assert not network.emulator.find_breaches()
+    assert not network.emulator.find_violations()
--- a/tests/cluster/test_emulator_checks.py
+++ b/tests/cluster/test_emulator_checks.py
@@ -76,7 +76,7 @@
     key = QueueKey("y", Link(GATEWAY, HOST), LinkTraffic.STREAMS)
     network.emulator.conditions.rate_queues.free_at[key] = 1
     del network.emulator.conditions.specs["x"]
-    names = {text.split(":")[0] for text in network.emulator.find_breaches()}
+    names = {text.split(":")[0] for text in network.emulator.find_violations()}
     assert names == {
         "transit_bytes",
         "output_bytes",
--- a/tests/cluster/test_lease_clients.py
+++ b/tests/cluster/test_lease_clients.py
@@ -73,7 +73,7 @@
     ],
 )
 def test_two_holders_and_a_fence_that_falls_are_reported(events, checks):
-    assert [breach.check for breach in leases.judge_leases(events)] == checks
+    assert [violation.check for violation in leases.judge_leases(events)] == checks
 
 
 def test_a_fault_after_whose_end_nothing_is_granted_is_reported():
@@ -90,7 +90,7 @@
     ]
     looked, broken = leases.judge_progress(run)
     assert looked == 2
-    assert [breach.check for breach in broken] == ["progress", "progress"]
+    assert [violation.check for violation in broken] == ["progress", "progress"]
     # a permit that is only held on is no grant; a new one is
     assert len(leases.judge_progress(run + [hold(4, "a", 5, 6)])[1]) == 2
     assert leases.judge_progress(run + [hold(6, "b", 6, 7)])[1] == []
--- a/tests/cluster/test_stream_faults.py
+++ b/tests/cluster/test_stream_faults.py
@@ -141,7 +141,7 @@
             sent[side] += ends[side].send(piece) if piece else 0
         network.turns(3)
         received[side] += read_now(ends[1 - side], chance.randrange(1, 90_000)) or b""
-        assert not network.emulator.find_breaches()
+        assert not network.emulator.find_violations()
     assert (bytes(received[0]), bytes(received[1])) == whole
     faults.end()
     near.close()
--- a/tests/cluster/test_streams.py
+++ b/tests/cluster/test_streams.py
@@ -37,7 +37,7 @@
     assert network.received(near) == b""
     assert not network.emulator.streams.relays
     assert network.emulator.report().bytes == 14
-    assert not network.emulator.find_breaches()
+    assert not network.emulator.find_violations()
 
 
 @pytest.mark.parametrize("end", [0, 1])
@@ -155,4 +155,4 @@
         came += data
     assert len(came) == sent
     assert came == (block * 400)[:sent]
-    assert not network.emulator.find_breaches()
+    assert not network.emulator.find_violations()
--- a/tests/hollow/test_hollow.py
+++ b/tests/hollow/test_hollow.py
@@ -25,7 +25,7 @@
     assert known is not None
     assert known < 40
     assert sum(held.suspicions for held in members(fleet).values()) < 20
-    assert not [breach for held in members(fleet).values() for breach in check(held, thorough=True)]
+    assert not [violation for held in members(fleet).values() for violation in check(held, thorough=True)]
     fleet.close()
 
 
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -22,8 +22,8 @@
 
 def verdict(seed, kind, **options):
     """The name of what was broken, or ""."""
-    run, breach = play(seed, kind, **options)
-    return breach.name if breach else broken(run)
+    run, violation = play(seed, kind, **options)
+    return violation.name if violation else broken(run)
 
 
 def broken(run):
@@ -37,8 +37,8 @@
 @cache
 def clean(seed, kind):
     """(the run, the name of what was broken or ""): asked for before any fault is put into the code."""
-    run, breach = play(seed, kind)
-    return run, breach.name if breach else broken(run)
+    run, violation = play(seed, kind)
+    return run, violation.name if violation else broken(run)
 
 
 @pytest.mark.parametrize("kind", list(RunKind))
@@ -197,8 +197,8 @@
     answer = controller.request_host(now, host.name, slot.process.status(now))
     assert answer == GrantRejection("no lease")
     grant = HostGrant(9, host.drain_mark, 5)
-    breaches = check_grant(controller, now, host.name, grant, {host.name: 99})
-    assert [text.partition(":")[0] for text in breaches] == [
+    violations = check_grant(controller, now, host.name, grant, {host.name: 99})
+    assert [text.partition(":")[0] for text in violations] == [
         "no host out without a lease",
         "no host out on an old fencing token",
     ]
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -375,7 +375,7 @@
         assert check(made, thorough=True) == []
 
 
-def test_a_breach_is_reported():
+def test_a_violation_is_reported():
     made = membership("a")
     made.members["a"].state = MemberState.DEAD
     made.prober.indirect_probes = {number: ("a", 1, "a") for number in range(MAX_INDIRECT_PROBES + 1)}
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("name", list(CASES))
 def test_a_run_keeps_all_its_promises(name):
-    made, breach = play(3, CASES[name], end=(17 if name == "zone cut" else 12) * SECOND)
-    assert breach is None, breach.report()
+    made, violation = play(3, CASES[name], end=(17 if name == "zone cut" else 12) * SECOND)
+    assert violation is None, violation.report()
     figures = made.figures()
     assert figures["used"] > USED.get(name, 0.5)
     assert figures["production"] > 1000
@@ -150,8 +150,8 @@
 def test_a_planted_fault_is_detected_by_name(mutant, case, name, monkeypatch):
     mutant(monkeypatch.setattr)
     for seed in range(3):
-        _, breach = play(seed, CASES[case], end=12 * SECOND)
-        if breach is not None:
-            assert breach.name == name
+        _, violation = play(seed, CASES[case], end=12 * SECOND)
+        if violation is not None:
+            assert violation.name == name
             return
     pytest.fail("not detected")
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -226,12 +226,12 @@
                 made.model_server.pool.unload_unused(chance.choice("abc"))
             case _:
                 works += filter(None, [made.take(f"t{step}", chance.choice("aaabc"))])
-        assert invariants.breaches(made.model_server) == []
+        assert invariants.find_violations(made.model_server) == []
         made.rest(round(chance.expovariate(1) * 8 * MILLI))
     assert len(made.ends) == len({name for name, *_ in made.ends}) > 200
 
 
-def test_a_breach_is_named_and_noted(bench):
+def test_a_violation_is_named_and_noted(bench):
     made = bench()
     made.model_server.pool.instances["a"].busy_lanes = 9
     made.model_server.pool.active_loads = -1
--- a/tests/support/link_network.py
+++ b/tests/support/link_network.py
@@ -82,7 +82,7 @@
         end = self.loop.now() + span
         while self.loop.now() < end:
             self.loop.turn()
-        assert not self.emulator.find_breaches()
+        assert not self.emulator.find_violations()
 
     def received(self, sock):
         """What comes next at `sock`, within five seconds of true time; `read_now` does not wait."""
