--- a/gaproute/standins/__main__.py
+++ b/gaproute/standins/__main__.py
@@ -8,7 +8,7 @@
 
 import resource
 import sys
-from typing import Any
+from collections.abc import Mapping
 
 import msgspec
 
@@ -22,7 +22,7 @@
 STANDARD_INPUT = 0  # descriptor
 
 
-def report(line: dict[str, Any]) -> None:
+def report(line: Mapping[str, object]) -> None:
     """Tells whoever started the process."""
     print(msgspec.json.encode(line).decode(), flush=True)
 
--- a/gaproute/standins/command_input.py
+++ b/gaproute/standins/command_input.py
@@ -4,12 +4,12 @@
 
 import os
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
 from gaproute.loop import Loop
 from gaproute.loop.descriptors import HANGUP, READ
+from gaproute.standins.json_objects import JsonObject
 
 READ_SIZE = 65536  # bytes
 
@@ -21,7 +21,7 @@
         self,
         loop: Loop,
         descriptor: int,
-        on_command: Callable[[dict[str, Any]], object],
+        on_command: Callable[[JsonObject], object],
         on_end: Callable[[], object],
     ) -> None:
         self._descriptor, self._on_command, self._on_end = descriptor, on_command, on_end
--- a/gaproute/standins/event_stream.py
+++ b/gaproute/standins/event_stream.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 import socket
-from collections.abc import Callable, Mapping
-from typing import Any
+from collections.abc import Callable
+from typing import TypedDict
 
 import msgspec
 
@@ -20,8 +20,14 @@
 MAX_REQUEST_SIZE = 4096  # bytes: a request has four short fields
 
 
-def encode_event(event: Mapping[str, Any]) -> bytes:
-    """The bytes of an event, which has its number as `seq`."""
+class NumberedEvent(TypedDict):
+    """What every event has, whatever its other fields are."""
+
+    seq: int  # its number
+
+
+def encode_event(event: NumberedEvent) -> bytes:
+    """The bytes of an event."""
     return b"id: %d\ndata: %b\n\n" % (event["seq"], msgspec.json.encode(event))
 
 
--- a/gaproute/standins/kinds.py
+++ b/gaproute/standins/kinds.py
@@ -21,6 +21,7 @@
     PlatformHostsLine,
     StoreLine,
 )
+from gaproute.standins.json_objects import JsonObject, WriteLine
 from gaproute.standins.kserve import KServeHost
 from gaproute.standins.kserve.clients import KServeClients, KServeLoad
 from gaproute.standins.model_server import HostSetup
@@ -34,7 +35,6 @@
 
 PIGGYBACK = "piggyback"  # load reports come with answers too
 
-Command = dict[str, Any]
 LineType = TypeVar("LineType", bound=FirstLine)
 
 
@@ -42,7 +42,7 @@
     """A stand-in that takes no commands got one."""
 
 
-def _refuse(command: Command) -> None:
+def _refuse(command: JsonObject) -> None:
     raise UnexpectedCommandError(f"this kind of stand-in takes no commands, and got {command!r:.200}")
 
 
@@ -54,18 +54,18 @@
 class StandIn:
     """A running stand-in, as its process drives it."""
 
-    command: Callable[[Command], object] = _refuse
+    command: Callable[[JsonObject], object] = _refuse
     flush: Callable[[], object] = _do_nothing  # writes taps beside that of the process
     finish: Callable[[], object] = _do_nothing  # at the end of the process
 
 
 @dataclass(frozen=True)
 class Surroundings:
-    """What the process gives a stand-in. `report(line)` writes an object on standard output."""
+    """What the process gives a stand-in."""
 
     loop: Loop
     tap: EventRecorder
-    report: Callable[[dict[str, Any]], object]
+    report: WriteLine
 
 
 @dataclass(frozen=True)
@@ -144,7 +144,7 @@
     return StandIn(clients.command)
 
 
-KINDS: dict[str, StandInKind[Any]] = {
+KINDS: dict[str, StandInKind[Any]] = {  # Any: each kind has a type of first line of its own
     "store": StandInKind(StoreLine, _make_store),
     "host": StandInKind(HostLine, _make_host),
     "clients": StandInKind(ClientsLine, _make_clients),
--- a/gaproute/standins/model_server/coroutines.py
+++ b/gaproute/standins/model_server/coroutines.py
@@ -16,7 +16,7 @@
         self.loop = loop
         self._coroutines: list[Coroutine] = []
 
-    def spawn(self, generator: Generator[Promise, Any, Any]) -> Promise:
+    def spawn(self, generator: Generator[Promise, Any, object]) -> Promise:
         """Runs a coroutine; a promise of what it returns, None where it is cancelled."""
         self._coroutines = [each for each in self._coroutines if not each.done.ready]
         coroutine = self.loop.spawn(generator)
--- a/gaproute/standins/model_server/instance_pool.py
+++ b/gaproute/standins/model_server/instance_pool.py
@@ -7,7 +7,7 @@
 
 import random
 from collections.abc import Generator, Iterable
-from typing import Any, Protocol
+from typing import Protocol
 
 from gaproute.loop import Loop, Promise
 from gaproute.loop.loop import SECOND
@@ -113,7 +113,7 @@
             self.active_loads += 1
             self.coroutines.spawn(self._load(self.queued_loads.pop(0)))
 
-    def _load(self, model: ModelProfile) -> Generator[Promise, Any, None]:
+    def _load(self, model: ModelProfile) -> Generator[Promise, bool | None, None]:
         for _ in range(FETCH_ATTEMPTS):
             fetched = yield self.fetch(model)
             if fetched:
--- a/gaproute/standins/model_server/server.py
+++ b/gaproute/standins/model_server/server.py
@@ -9,13 +9,13 @@
 
 import random
 from collections.abc import Callable, Generator
-from typing import Any
 
 import msgspec
 
 from gaproute.loop import Loop, Promise
 from gaproute.loop.loop import MILLI
 from gaproute.standins.invariant_violation import note_violations
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.model_server.coroutines import CoroutineGroup
 from gaproute.standins.model_server.faults import ActiveFaults, FaultCommand, RequestFault
 from gaproute.standins.model_server.fetching import Fetch
@@ -82,7 +82,7 @@
         memory = self.pool.instance_count() / self.profile.copies
         return HostLoad(waiting, in_flight, self.processor.utilization(), memory)
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """Begins or ends a fault; see `FaultCommand` for the form. Errors: msgspec.ValidationError."""
         fault = msgspec.convert(command, FaultCommand)
         self.tap.note("trouble", name=fault.name, on=fault.active)
@@ -219,7 +219,7 @@
             link=order.connection_id,
         )
 
-    def _await_loads(self, instances: ModelInstances, count: int) -> Generator[Promise, Any, int]:
+    def _await_loads(self, instances: ModelInstances, count: int) -> Generator[Promise, object, int]:
         while instances.loaded < count and instances.loading:
             yield self.loop.sleep(ORDER_CHECK_INTERVAL)
         return instances.loaded
--- a/gaproute/standins/model_store.py
+++ b/gaproute/standins/model_store.py
@@ -6,13 +6,13 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
-from typing import Any
 
 from gaproute.http1 import Limits, Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 from gaproute.loop.loop import SECOND
 from gaproute.loop.timers import Timer
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.tap import EventRecorder
 
 DONE = 1e-6  # share of a fetch that may be left when it is answered: rounding
@@ -40,7 +40,7 @@
         self.server = Server(loop, where, self._handle, Limits(pipelined=1))
         self.address = self.server.address
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """`{"pace": RATE}` sets the rate of fetches a second."""
         self.profile = replace(self.profile, rate=command["pace"])
 
--- a/gaproute/standins/platform/answer_reader.py
+++ b/gaproute/standins/platform/answer_reader.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Mapping
 
 import msgspec
 
@@ -18,7 +18,7 @@
     """What came from a gateway is no JSON-RPC message."""
 
 
-def encode_message(message: dict[str, Any]) -> bytes:
+def encode_message(message: Mapping[str, object]) -> bytes:
     """The bytes of a message."""
     body = msgspec.json.encode(message)
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
@@ -30,10 +30,10 @@
     def __init__(self) -> None:
         self._buffer = b""
 
-    def feed(self, data: bytes) -> list[Any]:
+    def feed(self, data: bytes) -> list[object]:
         """The messages that are complete now. Errors: MalformedAnswerError."""
         self._buffer += data
-        messages: list[Any] = []
+        messages: list[object] = []
         while True:
             head, end, rest = self._buffer.partition(HEAD_END)
             if not end:
@@ -59,7 +59,7 @@
         ) from None
 
 
-def _decode_body(body: bytes) -> Any:
+def _decode_body(body: bytes) -> object:
     try:
         return _decode(body)
     except msgspec.DecodeError as error:
--- a/gaproute/standins/platform/change_log.py
+++ b/gaproute/standins/platform/change_log.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
-from typing import Any, cast
+from collections.abc import Sequence
+from typing import cast
 
 import msgspec
 
@@ -11,6 +11,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.loop import SECOND
 from gaproute.standins.invariant_violation import note_violations
+from gaproute.standins.json_objects import JsonObject, WriteLine
 from gaproute.standins.platform.change_log_invariants import find_violations
 from gaproute.standins.platform.gateway_feed import FeedFaultCommand, GatewayFeed
 from gaproute.standins.platform.host_list import ChangeEvent
@@ -31,7 +32,7 @@
         loop: Loop,
         gateways: Sequence[str],
         tap: EventRecorder,
-        report: Callable[[dict[str, Any]], object],
+        report: WriteLine,
     ) -> None:
         """`gateways`: the address to listen on for each, by its number; `report(line)`: tells the addresses
         to whoever started the stand-in."""
@@ -53,7 +54,7 @@
 
     # Commands
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """Takes an event of a `VersionedHostList`; a `FeedFaultCommand`; or `{"do": "cut"}` (connections are
         reset) or `{"do": "move"}` (other ports, which are reported). The last two are for the gateways of
         `gateways`, or for all. Errors: EventOrderError, msgspec.ValidationError."""
--- a/gaproute/standins/platform/client_attempt.py
+++ b/gaproute/standins/platform/client_attempt.py
@@ -9,14 +9,15 @@
 import random
 from collections.abc import Mapping
 from enum import StrEnum
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
 from gaproute.loop import Loop
 from gaproute.loop.loop import MILLI
 from gaproute.loop.timers import Timer
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.gateway_pool import GatewayPool
 from gaproute.standins.platform.pooled_gateway import PooledGateway
-from gaproute.standins.platform.rpc_connection import CallLoss, Message, RpcConnection
+from gaproute.standins.platform.rpc_connection import CallLoss, RpcConnection
 from gaproute.standins.platform.traffic import PlatformTraffic
 from gaproute.standins.tap import EventRecorder
 
@@ -76,7 +77,7 @@
         owner: AttemptOwner,
         listener: AttemptListener,
         identity: AttemptIdentity,
-        parameters: Mapping[str, Any],
+        parameters: Mapping[str, str],
         patience: int,
     ) -> None:
         """`parameters`: of the call, without id and deadline; `patience`: ns until its client gives up."""
@@ -135,7 +136,7 @@
         self._note(what)
         self._end()
 
-    def _answered(self, message: Message) -> None:
+    def _answered(self, message: JsonObject) -> None:
         error = message.get("error")
         outcome = self._outcome(message)
         reason = error and error.get("message")
@@ -143,7 +144,7 @@
         self._cancel_timers()
         self.listener.attempt_answered(outcome, ((error or {}).get("data") or {}).get("w", 0) * MILLI)
 
-    def _outcome(self, message: Message) -> AttemptOutcome:
+    def _outcome(self, message: JsonObject) -> AttemptOutcome:
         error = message.get("error")
         if error is not None:
             return AttemptOutcome.REJECTED if error.get("code") == REJECTED_CODE else AttemptOutcome.FAILED
@@ -173,7 +174,7 @@
             tries=identity.number,
         )
 
-    def _note(self, what: str, **fields: Any) -> None:
+    def _note(self, what: str, **fields: object) -> None:
         identity = self.identity
         self.owner.tap.note(
             what,
@@ -188,9 +189,12 @@
         )
 
 
-def was_made_for(result: Any, request_id: str) -> bool:
+def was_made_for(result: object, request_id: str) -> bool:
     """Whether a stand-in host made this answer for that request: its body ends with the request's id."""
+    body = result.get("arg") if isinstance(result, dict) else None
+    if not isinstance(body, str):
+        return False
     try:
-        return base64.b64decode(result["arg"]).decode().endswith(f" {request_id}")
-    except (TypeError, KeyError, ValueError):
+        return base64.b64decode(body).decode().endswith(f" {request_id}")
+    except ValueError:
         return False
--- a/gaproute/standins/platform/client_request.py
+++ b/gaproute/standins/platform/client_request.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, Protocol
+from typing import Protocol
 
 from gaproute.standins.platform.client_attempt import (
     AttemptIdentity,
@@ -24,7 +24,7 @@
     def new_id(self) -> str:
         """An id that no other attempt has."""
 
-    def parameters(self, model: str) -> Mapping[str, Any]:
+    def parameters(self, model: str) -> Mapping[str, str]:
         """The parameters of a call for that model."""
 
 
--- a/gaproute/standins/platform/clients.py
+++ b/gaproute/standins/platform/clients.py
@@ -9,14 +9,14 @@
 
 import base64
 import random
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
 
 import msgspec
 
 from gaproute.loop import Loop
 from gaproute.loop.loop import MILLI, SECOND
+from gaproute.standins.json_objects import JsonObject, WriteLine
 from gaproute.standins.model_server import ModelProfile
 from gaproute.standins.platform.client_request import PlatformRequest
 from gaproute.standins.platform.gateway_pool import GatewayPool
@@ -51,7 +51,7 @@
         loop: Loop,
         load: PlatformLoad,
         tap: EventRecorder,
-        report: Callable[[dict[str, Any]], object],
+        report: WriteLine,
     ) -> None:
         """`report(line)`: tells whoever started the stand-in that the first request comes."""
         self.loop, self.tap, self.report, self.traffic = loop, tap, report, load.traffic
@@ -99,7 +99,7 @@
         self._id_count += 1
         return f"{self._seed & SEED_BITS:06x}{self._id_count:010x}"
 
-    def parameters(self, model: str) -> Mapping[str, Any]:
+    def parameters(self, model: str) -> Mapping[str, str]:
         """The parameters of a call for that model."""
         return self._parameters[model]
 
@@ -111,7 +111,7 @@
         self.tap.flush()
         self.loop.after(LAST_ANSWERS, self.loop.stop)
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """Changes the load; see `TrafficCommand` for the form. `weights` shares it out among gateways;
         `leaving` announces that a gateway will be restarted. Errors: msgspec.ValidationError,
         GatewayWeightsError."""
@@ -135,7 +135,7 @@
     ]
 
 
-def _parameters(load: PlatformLoad) -> dict[str, dict[str, Any]]:
+def _parameters(load: PlatformLoad) -> dict[str, dict[str, str]]:
     """The parameters of a call, by model."""
     body = base64.b64encode(b"x" * load.traffic.payload).decode()
     memory = load.traffic.instance_memory
--- a/gaproute/standins/platform/deployment_settings.py
+++ b/gaproute/standins/platform/deployment_settings.py
@@ -6,16 +6,17 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.loop.loop import MILLI, SECOND
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.model_server import HostProfile
 
 # The platform's words, by those of scripts:
 EFFECTS = {"pure": "free", "receipted": "guarded", "effectful": "single_shot"}
 GROUPS = {"all": "all", "zone": "zone", "rack": "cell"}
 
-Settings = dict[str, Any]
+Settings = JsonObject
 
 SAMPLE_PROFILE = HostProfile(
     "sample", keep=9_800 * MILLI, cold_share=0.17, cold_time=18 * SECOND, idle_close=15 * SECOND
@@ -52,7 +53,7 @@
     gateways: int = 1,
     zones: Sequence[str] = ("hall-a",),
     profile: HostProfile | None = None,
-    **overrides: Any,
+    **overrides: object,
 ) -> Settings:
     """The settings of a deployment of so many gateways.
 
@@ -69,7 +70,7 @@
     return settings
 
 
-def sample_settings(lanes: list[dict[str, Any]], **limits: Any) -> Settings:
+def sample_settings(lanes: list[Settings], **limits: object) -> Settings:
     """The settings of one gateway alone, with these entries of `lanes`, and `limits` beside or in place of
     the usual ones."""
     settings = _common_settings(lanes, SAMPLE_PROFILE, ("hall-a",))
@@ -77,7 +78,7 @@
     return settings
 
 
-def _common_settings(lanes: list[dict[str, Any]], profile: HostProfile, zones: Sequence[str]) -> Settings:
+def _common_settings(lanes: list[Settings], profile: HostProfile, zones: Sequence[str]) -> Settings:
     return {
         "lanes": lanes,
         "limits": {
--- a/gaproute/standins/platform/gateway_configuration.py
+++ b/gaproute/standins/platform/gateway_configuration.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass, field
 from os import PathLike
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.deployment_settings import Settings
 from gaproute.standins.platform.host_list import Snapshot
 
@@ -30,7 +31,7 @@
     name: str
     listen: str
     change_log: str  # address
-    known: Snapshot | Mapping[str, Any]  # the host list: see `VersionedHostList.snapshot`
+    known: Snapshot  # the host list: see `VersionedHostList.snapshot`
     settings: Settings  # see `deployment_settings`
     seed: int = 1
     peer_listen: str = ""  # where it receives from other gateways; empty: it has none
@@ -38,9 +39,9 @@
     peers_all: str = ""  # the address of all others
     limits: Mapping[str, float] = field(default_factory=dict)  # of the process, in place of the usual ones
 
-    def as_json(self) -> dict[str, Any]:
+    def as_json(self) -> JsonObject:
         """The file's object."""
-        content: dict[str, Any] = {
+        content: JsonObject = {
             "name": self.name,
             "listen": self.listen,
             "seed": f"{self.seed:x}",
--- a/gaproute/standins/platform/gateway_connection.py
+++ b/gaproute/standins/platform/gateway_connection.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import socket
-from typing import Any, Protocol
+from collections.abc import Mapping
+from typing import Protocol
 
 import msgspec
 
@@ -64,7 +65,9 @@
             self.host.tap.note("void", why=repr(error)[:MAX_NOTED])
             self.abort()
 
-    def send(self, kind: str, request_id: str, details: dict[str, Any], data: str | None = None) -> None:
+    def send(
+        self, kind: str, request_id: str, details: Mapping[str, object], data: str | None = None
+    ) -> None:
         """Writes an answer."""
         if self.host.silent or not self.stream.open:
             return
@@ -91,9 +94,11 @@
         self.requests, self.load_orders = {}, set()
 
 
-def encode_answer(kind: str, request_id: str, details: dict[str, Any], data: str | None = None) -> bytes:
+def encode_answer(
+    kind: str, request_id: str, details: Mapping[str, object], data: str | None = None
+) -> bytes:
     """An answer as JSON."""
-    answer: dict[str, Any] = {"type": kind, "req": request_id, "meta": details}
+    answer: dict[str, object] = {"type": kind, "req": request_id, "meta": details}
     if data is not None:
         answer["data"] = data
     return msgspec.json.encode(answer)
--- a/gaproute/standins/platform/host.py
+++ b/gaproute/standins/platform/host.py
@@ -5,11 +5,11 @@
 import base64
 import socket
 from functools import partial
-from typing import Any
 
 from gaproute.loop import Listener, Loop, Promise
 from gaproute.loop.addresses import Address
 from gaproute.loop.loop import MILLI, SECOND
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.model_server import (
     HostRequest,
     HostSetup,
@@ -146,7 +146,7 @@
         self._answer(connection, request, end)
 
     def _answer(self, connection: GatewayConnection, request: HostRequest, end: RequestEnd) -> None:
-        details: dict[str, Any] = {
+        details: dict[str, object] = {
             "tell": FOUND_LETTERS[request.found],
             "queue_fn": request.same_model_requests,
         }
@@ -210,7 +210,7 @@
         self.model_server.stop()
         self._reset_all()
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """Begins or ends a fault; see `FaultCommand` for the form. Errors: msgspec.ValidationError."""
         self.model_server.command(command)
         if command["trouble"] != HostFault.VANISH:
--- a/gaproute/standins/platform/host_list.py
+++ b/gaproute/standins/platform/host_list.py
@@ -2,12 +2,23 @@
 
 from __future__ import annotations
 
-from typing import Any, TypedDict
+from typing import TypedDict
 
 PHASES = {"active": "Ready", "draining": "Terminating", "gone": "Gone"}  # by state of a host
 STATES = {phase: state for state, phase in PHASES.items()}
 
-Member = dict[str, Any]  # a line of the list, as the change log has it
+
+class Member(TypedDict):
+    """A host as the change log lists it."""
+
+    id: str
+    host_port: str | list[str]  # the address, or one for each gateway by its number
+    locality: str
+    flavor: str
+    cell: int
+    phase: str
+    size: float
+    up_since_ms: int  # Unix time of a late start; 0 where the host was there from the first
 
 
 class FleetChange(TypedDict):
--- a/gaproute/standins/platform/hosts.py
+++ b/gaproute/standins/platform/hosts.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
+from gaproute.standins.json_objects import JsonObject, WriteLine
 from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
 from gaproute.standins.platform.host import PlatformHost
 from gaproute.standins.platform.host_answers import LoadReporting
@@ -56,7 +56,7 @@
         loop: Loop,
         slots: Sequence[HostSlot],
         setup: SharedSetup,
-        report: Callable[[dict[str, Any]], object],
+        report: WriteLine,
     ) -> None:
         """`report(line)`: tells addresses to whoever started the stand-in."""
         self.loop, self.setup, self.report = loop, setup, report
@@ -93,7 +93,7 @@
         for tap in self._taps.values():
             tap.flush()
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """Carries out a command; see `HostCommand` and `FaultCommand` for the forms."""
         decoded = msgspec.convert(command, HostCommand)
         match decoded.action:
@@ -110,7 +110,7 @@
             return command.slot
         return msgspec.structs.replace(self._slots[command.host or ""], warm=command.warm)
 
-    def _command_hosts(self, decoded: HostCommand, command: dict[str, Any]) -> None:
+    def _command_hosts(self, decoded: HostCommand, command: JsonObject) -> None:
         names = decoded.hosts
         if names is None:
             names = [decoded.host] if decoded.host else list(self.hosts)
--- a/gaproute/standins/platform/pooled_gateway.py
+++ b/gaproute/standins/platform/pooled_gateway.py
@@ -13,7 +13,8 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address, address
 from gaproute.loop.loop import MILLI, SECOND
-from gaproute.standins.platform.rpc_connection import CallLoss, Message, RpcConnection
+from gaproute.standins.json_objects import JsonObject
+from gaproute.standins.platform.rpc_connection import CallLoss, RpcConnection
 from gaproute.standins.tap import EventRecorder
 
 PING_INTERVAL = 250 * MILLI  # to a gateway that is out
@@ -141,7 +142,7 @@
         self._timer = loop.after(PING_INTERVAL, self._timed_out)
         self._connection.call({"method": "ping", "params": {}}, self._answered, self._lost)
 
-    def _answered(self, message: Message) -> None:
+    def _answered(self, message: JsonObject) -> None:
         self._timer.cancel()
         self._connection.discard()
         if message.get("result") == {"up": True}:
--- a/gaproute/standins/platform/rpc_connection.py
+++ b/gaproute/standins/platform/rpc_connection.py
@@ -5,11 +5,11 @@
 import socket
 from collections.abc import Callable
 from enum import Enum, auto
-from typing import Any
 
 from gaproute.loop import Loop, Stream, connect
 from gaproute.loop.addresses import Address
 from gaproute.loop.loop import MILLI
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.answer_reader import AnswerReader, MalformedAnswerError, encode_message
 
 CONNECT_TIMEOUT = 250 * MILLI  # loopback: what takes longer is a gateway that does not accept
@@ -17,8 +17,6 @@
 # For so long a request may cross the close of its connection: the platform's figure.
 CROSSING_TIME = 50 * MILLI
 
-Message = dict[str, Any]
-
 
 class CallLoss(Enum):
     """How far a call had got whose connection ended before its answer."""
@@ -38,8 +36,8 @@
 
     def __init__(
         self,
-        message: Message,
-        on_answer: Callable[[Message], object],
+        message: JsonObject,
+        on_answer: Callable[[JsonObject], object],
         on_lost: Callable[[CallLoss], object],
     ) -> None:
         self.message, self.on_answer, self.on_lost = message, on_answer, on_lost
@@ -82,8 +80,8 @@
 
     def call(
         self,
-        message: Message,
-        on_answer: Callable[[Message], object],
+        message: JsonObject,
+        on_answer: Callable[[JsonObject], object],
         on_lost: Callable[[CallLoss], object],
     ) -> int:
         """Sends `message` under a number of its own, which is returned."""
@@ -123,10 +121,10 @@
         for message in messages:
             self._take_answer(message)
 
-    def _take_answer(self, message: Any) -> None:
-        number = message.get("id") if isinstance(message, dict) else None
+    def _take_answer(self, message: object) -> None:
         self.answered = True
-        if not isinstance(number, int):
+        number = message.get("id") if isinstance(message, dict) else None
+        if not isinstance(message, dict) or not isinstance(number, int):
             self.on_unmatched(f"an answer under {number!r}")
             return
         call = self.pending.pop(number, None)
--- a/gaproute/standins/platform/scripted.py
+++ b/gaproute/standins/platform/scripted.py
@@ -7,28 +7,29 @@
 import socket
 from abc import ABC, abstractmethod
 from collections.abc import Callable
-from typing import Any
+from typing import Generic, TypeVar
 
 from gaproute.loop import Listener, Loop, Promise, Stream, connect
 from gaproute.loop.addresses import address
 from gaproute.loop.loop import SECOND
 from gaproute.standins.event_stream import RESPONSE_HEAD, last_event_id
-from gaproute.standins.platform.host_list import ChangeEvent
+from gaproute.standins.json_objects import JsonObject
+from gaproute.standins.platform.host_list import ChangeEvent, Member
 
 HEAD_END = b"\r\n\r\n"
 CONNECT_TIMEOUT = SECOND
 FUNCTION = "7f3a9c21e0b4d655"  # that a client asks for by default
 
-Message = dict[str, Any]
+Received = TypeVar("Received")
 
 
-class ScriptedServer(ABC):
+class ScriptedServer(ABC, Generic[Received]):
     """Listens; keeps the streams it accepted and what came. Errors: OSError."""
 
     def __init__(self, loop: Loop, where: str = "127.0.0.1:0") -> None:
         self.loop = loop
         self.streams: list[Stream] = []
-        self.came: list[Any] = []  # what was received on all connections, parsed
+        self.came: list[Received] = []  # what was received on all connections, parsed
         self.listener = Listener(loop, address(where), self.accept)
         self.address = self.listener.address
 
@@ -54,13 +55,13 @@
             stream.abort()
 
 
-class ScriptedHost(ScriptedServer):
+class ScriptedHost(ScriptedServer[JsonObject]):
     """A host of lines of JSON. By default it serves everything at once."""
 
     def __init__(
         self,
         loop: Loop,
-        answer: Callable[[Stream, Message], object] | None = None,
+        answer: Callable[[Stream, JsonObject], object] | None = None,
         where: str = "127.0.0.1:0",
     ) -> None:
         """`answer(stream, command)`: does what the test wants."""
@@ -76,11 +77,11 @@
             self.came.append(command)
             self.answer(stream, command)
 
-    def reply(self, stream: Stream, command: Message, kind: str, **fields: Any) -> None:
+    def reply(self, stream: Stream, command: JsonObject, kind: str, **fields: object) -> None:
         """Answers a command."""
         stream.write(json.dumps({"type": kind, "req": command["req"]} | fields).encode() + b"\n")
 
-    def serve(self, stream: Stream, command: Message) -> None:
+    def serve(self, stream: Stream, command: JsonObject) -> None:
         """Answers a command as a host does that is well."""
         match command["type"]:
             case "go":
@@ -90,13 +91,16 @@
             case "stage":
                 self.reply(stream, command, "served", meta={"copies": command["meta"]["copies"]})
 
-    def seen(self, kind: str) -> list[Message]:
+    def seen(self, kind: str) -> list[JsonObject]:
         """The commands of a type that came."""
         return [command for command in self.came if command["type"] == kind]
 
 
-class ScriptedChangeLog(ScriptedServer):
-    """A change log: answers each request with its head and what `script(last)` gives, as raw bytes."""
+class ScriptedChangeLog(ScriptedServer[int]):
+    """A change log: answers each request with its head and what `script(last)` gives, as raw bytes.
+
+    `came`: the number of the last event that each request named.
+    """
 
     def __init__(
         self,
@@ -122,7 +126,7 @@
 
     def __init__(self, loop: Loop, where: str) -> None:
         self.loop = loop
-        self.answers: list[Message] = []  # that came, parsed
+        self.answers: list[JsonObject] = []  # that came, parsed
         self.ended = False
         self.stream: Stream | None = None
         self.ready = Promise()  # of the connection; fails with OSError
@@ -160,12 +164,12 @@
         else:
             self.stream.write(data)
 
-    def message(self, body: bytes | Message) -> None:
+    def message(self, body: bytes | JsonObject) -> None:
         """Sends a message with its head."""
         encoded = body if isinstance(body, bytes) else json.dumps(body).encode()
         self.send(b"Content-Length: %d\r\n\r\n%b" % (len(encoded), encoded))
 
-    def ask(self, number: int, method: str = "fault-check", **parameters: Any) -> None:
+    def ask(self, number: int, method: str = "fault-check", **parameters: object) -> None:
         """Sends a request; `parameters`: beside or in place of the usual ones."""
         usual = {
             "i": f"{number:016x}",
@@ -179,7 +183,7 @@
 
 def event(number: int, *members: tuple[str, str, str], complete: bool = False) -> ChangeEvent:
     """An event of the change log; a member is (id, address, phase)."""
-    rows = [
+    rows: list[Member] = [
         {
             "id": name,
             "host_port": where,
--- a/gaproute/standins/tap.py
+++ b/gaproute/standins/tap.py
@@ -7,21 +7,20 @@
 
 import io
 from os import PathLike
-from typing import Any, Protocol
+from typing import Protocol
 
 import msgspec
 
 from gaproute.loop.timers import Clock
+from gaproute.standins.json_objects import JsonObject
 
 MAX_BUFFERED_EVENTS = 64  # then they are written, also between two periodic writes
 
-Event = dict[str, Any]
-
 
 class EventRecorder(Protocol):
     """What stand-ins record events to: a `Tap`, or a list in tests."""
 
-    def note(self, what: str, **fields: Any) -> None:
+    def note(self, what: str, **fields: object) -> None:
         """Records an event of that kind, as of now."""
 
     def flush(self) -> None:
@@ -37,7 +36,7 @@
         self._file = io.FileIO(path, "a") if path else None
         self._lines: list[bytes] = []
 
-    def note(self, what: str, **fields: Any) -> None:
+    def note(self, what: str, **fields: object) -> None:
         """Records an event of that kind, as of now."""
         if self._file is None:
             return
@@ -70,9 +69,9 @@
             self._file.write(b"\n".join(lines) + b"\n")
 
 
-def read_tap(path: str | PathLike[str]) -> list[Event]:
+def read_tap(path: str | PathLike[str]) -> list[JsonObject]:
     """The events of a tap. A last line that was cut off by a kill is passed over. Errors: OSError."""
-    events: list[Event] = []
+    events: list[JsonObject] = []
     with open(path, "rb") as file:
         for line in file.read().split(b"\n"):
             try:
