--- a/gaproute/cluster/child.py
+++ b/gaproute/cluster/child.py
@@ -88,7 +88,7 @@
 )
 @click.argument("arguments", nargs=-1, required=True, type=click.UNPROCESSED)
 def main(
-    rate: float, offset_ms: float, parent_death: bool, parent: int | None, arguments: tuple[str, ...]
+    *, rate: float, offset_ms: float, parent_death: bool, parent: int | None, arguments: tuple[str, ...]
 ) -> None:
     """Run the module that is the first of ARGUMENTS."""
     if parent_death:
--- a/gaproute/cluster/clients.py
+++ b/gaproute/cluster/clients.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Any, ClassVar
+from typing import ClassVar
 
 from gaproute.cluster.context import ClusterContext
+from gaproute.cluster.json_objects import JsonObject
 from gaproute.scenarios.clients import DayClients
 from gaproute.scenarios.trial import Trial
 
@@ -28,13 +29,13 @@
             for place in range(count)
         ]
 
-    def process_settings(self, place: int, count: int) -> dict[str, Any]:
+    def process_settings(self, place: int, count: int) -> JsonObject:
         """The first line for the process at this place, of `count` processes that share the load."""
         seed = self.trial.seed * 100 + place
-        settings: dict[str, Any] = self.settings(f"clients-{place}", self.request_classes(), seed, count)
+        settings = self.settings(f"clients-{place}", self.request_classes(), seed, count)
         return settings | {"habits": settings["habits"] | self.own_habits(place)}
 
-    def own_habits(self, place: int) -> dict[str, Any]:
+    def own_habits(self, place: int) -> dict[str, str]:
         """The habits in which the process at that place differs from all others."""
         return {"prefix": f"c{place}-"}
 
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -13,7 +13,6 @@
 import time
 import traceback
 from collections.abc import Iterator
-from typing import Any
 
 from gaproute.cluster.address_plan import AddressPlan
 from gaproute.cluster.clients import ClusterClients
@@ -185,8 +184,7 @@
 
     def _latenesses_in(self, pattern: str) -> Iterator[int]:
         for path in self.out.glob(pattern):
-            events: list[dict[str, Any]] = read_tap(path)
-            for event in events:
+            for event in read_tap(path):
                 if event["what"] == "late" and self.record.is_during_day(event["at"]):
                     yield event["by"]
 
--- a/gaproute/cluster/lease_operator.py
+++ b/gaproute/cluster/lease_operator.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.cluster.address_plan import AddressPlan
+from gaproute.cluster.json_objects import JsonObject
 from gaproute.cluster.operator_client import NoAnswer, request_operator
 from gaproute.loop import Loop, Promise
 from gaproute.shared.leases.requests import LeaseState
@@ -64,11 +65,11 @@
         """Releases the lease, or withdraws its request."""
         return self._request(gateway, {"give": request_id})
 
-    def _request(self, gateway: int, command: Mapping[str, Any] | None = None) -> Promise:
+    def _request(self, gateway: int, command: Mapping[str, object] | None = None) -> Promise:
         return request_operator(self.loop, self.plan.operator(gateway), PATH, command)
 
 
-def read_status(answer: NoAnswer | dict[str, Any]) -> GatewayLeases | NoAnswer:
+def read_status(answer: NoAnswer | JsonObject) -> GatewayLeases | NoAnswer:
     """Reads the answer to `LeaseOperator.status`."""
     if isinstance(answer, NoAnswer):
         return answer
@@ -85,6 +86,6 @@
     return GatewayLeases(leases, node.get("role", ""))
 
 
-def read_request_id(answer: NoAnswer | dict[str, Any]) -> int | None:
+def read_request_id(answer: NoAnswer | JsonObject) -> int | None:
     """Reads the lease request's number in the answer to `LeaseOperator.acquire`; None if there is none."""
     return None if isinstance(answer, NoAnswer) else answer.get("errand")
--- a/gaproute/cluster/link_emulators.py
+++ b/gaproute/cluster/link_emulators.py
@@ -4,7 +4,6 @@
 
 import os
 from collections.abc import Generator, Mapping
-from typing import Any
 
 from gaproute.cluster.links.codec import decode_answer, encode_command
 from gaproute.cluster.links.counts import LinkCounts
@@ -98,7 +97,7 @@
         if self.running:
             self.send(PlaceSlots(slots))
 
-    def report(self) -> Generator[Promise, Any, list[LinkCounts | None]]:
+    def report(self) -> Generator[Promise, object, list[LinkCounts | None]]:
         """A coroutine: asks all for their counts; the result is None for one that does not answer in time."""
         before = [len(reader.reports) for reader in self._readers]
         self.send(ReportCounts())
--- a/gaproute/cluster/link_faults.py
+++ b/gaproute/cluster/link_faults.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Callable, Iterable, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.cluster import slot_sets
 from gaproute.cluster.address_plan import AddressPlan
@@ -82,7 +82,7 @@
         context.report(f"{line.at / SECOND:5.1f} s  {line.kind} on the wire")
         self.emulators.send(BeginFault(fault_id, fault_spec(line, source, destination)))
         allowance = allowance_of(line)
-        note: dict[str, Any] = {
+        note: dict[str, object] = {
             "id": fault_id,
             "kind": line.kind,
             "late": allowance.lateness,
--- a/gaproute/cluster/links/codec.py
+++ b/gaproute/cluster/links/codec.py
@@ -20,8 +20,9 @@
 from collections.abc import Mapping
 from enum import StrEnum
 from socket import AF_INET
-from typing import Any, TypeVar
+from typing import TypeVar
 
+from gaproute.cluster.json_objects import JsonObject
 from gaproute.cluster.links.counts import LinkCounts
 from gaproute.cluster.links.errors import LinkCommandError
 from gaproute.cluster.links.faults import MILLI, FaultSpec, LinkFaultKind, LinkTraffic
@@ -44,11 +45,10 @@
 FIGURES = {"share": 1.0, "delay_ms": 0.0, "jitter_ms": 0.0, "bytes_per_s": 0.0}
 FAULT_KEYS = {"kind", "from", "to", "both", "what", *FIGURES}
 
-Json = dict[str, Any]
 Kind = TypeVar("Kind", bound=StrEnum)
 
 
-def encode_command(command: StartEmulator | Command) -> Json:
+def encode_command(command: StartEmulator | Command) -> JsonObject:
     """Encodes a message to an emulator as the object of a line."""
     match command:
         case StartEmulator():
@@ -97,7 +97,7 @@
     raise LinkCommandError(f"no command has the keys {sorted(document)}")
 
 
-def encode_answer(answer: Answer) -> Json:
+def encode_answer(answer: Answer) -> JsonObject:
     """Encodes an answer of an emulator as the object of a line."""
     match answer:
         case Ready():
@@ -108,7 +108,7 @@
             return answer.as_json()
 
 
-def decode_answer(line: str | bytes | Json) -> Answer:
+def decode_answer(line: str | bytes | JsonObject) -> Answer:
     """Decodes an answer of an emulator, given as a line or its object. Errors: `LinkCommandError`."""
     document = line if isinstance(line, dict) else _object(line)
     if "error" in document:
@@ -161,11 +161,11 @@
     )
 
 
-def _encode_slots(slots: Mapping[int, Slot]) -> Json:
+def _encode_slots(slots: Mapping[int, Slot]) -> JsonObject:
     return {str(number): _encode_slot(slot) for number, slot in slots.items()}
 
 
-def _encode_slot(slot: Slot) -> Json:
+def _encode_slot(slot: Slot) -> JsonObject:
     return {
         "name": slot.name,
         "kind": slot.kind,
@@ -177,7 +177,7 @@
     }
 
 
-def _encode_fault(spec: FaultSpec) -> Json:
+def _encode_fault(spec: FaultSpec) -> JsonObject:
     return {
         "kind": spec.kind,
         "from": list(spec.sources),
@@ -191,7 +191,7 @@
     }
 
 
-def _object(line: str | bytes) -> Json:
+def _object(line: str | bytes) -> JsonObject:
     try:
         document = json.loads(line)
     except ValueError as error:
--- a/gaproute/cluster/links/counts.py
+++ b/gaproute/cluster/links/counts.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, fields
-from typing import Any
+
+from gaproute.cluster.json_objects import JsonObject
 
 # Fields whose key in a report and in a run's verdict is another.
 KEYS = {
@@ -49,11 +50,11 @@
     errors: list[str]
     violations: list[str]
 
-    def as_json(self) -> dict[str, Any]:
+    def as_json(self) -> JsonObject:
         """The report as it is sent, and as a run's verdict has it."""
         return {KEYS.get(each.name, each.name): getattr(self, each.name) for each in fields(self)}
 
     @classmethod
-    def from_json(cls, document: Mapping[str, Any]) -> LinkCounts:
+    def from_json(cls, document: JsonObject) -> LinkCounts:
         """The inverse of `as_json`. Errors: KeyError for a key that is missing."""
         return cls(**{each.name: document[KEYS.get(each.name, each.name)] for each in fields(cls)})
--- a/gaproute/cluster/operator_client.py
+++ b/gaproute/cluster/operator_client.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Mapping
 from enum import Enum, auto
-from typing import Any
 
 import msgspec
 
@@ -26,13 +25,13 @@
 
 
 def request_operator(
-    loop: Loop, operator_address: str, path: str, command: Mapping[str, Any] | None = None
+    loop: Loop, operator_address: str, path: str, command: Mapping[str, object] | None = None
 ) -> Promise:
     """Sends a POST with the command, or a GET without one; a promise of the answer's JSON or `NoAnswer`."""
     return _OperatorRequest(loop, operator_address, _encode(path, command)).promise
 
 
-def _encode(path: str, command: Mapping[str, Any] | None) -> bytes:
+def _encode(path: str, command: Mapping[str, object] | None) -> bytes:
     body = b"" if command is None else msgspec.json.encode(command)
     method = "GET" if command is None else "POST"
     head = f"{method} {path} HTTP/1.1\r\nHost: operator\r\nContent-Length: {len(body)}\r\n\r\n"
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
-from typing import Any
 
 from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.host_lists import GATHER_TIME, HostPublisher
@@ -17,12 +16,10 @@
 from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine, LinkFaultLine
 from gaproute.scenarios.hosts import DayHost, ListedState
 from gaproute.scenarios.processes import DayProcess, Routine
-from gaproute.standins.platform.host_list import Snapshot, VersionedHostList, member
+from gaproute.standins.platform.host_list import Member, Snapshot, VersionedHostList, member
 
 MILLI = 1_000_000
 
-Row = dict[str, Any]
-
 
 class PlatformChangeLog(HostPublisher):
     """Drives the log's process."""
@@ -31,7 +28,7 @@
         super().__init__(context, hosts)
         self.processes = processes
         self._publishing = False
-        self._published: dict[str, Row] = {}  # by host
+        self._published: dict[str, Member] = {}  # by host
         self._list = VersionedHostList()
         self.process: DayProcess
 
@@ -96,7 +93,7 @@
         The connections of deaf gateways are silent; these count as notified after 4 s.
         """
         yield self.loop.sleep(line.at)
-        fault: dict[str, Any] = {"trouble": "silent"}
+        fault: dict[str, object] = {"trouble": "silent"}
         if line.kind is HostListFaultKind.LATE:
             fault = {"trouble": "late", "by": line.back}
         self.process.send(fault | {"gateways": gateways})
@@ -104,7 +101,7 @@
         yield self.loop.sleep(line.lasts)
         self.process.send(fault | {"gateways": gateways, "on": False})
 
-    def _changed_rows(self) -> Iterator[Row]:
+    def _changed_rows(self) -> Iterator[Member]:
         for host in self.hosts.by_name.values():
             if host.process is None:
                 continue  # it was never up
@@ -112,10 +109,10 @@
             if row != before and (before is not None or row["phase"] != "Gone"):
                 yield row
 
-    def _row(self, host: DayHost) -> Row:
+    def _row(self, host: DayHost) -> Member:
         """A host as an event has it, with an address for each gateway."""
         addresses = [self.context.plan.host(number, host) for number in range(self.context.day.gateways)]
-        row: Row = member(
+        return member(
             host.name,
             addresses,
             ListedState.GONE if host.state == ListedState.ABSENT else host.state,
@@ -124,4 +121,3 @@
             host.kind.cores * host.kind.speed,
             host.started // MILLI if host.started else 0,
         )
-        return row
--- a/gaproute/cluster/platform/clients.py
+++ b/gaproute/cluster/platform/clients.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Any, ClassVar
+from typing import ClassVar
 
 from gaproute.cluster.clients import ClusterClients
+from gaproute.cluster.json_objects import JsonObject
 from gaproute.judge.tap_reading import TapEvent
 from gaproute.loop import Promise
 from gaproute.standins.tap import read_tap
@@ -24,15 +25,15 @@
             self.trial.processes.first_line(process, "clients") for process in self.processes
         ]
 
-    def request_classes(self) -> list[dict[str, Any]]:
+    def request_classes(self) -> list[JsonObject]:
         """The request classes of the load, without models."""
         return [{key: known[key] for key in CLASS_KEYS} for known in super().request_classes()]
 
-    def process_settings(self, place: int, count: int) -> dict[str, Any]:
+    def process_settings(self, place: int, count: int) -> JsonObject:
         """As in the base class, with the models, which all request classes use."""
         return super().process_settings(place, count) | {"models": self.trial.models}
 
-    def own_habits(self, place: int) -> dict[str, Any]:
+    def own_habits(self, place: int) -> dict[str, str]:
         """These clients have no habits of their own."""
         return {}
 
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypeVar
 
 from gaproute.cluster.script_checks import find_mistakes
 from gaproute.cluster.script_lines import (
@@ -16,9 +16,11 @@
     LinkFaultLine,
     ProcessFaultLine,
 )
-from gaproute.config.parsing import NamedDirective
+from gaproute.config.parsing import Directive, NamedDirective
 from gaproute.scenarios import script as day_script
 
+Line = TypeVar("Line", bound=Directive)
+
 
 class ClusterScript(day_script.Script):
     """A scripted day with a cluster's lines.
@@ -29,17 +31,18 @@
     def __init__(self, text: str, found: list[NamedDirective]) -> None:
         super().__init__(text, found)
 
-        def lines(keyword: str) -> list[Any]:
-            return [line for each, line in found if each == keyword]
-
-        self.cluster: ClusterLine | None = next(iter(lines("cluster")), None)
+        self.cluster = next(iter(_lines_of(found, ClusterLine)), None)
         if self.cluster is None and any(keyword in CLUSTER_LINES for keyword, _ in found):
             self.cluster = ClusterLine()
         self.settings = self.cluster or ClusterLine()
-        self.link_faults: list[LinkFaultLine] = lines("fault")
-        self.process_faults: list[ProcessFaultLine] = lines("strike")
-        self.host_list_faults: list[HostListFaultLine] = lines("list")
-        self.lease_clients: LeaseClientsLine | None = next(iter(lines("crews")), None)
+        self.link_faults = _lines_of(found, LinkFaultLine)
+        self.process_faults = _lines_of(found, ProcessFaultLine)
+        self.host_list_faults = _lines_of(found, HostListFaultLine)
+        self.lease_clients = next(iter(_lines_of(found, LeaseClientsLine)), None)
+
+
+def _lines_of(found: list[NamedDirective], kind: type[Line]) -> list[Line]:
+    return [line for _, line in found if isinstance(line, kind)]
 
 
 def read_script(name: str) -> ClusterScript:
--- a/gaproute/cluster/start_limiter.py
+++ b/gaproute/cluster/start_limiter.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Generator
-from typing import Any
 
 from gaproute.loop import Loop, Promise
+from gaproute.scenarios.processes import Routine
 
 MILLI = 1_000_000
 START_INTERVAL = 20 * MILLI  # a start takes the parent some 15 ms
@@ -20,7 +19,7 @@
         self._free, self._next_start = limit, 0
         self._waiting: deque[Promise] = deque()
 
-    def run(self, routine: Generator[Promise, Any, Any]) -> Generator[Promise, Any, None]:
+    def run(self, routine: Routine) -> Routine:
         """A coroutine: waits for its turn, then runs the routine."""
         if self._free:
             self._free -= 1
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from gaproute.cluster.json_objects import JsonObject
 from gaproute.cluster.lateness import HarnessLateness
 from gaproute.cluster.lease_clients import LeaseClients, LeaseJudgement
 from gaproute.cluster.play_record import PlayRecord
@@ -81,7 +82,7 @@
         ready_after = self.notes.record.ready_after
         return None if ready_after is None else round(ready_after / SECOND, 1)
 
-    def plain(self) -> dict[str, Any]:
+    def plain(self) -> JsonObject:
         """The verdict as plain data."""
         trial, lateness = self.trial, self.notes.lateness
         document = {
