--- a/gaproute/hollow/counting_transport.py
+++ b/gaproute/hollow/counting_transport.py
@@ -2,20 +2,33 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol, cast
 
 from gaproute.peers.membership import PayloadHandler
 from gaproute.peers.membership_wire import PayloadKind
+from gaproute.shared.membership import Membership
+
+
+class PayloadHandlers(Protocol):
+    """What calls the handlers of payloads that come."""
+
+    def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
+        """The handler gets each payload of that kind."""
+
+    def unregister(self, kind: PayloadKind) -> None:
+        """Payloads of that kind are passed over from now on."""
 
 
 class PayloadSender(Protocol):
     """A membership part that carries payloads."""
 
-    transport: Any
+    @property
+    def transport(self) -> PayloadHandlers:
+        """Where the handlers are registered."""
 
     @property
-    def membership(self) -> Any:
-        """Who is up."""
+    def membership(self) -> object:
+        """Who is up: a `Membership`, or what stands in for one."""
 
     def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> int:
         """Send a payload; its bytes with headers."""
@@ -29,7 +42,7 @@
 
     def __init__(self, part: PayloadSender) -> None:
         self._part = part
-        self.membership: Any = part.membership
+        self.membership = cast(Membership, part.membership)
         self.messages = self.bytes = 0
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
--- a/gaproute/hollow/demand_gossip.py
+++ b/gaproute/hollow/demand_gossip.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import ClassVar
+from collections.abc import Iterator, Mapping, Sequence
+from typing import ClassVar, Protocol
 
 from gaproute.decisions.routing.host import Host
-from gaproute.hollow.counting_transport import CountingTransport
+from gaproute.decisions.routing.observations import Observation
+from gaproute.hollow.counting_transport import CountingTransport, PayloadSender
 from gaproute.hollow.environment import GatewayEnvironment, RandomStream
+from gaproute.hollow.host_list import HostListListener
 from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.peers.gossip import GossipTransport
 from gaproute.shared.gossip import GossipNode
@@ -21,6 +23,31 @@
 REQUEST_CLASS = 0
 
 
+class ObservedDecisions(Protocol):
+    """The decisions whose requests and warm instances the gossip reports."""
+
+    @property
+    def active_hosts(self) -> Sequence[Host]:
+        """The hosts that take requests."""
+
+    @property
+    def hosts_by_id(self) -> Mapping[str, Host]:
+        """All hosts by their name."""
+
+    def observations_since(self, now: int, since: int) -> Iterator[Observation]:
+        """What was observed since then."""
+
+
+class ObservedHosts(Protocol):
+    """The part `hosts` as the gossip uses it."""
+
+    listeners: list[HostListListener]
+
+    @property
+    def decisions(self) -> ObservedDecisions:
+        """The decisions about the listed hosts."""
+
+
 class DemandGossipPart(ControlPart):
     """Needs the parts `membership` and `hosts`. It draws the arrivals, as there are no clients."""
 
@@ -29,8 +56,9 @@
     def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
         loop = environment.loop
         self._random = environment.random(RandomStream.DEMAND)
-        self._counting_transport = CountingTransport(parts["membership"])
-        self._hosts = parts["hosts"]
+        membership: PayloadSender = parts["membership"]
+        self._counting_transport = CountingTransport(membership)
+        self._hosts: ObservedHosts = parts["hosts"]
         self._gossip = GossipTransport(
             loop,
             environment.name,
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -6,11 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import Any
+from typing import Protocol
 
 from gaproute.config import Configuration
 from gaproute.decisions.chance import Chance
+from gaproute.loop.timers import Callback, Timer
 from gaproute.shared.raft import Disk
+from gaproute.shared.raft.messages import RaftMessage
 
 
 class RandomStream(IntEnum):
@@ -39,12 +41,52 @@
         self.counts[name] += 1
 
 
+class PartLoop(Protocol):
+    """What parts use of a loop: that of `gaproute.loop`, or a simulated one."""
+
+    on_late_turn: list[Callable[[], object]]
+
+    def now(self) -> int:
+        """The time, ns."""
+
+    def at(self, when: int, call: Callback, *args: object) -> Timer:
+        """Calls `call(*args)` at that time, ns."""
+
+    def after(self, span: int, call: Callback, *args: object) -> Timer:
+        """Calls `call(*args)` after the span, ns."""
+
+    def soon(self, call: Callback, *args: object) -> object:
+        """Calls `call(*args)` in this turn or the next."""
+
+
+class DatagramSocket(Protocol):
+    """A socket that the environment opened."""
+
+    def send(self, data: bytes, where: str, /) -> None:
+        """Sends one datagram to the address."""
+
+    def close(self) -> None:
+        """Closes it."""
+
+
+class RaftMessageTransport(Protocol):
+    """What carries the messages of the Raft group. `counts`: messages that were sent or lost."""
+
+    counts: Counter[str]
+
+    def send(self, to: str, message: RaftMessage, /) -> None:
+        """Sends one message to a peer, by its name."""
+
+    def close(self) -> None:
+        """Ends sending and receiving."""
+
+
 @dataclass(kw_only=True)
 class GatewayEnvironment:
     """The surroundings of one gateway.
 
-    `loop` has the methods of `gaproute.loop.Loop` for timers, and on real sockets all of them.
-    `configuration` is checked, and shared by all gateways of a process. These make what sends and receives:
+    `loop` is a `gaproute.loop.Loop` where there are real sockets. `configuration` is checked, and shared by
+    all gateways of a process. These make what sends and receives:
 
     - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.Datagrams`
     - `open_raft_transport(loop, name, peers, receive)`: as `gaproute.peers.raft.RaftTransport`
@@ -52,13 +94,13 @@
     `open_raft_disk(name)` makes the disk of a member of the Raft group. `wall_clock` returns ns since 1970.
     """
 
-    loop: Any
+    loop: PartLoop
     name: str
     address: str
     configuration: Configuration
     seed: int
-    open_datagrams: Callable[..., Any]
-    open_raft_transport: Callable[..., Any]
+    open_datagrams: Callable[..., DatagramSocket]
+    open_raft_transport: Callable[..., RaftMessageTransport]
     open_raft_disk: Callable[[str], Disk]
     wall_clock: Callable[[], int]
     record: EventCounter = field(default_factory=EventCounter)
--- a/gaproute/hollow/gateway.py
+++ b/gaproute/hollow/gateway.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from typing import Any
 
 from gaproute.hollow.demand_gossip import DemandGossipPart
 from gaproute.hollow.environment import GatewayEnvironment
@@ -11,6 +10,7 @@
 from gaproute.hollow.leases import LeasePart
 from gaproute.hollow.membership import MembershipPart
 from gaproute.hollow.parts import ConfiguredGateway, PartFactory, Parts
+from gaproute.loop.timers import Timer
 
 PARTS: Mapping[str, PartFactory] = {
     "membership": MembershipPart,
@@ -31,7 +31,7 @@
     ) -> None:
         self.environment, self.name, self.loop = environment, environment.name, environment.loop
         self.parts: Parts = {}
-        self._timer: Any = None
+        self._timer: Timer | None = None
         for name, make_part in part_factories.items():
             self.parts[name] = make_part(environment, self.parts)
         for part in self.parts.values():
--- a/gaproute/hollow/host_list.py
+++ b/gaproute/hollow/host_list.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Mapping
-from typing import Any
+from typing import cast
 
 from gaproute.config.directives.fleet import HostLine
 from gaproute.config.errors import Mistake
@@ -13,8 +13,9 @@
 from gaproute.hollow.environment import GatewayEnvironment
 from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.interface import ListedHost
+from gaproute.loop import Loop
 
-HostListListener = Callable[[Mapping[str, Any]], object]  # takes the start of each listed host by its name
+HostListListener = Callable[[Mapping[str, int | None]], object]  # takes the start of each host by its name
 
 
 class HostListPart(ControlPart):
@@ -24,7 +25,8 @@
     """
 
     def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
-        self._loop, self._configuration = environment.loop, environment.configuration
+        self._configuration = environment.configuration
+        self._loop = cast(Loop, environment.loop)  # the converter and the watch use what a `PartLoop` has
         self._converter = HostLineConverter(
             self._loop, environment.wall_clock, use_capacities=self._configuration.capacities_reported
         )
--- a/gaproute/hollow/parts.py
+++ b/gaproute/hollow/parts.py
@@ -9,8 +9,12 @@
 
 DATAGRAM_HEADERS = 28  # bytes of IPv4 and UDP around each datagram
 
-Parts = dict[str, Any]  # the parts of one gateway by name, in the order in which they were made
-PartFactory = Callable[[Any, Parts], "ControlPart"]  # takes the environment and the parts made so far
+# The parts of one gateway by name, in the order in which they were made. Which class stands under a name differs
+# between fleets: a part that needs another one declares what it uses of it.
+Parts = dict[str, Any]
+# Takes the environment and the parts made so far. The environment is a `GatewayEnvironment`; for the parts of
+# a fleet of cells it is a `CellGatewayEnvironment`.
+PartFactory = Callable[[Any, Parts], "ControlPart"]
 
 
 class ConfiguredGateway(Protocol):
--- a/gaproute/hollow/peer_server.py
+++ b/gaproute/hollow/peer_server.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from gaproute.appliance.peer_services import LEASE_PEER_LIMITS
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.hollow.environment import GatewayEnvironment
+from gaproute.hollow.host_list import HostListPart
+from gaproute.hollow.leases import LeasePart
 from gaproute.hollow.parts import ControlPart, Parts
+from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from gaproute.peers import PeerServer
+from gaproute.peers.raft import RaftTransport
 from gaproute.peers.raft.transport import TARGET
 
 
@@ -17,16 +19,19 @@
     """Needs the parts `hosts` and `leases`, and a loop with real sockets."""
 
     def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
+        assert isinstance(environment.loop, Loop)
+        hosts: HostListPart = parts["hosts"]
+        leases: LeasePart = parts["leases"]
+        raft_transport: RaftTransport = leases.hosted_node.transport
         self._peer_server = PeerServer(
             environment.loop,
             address(environment.address),
-            parts["hosts"].decisions,
+            hosts.decisions,
             HostHistory(),
             [line.name for line in environment.configuration.request_classes],
             LEASE_PEER_LIMITS,
         )
-        self._raft_transport = parts["leases"].hosted_node.transport
-        self._peer_server.routes[TARGET] = self._handle_raft_messages
+        self._peer_server.routes[TARGET] = raft_transport.handle
 
     def counters(self) -> dict[str, int]:
         """Transfers of observations that were encoded, and how often who asked for one was put off."""
@@ -35,6 +40,3 @@
     def close(self) -> None:
         """Listen no more."""
         self._peer_server.close()
-
-    def _handle_raft_messages(self, server: Any, request: Any) -> None:
-        self._raft_transport.handle(server, request)
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -8,7 +8,7 @@
 import time
 from collections import Counter
 from collections.abc import Mapping, Sequence
-from typing import Any
+from typing import TypedDict
 
 from gaproute.config import Configuration
 from gaproute.errors import GaprouteError
@@ -40,6 +40,15 @@
     raise RaftMemberError(f"the hollow gateway {name} has no disk, and cannot be a member of the Raft group")
 
 
+class Order(TypedDict, total=False):
+    """A line of standard input: an object with one of these keys."""
+
+    kill: str  # the name of a gateway that runs
+    start: str  # the name of a configured gateway
+    changes: str  # the name of a gateway; answered by a line with `changes_of`
+    snapshot: bool  # answered by a line with `snapshot`
+
+
 class HollowProcess:
     """The gateways `rows[first : first + count]` of all `rows`; `configuration` is shared by them."""
 
@@ -73,12 +82,8 @@
 
     # Orders
 
-    def obey(self, order: Mapping[str, Any]) -> None:
-        """Carry out an order.
-
-        {"kill": name}, {"start": name}, {"changes": name} or {"snapshot": true}; the last two are answered by
-        a line each.
-        """
+    def obey(self, order: Order) -> None:
+        """Carry out an order."""
         if "kill" in order:
             self._gateways.pop(order["kill"]).close()
         elif "start" in order:
@@ -88,11 +93,11 @@
         else:
             self._print(self.snapshot())
 
-    def changes_of(self, name: str) -> dict[str, Any]:
+    def changes_of(self, name: str) -> dict[str, object]:
         """What was noticed of one gateway; cheaper than a snapshot, so that asking often delays nobody."""
         return {"gateways": len(self._gateways), "changes": self._member_changes.rows(name)}
 
-    def snapshot(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, object]:
         """Counts since the start, and the greatest lateness since the last snapshot."""
         lateness, self._lateness = self._lateness, 0
         memberships = [gateway.parts["membership"].membership for gateway in self._gateways.values()]
@@ -114,7 +119,7 @@
                     totals[f"{part}.{counter}"] += value
         return dict(totals)
 
-    def _print(self, answer: Mapping[str, Any]) -> None:
+    def _print(self, answer: Mapping[str, object]) -> None:
         print(json.dumps(answer), flush=True)
 
     # Called by the loop
