--- a/benchmarks/scale/cell_work.py
+++ b/benchmarks/scale/cell_work.py
@@ -18,7 +18,7 @@
 from gaproute.hollow.cells.metered_loop import MeteredLoop
 from gaproute.hollow.cells.plan import HOSTS
 from gaproute.hollow.simulation import SimulatedLoop
-from gaproute.hollow.simulation.loop import Callback
+from gaproute.loop.timers import Callback
 
 FILE = "cells-work.json"
 CONDITIONS = "one cell in full, no garbage collections, calls counted in every second gateway"
@@ -38,7 +38,7 @@
         super().__init__(shared, lag)
         self.calls, self.counting = 0, False
 
-    def _measure(self, call: Callback, args: tuple[Any, ...]) -> None:
+    def _measure(self, call: Callback, args: tuple[object, ...]) -> None:
         if not self.counting:
             super()._measure(call, args)
             return
--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -12,7 +12,7 @@
 from gaproute.appliance import Appliance
 from gaproute.config import read_configuration
 from gaproute.discovery.changelog.sse import EventReader
-from gaproute.standins.platform.host_list import Member, VersionedHostList, member
+from gaproute.standins.platform.host_list import ListedMember, VersionedHostList, member
 from gaproute.telemetry.logs import logger
 
 PARAMETER = "hosts of a cell"
@@ -38,7 +38,7 @@
     return [f"c{number}" for number in range(cells)]
 
 
-def members(place: int, hosts: int, seed: int, state: str = "active") -> list[Member]:
+def members(place: int, hosts: int, seed: int, state: str = "active") -> list[ListedMember]:
     """The hosts of one cell as a change log has them."""
     return [
         member(
--- a/benchmarks/scale/costs/change_log.py
+++ b/benchmarks/scale/costs/change_log.py
@@ -11,7 +11,7 @@
 from gaproute.discovery.changelog.sse import EventReader
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.loop import Loop
-from gaproute.standins.platform.host_list import ChangeEvent, Member, VersionedHostList, member
+from gaproute.standins.platform.host_list import ChangeEvent, ListedMember, VersionedHostList, member
 
 SIZES = (100, 400, 1_600, 6_400, 25_600)
 CHANGES = (1, 4, 16, 64)
@@ -23,7 +23,7 @@
 FOLLOWED = "bytes in pieces of 64 KiB to the follower, rows by the lister; sockets and decisions are not in"
 
 
-def members(hosts: int, seed: int, state: str = "active") -> list[Member]:
+def members(hosts: int, seed: int, state: str = "active") -> list[ListedMember]:
     """Members of the list, one a host."""
     return [
         member(
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -16,7 +16,7 @@
 from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine, LinkFaultLine
 from gaproute.scenarios.hosts import DayHost, ListedState
 from gaproute.scenarios.processes import DayProcess, Routine
-from gaproute.standins.platform.host_list import Member, Snapshot, VersionedHostList, member
+from gaproute.standins.platform.host_list import ListedMember, Snapshot, VersionedHostList, member
 
 MILLI = 1_000_000
 
@@ -28,7 +28,7 @@
         super().__init__(context, hosts)
         self.processes = processes
         self._publishing = False
-        self._published: dict[str, Member] = {}  # by host
+        self._published: dict[str, ListedMember] = {}  # by host
         self._list = VersionedHostList()
         self.process: DayProcess
 
@@ -101,7 +101,7 @@
         yield self.loop.sleep(line.lasts)
         self.process.send(fault | {"gateways": gateways, "on": False})
 
-    def _changed_rows(self) -> Iterator[Member]:
+    def _changed_rows(self) -> Iterator[ListedMember]:
         for host in self.hosts.by_name.values():
             if host.process is None:
                 continue  # it was never up
@@ -109,7 +109,7 @@
             if row != before and (before is not None or row["phase"] != "Gone"):
                 yield row
 
-    def _row(self, host: DayHost) -> Member:
+    def _row(self, host: DayHost) -> ListedMember:
         """A host as an event has it, with an address for each gateway."""
         addresses = [self.context.plan.host(number, host) for number in range(self.context.day.gateways)]
         return member(
--- a/gaproute/hollow/cells/fleet.py
+++ b/gaproute/hollow/cells/fleet.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
-from typing import Any
 
 from gaproute.decisions.cells.change import TableChange
 from gaproute.decisions.cells.table import EntryGateway
@@ -92,9 +91,8 @@
         return gateway
 
     def _environment(self, row: GatewayRow, stored_table: StoredTable | None) -> CellGatewayEnvironment:
-        loop: Any = self._make_loop(self.loop, self.lag(row.name))
         return CellGatewayEnvironment(
-            loop=loop,
+            loop=self._make_loop(self.loop, self.lag(row.name)),
             name=row.name,
             address=row.where,
             configuration=self.configurations[0],
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -6,15 +6,16 @@
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
-from typing import Any
 
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.housekeeping import CLEANUP_INTERVAL
+from gaproute.decisions.routing.observations import Observation
 from gaproute.hollow.cells.environment import CellGatewayEnvironment
 from gaproute.hollow.cells.route_sampler import RouteSampler
+from gaproute.hollow.cells.tables import CellTablePart
 from gaproute.hollow.host_list import HostListListener
 from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.interface import ListedHost
@@ -43,7 +44,7 @@
         """All hosts by their name."""
         return {name: host for gateway in self.gateways() for name, host in gateway.hosts_by_id.items()}
 
-    def observations_since(self, now: int, since: int) -> Iterator[Any]:
+    def observations_since(self, now: int, since: int) -> Iterator[Observation]:
         """What was observed of warm instances since then."""
         for gateway in self.gateways():
             yield from gateway.observations_since(now, since)
@@ -63,7 +64,8 @@
         self._lists_given = 0
         self.next_tick: int = now
         self._cleanup_at: int = now + CLEANUP_INTERVAL
-        parts["tables"].transport.on_table(self._adopt)
+        tables: CellTablePart = parts["tables"]
+        tables.transport.on_table(self._adopt)
 
     def tick(self, now: int) -> None:
         """Sample a route, check which host lists are wanted, forget hosts that left."""
--- a/gaproute/hollow/cells/metered_loop.py
+++ b/gaproute/hollow/cells/metered_loop.py
@@ -3,11 +3,9 @@
 from __future__ import annotations
 
 import time
-from typing import Any
 
 from gaproute.hollow.simulation import GatewayLoop, SimulatedLoop
-from gaproute.hollow.simulation.loop import Callback
-from gaproute.loop.timers import Timer
+from gaproute.loop.timers import Callback, Timer
 
 
 class MeteredLoop(GatewayLoop):
@@ -19,11 +17,11 @@
         super().__init__(shared, lag)
         self.cpu_time = 0
 
-    def at(self, when: int, call: Callback, *args: Any) -> Timer:
+    def at(self, when: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` then, later by the lag, and measure it."""
         return super().at(when, self._measure, call, args)
 
-    def _measure(self, call: Callback, args: tuple[Any, ...]) -> None:
+    def _measure(self, call: Callback, args: tuple[object, ...]) -> None:
         began = time.thread_time_ns()
         call(*args)
         self.cpu_time += time.thread_time_ns() - began
--- a/gaproute/hollow/parts.py
+++ b/gaproute/hollow/parts.py
@@ -9,7 +9,7 @@
 
 DATAGRAM_HEADERS = 28  # bytes of IPv4 and UDP around each datagram
 
-# The parts of one gateway by name, in the order in which they were made. Which class stands under a name differs
+# The parts of one gateway by name, in the order in which they were made. Which class has a name differs
 # between fleets: a part that needs another one declares what it uses of it.
 Parts = dict[str, Any]
 # Takes the environment and the parts made so far. The environment is a `GatewayEnvironment`; for the parts of
--- a/gaproute/hollow/simulation/loop.py
+++ b/gaproute/hollow/simulation/loop.py
@@ -4,11 +4,8 @@
 
 import heapq
 from collections.abc import Callable
-from typing import Any
 
-from gaproute.loop.timers import Timer
-
-Callback = Callable[..., object]
+from gaproute.loop.timers import Callback, Timer
 
 
 class SimulatedLoop:
@@ -28,7 +25,7 @@
         """Simulated nanoseconds."""
         return self.time
 
-    def at(self, when: int, call: Callback, *args: Any) -> Timer:
+    def at(self, when: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` then, or as the next event where that has passed."""
         timer = Timer(self, when, call, args)
         self._timer_count += 1
@@ -57,20 +54,20 @@
 
     def __init__(self, shared: SimulatedLoop, lag: int = 0) -> None:
         self.shared, self.lag = shared, lag
-        self.on_late_turn: list[Callback] = []  # as of the product's loop; never called here
+        self.on_late_turn: list[Callable[[], object]] = []  # as of the product's loop; never called here
 
     def now(self) -> int:
         """Simulated nanoseconds."""
         return self.shared.time
 
-    def at(self, when: int, call: Callback, *args: Any) -> Timer:
+    def at(self, when: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` then, later by the lag."""
         return self.shared.at(max(when, self.shared.time) + self.lag, call, *args)
 
-    def after(self, span: int, call: Callback, *args: Any) -> Timer:
+    def after(self, span: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` after the span, ns."""
         return self.at(self.shared.time + span, call, *args)
 
-    def soon(self, call: Callback, *args: Any) -> Timer:
+    def soon(self, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` as soon as the gateway has a turn."""
         return self.at(self.shared.time, call, *args)
--- a/gaproute/standins/cell_source.py
+++ b/gaproute/standins/cell_source.py
@@ -23,7 +23,7 @@
     encode_event,
     last_event_id,
 )
-from gaproute.standins.platform.host_list import Member, VersionedHostList
+from gaproute.standins.platform.host_list import ListedMember, VersionedHostList
 
 COMMENT_INTERVAL = SECOND // 2  # half of the silence that a follower tolerates
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
@@ -52,7 +52,7 @@
         self.host_list = VersionedHostList(first)
         self.events: list[bytes] = []
 
-    def change(self, *members: Member) -> bytes:
+    def change(self, *members: ListedMember) -> bytes:
         """The bytes of the next event."""
         event = self.host_list.change(*members)
         event["fleet"]["complete"] = not self.events
@@ -91,7 +91,7 @@
         self.address = self.listener.address
         self._timer = loop.after(comment, self._send_comments)
 
-    def publish(self, cell: str, *members: Member) -> None:
+    def publish(self, cell: str, *members: ListedMember) -> None:
         """The cell's first list, or the next change of it."""
         log = self.logs.get(cell)
         if log is None:
--- a/gaproute/standins/platform/gateway_feed.py
+++ b/gaproute/standins/platform/gateway_feed.py
@@ -28,7 +28,7 @@
     encode_event,
     last_event_id,
 )
-from gaproute.standins.platform.host_list import STATES, ChangeEvent, Member
+from gaproute.standins.platform.host_list import STATES, ChangeEvent, ListedMember
 from gaproute.standins.tap import EventRecorder
 
 # After which what would have been sent by a dead way counts as known: the platform's rule.
@@ -148,7 +148,7 @@
         members = [self._own_address(row) for row in event["fleet"]["members"]]
         return encode_event(event | {"fleet": event["fleet"] | {"members": members}})
 
-    def _own_address(self, row: Member) -> Member:
+    def _own_address(self, row: ListedMember) -> ListedMember:
         where = row["host_port"]
         return row | {"host_port": where[self.number]} if isinstance(where, list) else row
 
--- a/gaproute/standins/platform/host_list.py
+++ b/gaproute/standins/platform/host_list.py
@@ -8,7 +8,7 @@
 STATES = {phase: state for state, phase in PHASES.items()}
 
 
-class Member(TypedDict):
+class ListedMember(TypedDict):
     """A host as the change log lists it."""
 
     id: str
@@ -26,7 +26,7 @@
 
     revision: int
     complete: bool  # whether these are all hosts
-    members: list[Member]
+    members: list[ListedMember]
 
 
 class ChangeEvent(TypedDict):
@@ -51,7 +51,7 @@
     cell: int = 0,
     size: float = 4,
     up_since: int = 0,
-) -> Member:
+) -> ListedMember:
     """A line of the list. `where`: the address, or one for each gateway by its number; `up_since`: the Unix
     time of a late start, ms; 0 where the host was there from the first."""
     return {
@@ -75,9 +75,9 @@
     def __init__(self, version: int = 0) -> None:
         """`version`: the number before that of the first event."""
         self.version = version
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, ListedMember] = {}
 
-    def change(self, *members: Member) -> ChangeEvent:
+    def change(self, *members: ListedMember) -> ChangeEvent:
         """The next event, which is also the command to a stand-in change log."""
         self.version += 1
         for each in members:
@@ -92,6 +92,6 @@
         results = [self._event(list(self.members.values()), complete=True)] if self.version else []
         return {"seq": self.version, "results": results}
 
-    def _event(self, members: list[Member], *, complete: bool) -> ChangeEvent:
+    def _event(self, members: list[ListedMember], *, complete: bool) -> ChangeEvent:
         fleet: FleetChange = {"revision": self.version, "complete": complete, "members": members}
         return {"seq": self.version, "fleet": fleet}
--- a/gaproute/standins/platform/scripted.py
+++ b/gaproute/standins/platform/scripted.py
@@ -14,7 +14,7 @@
 from gaproute.loop.loop import SECOND
 from gaproute.standins.event_stream import RESPONSE_HEAD, last_event_id
 from gaproute.standins.json_objects import JsonObject
-from gaproute.standins.platform.host_list import ChangeEvent, Member
+from gaproute.standins.platform.host_list import ChangeEvent, ListedMember
 
 HEAD_END = b"\r\n\r\n"
 CONNECT_TIMEOUT = SECOND
@@ -183,7 +183,7 @@
 
 def event(number: int, *members: tuple[str, str, str], complete: bool = False) -> ChangeEvent:
     """An event of the change log; a member is (id, address, phase)."""
-    rows: list[Member] = [
+    rows: list[ListedMember] = [
         {
             "id": name,
             "host_port": where,
