--- a/gaproute/simulation/process_slot.py
+++ b/gaproute/simulation/process_slot.py
@@ -26,7 +26,10 @@
         """Does what is due; what is to be sent."""
 
     def hear(self, now: int, sender: str, message: Any, /) -> OutgoingMessages:
-        """Takes a message, which it must not change; what is to be sent."""
+        """Takes a message, which it must not change; what is to be sent.
+
+        Each kind of process takes messages of its own, hence Any.
+        """
 
 
 # Makes the process of a slot from the slot's name, disk, random numbers and own time.
--- a/gaproute/simulation/raft_group/planted_faults.py
+++ b/gaproute/simulation/raft_group/planted_faults.py
@@ -8,10 +8,10 @@
 
 import inspect
 import textwrap
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from types import CodeType, FunctionType
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.errors import GaprouteError
 from gaproute.simulation.raft_group.setup import RunKind
@@ -24,7 +24,7 @@
 class Edit(NamedTuple):
     """In the source of `function`, `original` is replaced by `replacement`."""
 
-    function: Any  # a function as read from its module or class
+    function: Callable[..., object]  # as read from its module or class
     original: str
     replacement: str
 
@@ -57,7 +57,7 @@
 @contextmanager
 def planted(fault: PlantedFault) -> Iterator[None]:
     """The fault is in the code inside this block. Raises EditError."""
-    before: list[tuple[Any, CodeType]] = []
+    before: list[tuple[Callable[..., object], CodeType]] = []
     try:
         for edit in fault.edits:
             code = edit.compiled(fault.name)
--- a/gaproute/simulation/rounds/baselines.py
+++ b/gaproute/simulation/rounds/baselines.py
@@ -6,7 +6,6 @@
 """
 
 from collections.abc import Iterable, Mapping, Sequence
-from typing import Any
 
 import msgspec
 
@@ -14,15 +13,36 @@
 from gaproute.maintenance.capacity_floor import FleetCapacity
 from gaproute.maintenance.feasibility import SchedulingEstimates, forecast_round
 from gaproute.maintenance.host_selection import RoundHosts, Selection
+from gaproute.shared.leases import LeaseClient
 
 
 class _WithoutFloor(RoundController):
     """Takes out the next group of hosts when the last one is back, whatever capacity is left."""
 
-    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
-        super().__init__(spec, *args, selector=_next_group, **options)
+    def __init__(
+        self,
+        spec: RoundSpec,
+        client: LeaseClient,
+        now: int,
+        *,
+        lease_duration: int,
+        other_rounds: Sequence[RoundSpec] = (),
+    ) -> None:
+        super().__init__(
+            self._adapted(spec),
+            client,
+            now,
+            lease_duration=lease_duration,
+            other_rounds=other_rounds,
+            selector=_next_group,
+        )
         self.planner.feasible = True
 
+    @staticmethod
+    def _adapted(spec: RoundSpec) -> RoundSpec:
+        """The round as this way of maintenance understands it."""
+        return spec
+
     def _update_estimate(self, now: int, status: FleetStatus) -> None:
         super()._update_estimate(now, status)
         self.estimate.shortfalls, self.estimate.required = [], {}
@@ -31,17 +51,17 @@
 class OneAtATime(_WithoutFloor):
     """Takes one host at a time and looks at no capacity."""
 
-    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
-        alone = msgspec.structs.replace(spec, max_away=1, zone_share=0, survivable_failure="")
-        super().__init__(alone, *args, **options)
+    @staticmethod
+    def _adapted(spec: RoundSpec) -> RoundSpec:
+        return msgspec.structs.replace(spec, max_away=1, zone_share=0, survivable_failure="")
 
 
 class FixedGroups(_WithoutFloor):
     """Takes groups of hosts and looks at no capacity."""
 
-    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
-        ungrouped = msgspec.structs.replace(spec, exclusive_groups=(), one_away_per="")
-        super().__init__(ungrouped, *args, **options)
+    @staticmethod
+    def _adapted(spec: RoundSpec) -> RoundSpec:
+        return msgspec.structs.replace(spec, exclusive_groups=(), one_away_per="")
 
 
 def _next_group(spec: RoundSpec, capacity: FleetCapacity, hosts: RoundHosts) -> Selection:
