--- a/benchmarks/scale/cell_work.py
+++ b/benchmarks/scale/cell_work.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 from types import FrameType
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from benchmarks.scale.measurement import LADDERS
 from benchmarks.scale.size import CHANGES_A_SECOND
--- a/gaproute/load/results.py
+++ b/gaproute/load/results.py
@@ -5,10 +5,10 @@
 import base64
 import json
 from collections import Counter
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from enum import StrEnum
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Protocol
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
@@ -19,6 +19,8 @@
 FILE_VERSION = 1
 PERCENTILES = {"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100}
 
+JsonObject = dict[str, Any]  # of a result file, or a row of a report
+
 
 class RequestOutcome(StrEnum):
     """How a request ended, where the server did not say so: it names outcomes of its own in a header."""
@@ -34,6 +36,22 @@
     """A file is not a result of a load that this version can read."""
 
 
+class LatencyHistogram(Protocol):
+    """What is used of an `HdrHistogram`, which has no type stubs."""
+
+    def record_value(self, value: int, /) -> object:
+        """Counts a value."""
+
+    def get_value_at_percentile(self, percentile: float, /) -> float:
+        """The value that so many percent of all do not exceed."""
+
+    def get_total_count(self) -> int:
+        """How many values were counted."""
+
+    def encode(self) -> bytes:
+        """The histogram as `HdrHistogram.decode` reads it."""
+
+
 class TrafficResult:
     """What became of the requests of one traffic.
 
@@ -42,7 +60,7 @@
     """
 
     def __init__(self) -> None:
-        self.latencies: Any = HdrHistogram(1, HIGHEST_LATENCY, SIGNIFICANT_DIGITS)
+        self.latencies: LatencyHistogram = HdrHistogram(1, HIGHEST_LATENCY, SIGNIFICANT_DIGITS)
         self.outcomes: Counter[str] = Counter()
         self.ended_per_second: list[int] = []
 
@@ -61,7 +79,7 @@
             outcome: count for outcome, count in self.outcomes.items() if outcome != RequestOutcome.DELIVERED
         }
 
-    def summary(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, float]:
         """The figures of a report: requests, those delivered, and percentiles of the latency in ms."""
         percentiles = {
             name: self.latencies.get_value_at_percentile(percentile) / 1000
@@ -73,7 +91,7 @@
             **percentiles,
         }
 
-    def to_json(self) -> dict[str, Any]:
+    def to_json(self) -> JsonObject:
         """The form that a result file has."""
         return {
             "ends": dict(self.outcomes),
@@ -82,7 +100,7 @@
         }
 
     @classmethod
-    def from_json(cls, stored: Mapping[str, Any]) -> TrafficResult:
+    def from_json(cls, stored: JsonObject) -> TrafficResult:
         """The result that `to_json` gave. Errors: KeyError, TypeError where it is of another form."""
         result = cls()
         result.outcomes, result.ended_per_second = Counter(stored["ends"]), stored["seconds"]
@@ -123,7 +141,7 @@
         raise ResultFileError(f"{path}: no result of a load: {error!r}") from error
 
 
-def summary_rows(paths: Iterable[str | Path]) -> list[dict[str, Any]]:
+def summary_rows(paths: Iterable[str | Path]) -> list[JsonObject]:
     """One row of figures for each traffic of each result file. Errors: as of `read_result`."""
     return [
         {
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, Any, ClassVar, Literal
+from typing import Annotated, ClassVar, Literal, TypeVar
 
 from pydantic import BeforeValidator, Field
 
@@ -18,6 +18,8 @@
 
 SECOND = 1_000_000_000
 
+DirectiveT = TypeVar("DirectiveT", bound=Directive)
+
 
 class Target(Directive):
     """An address that connections go to; each takes one of all targets by chance."""
@@ -117,17 +119,17 @@
     def of_directives(cls, text: str, found: Sequence[NamedDirective]) -> LoadScript:
         """The script whose lines were parsed to these directives, with defaults for what is not named."""
 
-        def directives(word: str) -> list[Any]:
-            return [directive for name, directive in found if name == word]
+        def directives(kind: type[DirectiveT]) -> list[DirectiveT]:
+            return [directive for _, directive in found if isinstance(directive, kind)]
 
         return cls(
             text=text,
-            targets=[target.where for target in directives("target")],
-            length=(directives("length") or [Length()])[0].span,
-            hold=(directives("hold") or [Hold()])[0],
-            traffic=directives("traffic"),
-            slow=directives("slow"),
-            storms=directives("storm"),
+            targets=[target.where for target in directives(Target)],
+            length=(directives(Length) or [Length()])[0].span,
+            hold=(directives(Hold) or [Hold()])[0],
+            traffic=directives(Traffic),
+            slow=directives(Slow),
+            storms=directives(Storm),
         )
 
 
--- a/gaproute/rollouts/solver.py
+++ b/gaproute/rollouts/solver.py
@@ -5,7 +5,7 @@
 """
 
 from collections.abc import Sequence
-from typing import Any
+from typing import Any, TypeAlias
 
 from gaproute.rollouts.plan import (
     CampaignDemand,
@@ -22,6 +22,11 @@
 KEEP_COST = 0.001  # of a lane: what a loaded copy costs that brings nothing
 FEASIBLE = 2  # status of the solution in HiGHS
 
+# Objects of the package highspy, which has no type stubs.
+HighsModule: TypeAlias = Any
+HighsModel: TypeAlias = Any
+HighsVariable: TypeAlias = Any
+
 
 def solve(problem: PlanningProblem, time_limit: float = TIME_LIMIT) -> CopyPlan | None:
     """A plan, or None if none was found in time, in seconds. Raises ImportError without the solver."""
@@ -42,8 +47,8 @@
     def __init__(self, problem: PlanningProblem, time_limit: float) -> None:
         import highspy  # type: ignore[import-untyped]  # it has no stubs
 
-        self.highspy: Any = highspy
-        self.model: Any = highspy.Highs()
+        self.highspy: HighsModule = highspy
+        self.model: HighsModel = highspy.Highs()
         self.model.setOptionValue("output_flag", False)
         self.model.setOptionValue("time_limit", time_limit)
         self.model.setOptionValue("mip_rel_gap", RELATIVE_GAP)
@@ -55,8 +60,8 @@
             for host in problem.spare_lanes
             if problem.copy_capacity[host] >= demand.copy_size
         ]
-        self.first_slots: dict[CopyPlace, dict[int, Any]] = {}
-        self.lanes: dict[tuple[CopyPlace, int], Any] = {}
+        self.first_slots: dict[CopyPlace, dict[int, HighsVariable]] = {}
+        self.lanes: dict[tuple[CopyPlace, int], HighsVariable] = {}
 
     def add_copies(self) -> None:
         """A copy begins in one slot at most and stays; a loaded one begins in the first, without a load."""
@@ -68,7 +73,7 @@
                 self.model.addConstr(sum(self.first_slots[place].values()) <= 1)
             self._add_lanes(place)
 
-    def _copy_variable(self, place: CopyPlace, slot: int) -> Any:
+    def _copy_variable(self, place: CopyPlace, slot: int) -> HighsVariable:
         lost_lanes = self.problem.load_time * int(self.problem.spare_lanes[place[1]][slot])
         value = -KEEP_COST if place in self.loaded else -lost_lanes
         return self.model.addVariable(0, 1, value, type=self.highspy.HighsVarType.kInteger)
