--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -20,12 +20,19 @@
 ADDRESS_MARK = "@"  # in a line before a gateway's own address takes its place
 
 
+class SplitLine(NamedTuple):
+    """A host's line without the address."""
+
+    before: str
+    after: str
+
+
 class ListEntry(NamedTuple):
-    """A host in a snapshot. `line`: its line before and after the address; None if it is not listed."""
+    """A host in a snapshot. `line` is None where the host is not listed."""
 
     host: DayHost
     state: str
-    line: tuple[str, str] | None
+    line: SplitLine | None
 
 
 class ListSnapshot(NamedTuple):
@@ -151,7 +158,7 @@
 
     def _text(self, number: int, snapshot: ListSnapshot) -> str:
         lines = [
-            f"{entry.line[0]}{self.context.plan.host(number, entry.host)}{entry.line[1]}\n"
+            f"{entry.line.before}{self.context.plan.host(number, entry.host)}{entry.line.after}\n"
             for entry in snapshot.entries
             if entry.line is not None
         ]
@@ -175,4 +182,4 @@
     if host.state == ListedState.ABSENT:
         return ListEntry(host, ListedState.GONE, None)
     before, _, after = host.list_line(ADDRESS_MARK).partition(ADDRESS_MARK)
-    return ListEntry(host, host.state, (before, after))
+    return ListEntry(host, host.state, SplitLine(before, after))
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -27,8 +27,8 @@
 MILLI = 1_000_000
 POLL_INTERVAL = 40 * MILLI  # between questions about a lease request
 MAX_REST = 60 * MILLI  # between lease requests of one client
-# For so long a gateway renews a lease that nobody extends: a client that is not heard of again has a
-# resource for it, and a lease request waits for it.
+# How long a gateway renews a lease that its client does not extend. For as long a client that died blocks its
+# resource, and a client waits for a lease that it requested.
 RENEWED_FOR = 1200 * MILLI
 LOGGED_VIOLATION = b'"event":"raft_invariant_violated"'  # in a gateway's log: its Raft node found one
 MAX_LOG_TEXT = 300  # characters of such a line in the verdict
--- a/gaproute/cluster/link_faults.py
+++ b/gaproute/cluster/link_faults.py
@@ -17,7 +17,7 @@
 from gaproute.cluster.slot_sets import NamedSlot
 from gaproute.scenarios.processes import MILLI, SECOND, Routine
 
-AFTER_BLOCK = 500 * MILLI  # after a cut or hold, until all that it delayed has flown on
+AFTER_BLOCK = 500 * MILLI  # after a cut or hold, until all that it delayed has arrived
 RARE = 1e-6  # a chance of losses in a row that is not allowed for
 MAX_LOSSES = 6
 INVISIBLE_KINDS = (
--- a/gaproute/cluster/links/datagrams.py
+++ b/gaproute/cluster/links/datagrams.py
@@ -35,7 +35,7 @@
 
 
 class Route(NamedTuple):
-    """How the datagrams of a link are sent on."""
+    """How the datagrams of a link are forwarded."""
 
     link: Link
     target: SocketAddress
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class DatagramCounts:
-    """Datagrams and bytes that came in; and datagrams that were not sent on, by reason."""
+    """Datagrams and bytes that came in; and datagrams that were not forwarded, by reason."""
 
     received: int = 0
     bytes: int = 0
@@ -62,7 +62,7 @@
 
 
 class DatagramRelay:
-    """Reads from the bound socket `sock` and sends on."""
+    """Reads from the bound socket `sock` and forwards."""
 
     def __init__(self, context: EmulatorContext, sock: socket.socket) -> None:
         self.loop, self.conditions, self.lateness = context
--- a/gaproute/cluster/links/faults.py
+++ b/gaproute/cluster/links/faults.py
@@ -10,11 +10,11 @@
 | lose | lost | 200 ms late, twice that if lost again, and so on; all behind it wait |
 | double | come twice | nothing: TCP hides it |
 | reorder | come `delay` (10 ms if not given) and up to `jitter` late, overtaken by others | nothing |
-| cut | lost | held back, flow on when the cut ends; a new connection does not open |
+| cut | lost | held back until the cut ends; a new connection does not open |
 | hold | held back, all at once when it ends | the same; a new connection waits for it |
 | reset | nothing | those that stand when it begins are reset at both ends, once |
 
-Where this is kinder than a network: what was held back flows at once when a cut ends, TCP would try again
+Where this is kinder than a network: what was held back continues at once when a cut ends, TCP would try again
 only after up to as long as the cut was; in a one-way cut the way back goes on, though its acknowledgements
 are lost; a loss is drawn for each piece read (up to 64 KiB), not for each packet; a sender under
 TCP_USER_TIMEOUT never learns of a cut, as the emulator has acknowledged its bytes.
--- a/gaproute/cluster/links/pieces.py
+++ b/gaproute/cluster/links/pieces.py
@@ -43,7 +43,7 @@
         """The chunk that is to be sent next. Errors: IndexError where there is none."""
         return self.chunks[0]
 
-    def sent(self, count: int) -> bool:
+    def consume(self, count: int) -> bool:
         """Removes `count` bytes of the first chunk, which were sent; whether that was all of it."""
         self.size -= count
         if count < len(self.chunks[0]):
--- a/gaproute/cluster/links/stream_end.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -86,7 +86,7 @@
             self._read()
         elif events & select.EPOLLERR or self.write_failed:
             self._break_off()
-        elif events & HANGUP:  # both ways are shut, and something lies unread: no news until it is read
+        elif events & HANGUP:  # both directions are shut, bytes are unread: each poll would report it again
             self.loop.unwatch(self.sock.fileno())
             self._mask = None
 
@@ -182,7 +182,7 @@
     def _flush(self) -> None:
         while self.output:
             sent = self._send(self.output.first)
-            if self.write_failed or not self.output.sent(sent):
+            if self.write_failed or not self.output.consume(sent):
                 break
         else:
             self._update_mask()
