--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -8,12 +8,10 @@
 
 SECOND = 1_000_000_000
 
-MAX_TRAVEL_TIME = (
-    SECOND  # a rollout that has not reached its host by then never does: its connection is closed
-)
-RENEWAL_MARGIN = (
-    2 * SECOND
-)  # of a lease beside the rollouts under it: several attempts to reach the Raft nodes
+# A rollout that has not reached its host by then never does: its connection is closed.
+MAX_TRAVEL_TIME = SECOND
+# Of a lease beside the rollouts under it: several attempts to reach the Raft nodes.
+RENEWAL_MARGIN = 2 * SECOND
 
 
 class RolloutHost(NamedTuple):
--- a/gaproute/rollouts/host_allotment.py
+++ b/gaproute/rollouts/host_allotment.py
@@ -10,9 +10,8 @@
 
 RETRY_PAUSE = 300 * MILLI  # until a lease that was rejected is requested again
 MAX_LEASE_LANES = 4  # a lease: with fewer, more are renewed; with more, they cannot be released in parts
-COLD_FRACTION = (
-    4  # a host that warms up gets a quarter of its rollouts; the rest of what it can bear is production's
-)
+# A host that warms up gets a quarter of its rollouts; the rest of what it can bear is production's.
+COLD_FRACTION = 4
 
 
 class HostAvailability(NamedTuple):
--- a/gaproute/rollouts/host_assignment.py
+++ b/gaproute/rollouts/host_assignment.py
@@ -1,6 +1,7 @@
 """Planned lanes assigned to gateways: each host as a whole to one gateway, which keeps it if possible."""
 
 from collections.abc import Mapping, Sequence
+from functools import partial
 from typing import NamedTuple
 
 from gaproute.rollouts.campaign import Campaign
@@ -53,6 +54,11 @@
     lanes = dict.fromkeys(gateways, 0)
     max_lanes = -(-sum(pools.get(host, 0) for host in hosts) // len(gateways))
     owners: dict[str, str] = {}
+
+    def rank(host: str, gateway: str) -> tuple[bool, bool, int, str]:
+        """Gateways below their share of lanes come first, then near ones, then those with few lanes."""
+        return lanes[gateway] >= max_lanes, zones.get(gateway) != zones.get(host), lanes[gateway], gateway
+
     for host in hosts:
         previous = previous_owners.get(host)
         if previous in lanes and lanes[previous] < max_lanes:
@@ -60,10 +66,7 @@
             lanes[previous] += pools.get(host, 0)
     for host in hosts:
         if host not in owners:
-            _, _, _, owner = min(
-                (lanes[gateway] >= max_lanes, zones.get(gateway) != zones.get(host), lanes[gateway], gateway)
-                for gateway in gateways
-            )
+            owner = min(gateways, key=partial(rank, host))
             owners[host] = owner
             lanes[owner] += pools.get(host, 0)
     return owners
--- a/gaproute/simulation/random_load.py
+++ b/gaproute/simulation/random_load.py
@@ -6,9 +6,8 @@
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
 
-RequestMaker: TypeAlias = Callable[
-    [Simulation, SeededRandom], None
-]  # asks by `Simulation.ask`, or not at all
+# Makes a request by `Simulation.ask`, or none.
+RequestMaker: TypeAlias = Callable[[Simulation, SeededRandom], None]
 
 
 class RandomLoad:
--- a/gaproute/simulation/rounds/observer.py
+++ b/gaproute/simulation/rounds/observer.py
@@ -1,6 +1,7 @@
 """What gateways and schedulers have in common: they probe the hosts and gossip about what they saw."""
 
 from collections.abc import Sequence
+from typing import NamedTuple
 
 import msgspec
 
@@ -19,18 +20,20 @@
 TRAFFIC_ODDS = 4  # one in so many ticks of a gateway sends a request and reports demand
 
 
+class ProcessStart(NamedTuple):
+    """What the simulation starts a process with. `now`: ns of its own clock."""
+
+    name: str
+    random: SeededRandom
+    now: int
+    incarnation: int
+
+
 class HostObserver:
-    """Probes the hosts in turn. `reports`: what each host last reported; `incarnation`: of this process."""
-
-    def __init__(
-        self,
-        scene: RoundsScene,
-        name: str,
-        random: SeededRandom,
-        now: int,
-        incarnation: int,
-        peers: Sequence[str],
-    ) -> None:
+    """Probes the hosts in turn. `reports`: what each host last reported."""
+
+    def __init__(self, scene: RoundsScene, start: ProcessStart, peers: Sequence[str]) -> None:
+        name, random, now, incarnation = start
         self.scene, self.name, self.random = scene, name, random
         self.hosts = list(scene.fleet.hosts)
         self.reports: dict[str, HostReport] = {}
@@ -88,11 +91,9 @@
 class ReportingGateway(HostObserver):
     """Reports demand to the schedulers, and sends requests to any host, also to one that drains."""
 
-    def __init__(
-        self, scene: RoundsScene, name: str, random: SeededRandom, now: int, incarnation: int
-    ) -> None:
-        peers = [other for other in (*GATEWAYS, *scene.kind.schedulers) if other != name]
-        super().__init__(scene, name, random, now, incarnation, peers)
+    def __init__(self, scene: RoundsScene, start: ProcessStart) -> None:
+        peers = [other for other in (*GATEWAYS, *scene.kind.schedulers) if other != start.name]
+        super().__init__(scene, start, peers)
 
     def tick(self, now: int) -> OutgoingMessages:
         """As an observer; now and then it also sends a request and reports demand."""
--- a/gaproute/simulation/rounds/run.py
+++ b/gaproute/simulation/rounds/run.py
@@ -20,7 +20,7 @@
 from gaproute.simulation.rounds.interventions import Interventions
 from gaproute.simulation.rounds.judge import FloorJudge
 from gaproute.simulation.rounds.kinds import GATEWAYS, RAFT_NODES, WORKER, RunKind
-from gaproute.simulation.rounds.observer import ReportingGateway
+from gaproute.simulation.rounds.observer import ProcessStart, ReportingGateway
 from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.rounds.scheduler import LEASE_DURATION, ControllerFactory, SimulatedScheduler
 from gaproute.simulation.rounds.worker import MaintenanceWorker
@@ -115,13 +115,13 @@
         self, name: str, disk: SimulatedDisk, random: SeededRandom, now: int
     ) -> SimulatedScheduler:
         specs = [self.rounds[self.kind.schedulers.index(name)]]
-        incarnation = self._incarnation(name)
-        return SimulatedScheduler(self.scene, name, random, now, incarnation, specs, self.controller)
+        start = ProcessStart(name, random, now, self._incarnation(name))
+        return SimulatedScheduler(self.scene, start, specs, self.controller)
 
     def _make_gateway(
         self, name: str, disk: SimulatedDisk, random: SeededRandom, now: int
     ) -> ReportingGateway:
-        return ReportingGateway(self.scene, name, random, now, self._incarnation(name))
+        return ReportingGateway(self.scene, ProcessStart(name, random, now, self._incarnation(name)))
 
     def _make_worker(
         self, name: str, disk: SimulatedDisk, random: SeededRandom, now: int
--- a/gaproute/simulation/rounds/scheduler.py
+++ b/gaproute/simulation/rounds/scheduler.py
@@ -19,9 +19,8 @@
     ReadyHostsQuery,
     Serve,
 )
-from gaproute.simulation.rounds.observer import HostObserver
+from gaproute.simulation.rounds.observer import HostObserver, ProcessStart
 from gaproute.simulation.rounds.scene import RoundsScene
-from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.units import MILLISECOND, SECOND
 
 STEP_INTERVAL = 500 * MILLISECOND  # between two looks at the rounds
@@ -45,15 +44,13 @@
     def __init__(
         self,
         scene: RoundsScene,
-        name: str,
-        random: SeededRandom,
-        now: int,
-        incarnation: int,
+        start: ProcessStart,
         specs: Sequence[RoundSpec],
         controller: ControllerFactory = RoundController,
     ) -> None:
+        name, random, now, _ = start
         peers = [*(other for other in scene.kind.schedulers if other != name), *GATEWAYS]
-        super().__init__(scene, name, random, now, incarnation, peers)
+        super().__init__(scene, start, peers)
         self.leases = LeaseClient(name, RAFT_NODES, random, now)
         self.rounds = [self._make_round(spec, now, controller) for spec in specs]
         self.violations: list[str] = []
