--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -7,10 +7,9 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import NamedTuple, Protocol
+from typing import Any, NamedTuple, Protocol
 
-from gaproute.hollow.environment import PartLoop
-from gaproute.http1.rendering import Header
+from gaproute.hollow.simulation import GatewayLoop
 from gaproute.peers.peer_server import Route
 from gaproute.peers.tables import wire
 from gaproute.peers.tables.pull_exchange import TARGET, Answer, AnswerCallback
@@ -82,7 +81,7 @@
         self.bytes += transferred(HTTP_ANSWER + len(self._answer.body))
         return self._answer
 
-    def answer(self, request: PullRequest, status: int, headers: Sequence[Header], body: bytes) -> None:
+    def answer(self, request: PullRequest, status: int, headers: Sequence[Any], body: bytes) -> None:
         """Called by the handler with its answer."""
         self._answer = HttpAnswer(status, body)
 
@@ -98,7 +97,7 @@
     `pulls` and `bytes` (with headers) count what it has sent.
     """
 
-    def __init__(self, network: PullNetwork, loop: PartLoop, name: str) -> None:
+    def __init__(self, network: PullNetwork, loop: GatewayLoop, name: str) -> None:
         self._network, self._loop, self._name = network, loop, name
         self._current = 0  # the number of the pull that is open; an answer to an earlier one is dropped
         self.pulls = self.bytes = 0
--- a/gaproute/hollow/cells/shared_tables.py
+++ b/gaproute/hollow/cells/shared_tables.py
@@ -3,20 +3,16 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import NamedTuple
+from typing import Any
 
 from gaproute.decisions.cells.change import TableHolder
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.version import Version
-from gaproute.hollow.environment import EventCounter, PartLoop
-from gaproute.peers import PeerServer
-from gaproute.peers.payload_transport import PayloadTransport
 from gaproute.peers.tables import CellTableTransport
 from gaproute.peers.tables.document import TableDocument
 from gaproute.shared.dissemination import Change, Peer
 from gaproute.shared.dissemination.cell_peers import candidates
 from gaproute.shared.dissemination.partial_view import Candidates
-from gaproute.shared.randomness import RandomSource
 
 TableKey = tuple[Version, int]  # version and digest
 SharedCellTables = dict[TableKey, CellTable]
@@ -53,22 +49,10 @@
         self._tables[self.version, self.digest] = self.holder.table
 
 
-class TransportArguments(NamedTuple):
-    """What a `CellTableTransport` is made with, in that order."""
-
-    loop: PartLoop
-    name: str
-    fleet: str
-    payloads: PayloadTransport
-    peer_server: PeerServer
-    random: RandomSource
-    record: EventCounter
-
-
 class SharedCellTableTransport(CellTableTransport):
     """`shared_candidates`: the candidates that each table names, for all gateways of the process."""
 
-    def __init__(self, shared_candidates: SharedCandidates, arguments: TransportArguments) -> None:
+    def __init__(self, shared_candidates: SharedCandidates, *arguments: Any) -> None:
         super().__init__(*arguments)
         self._shared_candidates = shared_candidates
 
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -2,21 +2,15 @@
 
 from __future__ import annotations
 
-from typing import cast
+from typing import Any
 
 from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells.environment import CellGatewayEnvironment
-from gaproute.hollow.cells.shared_tables import (
-    SharedCellTableTransport,
-    SharedTableDocument,
-    TransportArguments,
-)
-from gaproute.hollow.counting_transport import CountingTransport, PayloadSender
+from gaproute.hollow.cells.shared_tables import SharedCellTableTransport, SharedTableDocument
+from gaproute.hollow.counting_transport import CountingTransport
 from gaproute.hollow.environment import RandomStream
 from gaproute.hollow.parts import ControlPart, Parts
-from gaproute.peers import PeerServer
 from gaproute.peers.tables import CellTableTransport
-from gaproute.peers.tables.pull_exchange import PullClient
 from gaproute.shared.dissemination import Disseminator
 
 
@@ -25,21 +19,19 @@
 
     def __init__(self, environment: CellGatewayEnvironment, parts: Parts) -> None:
         self._environment = environment
-        membership: PayloadSender = parts["membership"]
-        self._counting_transport = CountingTransport(membership)
+        self._counting_transport = CountingTransport(parts["membership"])
         self.peer_server = environment.open_pull_server(environment.address)
-        arguments = TransportArguments(
+        self.transport = self._make_transport(
             environment.loop,
             environment.name,
             environment.fleet_name,
             self._counting_transport,
-            cast(PeerServer, self.peer_server),
+            self.peer_server,
             environment.random(RandomStream.CELL_TABLE),
             environment.record,
         )
-        self.transport = self._make_transport(arguments)
         self.pull_client = environment.open_pull_client(environment.loop, environment.name)
-        self.transport.pull_client = cast(PullClient, self.pull_client)
+        self.transport.pull_client = self.pull_client
 
     def start(self) -> None:
         """Take the table of the own disk, then receive and send."""
@@ -75,7 +67,7 @@
         self.transport.stop()
         self.peer_server.close()
 
-    def _make_transport(self, arguments: TransportArguments) -> CellTableTransport:
+    def _make_transport(self, *arguments: Any) -> CellTableTransport:
         return CellTableTransport(*arguments)
 
 
@@ -88,5 +80,5 @@
         random = environment.random(RandomStream.CELL_TABLE)
         self.transport.disseminator = Disseminator(environment.name, document, random, environment.loop.now())
 
-    def _make_transport(self, arguments: TransportArguments) -> CellTableTransport:
-        return SharedCellTableTransport(self._environment.shared_candidates, arguments)
+    def _make_transport(self, *arguments: Any) -> CellTableTransport:
+        return SharedCellTableTransport(self._environment.shared_candidates, *arguments)
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -6,13 +6,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import Protocol
+from typing import Any, Protocol
 
 from gaproute.config import Configuration
 from gaproute.decisions.chance import Chance
 from gaproute.loop.timers import Callback, Timer
 from gaproute.shared.raft import Disk
-from gaproute.shared.raft.messages import RaftMessage
 
 
 class RandomStream(IntEnum):
@@ -59,28 +58,6 @@
         """Calls `call(*args)` in this turn or the next."""
 
 
-class DatagramSocket(Protocol):
-    """A socket that the environment opened."""
-
-    def send(self, data: bytes, where: str, /) -> None:
-        """Sends one datagram to the address."""
-
-    def close(self) -> None:
-        """Closes it."""
-
-
-class RaftMessageTransport(Protocol):
-    """What carries the messages of the Raft group. `counts`: messages that were sent or lost."""
-
-    counts: Counter[str]
-
-    def send(self, to: str, message: RaftMessage, /) -> None:
-        """Sends one message to a peer, by its name."""
-
-    def close(self) -> None:
-        """Ends sending and receiving."""
-
-
 @dataclass(kw_only=True)
 class GatewayEnvironment:
     """The surroundings of one gateway.
@@ -99,8 +76,8 @@
     address: str
     configuration: Configuration
     seed: int
-    open_datagrams: Callable[..., DatagramSocket]
-    open_raft_transport: Callable[..., RaftMessageTransport]
+    open_datagrams: Callable[..., Any]
+    open_raft_transport: Callable[..., Any]
     open_raft_disk: Callable[[str], Disk]
     wall_clock: Callable[[], int]
     record: EventCounter = field(default_factory=EventCounter)
