--- a/benchmarks/campaigns.py
+++ b/benchmarks/campaigns.py
@@ -9,8 +9,8 @@
 that a rollout went to a host after production had taken all its lent lanes there. `beside`: the same
 production with and without campaigns, by lanes of each host that are never lent. `plans`: greedy and HiGHS
 on a forecast that is off, each by what it brings under the truth, beside HiGHS given the truth. `ends`: the
-end predicted after the first tenth. `--hunt N`: N seeds more of every case, only for violations. Each figure is
-the median of the seeds; in brackets the least and the most.
+end predicted after the first tenth. `--hunt N`: N seeds more of every case, only for violations. Each figure
+is the median of the seeds; in brackets the least and the most.
 """
 
 import argparse
