--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -6,10 +6,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import IntEnum
-from typing import Any
+from typing import Any, Protocol
 
 from gaproute.config import Configuration
 from gaproute.decisions.chance import Chance
+from gaproute.loop.timers import Callback, Timer
 from gaproute.shared.raft import Disk
 
 
@@ -39,12 +40,30 @@
         self.counts[name] += 1
 
 
+class PartLoop(Protocol):
+    """What parts use of a loop: that of `gaproute.loop`, or a simulated one."""
+
+    on_late_turn: list[Callable[[], object]]
+
+    def now(self) -> int:
+        """The time, ns."""
+
+    def at(self, when: int, call: Callback, *args: object) -> Timer:
+        """Calls `call(*args)` at that time, ns."""
+
+    def after(self, span: int, call: Callback, *args: object) -> Timer:
+        """Calls `call(*args)` after the span, ns."""
+
+    def soon(self, call: Callback, *args: object) -> object:
+        """Calls `call(*args)` in this turn or the next."""
+
+
 @dataclass(kw_only=True)
 class GatewayEnvironment:
     """The surroundings of one gateway.
 
-    `loop` has the methods of `gaproute.loop.Loop` for timers, and on real sockets all of them.
-    `configuration` is checked, and shared by all gateways of a process. These make what sends and receives:
+    `loop` is a `gaproute.loop.Loop` where there are real sockets. `configuration` is checked, and shared by
+    all gateways of a process. These make what sends and receives:
 
     - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.Datagrams`
     - `open_raft_transport(loop, name, peers, receive)`: as `gaproute.peers.raft.RaftTransport`
@@ -52,7 +71,7 @@
     `open_raft_disk(name)` makes the disk of a member of the Raft group. `wall_clock` returns ns since 1970.
     """
 
-    loop: Any
+    loop: PartLoop
     name: str
     address: str
     configuration: Configuration
--- a/gaproute/standins/platform/change_log.py
+++ b/gaproute/standins/platform/change_log.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
-from typing import Any, cast
+from collections.abc import Sequence
+from typing import cast
 
 import msgspec
 
 from gaproute.errors import GaprouteError
 from gaproute.loop import Loop
 from gaproute.loop.loop import SECOND
-from gaproute.standins.platform import change_log_invariants
+from gaproute.standins.invariant_violation import note_violations
+from gaproute.standins.json_objects import JsonObject, WriteLine
+from gaproute.standins.platform.change_log_invariants import find_violations
 from gaproute.standins.platform.gateway_feed import FeedFaultCommand, GatewayFeed
 from gaproute.standins.platform.host_list import ChangeEvent
 from gaproute.standins.tap import EventRecorder
@@ -30,7 +32,7 @@
         loop: Loop,
         gateways: Sequence[str],
         tap: EventRecorder,
-        report: Callable[[dict[str, Any]], object],
+        report: WriteLine,
     ) -> None:
         """`gateways`: the address to listen on for each, by its number; `report(line)`: tells the addresses
         to whoever started the stand-in."""
@@ -47,13 +49,12 @@
     def _upkeep(self) -> None:
         for feed in self.feeds:
             feed.upkeep()
-        for breach in change_log_invariants.breaches(self.feeds, len(self.events)):
-            self.tap.note("breach", check=breach.check, text=breach.text)
+        note_violations(self.tap, find_violations(self.feeds, len(self.events)))
         self.loop.after(UPKEEP_INTERVAL, self._upkeep)
 
     # Commands
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """Takes an event of a `VersionedHostList`; a `FeedFaultCommand`; or `{"do": "cut"}` (connections are
         reset) or `{"do": "move"}` (other ports, which are reported). The last two are for the gateways of
         `gateways`, or for all. Errors: EventOrderError, msgspec.ValidationError."""
