--- a/gaproute/decisions/cells/invariants.py
+++ b/gaproute/decisions/cells/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a cellular gateway, as named checks that return breaches as text."""
+"""The invariants of a cellular gateway, as named checks that return violations as text."""
 
 from collections.abc import Iterable, Iterator
 
@@ -78,7 +78,7 @@
 
 
 def check(gateway: CellularGateway, functions: Iterable[str] = ()) -> list[str]:
-    """The breaches of all invariants of a gateway with several cells, as text; empty if there are none."""
+    """The violations of all invariants of a gateway with several cells, as text; empty if there are none."""
     return [
         *view_bounded(gateway),
         *homes_agree(gateway, functions),
--- a/gaproute/maintenance/invariants.py
+++ b/gaproute/maintenance/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of a running round, by what its controller believes. Each check returns breaches as
+"""What must always hold of a running round, by what its controller believes. Each check returns violations as
 texts that begin with the name of the invariant."""
 
 from collections.abc import Iterator, MutableMapping
@@ -63,10 +63,10 @@
     if controller.log.is_over:
         return []  # it is not updated any more
     return [
-        breach
+        violation
         for name, functions in controller.estimate.warm.items()
         for function, lanes in functions.items()
-        for breach in _check_lanes(now, status, name, function, lanes)
+        for violation in _check_lanes(now, status, name, function, lanes)
     ]
 
 
@@ -97,16 +97,16 @@
     """Of one answer to a crew. `greatest_tokens`: by host; the caller's, over all rounds."""
     if isinstance(answer, GrantRejection):
         return []
-    host, breaches = controller.hosts[name], []
+    host, violations = controller.hosts[name], []
     if not (controller.holds_turn(now) and host.holds_lease(now)):
-        breaches.append(f"no host out without a lease: {name}")
+        violations.append(f"no host out without a lease: {name}")
     if answer.fencing_token < greatest_tokens.get(name, 0):
-        breaches.append(
+        violations.append(
             f"no host out on an old fencing token: {name} by {answer.fencing_token}"
             f" after {greatest_tokens[name]}"
         )
     shortfalls = controller.estimate.shortfalls
     if shortfalls and host.state_since == now:
-        breaches.append(f"the floor is met as estimated: {shortfalls[0]} when {name} was given out")
+        violations.append(f"the floor is met as estimated: {shortfalls[0]} when {name} was given out")
     greatest_tokens[name] = max(answer.fencing_token, greatest_tokens.get(name, 0))
-    return breaches
+    return violations
