--- a/benchmarks/scale/cell_work.py
+++ b/benchmarks/scale/cell_work.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import asdict, dataclass
 from types import FrameType
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from benchmarks.scale.measurement import LADDERS
 from benchmarks.scale.size import CHANGES_A_SECOND
@@ -18,7 +18,7 @@
 from gaproute.hollow.cells.metered_loop import MeteredLoop
 from gaproute.hollow.cells.plan import HOSTS
 from gaproute.hollow.simulation import SimulatedLoop
-from gaproute.hollow.simulation.loop import Callback
+from gaproute.loop.timers import Callback
 
 FILE = "cells-work.json"
 CONDITIONS = "one cell in full, no garbage collections, calls counted in every second gateway"
@@ -38,7 +38,7 @@
         super().__init__(shared, lag)
         self.calls, self.counting = 0, False
 
-    def _measure(self, call: Callback, args: tuple[Any, ...]) -> None:
+    def _measure(self, call: Callback, args: tuple[object, ...]) -> None:
         if not self.counting:
             super()._measure(call, args)
             return
@@ -79,7 +79,8 @@
     try:
         fleet = CellFleet(int(size), seed=seed, hosts=hosts, full_cells=FULL, make_loop=CountingLoop)
         fleet.run(SETTLE)
-        loops: list[CountingLoop] = [gateway.loop for gateway in fleet.full_gateways()]
+        full = [gateway.loop for gateway in fleet.full_gateways()]
+        loops = [loop for loop in full if isinstance(loop, CountingLoop)]
         for loop in loops[::2]:
             loop.counting = True
         last_cell = fleet.plan.cells - 1
--- a/gaproute/cluster/links/counts.py
+++ b/gaproute/cluster/links/counts.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, fields
-from typing import Any
+
+from gaproute.cluster.json_objects import JsonObject
 
 # Fields whose key in a report and in a run's verdict is another.
 KEYS = {
@@ -14,6 +15,7 @@
     "discarded": "spilt",
     "held": "kept",
     "effects": "weather",
+    "violations": "breaches",
 }
 
 
@@ -24,7 +26,7 @@
     `refused`: connections that the far end or a slot refused; `pending`: those that cannot open yet;
     `given_up`: those whose caller left before; `unmatched`: addresses between no two slots; `overrun`:
     datagrams that found the socket's buffer full; `discarded`: datagrams beyond the emulator's own bounds;
-    `late_ns`: the longest lateness since the last report. `errors` and `breaches` are texts.
+    `late_ns`: the longest lateness since the last report. `errors` and `violations` are texts.
     """
 
     bytes: int
@@ -46,13 +48,13 @@
     late_ns: int
     late_most_ns: int
     errors: list[str]
-    breaches: list[str]
+    violations: list[str]
 
-    def as_json(self) -> dict[str, Any]:
+    def as_json(self) -> JsonObject:
         """The report as it is sent, and as a run's verdict has it."""
         return {KEYS.get(each.name, each.name): getattr(self, each.name) for each in fields(self)}
 
     @classmethod
-    def from_json(cls, document: Mapping[str, Any]) -> LinkCounts:
+    def from_json(cls, document: JsonObject) -> LinkCounts:
         """The inverse of `as_json`. Errors: KeyError for a key that is missing."""
         return cls(**{each.name: document[KEYS.get(each.name, each.name)] for each in fields(cls)})
--- a/gaproute/standins/model_server/server.py
+++ b/gaproute/standins/model_server/server.py
@@ -9,17 +9,18 @@
 
 import random
 from collections.abc import Callable, Generator
-from typing import Any
 
 import msgspec
 
 from gaproute.loop import Loop, Promise
 from gaproute.loop.loop import MILLI
-from gaproute.standins.model_server import invariants
+from gaproute.standins.invariant_violation import note_violations
+from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.model_server.coroutines import CoroutineGroup
 from gaproute.standins.model_server.faults import ActiveFaults, FaultCommand, RequestFault
 from gaproute.standins.model_server.fetching import Fetch
 from gaproute.standins.model_server.instance_pool import InstancePool
+from gaproute.standins.model_server.invariants import find_violations
 from gaproute.standins.model_server.model_instances import ModelInstances
 from gaproute.standins.model_server.processor import Processor
 from gaproute.standins.model_server.profiles import HostSetup, ModelProfile
@@ -81,7 +82,7 @@
         memory = self.pool.instance_count() / self.profile.copies
         return HostLoad(waiting, in_flight, self.processor.utilization(), memory)
 
-    def command(self, command: dict[str, Any]) -> None:
+    def command(self, command: JsonObject) -> None:
         """Begins or ends a fault; see `FaultCommand` for the form. Errors: msgspec.ValidationError."""
         fault = msgspec.convert(command, FaultCommand)
         self.tap.note("trouble", name=fault.name, on=fault.active)
@@ -218,7 +219,7 @@
             link=order.connection_id,
         )
 
-    def _await_loads(self, instances: ModelInstances, count: int) -> Generator[Promise, Any, int]:
+    def _await_loads(self, instances: ModelInstances, count: int) -> Generator[Promise, object, int]:
         while instances.loaded < count and instances.loading:
             yield self.loop.sleep(ORDER_CHECK_INTERVAL)
         return instances.loaded
@@ -229,8 +230,7 @@
         if self.stopped:
             return
         self.pool.unload_idle(self.loop.now())
-        for breach in invariants.breaches(self):
-            self.tap.note("breach", check=breach.check, text=breach.text)
+        note_violations(self.tap, find_violations(self))
         self.loop.after(UPKEEP_INTERVAL, self._upkeep)
 
 
--- a/tests/dissemination/test_asking.py
+++ b/tests/dissemination/test_asking.py
@@ -5,9 +5,9 @@
 
 from gaproute.shared.dissemination import Change, DocumentError, Peer, bounds
 from gaproute.shared.dissemination.assembly import Assembly
-from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.messages import NOTHING, Announcement, Busy, Part, Pull, Push
 from gaproute.shared.dissemination.replica import Replica
+from gaproute.units import SECOND
 
 HELD, NEXT = Version(1, 1), Version(1, 2)
 
@@ -152,7 +152,7 @@
     assert not assembly.take(part(4, digest=6, version=Version(1, 3)))
     assert not assembly.take(part(0, size=0))
     assert not assembly.take(part(0, b""))
-    assert not assembly.take(part(0, size=bounds.MAX_WHOLE + 1))
+    assert not assembly.take(part(0, size=bounds.MAX_DOCUMENT_BYTES + 1))
 
 
 # Asking, in detail
