--- a/tests/membership/test_membership_fleets.py
+++ b/tests/membership/test_membership_fleets.py
@@ -4,8 +4,8 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.shared.membership import MemberState
-from gaproute.shared.membership.dissemination import MAX_MESSAGE_BYTES
 from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.message_builder import MAX_MESSAGE_BYTES
 from gaproute.standins.membership_network import MembershipNetwork
 
 SECOND = 1_000_000_000
