--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -3,10 +3,10 @@
 Nothing is sent before it is durable.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
+from functools import cached_property
 
 from gaproute.shared.raft import bootstrap, committed, election, follower, leader, requests
-from gaproute.shared.raft.disk import Disk
 from gaproute.shared.raft.invariants import NodeCheck
 from gaproute.shared.raft.membership import is_majority
 from gaproute.shared.raft.messages import (
@@ -23,9 +23,7 @@
 from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
-from gaproute.shared.raft.state_machine import StateMachine
 from gaproute.shared.raft.timing import STORAGE_RETRY_INTERVAL
-from gaproute.shared.randomness import RandomSource
 
 MAX_TERM_JUMP = 1 << 30  # a term so far above the own one is invalid: an election per second for 30 years
 
@@ -52,19 +50,10 @@
     invariants found.
     """
 
-    def __init__(
-        self,
-        name: str,
-        configured_members: Iterable[str],
-        disk: Disk,
-        random: RandomSource,
-        now: int,
-        machine: StateMachine,
-        *,
-        fencing_base: int = 0,
-    ) -> None:
-        super().__init__(name, configured_members, disk, random, now, machine, fencing_base=fencing_base)
-        self.check = NodeCheck()
+    @cached_property
+    def check(self) -> NodeCheck:
+        """The check of this node against its state at the last check."""
+        return NodeCheck()
 
     def tick(self, now: int) -> Outbox:
         """Does what is due; returns the messages to send."""
