--- a/benchmarks/fleet/cold_play.py
+++ b/benchmarks/fleet/cold_play.py
@@ -46,7 +46,7 @@
         self.hosts.update({f"h{number}": WarmingHost(number, day) for number in range(day.hosts)})
         self._hosts_made = day.hosts
         for gateway in self.gateways:
-            gateway.gateway.update_hosts(0, self.host_rows(), True)
+            gateway.gateway.update_hosts(0, self.host_rows(), complete=True)
         self._weights = [
             self.random.choice(WEIGHTS) if day.uneven else USUAL_WEIGHT for _ in range(day.gateways)
         ]
@@ -138,7 +138,7 @@
 
     def _hand_list(self, number: int) -> None:
         gateway, now = self.gateways[number].gateway, self.clock.now
-        gateway.update_hosts(now, self.host_rows(), True)
+        gateway.update_hosts(now, self.host_rows(), complete=True)
         if not self._with_hints:
             return
         for host in [host for host in gateway.active_hosts if now < host.warm_at]:
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -73,7 +73,7 @@
         self.requests: dict[str, FleetRequest] = {}  # in flight, by id
         self._waits: dict[str, object] = {}  # the latest wait of each key
         self._connections: dict[str, int] = {}  # by host: when it was used last
-        self.gateway.update_hosts(world.clock.now, host_rows, True)
+        self.gateway.update_hosts(world.clock.now, host_rows, complete=True)
         self.start_housekeeping(world.clock.now)
 
     def ask(self, function: str, request_class: int) -> None:
@@ -178,7 +178,7 @@
 
     def _probe_answered(self, host: str, report: face.Report | None) -> None:
         if not self.is_down:
-            self.probe_answered(self.world.clock.now, host, report is not None, report)
+            self.probe_answered(self.world.clock.now, host, report, good=report is not None)
 
     def broadcast(self, payload: bytes) -> None:
         """See `Driver`."""
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -115,7 +115,7 @@
         """Hand the host list to all gateways."""
         rows = self.host_rows()
         for gateway in self.gateways:
-            gateway.gateway.update_hosts(self.clock.now, rows, True)
+            gateway.gateway.update_hosts(self.clock.now, rows, complete=True)
 
     def restart(self, number: int) -> None:
         """Kill a gateway with all that it knows and has in flight, and start another in its place."""
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -126,7 +126,7 @@
         interface.ListedHost(f"h{number}", number % 3, number % 5, active, 4.0, None)
         for number in range(hosts)
     ]
-    gateway.update_hosts(0, rows, True)
+    gateway.update_hosts(0, rows, complete=True)
     return gateway
 
 
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -47,7 +47,7 @@
         self._hosts: list[str] = []
         self._reported: dict[str, float] = {}  # calls in flight by host
 
-    def update_hosts(self, now: int, rows: Sequence[face.ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, rows: Sequence[face.ListedHost], *, complete: bool) -> None:
         """Take all hosts."""
         self._hosts = [row.host for row in rows]
 
@@ -91,7 +91,7 @@
             gateway = CellGateway(self, location.name, location.zone, decisions)
             self.gateways[location.name] = gateway
             hosts = choose_hosts(random, list(self.hosts.values()))
-            decisions.update_hosts(0, [self.host_row(host) for host in hosts], True)
+            decisions.update_hosts(0, [self.host_row(host) for host in hosts], complete=True)
             gateway.housekeep()
 
 
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -122,7 +122,7 @@
         """Give a gateway the list of a cell's hosts that are up."""
         hosts = [self.hosts[name] for name in self.hosts_of.get(cell, ())]
         rows = [self.host_row(host) for host in hosts if host.is_up]
-        gateway.decisions.update_hosts(self.clock.now, rows, True, cell)
+        gateway.decisions.update_hosts(self.clock.now, rows, complete=True, cell=cell)
 
     def host_row(self, host: CellHost) -> face.ListedHost:
         """The host as the list has it."""
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -44,7 +44,7 @@
         rows = [
             face.ListedHost(f"{name}-{host}", 0, 0, face.State.ACTIVE, 1.0, None) for host in range(HOSTS)
         ]
-        gateway.update_hosts(0, rows, True, name)
+        gateway.update_hosts(0, rows, complete=True, cell=name)
     return gateway, holder
 
 
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -49,8 +49,8 @@
                 self.hosts.probe(name, self._probe_ended)
             self.loop.run(until=self.ended)
 
-    def _probe_ended(self, ready: bool, report: Report | None) -> None:
-        self.ready += ready
+    def _probe_ended(self, report: Report | None, *, good: bool) -> None:
+        self.ready += good
         self.waiting -= 1
         if not self.waiting:
             self.ended.set(None)
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -59,7 +59,7 @@
     caller = Caller(hosts, seed)
     caller.fill_mix()
     started = row(0, started=caller.now)
-    caller.gateway.update_hosts(caller.now, [started], False)
+    caller.gateway.update_hosts(caller.now, [started], complete=False)
     names = [f"rare-{number}" for number in range(repeats(hosts))]
     for name in names:
         caller.call(name)
@@ -81,7 +81,7 @@
 def whole_list(hosts: int, seed: int) -> float:
     """Milliseconds of the first whole list."""
     gateway, listed = Gateway(seed, TERMS, 0), rows(hosts)
-    return cpu_ms(lambda: gateway.update_hosts(0, listed, True))
+    return cpu_ms(lambda: gateway.update_hosts(0, listed, complete=True))
 
 
 def reported_warm_call(hosts: int, seed: int) -> float:
@@ -91,7 +91,7 @@
 
 def change(caller: Caller, capacity: float) -> None:
     """One host's line changes."""
-    caller.gateway.update_hosts(caller.now, [row(0, capacity=capacity)], False)
+    caller.gateway.update_hosts(caller.now, [row(0, capacity=capacity)], complete=False)
 
 
 def changed_line(hosts: int, seed: int) -> float:
--- a/benchmarks/scale/costs/functions.py
+++ b/benchmarks/scale/costs/functions.py
@@ -71,9 +71,9 @@
 
 def _host_leaves(caller: Caller, number: int) -> float:
     """Milliseconds of a round before which a host left the list; it is listed again afterwards."""
-    caller.gateway.update_hosts(caller.now, [row(number, State.GONE)], False)
+    caller.gateway.update_hosts(caller.now, [row(number, State.GONE)], complete=False)
     spent = _cleanup(caller)
-    caller.gateway.update_hosts(caller.now, [row(number)], False)
+    caller.gateway.update_hosts(caller.now, [row(number)], complete=False)
     return spent
 
 
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -72,7 +72,7 @@
     def __init__(self, hosts: int, seed: int, report: face.Report | None = None):
         self.now, self.calls, self.report = SECOND, 0, report
         self.gateway = Gateway(seed, TERMS, self.now)
-        self.gateway.update_hosts(self.now, rows(hosts), True)
+        self.gateway.update_hosts(self.now, rows(hosts), complete=True)
 
     def call(self, function: str) -> str:
         """Make one call, from acceptance to its delivered answer; returns the host. Raises CallError."""
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -77,7 +77,7 @@
                 connections.states[fd] = QUEUED
                 connections.new_queue.append((fd, seen))
 
-    def next_queue(admission: Any, returning: int, new: int, arriving: int) -> AdmissionQueue | None:
+    def next_queue(admission: Any, returning: int, new: int, *, arriving: bool) -> AdmissionQueue | None:
         if arriving:
             return AdmissionQueue.ARRIVING
         return AdmissionQueue.NEW if new else None
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -162,7 +162,7 @@
     def update_hosts(self, rows: Sequence[Endpoint]) -> None:
         """Applies a complete host list, to the connections first: decisions may use a new host at once."""
         self.hosts_changed(rows)
-        self.core.update_hosts([row.listed for row in rows], True)
+        self.core.update_hosts([row.listed for row in rows], complete=True)
         self.peers.update_hosts(self.host_list.states())
 
     def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -36,6 +36,8 @@
     "8": interface.Result.NOT_LOADED,
 }
 OK = "0"
+# The results with which a host counts the requests of the function, where hosts do so at all.
+COUNTED_RESULTS = (interface.Result.OK, interface.Result.FULL)
 FLAGS = {"0": False, "1": True, ABSENT: False}
 # The remark of an outcome: the lower bits say what the attempt found, the others count requests of the
 # function.
@@ -108,14 +110,18 @@
 
 
 @decoder
-def decode_outcome(line: AttemptEnded, same_function_counted: bool) -> interface.Outcome | None:
-    """The outcome of an attempt; None if its result is unknown."""
+def decode_outcome(
+    line: AttemptEnded, counted_results: tuple[interface.Result, ...]
+) -> interface.Outcome | None:
+    """The outcome of an attempt; None if its result is unknown.
+
+    `counted_results`: the results whose remark counts the requests of the function at the host.
+    """
     result = RESULTS.get(line.result)
     if result is None:
         return None
     remark = _integer(line.remark)
     found = remark & ((1 << FOUND_BITS) - 1)
-    counted = same_function_counted and result in (interface.Result.OK, interface.Result.FULL)
     return interface.Outcome(
         line.request,
         _integer(line.attempt),
@@ -124,7 +130,7 @@
         _nanoseconds(line.elapsed) or 0,
         _flag(line.ended),
         interface.Found(found if found <= MAX_FOUND else 0),
-        remark >> FOUND_BITS if counted else None,
+        remark >> FOUND_BITS if result in counted_results else None,
         _report(line.report),
     )
 
--- a/gaproute/benchlink/events.py
+++ b/gaproute/benchlink/events.py
@@ -14,7 +14,7 @@
 
 def on_attempt_ended(instance: Instance, now: int, line: lines.AttemptEnded) -> None:
     """Handles the outcome of an attempt; an unknown result is ignored."""
-    outcome = decoding.decode_outcome(line, instance.same_function_counted)
+    outcome = decoding.decode_outcome(line, instance.counted_results)
     if outcome is not None:
         instance.handle_outcome(now, outcome)
 
@@ -37,7 +37,7 @@
 def on_probe_answered(instance: Instance, now: int, line: lines.ProbeAnswered) -> None:
     """Handles the answer to a health check."""
     report = decoding.decode_probe_report(line)
-    instance.probe_answered(now, line.host, line.result == decoding.OK, report)
+    instance.probe_answered(now, line.host, report, good=line.result == decoding.OK)
 
 
 def on_peer_message(instance: Instance, now: int, line: lines.PeerMessage) -> None:
--- a/gaproute/benchlink/hub.py
+++ b/gaproute/benchlink/hub.py
@@ -127,7 +127,7 @@
             if line.list_number not in self.host_lists:
                 raise lines.WireFormatError(f"no list {line.list_number}")
             rows = self.host_lists[line.list_number]
-            instance.gateway.update_hosts(self.now, rows, line.kind in WHOLE_LISTS)
+            instance.gateway.update_hosts(self.now, rows, complete=line.kind in WHOLE_LISTS)
         instance.start_housekeeping(self.now)
 
     # The reply
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from gaproute import interface
-from gaproute.benchlink.decoding import encode_milliseconds
+from gaproute.benchlink.decoding import COUNTED_RESULTS, encode_milliseconds
 from gaproute.core.driver import Driver
 from gaproute.core.ports import DecisionModule
 
@@ -15,7 +15,7 @@
 
     def __init__(self, make_gateway: MakeGateway, seed: int, terms: interface.Terms, now: int) -> None:
         super().__init__(make_gateway(seed, terms, now))
-        self.same_function_counted = terms.same_function_counted
+        self.counted_results = COUNTED_RESULTS if terms.same_function_counted else ()
         self.wait_numbers: dict[str, str] = {}  # by key: the number of the current wait
         self.timer_count = 0
         self.lines: list[str] = []  # of the reply
--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -79,7 +79,7 @@
             return True
         return self._evictable_stream() is not None or self._eviction_candidate() is not None
 
-    def admit(self, address: str, counted: bool) -> int | None:
+    def admit(self, address: str, *, counted: bool) -> int | None:
         """Admits a new connection; returns the id of its address, or None if the connection is rejected.
 
         `counted`: whether it counts as a client's connection; those of operators and peers do not.
@@ -181,7 +181,7 @@
         """Serves the queues until that time, at least one connection; returns whether some still wait."""
         while True:
             queue = self.admission.next_queue(
-                len(self.returning_queue), len(self.new_queue), bool(self.ready_listeners)
+                len(self.returning_queue), len(self.new_queue), arriving=bool(self.ready_listeners)
             )
             if queue is None:
                 return bool(self.ready_listeners)
--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -94,7 +94,7 @@
         address_id = None
         if self._may_accept():
             source = address[0] if self.family != socket.AF_UNIX else ""
-            address_id = self.connections.admit(source, self.counted)
+            address_id = self.connections.admit(source, counted=self.counted)
         if address_id is None:
             self.rejected_connections += 1
             self._reject(sock)
@@ -140,7 +140,7 @@
     def unregister(self, connection: Connection) -> None:
         """Forgets an active connection that was closed."""
         del self.active_connections[connection]
-        self.connections.release(connection.address_id, self.counted)
+        self.connections.release(connection.address_id, counted=self.counted)
         self.check_emptied()
 
     def check_emptied(self) -> None:
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -111,7 +111,7 @@
         ):
             column.frombytes(bytes(added * column.itemsize))
 
-    def release(self, address_id: int, counted: bool) -> None:
+    def release(self, address_id: int, *, counted: bool) -> None:
         """Counts one connection of the address less; `counted`: whether it was that of a client."""
         self.client_count -= counted
         self.address_counts.remove(address_id)
@@ -124,7 +124,7 @@
             os.close(fd)
         except OSError:
             pass  # Linux gives the descriptor back whatever error close(2) returns
-        self.release(self.address_ids[fd], owner.counted)
+        self.release(self.address_ids[fd], counted=owner.counted)
         owner.connection_closed()
 
     # Registration with the epoll of parked connections
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -63,5 +63,5 @@
     def update_cell_hosts(self, cell: str, rows: Sequence[interface.ListedHost]) -> None:
         """Takes over the complete host list of a cell."""
         now = self.loop.now()
-        self.gateway.update_hosts(now, rows, True, cell=cell)
+        self.gateway.update_hosts(now, rows, complete=True, cell=cell)
         self.start_housekeeping(now)
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -132,10 +132,10 @@
 
     # Hosts
 
-    def update_hosts(self, rows: Sequence[interface.ListedHost], complete: bool) -> None:
+    def update_hosts(self, rows: Sequence[interface.ListedHost], *, complete: bool) -> None:
         """Takes over the host list (`complete`), or a change of it."""
         now = self.loop.now()
-        self.gateway.update_hosts(now, rows, complete)
+        self.gateway.update_hosts(now, rows, complete=complete)
         self.start_housekeeping(now)
 
     def watch_hosts(self) -> None:
@@ -174,8 +174,8 @@
         """Checks a host's health."""
         self.hosts.probe(host, partial(self._probe_answered, host))
 
-    def _probe_answered(self, host: str, good: bool, report: interface.Report | None) -> None:
-        self.probe_answered(self.loop.now(), host, good, report)
+    def _probe_answered(self, host: str, report: interface.Report | None, *, good: bool) -> None:
+        self.probe_answered(self.loop.now(), host, report, good=good)
 
     # Other gateways
 
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -96,9 +96,9 @@
             self.resume(key, now, _departed(key))
             self.forget(key)
 
-    def probe_answered(self, now: int, host: str, good: bool, report: interface.Report | None) -> None:
+    def probe_answered(self, now: int, host: str, report: interface.Report | None, *, good: bool) -> None:
         """Accounts for a health check that has ended; broadcasts the message that the decisions return."""
-        payload = self.gateway.probe_ended(now, host, good, report)
+        payload = self.gateway.probe_ended(now, host, report, good=good)
         if payload is not None:
             self.broadcast(payload)
 
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -37,14 +37,14 @@
         """Accounts for the outcome of an attempt."""
 
     def probe_ended(
-        self, now: int, host: str, good: bool, report: interface.Report | None, /
+        self, now: int, host: str, report: interface.Report | None, /, *, good: bool
     ) -> bytes | None:
         """Accounts for a health check. Returns the message for all other gateways, or None."""
 
     def peer_message_received(self, now: int, payload: bytes, /) -> None:
         """Takes a message of another gateway; one that cannot be decoded is ignored."""
 
-    def update_hosts(self, now: int, rows: Sequence[interface.ListedHost], complete: bool, /) -> None:
+    def update_hosts(self, now: int, rows: Sequence[interface.ListedHost], /, *, complete: bool) -> None:
         """Takes over the host list (`complete`) or a change of it."""
 
     def host_list_poll_failed(self, now: int, /) -> None:
@@ -76,6 +76,13 @@
         """
 
 
+class OnProbeEnded(Protocol):
+    """Called once a health check has ended."""
+
+    def __call__(self, report: interface.Report | None, /, *, good: bool) -> object:
+        """`report`: what the host said of its load; `good`: whether it can serve requests."""
+
+
 class Hosts(RequestSender, Protocol):
     """Sends requests, load orders and health checks to hosts; `done` as for `RequestSender`."""
 
@@ -84,5 +91,5 @@
     ) -> None:
         """Orders a host to load a function; `done` gets the result and how many instances are loaded."""
 
-    def probe(self, host: str, done: Callable[[bool, interface.Report | None], None], /) -> None:
+    def probe(self, host: str, done: OnProbeEnded, /) -> None:
         """Checks a host's health; `done` is not called where the check could not be sent."""
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -109,7 +109,7 @@
         self._chance = chance
         self._turn = 0
 
-    def next_queue(self, returning: int, new: int, arriving: bool) -> AdmissionQueue | None:
+    def next_queue(self, returning: int, new: int, *, arriving: bool) -> AdmissionQueue | None:
         """The queue that is served now, by the number of connections in each; None if all are empty."""
         accepting = arriving and new < MAX_NEW_WAITING
         self._turn = (self._turn + 1) % (RETURNING_SHARE + 1)
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -92,13 +92,13 @@
         return self._cells_in_view()
 
     def update_hosts(
-        self, now: int, rows: Sequence[ListedHost], complete: bool, cell: str | None = None
+        self, now: int, rows: Sequence[ListedHost], *, complete: bool, cell: str | None = None
     ) -> None:
         """Takes over the hosts of a cell, or those of the whole fleet while there is one cell."""
         if self.single is not None:
-            self.single.update_hosts(now, rows, complete)
+            self.single.update_hosts(now, rows, complete=complete)
         elif cell is not None and cell in self._cells_in_view():
-            self.local.update_hosts(now, cell, rows, complete)
+            self.local.update_hosts(now, cell, rows, complete=complete)
 
     def _cells_in_view(self) -> tuple[str, ...]:
         return self.view.names() if self.view is not None else ()
@@ -170,12 +170,12 @@
         if gateway is not None:
             gateway.attempt_ended(now, outcome)
 
-    def probe_ended(self, now: int, host: str, good: bool, report: Report | None) -> bytes | None:
+    def probe_ended(self, now: int, host: str, report: Report | None, *, good: bool) -> bytes | None:
         """Accounts for a health check; returns the message for all other gateways, or None."""
         gateway = self.single or self.local.of_host(host)
         if gateway is None:
             return None
-        payload: bytes | None = gateway.probe_ended(now, host, good, report)
+        payload: bytes | None = gateway.probe_ended(now, host, report, good=good)
         return payload
 
     def load_order_ended(
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -47,7 +47,7 @@
             self.housekeepers.pop(name, None)
             self.loads.pop(name, None)
 
-    def update_hosts(self, now: int, name: str, rows: Sequence[ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, name: str, rows: Sequence[ListedHost], *, complete: bool) -> None:
         """Takes over the host list of a cell in view, or changes to it; changes before the first list are
         ignored.
         """
@@ -57,7 +57,7 @@
                 return
             gateway = self.new_gateway(now)
             self.add(name, gateway)
-        gateway.update_hosts(now, rows, complete)
+        gateway.update_hosts(now, rows, complete=complete)
 
     def new_gateway(self, now: int) -> Gateway:
         """Makes a gateway that shares the limit on load orders and the end of the process."""
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -158,7 +158,7 @@
 
     # The host list, probes and load orders
 
-    def update_hosts(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
         """Takes over a host list; `complete`: hosts that it does not name are gone."""
         self.hosts.update(now, rows, complete=complete)
         self.sharing.hosts_listed([host.id for host in self.hosts.active])
@@ -171,7 +171,7 @@
         """The generator of polls, probes and cleanup, for as long as the gateway runs."""
         return self.housekeeping.run(now)
 
-    def probe_ended(self, now: int, host_id: str, good: bool, report: Report | None) -> bytes | None:
+    def probe_ended(self, now: int, host_id: str, report: Report | None, *, good: bool) -> bytes | None:
         """Accounts for a probe that has ended; returns the message for all other gateways, or None."""
         host = self.hosts.by_id.get(host_id)
         if host is not None:
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -105,7 +105,7 @@
         any_change = changed or lists.keys() != self._lists.keys()
         self._lists = lists
         for cell, rows in changed.items():
-            self.cellular.update_hosts(self._loop.now(), rows, True, cell)
+            self.cellular.update_hosts(self._loop.now(), rows, complete=True, cell=cell)
             self._lists_given += 1
         if any_change:
             starts = {row.host: row.started for rows in lists.values() for row in rows}
--- a/gaproute/hollow/host_list.py
+++ b/gaproute/hollow/host_list.py
@@ -64,7 +64,7 @@
         absent_at = self._watch.current_at if self._watch is not None else None
         listed = [endpoint.listed for endpoint in self._converter.endpoints(lines, absent_at)]
         self.rows = {host.host: host for host in listed}
-        self.decisions.update_hosts(self._loop.now(), listed, True)
+        self.decisions.update_hosts(self._loop.now(), listed, complete=True)
         self._lists_read += 1
         for listener in self.listeners:
             listener({name: host.started for name, host in self.rows.items()})
--- a/gaproute/hosts/attempts.py
+++ b/gaproute/hosts/attempts.py
@@ -4,12 +4,11 @@
 from typing import TypeAlias
 
 from gaproute.core.in_flight import AttemptResult
-from gaproute.interface import Report, Result
+from gaproute.interface import Result
 from gaproute.loop import Loop
 
 OnAttemptEnded: TypeAlias = Callable[[AttemptResult], object]
 OnLoadOrderEnded: TypeAlias = Callable[[Result, int], object]  # (result, instances that are loaded)
-OnProbeEnded: TypeAlias = Callable[[bool, Report | None], object]  # (ready, load report)
 
 
 class UnsentAttempt:
--- a/gaproute/hosts/cell_hosts.py
+++ b/gaproute/hosts/cell_hosts.py
@@ -1,12 +1,8 @@
 """Hosts of cells that come and go: a cell may be let go while a request is in flight there."""
 
 from gaproute.core.in_flight import AttemptHandle
-from gaproute.hosts.attempts import (
-    OnAttemptEnded,
-    OnLoadOrderEnded,
-    OnProbeEnded,
-    UnsentAttempt,
-)
+from gaproute.core.ports import OnProbeEnded
+from gaproute.hosts.attempts import OnAttemptEnded, OnLoadOrderEnded, UnsentAttempt
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import Call
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -9,13 +9,9 @@
 from functools import partial
 
 from gaproute.core.in_flight import AttemptHandle, AttemptResult
+from gaproute.core.ports import OnProbeEnded
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.hosts.attempts import (
-    OnAttemptEnded,
-    OnLoadOrderEnded,
-    OnProbeEnded,
-    UnsentAttempt,
-)
+from gaproute.hosts.attempts import OnAttemptEnded, OnLoadOrderEnded, UnsentAttempt
 from gaproute.hosts.jsonlines import messages
 from gaproute.hosts.jsonlines.connection_pool import SECOND, ConnectionPool
 from gaproute.hosts.jsonlines.host import Host
@@ -109,7 +105,7 @@
         )
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
-        """Ask a host for its readiness and load; `on_ended(ready, load report)` is called once, later.
+        """Ask a host for its readiness and load; `on_ended` is called with both once, later.
 
         It is not called where this machine had no connection or descriptor for the probe, as that shows
         nothing about the host.
@@ -119,9 +115,10 @@
             if outcome is Result.NOT_SENT:
                 return
             health = None if isinstance(outcome, Result) else messages.decode_health(outcome)
-            on_ended(*(health or (False, None)))
+            ready, report = health or (False, None)
+            on_ended(report, good=ready)
 
-        tag, not_ready = self._next_tag(), partial(on_ended, False, None)
+        tag, not_ready = self._next_tag(), partial(on_ended, None, good=False)
         self._submit_tagged(
             host_name,
             tag,
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -9,14 +9,10 @@
 from typing import TypeAlias
 
 from gaproute.core.in_flight import AttemptHandle
+from gaproute.core.ports import OnProbeEnded
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import orca, results
-from gaproute.hosts.attempts import (
-    OnAttemptEnded,
-    OnLoadOrderEnded,
-    OnProbeEnded,
-    UnsentAttempt,
-)
+from gaproute.hosts.attempts import OnAttemptEnded, OnLoadOrderEnded, UnsentAttempt
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
 from gaproute.hosts.kserve.attempts import SentAttempt, attempt_result
@@ -141,7 +137,7 @@
             self.loop.soon(on_ended, Result.FULL, 0)
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
-        """Ask for readiness and load; `on_ended(ready, load report)` once, never at once.
+        """Ask for readiness and load; `on_ended` is called with both once, never at once.
 
         It is not called where this machine had no connection or descriptor for the probe: that says nothing
         of the host.
@@ -151,15 +147,15 @@
         def ended(outcome: Response | NoResponseError) -> None:
             if isinstance(outcome, NoResponseError):
                 if results.of_undelivered(outcome) is not Result.NOT_SENT:
-                    on_ended(False, None)
+                    on_ended(None, good=False)
             elif outcome.status == OK_STATUS:
-                on_ended(True, orca.decode_headers(outcome.headers).report)
+                on_ended(orca.decode_headers(outcome.headers).report, good=True)
             else:
-                on_ended(False, None)
+                on_ended(None, good=False)
 
         data = messages.encode_ready(host.address_text)
         timeout = self.settings.probe_timeout
-        self._exchange_within(host, data, timeout, ended, partial(on_ended, False, None))
+        self._exchange_within(host, data, timeout, ended, partial(on_ended, None, good=False))
 
     def close(self) -> None:
         """Close every connection, and sweep no more."""
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -37,7 +37,7 @@
         endpoints = self.converter.endpoints(event.fleet, absent_at)
         complete = event.fleet.complete
         self.hosts.update(endpoints, complete=complete)
-        self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete)
+        self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete=complete)
         self.log.info(
             "host_list_changed",
             seq=event.seq,
--- a/gaproute/standins/rule_violators.py
+++ b/gaproute/standins/rule_violators.py
@@ -51,9 +51,9 @@
 class IgnoresDraining(Gateway):
     """Rule 3: goes on sending to hosts that are draining or gone."""
 
-    def update_hosts(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
         """Takes each listed host for an active one, and forgets none."""
-        super().update_hosts(now, [row._replace(state=State.ACTIVE) for row in rows], False)
+        super().update_hosts(now, [row._replace(state=State.ACTIVE) for row in rows], complete=False)
 
 
 class ChoosesLastStarted(HostSelector):
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -140,7 +140,7 @@
 
 def test_a_call_that_no_host_can_take_is_no_measurement():
     caller = Caller(3, 1)
-    caller.gateway.update_hosts(caller.now, [], True)
+    caller.gateway.update_hosts(caller.now, [], complete=True)
     with pytest.raises(CallError):
         caller.call("f")
 
@@ -234,6 +234,6 @@
 
 def test_a_cold_host_is_cold_for_the_gateway():
     caller = Caller(10, 1)
-    caller.gateway.update_hosts(caller.now, [row(0, started=caller.now)], False)
+    caller.gateway.update_hosts(caller.now, [row(0, started=caller.now)], complete=False)
     assert caller.gateway.hosts.all_warm_at > caller.now
     assert caller.gateway.hosts_by_id["host-000000"].warm_at == caller.gateway.hosts.all_warm_at
--- a/tests/connections/test_admission.py
+++ b/tests/connections/test_admission.py
@@ -61,13 +61,13 @@
 
 def test_returning_connections_get_most_of_the_turns_and_new_ones_are_never_starved():
     made = admission()
-    turns = [made.next_queue(1000, 100, True) for _ in range(4000)]
+    turns = [made.next_queue(1000, 100, arriving=True) for _ in range(4000)]
     assert turns.count(AdmissionQueue.RETURNING) == 3000
     assert 300 < turns.count(AdmissionQueue.NEW) < 700
     assert 300 < turns.count(AdmissionQueue.ARRIVING) < 700
-    assert made.next_queue(0, 0, False) is None
-    assert {made.next_queue(1, 0, False) for _ in range(8)} == {AdmissionQueue.RETURNING}
-    assert {made.next_queue(0, MAX_NEW_WAITING, True) for _ in range(50)} == {
+    assert made.next_queue(0, 0, arriving=False) is None
+    assert {made.next_queue(1, 0, arriving=False) for _ in range(8)} == {AdmissionQueue.RETURNING}
+    assert {made.next_queue(0, MAX_NEW_WAITING, arriving=True) for _ in range(50)} == {
         AdmissionQueue.NEW
     }  # no more are accepted
 
--- a/tests/connections/test_eviction.py
+++ b/tests/connections/test_eviction.py
@@ -75,15 +75,15 @@
 def test_an_address_whose_last_connection_makes_room_for_itself_is_counted_on():
     loop = Loop()
     connections = AcceptedConnections(loop, Admission(1, 10, 1000, Chance(1)))
-    first = connections.admit("a", True)
+    first = connections.admit("a", counted=True)
 
     def displace():
-        connections.release(first, True)
+        connections.release(first, counted=True)
         return True
 
     connections._evict_one = displace
-    place = connections.admit("a", True)
-    connections.release(place, True)
+    place = connections.admit("a", counted=True)
+    connections.release(place, counted=True)
     assert connections.client_count == 0
     assert not connections.addresses
     loop.close()
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -26,7 +26,7 @@
     def housekeep(self, now):
         yield face.Wait(now + SECOND)
 
-    def update_hosts(self, now, rows, complete):
+    def update_hosts(self, now, rows, *, complete):
         pass
 
 
@@ -220,10 +220,10 @@
 
     made = core(attempt_and_wait)
     made.gateway.housekeep = housekeep
-    made.update_hosts([], True)
+    made.update_hosts([], complete=True)
     run(made, 2 * MILLI)
-    made.update_hosts([], True)
-    made.update_hosts([], True)
+    made.update_hosts([], complete=True)
+    made.update_hosts([], complete=True)
     assert len(started) == 2
 
 
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -270,7 +270,7 @@
         if way == 5:
             self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
         self.hosts.update(shown, complete=True)
-        self.core.update_hosts([each.listed for each in shown], True)
+        self.core.update_hosts([each.listed for each in shown], complete=True)
         for host in self.hosts.hosts.values():
             host.address = self.lives[host.name]
 
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -50,7 +50,7 @@
             for name in some
         ]
         options = {"cell": "only"} if self.cell_known else {}
-        self.made.update_hosts(self.now, rows, complete, **options)
+        self.made.update_hosts(self.now, rows, complete=complete, **options)
 
     def begin(self, step):
         function, track = f"f{self.random.randrange(6)}", self.random.randrange(3)
@@ -104,7 +104,7 @@
                 worker = self.random.choice(self.names)
                 report = face.Report(in_hand=float(self.random.randrange(9)))
                 self.wishes.append(
-                    self.made.probe_ended(self.now, worker, self.random.random() < 0.8, report)
+                    self.made.probe_ended(self.now, worker, report, good=self.random.random() < 0.8)
                 )
             case 2:
                 name = self.random.choice(self.names)
@@ -135,7 +135,7 @@
 
 def test_what_carriers_ask_of_one_cell_is_answered():
     made = CellularGateway(7, TERMS, 0)
-    made.update_hosts(0, [row("a"), row("b")], True)
+    made.update_hosts(0, [row("a"), row("b")], complete=True)
     assert made.active_hosts == made.single.active_hosts
     assert made.hint_instance("a", "f", 4, 5)
     with pytest.raises(ValueError, match="without a place"):
@@ -148,7 +148,7 @@
     made.adopt(0, table(cells(count)))
     for name in made.wanted():
         if name in own:
-            made.update_hosts(0, [row(f"{name}-{host}") for host in "abc"], True, name)
+            made.update_hosts(0, [row(f"{name}-{host}") for host in "abc"], complete=True, cell=name)
     return made
 
 
@@ -186,7 +186,7 @@
     made = fleet()
     serve = made.serve(0, task("t", function_of(made, "cell7")), Forwarded("cell0", 1))
     assert next(serve).host.startswith("cell0-")
-    made.update_hosts(0, [], True, "cell0")
+    made.update_hosts(0, [], complete=True, cell="cell0")
     serve = made.serve(0, task("u"), Forwarded("cell0", 1))
     assert isinstance(next(serve), face.Reject)
 
@@ -325,7 +325,7 @@
 def test_a_known_cell_without_hosts_sends_its_calls_to_the_next_home():
     made = fleet()
     name = function_of(made, "cell0")
-    made.update_hosts(0, [], True, "cell0")
+    made.update_hosts(0, [], complete=True, cell="cell0")
     drive = Drive(made, task("t", name))
     assert drive.wishes[0].forwarded.cell == made.homes.order(name, 2)[1]
     assert made.health.is_faulty("cell0")
@@ -401,7 +401,7 @@
 def test_one_cell_becomes_several_and_its_tasks_end_well():
     made = CellularGateway(7, TERMS, 0, PLACE)
     made.adopt(0, table(cells(1)))
-    made.update_hosts(0, [row("a"), row("b")], True, "cell0")
+    made.update_hosts(0, [row("a"), row("b")], complete=True, cell="cell0")
     drive = Drive(made, task("t"))
     made.adopt(0, table(cells(26), number=2))
     assert "cell0" in made.local.gateways or "cell0" not in made.wanted()
@@ -412,8 +412,8 @@
 
 def test_all_known_cells_share_one_ration():
     made = fleet(own=("cell0", "cell13"))
-    made.update_hosts(0, [row("x")], True, made.wanted()[0])
-    made.update_hosts(0, [row("y")], True, made.wanted()[1])
+    made.update_hosts(0, [row("x")], complete=True, cell=made.wanted()[0])
+    made.update_hosts(0, [row("y")], complete=True, cell=made.wanted()[1])
     limiters = {id(gateway.load_order_limiter) for gateway in made.local.gateways.values()}
     assert len(made.local.gateways) == 2
     assert limiters == {id(made.local.load_order_limiter)}
@@ -422,7 +422,7 @@
 def test_housekeeping_probes_the_hosts_of_all_known_cells():
     made = fleet(reports_by_probe=True, reported_figures=("in_hand",))
     for name in made.wanted():
-        made.update_hosts(0, [row(f"{name}-{host}") for host in "ab"], True, name)
+        made.update_hosts(0, [row(f"{name}-{host}") for host in "ab"], complete=True, cell=name)
     housekeeping, now, probed = made.housekeep(0), 0, set()
     wish = next(housekeeping)
     for _ in range(200):
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -28,7 +28,7 @@
     """The same, with a table of several cells; it knows the hosts of one."""
     made = bare(**options)
     made.adopt(0, table(cells(count, entries=entries)))
-    made.update_hosts(0, [row(f"cell0-{host}") for host in "abc"], True, "cell0")
+    made.update_hosts(0, [row(f"cell0-{host}") for host in "abc"], complete=True, cell="cell0")
     return made
 
 
@@ -54,7 +54,7 @@
     made = bare()
     made.adopt(0, table([cell("only")]))
     assert isinstance(forwarded(made, "only"), CellUnknown)  # its host list has not come
-    made.update_hosts(0, [row("a")], True, "only")
+    made.update_hosts(0, [row("a")], complete=True, cell="only")
     assert isinstance(forwarded(made, "cell7"), CellUnknown)
     assert forwarded(made, "only").host == "a"
 
@@ -67,7 +67,7 @@
     refused = forwarded(made, "cell0")
     assert isinstance(refused, face.Reject)
     assert not isinstance(refused, CellUnknown)
-    made.update_hosts(0, [], True, "cell0")
+    made.update_hosts(0, [], complete=True, cell="cell0")
     made.health.faults.clear()
     assert isinstance(forwarded(made, "cell0"), CellUnknown)  # no host to send it to
 
--- a/tests/decisions/cells/test_suspicion.py
+++ b/tests/decisions/cells/test_suspicion.py
@@ -74,7 +74,7 @@
     """A gateway of zone 0 that knows the hosts of cell 0."""
     made = CellularGateway(7, TERMS._replace(hedging_allowed=False), 0, OWN)
     made.adopt(0, table(cells(26)))
-    made.update_hosts(0, [row(f"cell0-{host}") for host in "abc"], True, "cell0")
+    made.update_hosts(0, [row(f"cell0-{host}") for host in "abc"], complete=True, cell="cell0")
     return made
 
 
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -325,7 +325,7 @@
 def test_hints_of_hosts_that_left_the_list_meanwhile_are_not_followed():
     made = gateway()
     made.hint_instance("a", "f", 4, 5 * SECOND)
-    made.update_hosts(6 * SECOND, [row("b"), row("c")], True)
+    made.update_hosts(6 * SECOND, [row("b"), row("c")], complete=True)
     assert made.serve(6 * SECOND, task()).send(None).host != "a"
     assert "a" not in made.functions_by_name["f"].last_used
 
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -96,7 +96,7 @@
 
     def play(self):
         for gateway in self.gateways:
-            gateway.update_hosts(self.now, list(self.hosts.values()), True)
+            gateway.update_hosts(self.now, list(self.hosts.values()), complete=True)
         for number in range(GATEWAYS):
             key = (number, "housekeep")
             self.running[key] = [self.gateways[number].housekeep(self.now), None, 0]
@@ -226,7 +226,9 @@
 
     def probe(self, which, host):
         good = host in self.hosts and self.sick.get(host) != "silent"
-        words = self.gateways[which].probe_ended(self.now, host, good, self.report(host) if good else None)
+        words = self.gateways[which].probe_ended(
+            self.now, host, self.report(host) if good else None, good=good
+        )
         self.note(which, "words", words)
         for other in range(GATEWAYS) if words is not None else ():
             if other != which:
@@ -238,7 +240,7 @@
         if self.random.random() < 0.1:
             self.gateways[which].host_list_poll_failed(self.now)
         else:
-            self.gateways[which].update_hosts(self.now, list(self.hosts.values()), True)
+            self.gateways[which].update_hosts(self.now, list(self.hosts.values()), complete=True)
 
     def disturb(self):
         change = self.random.randrange(9)
@@ -263,7 +265,7 @@
         else:
             self.sick = {}
         for gateway in self.gateways if self.random.random() < 0.8 else ():
-            gateway.update_hosts(self.now, list(self.hosts.values()), self.random.random() < 0.7)
+            gateway.update_hosts(self.now, list(self.hosts.values()), complete=self.random.random() < 0.7)
         self.hint(self.random.randrange(GATEWAYS))
 
     def hint(self, which):
--- a/tests/decisions/routing/test_host_selector.py
+++ b/tests/decisions/routing/test_host_selector.py
@@ -64,7 +64,7 @@
 def test_a_function_spreads_over_hosts_in_proportion_to_its_share():
     def firsts(seed, name):
         made = Gateway(seed, TERMS, 0)
-        made.update_hosts(0, list(map(row, "abcdefgh")), True)
+        made.update_hosts(0, list(map(row, "abcdefgh")), complete=True)
         made.mix.recent.extend((["f"] + ["g"] * 7) * 32)
         assert made.mix.breadth("f") == 1
         ranks = made.ranking.ranks(name, made.functions.find_or_add(name, 4))
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -45,7 +45,7 @@
 
 def test_a_report_told_is_a_report_heard():
     one, other = shared(), shared()
-    words = one.probe_ended(0, "a", True, Report(cpu_busy=0.5, memory_busy=0.2))
+    words = one.probe_ended(0, "a", Report(cpu_busy=0.5, memory_busy=0.2), good=True)
     assert len(words) == 4
     other.peer_message_received(SECOND, words)
     worker = other.hosts_by_id["a"]
@@ -57,13 +57,13 @@
 
 @pytest.mark.parametrize("told", [{"peers_allowed": False}, {"gateways": 1}, {"reported_figures": ()}])
 def test_nothing_is_told_where_there_is_no_way_nobody_or_nothing(told):
-    assert shared(**told).probe_ended(0, "a", True, Report(cpu_busy=0.5)) is None
+    assert shared(**told).probe_ended(0, "a", Report(cpu_busy=0.5), good=True) is None
 
 
 def test_a_failed_probe_and_an_unknown_host_are_not_told():
     made = shared()
-    assert made.probe_ended(0, "a", False, Report(cpu_busy=0.5)) is None
-    assert made.probe_ended(0, "x", True, Report(cpu_busy=0.5)) is None
+    assert made.probe_ended(0, "a", Report(cpu_busy=0.5), good=False) is None
+    assert made.probe_ended(0, "x", Report(cpu_busy=0.5), good=True) is None
 
 
 def test_two_hosts_of_one_mark_are_neither_told_nor_heard(monkeypatch):
@@ -71,7 +71,7 @@
         load_report_codec, "host_mark", lambda name: b"zz" if name in "ab" else host_mark(name)
     )
     made = shared()
-    assert made.probe_ended(0, "a", True, Report(cpu_busy=0.5)) is None
+    assert made.probe_ended(0, "a", Report(cpu_busy=0.5), good=True) is None
     made.peer_message_received(SECOND, b"zz\1\1")
     assert made.hosts_by_id["a"].reported_at < SECOND
     assert made.hosts_by_id["b"].reported_at < SECOND
@@ -86,11 +86,11 @@
 
 def test_a_host_that_is_gone_is_no_longer_told_of():
     made = shared()
-    words = made.probe_ended(0, "a", True, Report(cpu_busy=0.5))
-    made.update_hosts(0, [row("a", state=face.State.GONE)], False)
+    words = made.probe_ended(0, "a", Report(cpu_busy=0.5), good=True)
+    made.update_hosts(0, [row("a", state=face.State.GONE)], complete=False)
     made.peer_message_received(1, words)
     assert made.hosts_by_id["a"].reported_at < 1
-    assert made.probe_ended(1, "a", True, Report(cpu_busy=0.5)) is None
+    assert made.probe_ended(1, "a", Report(cpu_busy=0.5), good=True) is None
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
@@ -112,8 +112,8 @@
 def test_a_host_heard_of_lately_is_not_probed_and_the_longest_unheard_is_first():
     made = shared(probe_price=0.0, peer_price=0.0, peers_allowed=False)
     for name in "abc":
-        made.probe_ended(SECOND, name, True, Report(cpu_busy=0.5))
-    made.probe_ended(SECOND + 5, "a", True, Report(cpu_busy=0.5))
+        made.probe_ended(SECOND, name, Report(cpu_busy=0.5), good=True)
+    made.probe_ended(SECOND + 5, "a", Report(cpu_busy=0.5), good=True)
     pick = made.sharing.host_to_probe
     assert pick(SECOND + PROBE_INTERVAL - 1, made.active_hosts, PROBE_INTERVAL, Chance(1)) is None
     assert pick(SECOND + PROBE_INTERVAL, made.active_hosts, PROBE_INTERVAL, Chance(1)).id == "b"
@@ -124,7 +124,7 @@
     picked = set()
     for seed in range(40):
         one = Gateway(seed * 7919, TERMS._replace(**TOLD), 0)
-        one.update_hosts(0, rows, True)
+        one.update_hosts(0, rows, complete=True)
         one.sharing.paid_probes = 1
         picked.add(one.sharing.host_to_probe(SECOND, one.active_hosts, PROBE_INTERVAL, one.chance).id)
     assert len(picked) > 4
--- a/tests/decisions/routing/test_ranking.py
+++ b/tests/decisions/routing/test_ranking.py
@@ -46,13 +46,13 @@
 def change(made, now, what, number):
     name = name_of(number)
     if what == "join":
-        made.update_hosts(now, [row(name)], False)
+        made.update_hosts(now, [row(name)], complete=False)
     elif what == "leave":
-        made.update_hosts(now, [row(name, state=face.State.GONE)], False)
+        made.update_hosts(now, [row(name, state=face.State.GONE)], complete=False)
     elif what == "renew" and name in made.hosts_by_id and made.hosts_by_id[name].active:
-        made.update_hosts(now, [row(name, capacity=3.0, zone=1)], False)
+        made.update_hosts(now, [row(name, capacity=3.0, zone=1)], complete=False)
     elif what == "restart" and name in made.hosts_by_id and made.hosts_by_id[name].active:
-        made.update_hosts(now, [row(name, started=now)], False)
+        made.update_hosts(now, [row(name, started=now)], complete=False)
     elif what == "forget":
         made.forget_departed_hosts()
 
@@ -84,10 +84,10 @@
     made = fleet_of(range(MOST))
     function = made.functions.find_or_add("f", 4)
     order = made.ranking.ranks("f", function) and function.ranked_hosts
-    made.update_hosts(1, [row("w1", capacity=3.0), row("w2", started=1)], False)
+    made.update_hosts(1, [row("w1", capacity=3.0), row("w2", started=1)], complete=False)
     assert made.ranking.ranks("f", function)
     assert function.ranked_hosts is order
-    made.update_hosts(2, [row("w3", state=face.State.DRAINING)], False)
+    made.update_hosts(2, [row("w3", state=face.State.DRAINING)], complete=False)
     assert made.ranking.ranks("f", function)
     assert function.ranked_hosts is not order
 
--- a/tests/decisions/routing/test_request_router.py
+++ b/tests/decisions/routing/test_request_router.py
@@ -65,7 +65,7 @@
 def test_drains_stop_requests_and_orders_at_once(change):
     made = gateway(row("a"))
     drive = Drive(made, task())
-    made.update_hosts(1, change, False)
+    made.update_hosts(1, change, complete=False)
     assert not any(
         isinstance(wish, (face.Attempt, face.LoadOrder)) for wish in drive.hears(2, Result.NOT_LOADED)
     )
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -127,7 +127,7 @@
     made = gateway(row("cold", started=0))
     made.hosts_by_id["cold"].credit = 1.0
     drive = Drive(made, task())
-    made.update_hosts(1, [], True)
+    made.update_hosts(1, [], complete=True)
     drive.hears(2, Result.OK)
     assert drive.ended
     assert not made.active_hosts
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -283,7 +283,7 @@
 def test_orders_and_probes_under_tags_of_their_own(bench):
     made, said = bench(), []
     made.hosts.order("h", CALL.model, 2, lambda *result: said.append(result))
-    made.hosts.probe("h", lambda *result: said.append(result))
+    made.hosts.probe("h", lambda report, *, good: said.append((good, report)))
     made.until(lambda: len(said) == 2)
     assert (Result.OK, 2) in said
     assert any(good is True and report.cpu_busy == 0.25 for good, report in said if good is True)
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -60,7 +60,7 @@
     end = made.loop.now() + SECOND
     made.send("a", call, face.Idempotency.NON_IDEMPOTENT, "t", end, end, lambda heard: results.append(heard))
     made.order("a", "f", 1, lambda result, copies: results.append((result, copies)))
-    made.probe("a", lambda good, report: results.append((good, report)))
+    made.probe("a", lambda report, *, good: results.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
     assert sorted(results, key=len) == [(face.Result.NOT_SENT, 0), AttemptResult(face.Result.NOT_SENT, None)]
     assert not made.hosts["a"].open
@@ -70,7 +70,7 @@
 def test_a_network_that_is_not_there_counts_as_no_connection_to_the_host(hosts):
     made, results = hosts(errno.EHOSTUNREACH), []
     made.order("a", "f", 1, lambda result, copies: results.append((result, copies)))
-    made.probe("a", lambda good, report: results.append((good, report)))
+    made.probe("a", lambda report, *, good: results.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
     assert results == [(face.Result.CONNECT_FAILED, 0), (False, None)]
 
@@ -126,14 +126,14 @@
     made, results = gate(clock=Handed()), []
     drop_all(made)
     monkeypatch.setattr(dialing, "socket", Sockets(errno.EMFILE))
-    made.process.hosts.probe("s-0", lambda good, report: results.append(good))
+    made.process.hosts.probe("s-0", lambda report, *, good: results.append(good))
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: results.append(result))
     for _ in range(50):
         made.passes(MILLI)
     assert results == [face.Result.NOT_SENT]
     drop_all(made)
     made.process.hosts.max_connections = 0
-    made.process.hosts.probe("s-0", lambda good, report: results.append(good))
+    made.process.hosts.probe("s-0", lambda report, *, good: results.append(good))
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: results.append(result))
     made.turns()
     assert results == [face.Result.NOT_SENT, face.Result.NOT_SENT]
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -314,7 +314,7 @@
 def test_a_snapshot_goes_on_while_functions_and_hosts_come_and_go(server):
     first = asked(server)
     server.transfers.gateway.functions.by_name.clear()
-    server.transfers.gateway.update_hosts(2 * SECOND, [row("w0")], True)
+    server.transfers.gateway.update_hosts(2 * SECOND, [row("w0")], complete=True)
     refill(server)
     assert not asked(server, cursor=first.next).next
 
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -69,7 +69,7 @@
 
 def gateway(*rows, **terms):
     made = Gateway(7, TERMS._replace(**terms), 0)
-    made.update_hosts(0, rows or [row("a"), row("b"), row("c")], True)
+    made.update_hosts(0, rows or [row("a"), row("b"), row("c")], complete=True)
     return made
 
 
--- a/tests/support/request_scenarios.py
+++ b/tests/support/request_scenarios.py
@@ -85,7 +85,7 @@
     """Connections stand to all hosts."""
     reports = []
     for name in made.process.hosts.hosts:
-        made.process.hosts.probe(name, lambda *report: reports.append(report))
+        made.process.hosts.probe(name, lambda report, *, good: reports.append((good, report)))
     made.until(lambda: len(reports) == len(made.hosts))
     assert all(host.connections for host in made.process.hosts.hosts.values())
 
