--- a/gaproute/rollouts/dispatcher.py
+++ b/gaproute/rollouts/dispatcher.py
@@ -65,7 +65,7 @@
     def tick(self, now: int) -> None:
         """Adapts leases to the targets; a rollout without an answer ends when its host must end it."""
         for rollout in [name for name, sent in self.in_flight.items() if sent.ends_by <= now]:
-            self.record_ended(now, rollout)
+            self.record_ended(rollout)
         for host in list(self.allotments):
             allotment = self.allotments[host]
             allotment.forget_closed_leases(now)
@@ -134,7 +134,7 @@
         ends_by = now + self.campaigns[name].min_lease_time
         self.in_flight[rollout] = InFlightRollout(name, host, lease, now, ends_by)
 
-    def record_ended(self, now: int, rollout: str, *, host_full: bool = False) -> None:
+    def record_ended(self, rollout: str, *, host_full: bool = False) -> None:
         """A rollout was answered, which proves that its lane is free again, or its time is over.
 
         `host_full`: the host rejected it for want of a lane.
--- a/gaproute/simulation/campaigns/gateway.py
+++ b/gaproute/simulation/campaigns/gateway.py
@@ -111,7 +111,7 @@
                 self.copies.record_end(now, host, copy)
             case TaskEnded():
                 if not self.production.record_end(message.task):
-                    self.rollouts.record_end(now, message)
+                    self.rollouts.record_end(message)
         return []
 
     def _query_hosts(self, now: int) -> Outbox:
--- a/gaproute/simulation/campaigns/rollout_sender.py
+++ b/gaproute/simulation/campaigns/rollout_sender.py
@@ -50,9 +50,9 @@
                 outgoing += self._fill(now, campaign, host)
         return outgoing
 
-    def record_end(self, now: int, ended: TaskEnded) -> None:
+    def record_end(self, ended: TaskEnded) -> None:
         """A host has answered or rejected a rollout."""
-        self.dispatcher.record_ended(now, ended.task, host_full=ended.result == TaskResult.FULL)
+        self.dispatcher.record_ended(ended.task, host_full=ended.result == TaskResult.FULL)
         rollout = self.sent.get(ended.task)
         if ended.result == TaskResult.NOT_LOADED and rollout is not None:
             self.views.forget_copy(ended.host, rollout.copy)
--- a/tests/rollouts/test_dispatcher.py
+++ b/tests/rollouts/test_dispatcher.py
@@ -82,7 +82,7 @@
     dispatcher.record_production_waiting(10, "h")
     # The last sent come first; those of `d` may not be cancelled.
     assert dispatcher.rollouts_to_cancel("h", 3) == ["gc03", "gc02", "gc01"]
-    dispatcher.record_ended(12, "gc03")
+    dispatcher.record_ended("gc03")
     report(dispatcher, 20, 5, 8)  # asked for before
     assert send_all(dispatcher, 20) == 0
     report(dispatcher, 20, 11, 8)
@@ -126,7 +126,7 @@
     assert first.in_flight
     assert server.table.amounts_held == {POOL: 6}  # not before its rollouts have ended
     for rollout in list(first.in_flight):
-        first.record_ended(now, rollout)
+        first.record_ended(rollout)
     first.tick(now)
     server.serve(now, first)
     assert server.table.amounts_held[POOL] == 2
