--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -23,6 +23,7 @@
 from gaproute.fronts.jsonrpc.connection import ClientConnection
 from gaproute.fronts.jsonrpc.connection_owner import OpenRequest
 from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
+from gaproute.fronts.jsonrpc.memory_limit import connections_over_limit
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
 from gaproute.interface.call import Call, Ending, Final
@@ -97,19 +98,7 @@
         Connections that are owed no answer are ended first. This guards against thousands of clients that
         send slowly or receive no answers, each within the limits of one connection.
         """
-        excess = sum([connection.buffered_bytes() for connection in self.active_connections]) - MAX_BUFFERED
-        if excess <= 0:
-            return
-        now = self.loop.now()
-        heaviest_first = sorted(
-            reversed(self.active_connections),
-            key=lambda connection: (not connection.owes_answer(now), connection.buffered_bytes()),
-            reverse=True,
-        )
-        for connection in heaviest_first:
-            if excess <= 0:
-                return
-            excess -= connection.buffered_bytes()
+        for connection in connections_over_limit(self.active_connections, MAX_BUFFERED, self.loop.now()):
             self.unresponsive += 1
             connection.abort()
 
--- a/gaproute/loop/promises.py
+++ b/gaproute/loop/promises.py
@@ -69,7 +69,7 @@
             except StopIteration as end:
                 self.done.set(end.value)
                 return
-            except Exception as error:  # noqa: BLE001 - whatever it is, those who wait get it, or it is reported
+            except Exception as error:  # noqa: BLE001 - whatever it is, it goes to the waiters or is reported
                 if not self.done.waiters:
                     self.report(error)
                 self.done.fail(error)
