--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -94,7 +94,7 @@
         self.after(span, promise.set)
         return promise
 
-    def spawn(self, generator: Generator[Promise, Any, Any]) -> Coroutine:
+    def spawn(self, generator: Generator[Promise, Any, object]) -> Coroutine:
         """Drives a generator that yields promises; it starts with the next callbacks of `soon`."""
         coroutine = Coroutine(generator, self.failed)
         self.soon(coroutine.step)
--- a/gaproute/loop/promises.py
+++ b/gaproute/loop/promises.py
@@ -13,11 +13,11 @@
 
     def __init__(self) -> None:
         self.ready = False
-        self.value: Any = None
+        self.value: Any = None  # of the type that its users agree on
         self.error: BaseException | None = None
         self.waiters: list[Callable[[Promise], object]] = []
 
-    def set(self, value: Any = None) -> None:
+    def set(self, value: object = None) -> None:
         """Settles the promise with a value; without effect if it is settled already."""
         self._settle(value, None)
 
@@ -25,7 +25,7 @@
         """Settles the promise with an error; without effect if it is settled already."""
         self._settle(None, error)
 
-    def _settle(self, value: Any, error: BaseException | None) -> None:
+    def _settle(self, value: object, error: BaseException | None) -> None:
         if self.ready:
             return
         self.ready, self.value, self.error = True, value, error
@@ -51,7 +51,7 @@
     __slots__ = ("generator", "report", "done")
 
     def __init__(
-        self, generator: Generator[Promise, Any, Any], report: Callable[[BaseException], object]
+        self, generator: Generator[Promise, Any, object], report: Callable[[BaseException], object]
     ) -> None:
         self.generator, self.report, self.done = generator, report, Promise()
 
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -1,6 +1,6 @@
 """The host list of the platform: applies events of the change log to the connections and the decisions."""
 
-from typing import Any
+from collections.abc import Mapping
 
 from gaproute.core.core import Core
 from gaproute.decisions.chance import Chance
@@ -24,7 +24,7 @@
         self.converter = MemberConverter(loop, zones)
         self.watcher: ChangeLogWatcher | None = None  # None until `start` has applied the first events
 
-    def start(self, known: dict[str, Any], change_log: str, chance: Chance) -> None:
+    def start(self, known: Mapping[str, object], change_log: str, chance: Chance) -> None:
         """Applies the events of the configuration (`known`) and follows the change log at its address."""
         last_seq, initial = events.decode_initial(known)
         for event in initial:
