--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -8,6 +8,7 @@
 
 from collections import Counter, deque
 from collections.abc import Iterable
+from typing import TypeAlias
 
 from gaproute.shared.leases.commands import (
     MAX_DURATION,
@@ -28,15 +29,19 @@
     QueuedCommand,
     result_of,
 )
-from gaproute.shared.messages import HIGHEST
-from gaproute.shared.raft.messages import Reply, Request
+from gaproute.shared.messages import MAX_COUNT
+from gaproute.shared.raft.messages import Reply, ReplyStatus, Request
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import MILLISECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+# After which a command without an answer is sent to the next member; above a sync and a round trip, below an
+# election
+RESEND_AFTER = 500 * MILLISECOND
+RETRY_PAUSE = 100 * MILLISECOND  # before the next member is tried after one that knows no leader
+MAX_REDIRECTS = 2  # that are followed without a pause: members that name one another must not cause a flood
 
-RESEND_AFTER = 500 * MILLI  # to the next member; above a sync and a round trip, below an election
-RETRY_PAUSE = 100 * MILLI  # before the next member is tried after one that knows no leader
-MAX_REDIRECTS = 2  # followed without a pause: members that name one another must not cause a flood
+
+ClientOutbox: TypeAlias = list[tuple[str, Request]]  # (member's name, message)
 
 
 class LeaseClient:
@@ -46,11 +51,11 @@
     `requests` has those that are requested or held. `due`, `tick` and `hear` are as of `RaftNode`.
     """
 
-    def __init__(self, name: str, members: Iterable[str], chance: RandomSource, now: int) -> None:
-        self.name, self.chance = name, chance
+    def __init__(self, name: str, members: Iterable[str], random: RandomSource, now: int) -> None:
+        self.name, self.random = name, random
         self.session = self.nonce = 0  # session 0: none is open
-        self.urgent: deque[QueuedCommand] = deque()  # renewals and releases are sent before new requests
-        self.queue: deque[QueuedCommand] = deque()
+        self.urgent: deque[QueuedCommand] = deque()  # renewals and releases, which are sent first
+        self.queue: deque[QueuedCommand] = deque()  # requests for leases, and new sizes of pools
         self.outstanding: OutstandingCommand | None = None
         self.resend_at, self.redirects = now, 0
         self.requests: list[LeaseRequest] = []
@@ -63,11 +68,11 @@
         """Takes over the names of the group's members in the configuration."""
         self.members = tuple(sorted(set(members)))
         if self.target not in self.members:
-            self.target = self.members[self.chance.below(len(self.members))]
+            self.target = self.members[self.random.below(len(self.members))]
 
     def acquire(self, now: int, resource: str, duration: int, amount: int = 1) -> LeaseRequest:
         """Requests a lease of `duration` ns. Errors: `LeaseRequestError`."""
-        if not MIN_DURATION <= duration <= MAX_DURATION or not 1 <= amount <= HIGHEST:
+        if not MIN_DURATION <= duration <= MAX_DURATION or not 1 <= amount <= MAX_COUNT:
             raise LeaseRequestError(f"a lease of {amount} of {resource} for {duration} ns")
         if len(self.requests) >= MAX_LEASES_PER_CLIENT:
             raise LeaseRequestError(f"{MAX_LEASES_PER_CLIENT} lease requests at once")
@@ -109,19 +114,19 @@
             times.append(self.resend_at)
         return min(times, default=None)
 
-    def tick(self, now: int) -> list[tuple[str, Request]]:
-        """Expires and renews leases and sends what is due; returns (member, message) pairs."""
+    def tick(self, now: int) -> ClientOutbox:
+        """Expires and renews leases and sends what is due; returns the messages to send."""
         self._release_expired(now)
         self._renew(now)
         if now < self.resend_at:
             return []
         if self.outstanding is None:
             return self._begin_next(now)
-        after = self.members.index(self.target) + 1 if self.target in self.members else 0
-        self.target = self.members[after % len(self.members)]
+        next_position = self.members.index(self.target) + 1 if self.target in self.members else 0
+        self.target = self.members[next_position % len(self.members)]
         return self._send(now, self.outstanding)
 
-    def hear(self, now: int, sender: str, message: object) -> list[tuple[str, Request]]:
+    def hear(self, now: int, sender: str, message: object) -> ClientOutbox:
         """Handles a member's reply; returns the messages to send."""
         if sender not in self.members or not isinstance(message, Reply):
             self.rejected["stranger"] += 1
@@ -130,17 +135,16 @@
         if command is None or (message.session, message.nonce) != (command.session, command.nonce):
             self.rejected["late"] += 1
             return []
-        if message.state == "elsewhere":
+        if message.state == ReplyStatus.NOT_LEADER:
             return self._redirect(now, sender, message.leader, command)
-        if message.state == "busy" or message.state == "done" and not (command.session or message.opened):
-            self.resend_at = now + RETRY_PAUSE + self.chance.below(RETRY_PAUSE)
-            # So that the next member is the sender
-            self.target = self.members[self.members.index(sender) - 1]
+        opens_session = message.state == ReplyStatus.DONE and not command.session
+        if message.state == ReplyStatus.BUSY or (opens_session and not message.opened):
+            self._retry_later(now, sender)
             return []
         self.target, self.outstanding, self.resend_at = sender, None, now
-        if message.state == "forgotten":
+        if message.state == ReplyStatus.UNKNOWN_SESSION:
             self._session_lost(command)
-        elif message.state == "done" and not command.session:
+        elif opens_session:
             self.session, self.nonce = message.opened, 0
         else:
             self._completed(now, command, result_of(message))
@@ -166,39 +170,48 @@
                 command = RenewLease(request.fencing_token, self.name, request.duration)
                 self.urgent.append(QueuedCommand(command, request))
 
-    def _begin_next(self, now: int) -> list[tuple[str, Request]]:
-        """Sends the next command that is still needed, or opens a session for it."""
+    def _begin_next(self, now: int) -> ClientOutbox:
+        """Sends the next command, if there is one."""
+        self.redirects = 0
+        self.outstanding = self._next_command(now)
+        return [] if self.outstanding is None else self._send(now, self.outstanding)
+
+    def _next_command(self, now: int) -> OutstandingCommand | None:
+        """The next command that is still needed, or the one that opens a session for it."""
         while self.urgent or self.queue:
             if not self.session:
-                nonce = 1 + self.chance.below(HIGHEST)
-                self.outstanding = OutstandingCommand(None, None, 0, nonce, b"", now)
-                break
+                nonce = 1 + self.random.below(MAX_COUNT)
+                return OutstandingCommand(
+                    command=None, request=None, session=0, nonce=nonce, body=b"", first_sent=now
+                )
             queued = (self.urgent or self.queue).popleft()
             if self._outdated(queued):
                 continue
             self.nonce += 1
-            self.outstanding = OutstandingCommand(
-                queued.command, queued.request, self.session, self.nonce, encode(queued.command), now
-            )
-            break
-        self.redirects = 0
-        return [] if self.outstanding is None else self._send(now, self.outstanding)
+            body = encode(queued.command)
+            return OutstandingCommand(queued.command, queued.request, self.session, self.nonce, body, now)
+        return None
 
     @staticmethod
     def _outdated(queued: QueuedCommand) -> bool:
+        """Whether the lease request has changed its state, so that the command is not needed any more."""
         request = queued.request
         if request is None:
             return False
-        needed = LeaseState.REQUESTED if isinstance(queued.command, AcquireLease) else LeaseState.HELD
-        return request.state != needed
+        expected = LeaseState.REQUESTED if isinstance(queued.command, AcquireLease) else LeaseState.HELD
+        return request.state != expected
 
-    def _send(self, now: int, command: OutstandingCommand) -> list[tuple[str, Request]]:
+    def _send(self, now: int, command: OutstandingCommand) -> ClientOutbox:
         self.resend_at = now + RESEND_AFTER
         return [(self.target, Request(command.session, command.nonce, command.body))]
 
-    def _redirect(
-        self, now: int, sender: str, leader: str, command: OutstandingCommand
-    ) -> list[tuple[str, Request]]:
+    def _retry_later(self, now: int, sender: str) -> None:
+        """Has the command sent to the same member again after a pause."""
+        self.resend_at = now + RETRY_PAUSE + self.random.below(RETRY_PAUSE)
+        # `tick` sends it to the member after the target, which then is the sender
+        self.target = self.members[self.members.index(sender) - 1]
+
+    def _redirect(self, now: int, sender: str, leader: str, command: OutstandingCommand) -> ClientOutbox:
         if leader in self.members and leader != sender and self.redirects < MAX_REDIRECTS:
             self.redirects, self.target = self.redirects + 1, leader
             return self._send(now, command)
@@ -229,18 +242,18 @@
                 self._extend(request, command.first_sent)
 
     def _acquired(self, now: int, request: LeaseRequest, first_sent: int, result: CommandResult) -> None:
-        wanted = request.state == LeaseState.REQUESTED
+        still_wanted = request.state == LeaseState.REQUESTED
         if result.error:
-            if wanted:
+            if still_wanted:
                 self._end(request, LeaseState.REJECTED, result.error)
             return
         request.fencing_token = result.fencing_token
-        if wanted and now < first_sent + request.duration:
+        if still_wanted and now < first_sent + request.duration:
             request.state = LeaseState.HELD
             self._extend(request, first_sent)
             return
         self._queue_release(result.fencing_token)  # granted too late, or not wanted any more
-        if wanted:
+        if still_wanted:
             self._end(request, LeaseState.EXPIRED, "answered too late")
 
     @staticmethod
