--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -4,32 +4,7 @@
 from typing import Any
 
 from gaproute import interface
-from gaproute.config.directives.fleet import (
-    CellHostsLine,
-    CellsLine,
-    GossipLine,
-    HostLine,
-    HostsFileLine,
-    ListenLine,
-    NameLine,
-    ObservationFileLine,
-    PeerLine,
-    PeersFileLine,
-    RaftGroupLine,
-)
-from gaproute.config.directives.process import ClientLimitsLine, DecisionsLine, HostLimitsLine, LogLine
-from gaproute.config.directives.requests import (
-    AttemptsLine,
-    CapacitiesLine,
-    ModelLine,
-    OverShareWeightLine,
-    ReportsLine,
-    RequestClassLine,
-    RetryAfterLine,
-    SlowStartLine,
-    TenantLine,
-    WarmInstancesLine,
-)
+from gaproute.config.directives import fleet, process, requests
 from gaproute.config.parsing import DirectiveType, NamedDirective, directives_of
 
 IDEMPOTENCY = {kind.value: kind for kind in interface.Idempotency}
@@ -43,29 +18,31 @@
         """Errors: ImportError, AttributeError for a class of decisions that does not exist."""
         lines = _Lines(found)
         self.file = file
-        self.name: str = lines.one(NameLine).name
+        self.name: str = lines.one(fleet.NameLine).name
         self.listen_addresses: list[tuple[str, str]] = [
-            (line.kind, line.where) for line in lines.all(ListenLine)
+            (line.kind, line.where) for line in lines.all(fleet.ListenLine)
         ]
-        self.hosts = lines.all(HostLine)
-        self.hosts_file = lines.first(HostsFileLine)
-        self.cells = lines.first(CellsLine)
-        self.cell_hosts = lines.first(CellHostsLine)
-        self.request_classes = lines.all(RequestClassLine)
-        self.models = {line.name: line for line in lines.all(ModelLine)}
-        self.tenants = {line.name: index for index, line in enumerate(lines.all(TenantLine))}
-        self.peers = lines.all(PeerLine)
-        self.peers_file = lines.first(PeersFileLine)
-        self.observation_file: str | None = next((line.path for line in lines.all(ObservationFileLine)), None)
-        self.raft_group = lines.first(RaftGroupLine)
-        self.client_limits = lines.one(ClientLimitsLine)
-        self.host_limits = lines.one(HostLimitsLine)
-        self.log_level: str = lines.one(LogLine).level
-        self.decisions: Any = lines.one(DecisionsLine).load()  # a class that only the file names
+        self.hosts = lines.all(fleet.HostLine)
+        self.hosts_file = lines.first(fleet.HostsFileLine)
+        self.cells = lines.first(fleet.CellsLine)
+        self.cell_hosts = lines.first(fleet.CellHostsLine)
+        self.request_classes = lines.all(requests.RequestClassLine)
+        self.models = {line.name: line for line in lines.all(requests.ModelLine)}
+        self.tenants = {line.name: index for index, line in enumerate(lines.all(requests.TenantLine))}
+        self.peers = lines.all(fleet.PeerLine)
+        self.peers_file = lines.first(fleet.PeersFileLine)
+        self.observation_file: str | None = next(
+            (line.path for line in lines.all(fleet.ObservationFileLine)), None
+        )
+        self.raft_group = lines.first(fleet.RaftGroupLine)
+        self.client_limits = lines.one(process.ClientLimitsLine)
+        self.host_limits = lines.one(process.HostLimitsLine)
+        self.log_level: str = lines.one(process.LogLine).level
+        self.decisions: Any = lines.one(process.DecisionsLine).load()  # a class that only the file names
         # ns that a request may take
         self.max_deadline = max(line.limit for line in self.request_classes)
-        self.capacities_reported = lines.one(CapacitiesLine).enabled
-        self.gossip_enabled = lines.one(GossipLine).enabled
+        self.capacities_reported = lines.one(requests.CapacitiesLine).enabled
+        self.gossip_enabled = lines.one(fleet.GossipLine).enabled
         self.terms = _terms(lines, self.request_classes, self.cells)
 
     def assign_process_slot(self, number: int, count: int) -> None:
@@ -87,7 +64,7 @@
             self.cells = self.cells.model_copy(update={"stored_table": f"{self.cells.stored_table}.{number}"})
         if peer_addresses and not self.peers_file:
             self.peers = self.peers + [
-                PeerLine(name=f"{base}-{other}", where=_address_of_slot(peer_addresses[0], other))
+                fleet.PeerLine(name=f"{base}-{other}", where=_address_of_slot(peer_addresses[0], other))
                 for other in range(count + 1)
                 if other != number
             ]
@@ -112,15 +89,15 @@
 
 
 def _terms(
-    lines: _Lines, request_classes: list[RequestClassLine], cells: CellsLine | None
+    lines: _Lines, request_classes: list[requests.RequestClassLine], cells: fleet.CellsLine | None
 ) -> interface.Terms:
     """The terms of the deployment, as the decisions take them."""
-    instances, attempts = lines.one(WarmInstancesLine), lines.one(AttemptsLine)
-    slow_start, reports = lines.one(SlowStartLine), lines.one(ReportsLine)
+    instances, attempts = lines.one(requests.WarmInstancesLine), lines.one(requests.AttemptsLine)
+    slow_start, reports = lines.one(requests.SlowStartLine), lines.one(requests.ReportsLine)
     return interface.Terms(
         request_classes=tuple(map(_request_class, request_classes)),
-        tenant_shares=tuple(line.share for line in lines.all(TenantLine)),
-        over_share_value=lines.one(OverShareWeightLine).value,
+        tenant_shares=tuple(line.share for line in lines.all(requests.TenantLine)),
+        over_share_value=lines.one(requests.OverShareWeightLine).value,
         keep_alive=instances.keep,
         load_orders_allowed=instances.orders,
         load_orders_free=instances.free,
@@ -138,7 +115,7 @@
         cancel_allowed=attempts.cancel,
         hedging_allowed=attempts.twins,
         attempt_limit=attempts.limit,
-        retry_after_limit=lines.one(RetryAfterLine).limit,
+        retry_after_limit=lines.one(requests.RetryAfterLine).limit,
         warm_up_share=slow_start.share,
         warm_up_time=slow_start.time,
         host_list_polled=False,
@@ -147,7 +124,7 @@
     )
 
 
-def _request_class(line: RequestClassLine) -> interface.RequestClass:
+def _request_class(line: requests.RequestClassLine) -> interface.RequestClass:
     return interface.RequestClass(
         IDEMPOTENCY[line.effect],
         GROUPS[line.group],
