--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -325,7 +325,7 @@
 def test_hints_of_hosts_that_left_the_list_meanwhile_are_not_followed():
     made = gateway()
     made.hint_instance("a", "f", 4, 5 * SECOND)
-    made.update_hosts(6 * SECOND, [row("b"), row("c")], True)
+    made.update_hosts(6 * SECOND, [row("b"), row("c")], complete=True)
     assert made.serve(6 * SECOND, task()).send(None).host != "a"
     assert "a" not in made.functions_by_name["f"].last_used
 
@@ -501,7 +501,7 @@
 
 @pytest.mark.parametrize("act", ["stalls", "nonsense", "future"])
 def test_a_peer_that_is_no_help_is_dropped_and_nothing_waits_for_it(beside, act):
-    from tests.appliance.test_gateway import reply, scripted_host
+    from scripted_hosts import reply, scripted_host
 
     made, start = beside
     body = {"nonsense": b"\xff\xff", "future": Told(version=9).SerializeToString()}.get(act, b"")
