--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -29,7 +29,7 @@
     """A lease was requested at a gateway that belongs to no Raft group."""
 
 
-class Operator:
+class OperatorFront:
     """Serves what the command line reads. Errors: OSError where the address cannot be listened on."""
 
     def __init__(self, loop: Loop, where: Address, appliance: RunningGateway) -> None:
@@ -63,9 +63,6 @@
     def _answer(self, request: Request, code: HTTPStatus, body: object) -> None:
         self.server.answer(request, code.value, JSON_HEADERS, msgspec.json.encode(body))
 
-    def stop(self) -> None:
-        """Stops accepting; answers go on until `close`."""
-
     def close(self) -> None:
         """Closes the address."""
         self.server.close()
--- a/gaproute/faultinjection/catalog.py
+++ b/gaproute/faultinjection/catalog.py
@@ -1,7 +1,7 @@
 """The event loop's system calls and the ways in which Linux documents that each of them fails.
 
 Sources: the manual pages accept(2), socket(2), connect(2), bind(2), listen(2), setsockopt(2), getsockopt(2),
-epoll_ctl(2), epoll_wait(2), pipe(2), recv(2), send(2) and tcp(7). `FAULTS` holds what is drawn by chance; a
+epoll_ctl(2), epoll_wait(2), pipe(2), recv(2), send(2) and tcp(7). Faults by chance are drawn from `FAULTS`; a
 script may inject any other errno as well.
 """
 
@@ -17,17 +17,17 @@
 
 
 class NetworkCall(StrEnum):
-    """A call as the plan names it."""
+    """The names by which plans refer to calls."""
 
     ACCEPT = "accept"
     SOCKET = "socket"
     CONNECT = "connect"
-    SO_ERROR = "so_error"  # how a connection attempt ended, read by getsockopt
+    SO_ERROR = "so_error"  # the result of a connection attempt, as getsockopt reads it
     BIND = "bind"
     LISTEN = "listen"
     SETSOCKOPT = "setsockopt"
     GETSOCKOPT = "getsockopt"
-    RECV = "recv"  # of a stream, also read(2) of its descriptor
+    RECV = "recv"  # of a stream, or read(2) of its descriptor
     SEND = "send"
     RECV_DATAGRAM = "recv_datagram"
     SEND_DATAGRAM = "send_datagram"
@@ -38,13 +38,13 @@
     EPOLL_WAIT = "epoll_wait"
     PIPE = "pipe"
     PIPE_READ = "pipe_read"
-    WALL_CLOCK = "wall_clock"  # a reading of it
+    WALL_CLOCK = "wall_clock"  # reading it
 
 
-DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
-MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-# Errors of the network that were pending on the new socket: accept(2) asks to treat them like EAGAIN.
-HANDED_ON = (
+DESCRIPTOR_SHORTAGE = (errno.EMFILE, errno.ENFILE)
+MEMORY_SHORTAGE = (errno.ENOBUFS, errno.ENOMEM)
+# Errors that were pending on the new connection; by accept(2) they are to be treated like EAGAIN.
+PENDING_NETWORK_ERRORS = (
     errno.ENETDOWN,
     errno.EPROTO,
     errno.ENOPROTOOPT,
@@ -54,12 +54,18 @@
     errno.EOPNOTSUPP,
     errno.ENETUNREACH,
 )
-# The connection has ended, whichever call reports it.
-BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+# Reported by whichever call comes next on a connection that was lost.
+CONNECTION_LOST = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 ERRNOS: Mapping[str, Sequence[int]] = {
-    NetworkCall.ACCEPT: (errno.ECONNABORTED, errno.EPERM, *DESCRIPTORS, *MEMORY, *HANDED_ON),
-    NetworkCall.SOCKET: (*DESCRIPTORS, *MEMORY),
+    NetworkCall.ACCEPT: (
+        errno.ECONNABORTED,
+        errno.EPERM,
+        *DESCRIPTOR_SHORTAGE,
+        *MEMORY_SHORTAGE,
+        *PENDING_NETWORK_ERRORS,
+    ),
+    NetworkCall.SOCKET: (*DESCRIPTOR_SHORTAGE, *MEMORY_SHORTAGE),
     NetworkCall.CONNECT: (
         errno.EADDRNOTAVAIL,
         errno.ENETUNREACH,
@@ -67,36 +73,43 @@
         errno.ETIMEDOUT,
         errno.ECONNREFUSED,
         errno.EINTR,
-        *MEMORY,
+        *MEMORY_SHORTAGE,
     ),
-    NetworkCall.SO_ERROR: (errno.ECONNREFUSED, errno.ENETUNREACH, *BROKEN),
+    NetworkCall.SO_ERROR: (errno.ECONNREFUSED, errno.ENETUNREACH, *CONNECTION_LOST),
     NetworkCall.BIND: (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOMEM),
     NetworkCall.LISTEN: (errno.EADDRINUSE,),
-    NetworkCall.SETSOCKOPT: MEMORY,
-    NetworkCall.GETSOCKOPT: MEMORY,
-    NetworkCall.RECV: BROKEN,
-    NetworkCall.SEND: (*BROKEN, errno.EAGAIN),
+    NetworkCall.SETSOCKOPT: MEMORY_SHORTAGE,
+    NetworkCall.GETSOCKOPT: MEMORY_SHORTAGE,
+    NetworkCall.RECV: CONNECTION_LOST,
+    NetworkCall.SEND: (*CONNECTION_LOST, errno.EAGAIN),
     NetworkCall.RECV_DATAGRAM: (errno.ECONNREFUSED, errno.ENOMEM),
-    NetworkCall.SEND_DATAGRAM: (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EPERM, *MEMORY),
-    NetworkCall.EPOLL_CREATE: (*DESCRIPTORS, errno.ENOMEM),
+    NetworkCall.SEND_DATAGRAM: (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EPERM, *MEMORY_SHORTAGE),
+    NetworkCall.EPOLL_CREATE: (*DESCRIPTOR_SHORTAGE, errno.ENOMEM),
     NetworkCall.EPOLL_ADD: (errno.ENOSPC, errno.ENOMEM),
     NetworkCall.EPOLL_MODIFY: (errno.ENOMEM,),
     NetworkCall.EPOLL_WAIT: (errno.EINTR,),
-    NetworkCall.PIPE: DESCRIPTORS,
+    NetworkCall.PIPE: DESCRIPTOR_SHORTAGE,
     NetworkCall.PIPE_READ: (errno.EAGAIN, errno.EINTR),
 }
 
-SHORT_SIZES = (1, 1, 7, 100)  # bytes that a short read or write moves at most
-STEPS = (1, 5, 60, 3600)  # seconds by which the wall clock is stepped, either way
+SHORT_TRANSFER_SIZES = (
+    1,
+    1,
+    7,
+    100,
+)  # bytes that a short read or write moves at most; 1 is drawn twice as often
+CLOCK_STEP_SIZES = (1, 5, 60, 3600)  # seconds by which the wall clock is stepped, either way
 
-CLOCK_STEPS: Sequence[Fault] = tuple(ClockStep(sign * span * SECOND) for span in STEPS for sign in (1, -1))
-SHORT_TRANSFERS: Sequence[Fault] = tuple(ShortTransfer(size) for size in SHORT_SIZES)
+CLOCK_STEPS: Sequence[Fault] = tuple(
+    ClockStep(sign * span * SECOND) for span in CLOCK_STEP_SIZES for sign in (1, -1)
+)
+SHORT_TRANSFERS: Sequence[Fault] = tuple(ShortTransfer(size) for size in SHORT_TRANSFER_SIZES)
 
 FAILURES: Mapping[str, Sequence[Fault]] = {
-    call: tuple(Failure(number) for number in numbers) for call, numbers in ERRNOS.items()
+    call: tuple(map(Failure, numbers)) for call, numbers in ERRNOS.items()
 }
 
-# Short transfers come as often as broken connections, so that these do not end most of the traffic.
+# Reads and writes may also be short: if all their faults lost the connection, little traffic would be left.
 FAULTS: Mapping[str, Sequence[Fault]] = {
     **FAILURES,
     NetworkCall.RECV: (*FAILURES[NetworkCall.RECV], *SHORT_TRANSFERS),
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,7 +1,6 @@
 """The invariants of a gateway's gossip, as named checks that return violations as text."""
 
 from collections.abc import Iterator, Sequence
-from typing import NamedTuple
 
 from gaproute.shared.gossip import arrivals, hosts, local_observations, name_keys, table
 from gaproute.shared.gossip.messages import (
@@ -17,21 +16,12 @@
 )
 from gaproute.shared.gossip.node import GossipNode
 from gaproute.shared.gossip.table import SetName, Version
-
-
-class Bound(NamedTuple):
-    """How many of something there are, and how many there may be."""
-
-    name: str
-    size: int
-    limit: int
+from gaproute.shared.invariants import Bound, exceeded
 
 
 def bounded(node: GossipNode) -> Iterator[str]:
     """Every map is bounded. This check is cheap and can always be called."""
-    for name, size, limit in (*_peer_bounds(node), *_local_bounds(node)):
-        if size > limit:
-            yield f"{size} {name}, {limit} at most"
+    yield from exceeded((*_peer_bounds(node), *_local_bounds(node)))
 
 
 def _peer_bounds(node: GossipNode) -> Sequence[Bound]:
@@ -102,26 +92,28 @@
             for origin, sets in node.table.received.items()
             for name, received in sets.items()
         }
-        for held_set, at in observed.items():
-            if at > self.observed.get(held_set, at):
-                yield f"{held_set} was observed at {self.observed[held_set]}, now at {at}"
+        for stored_set, observed_at in observed.items():
+            earlier = self.observed.get(stored_set, observed_at)
+            if observed_at > earlier:
+                yield f"{stored_set} was observed at {earlier}, now at {observed_at}"
         self.observed = observed
 
 
 def own_observations_alone(node: GossipNode, message: GossipMessage) -> Iterator[str]:
     """A message contains only own observations, of now or of a cached set."""
-    for entries in message.sets:
-        for entry in () if _is_cached(node, entries) else entries.entries:
+    for entry_set in message.sets:
+        # What a cached set has may have ended since it was made, such as requests in flight
+        for entry in () if _is_cached(node, entry_set) else entry_set.entries:
             if not _was_observed(node, entry):
-                yield f"{entry} of kind {entries.kind} is sent and was not observed here"
-        reason = rejection_reason(entries)
+                yield f"{entry} of kind {entry_set.kind} is sent and was not observed here"
+        reason = rejection_reason(entry_set)
         if reason is not None:
-            yield f"a set of kind {entries.kind} is sent that cannot be: {reason}"
+            yield f"a set of kind {entry_set.kind} is sent that cannot be: {reason}"
 
 
-def _is_cached(node: GossipNode, entries: EntrySet) -> bool:
-    cached = node.local_sets.cached.get(entries.kind)
-    return cached is not None and cached.entries.entries is entries.entries and entries.age > 0
+def _is_cached(node: GossipNode, entry_set: EntrySet) -> bool:
+    cached = node.local_sets.cached.get(entry_set.kind)
+    return cached is not None and cached.entry_set.entries is entry_set.entries and entry_set.age > 0
 
 
 def _was_observed(node: GossipNode, entry: HostEntry | DemandEntry | WarmInstanceEntry) -> bool:
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -11,6 +11,7 @@
     Outbox,
 )
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
 
 
@@ -28,7 +29,7 @@
     if message.term > node.term:
         node.enter_term(now, message.term)
     if node.role is Role.LEADER:
-        node.record_breaches([f"one leader a term: {sender} and {node.name} lead {node.term}"])
+        node.record_violations([f"one leader a term: {sender} and {node.name} lead {node.term}"])
         return False
     node.step_down(now)
     node.leader, node.leader_heard_at = sender, now
@@ -57,30 +58,29 @@
 def _append(node: NodeState, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
     """Appends the entries that the log lacks; returns False where that is not possible."""
     log = node.log
-    for at, entry in enumerate(entries, prev_index + 1):
-        if log.term_at(at) == entry.term:
+    for index, entry in enumerate(entries, prev_index + 1):
+        if log.term_at(index) == entry.term:
             continue
-        if at <= node.commit_index:
-            node.record_breaches([f"never unsaid: {sender} replaces {at}, committed to {node.commit_index}"])
+        if index <= node.commit_index:
+            found = f"{sender} replaces {index}, committed to {node.commit_index}"
+            node.record_violations([f"a committed entry never changes: {found}"])
             return False
         try:
-            node.store.append(at, entry)
+            node.store.append(index, entry)
         except ValueError:
-            node.reject("entry not understood")
+            node.reject(MessageRejection.INVALID_ENTRY)
             return False
     return True
 
 
 def _conflict_hint(log: ReplicatedLog, index: int) -> int:
-    """The index that the leader should try next: before the term that differs, so that all of that is
-    skipped.
-    """
+    """The index that the leader should try next: that before all entries of the term that differs."""
     if index > log.last_index:
         return log.last_index
-    term, at = log.term_at(index), index
-    while at > log.snapshot_index and log.term_at(at) == term:
-        at -= 1
-    return at
+    term, hint = log.term_at(index), index
+    while hint > log.snapshot_index and log.term_at(hint) == term:
+        hint -= 1
+    return hint
 
 
 def on_install_snapshot(
@@ -94,7 +94,7 @@
         try:
             node.sessions.unpack(message.state)
         except ValueError:
-            node.reject("snapshot not understood")
+            node.reject(MessageRejection.INVALID_SNAPSHOT)
             return
         node.store.install(index, message.last_included_term, message.members, message.state)
         node.commit_index = node.last_applied = index
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -3,10 +3,10 @@
 Nothing is sent before it is durable.
 """
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
+from functools import cached_property
 
 from gaproute.shared.raft import bootstrap, committed, election, follower, leader, requests
-from gaproute.shared.raft.disk import Disk
 from gaproute.shared.raft.invariants import NodeCheck
 from gaproute.shared.raft.membership import is_majority
 from gaproute.shared.raft.messages import (
@@ -21,10 +21,9 @@
     RequestVoteResponse,
 )
 from gaproute.shared.raft.node_state import NodeState
+from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
-from gaproute.shared.raft.state_machine import StateMachine
 from gaproute.shared.raft.timing import STORAGE_RETRY_INTERVAL
-from gaproute.shared.randomness import RandomSource
 
 MAX_TERM_JUMP = 1 << 30  # a term so far above the own one is invalid: an election per second for 30 years
 
@@ -47,23 +46,14 @@
 
     After a failure of the disk the node sends nothing, as it must not promise what it cannot store:
     `storage_failure` says why. It writes everything again every few seconds until that succeeds.
-    `rejections`: by a fixed set of reasons, the messages that were rejected; `breaches`: the first violations
-    that the invariants found.
+    `rejections`: by reason, how many messages were rejected; `violations`: the first violations that the
+    invariants found.
     """
 
-    def __init__(
-        self,
-        name: str,
-        configured_members: Iterable[str],
-        disk: Disk,
-        chance: RandomSource,
-        now: int,
-        machine: StateMachine,
-        *,
-        fencing_base: int = 0,
-    ) -> None:
-        super().__init__(name, configured_members, disk, chance, now, machine, fencing_base=fencing_base)
-        self.check = NodeCheck()
+    @cached_property
+    def check(self) -> NodeCheck:
+        """The check of this node against its state at the last check."""
+        return NodeCheck()
 
     def tick(self, now: int) -> Outbox:
         """Does what is due; returns the messages to send."""
@@ -89,11 +79,11 @@
         if isinstance(message, Request):
             requests.on_request(self, sender, message, outbox)
         elif sender not in self.peer_names():
-            self.reject("stranger")
+            self.reject(MessageRejection.UNKNOWN_SENDER)
         elif type(message) not in _HANDLERS:
-            self.reject("not a message of the group")
+            self.reject(MessageRejection.UNKNOWN_TYPE)
         elif getattr(message, "term", 0) > self.term + MAX_TERM_JUMP:
-            self.reject("term from far future")
+            self.reject(MessageRejection.TERM_TOO_HIGH)
         else:
             _HANDLERS[type(message)](self, now, sender, message, outbox)
         return self._flush(now, outbox)
@@ -130,7 +120,7 @@
                 break
             if self.leader_state is not None:
                 leader.replicate(self, self.leader_state, now, outbox)
-            self.record_breaches(self.check.run(self))
+            self.record_violations(self.check.run(self))
             return outbox
         self.storage_failure, self.storage_retry_at = self.store.failure, now + STORAGE_RETRY_INTERVAL
         self._follow_nobody()
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -7,8 +7,8 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
-from gaproute.shared.membership.dissemination import MAX_MESSAGE_BYTES
 from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.message_builder import MAX_MESSAGE_BYTES
 from gaproute.shared.membership.messages import ENTRY_BYTES, MAX_INCARNATION
 from gaproute.shared.membership.prober import MAX_INDIRECT_PROBES
 from gaproute.shared.membership.table import MAX_MEMBERS
@@ -375,7 +375,7 @@
         assert check(made, thorough=True) == []
 
 
-def test_a_breach_is_reported():
+def test_a_violation_is_reported():
     made = membership("a")
     made.members["a"].state = MemberState.DEAD
     made.prober.indirect_probes = {number: ("a", 1, "a") for number in range(MAX_INDIRECT_PROBES + 1)}
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -5,6 +5,7 @@
 
 import pytest
 from helpers import CONFIGURATION, MILLI, SECOND, gateway, row
+from scripted_hosts import scripted_host
 
 from gaproute.appliance.status import peer_table, status
 from gaproute.config import ConfigurationError, read_configuration, read_peers
@@ -17,7 +18,6 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import PeerServer, observation_wire
 from gaproute.peers.lore_pb2 import Ask, Told
-from tests.appliance.test_gateway import scripted_host
 
 
 def where(appliance):
@@ -314,7 +314,7 @@
 def test_a_snapshot_goes_on_while_functions_and_hosts_come_and_go(server):
     first = asked(server)
     server.transfers.gateway.functions.by_name.clear()
-    server.transfers.gateway.update_hosts(2 * SECOND, [row("w0")], True)
+    server.transfers.gateway.update_hosts(2 * SECOND, [row("w0")], complete=True)
     refill(server)
     assert not asked(server, cursor=first.next).next
 
@@ -371,7 +371,7 @@
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}", "listen operator 127.0.0.1:0")
     made.until(lambda: peer_table(second)[0]["learnt"] != "asked")
-    made.at = address(next(each.address for each in second.fronts if type(each).__name__ == "Operator"))
+    made.at = address(next(each.address for each in second.fronts if type(each).__name__ == "OperatorFront"))
     (peer,) = json.loads(made.wait(made.get("/peers")).body)
     assert peer["name"] == "g"
     assert peer["state"] == "alive"
