--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -82,7 +82,7 @@
 def first_list(hosts: int, seed: int) -> float:
     """Milliseconds of the first complete list."""
     gateway, listed = Gateway(seed, SINGLE_GATEWAY_TERMS, 0), rows(hosts)
-    return cpu_ms(lambda: gateway.update_hosts(0, listed, True))
+    return cpu_ms(lambda: gateway.update_hosts(0, listed, complete=True))
 
 
 def reported_warm_call(hosts: int, seed: int) -> float:
@@ -92,12 +92,12 @@
 
 def start_host(caller: Caller) -> None:
     """One host of the fleet has just started."""
-    caller.gateway.update_hosts(caller.now, [row(0, started=caller.now)], False)
+    caller.gateway.update_hosts(caller.now, [row(0, started=caller.now)], complete=False)
 
 
 def change(caller: Caller, capacity: float) -> None:
     """One host's line changes."""
-    caller.gateway.update_hosts(caller.now, [row(0, capacity=capacity)], False)
+    caller.gateway.update_hosts(caller.now, [row(0, capacity=capacity)], complete=False)
 
 
 def changed_line(hosts: int, seed: int) -> float:
--- a/tests/peers/test_observation_transfers.py
+++ b/tests/peers/test_observation_transfers.py
@@ -100,7 +100,7 @@
 def test_a_snapshot_goes_on_while_functions_and_hosts_come_and_go(server):
     first = request_observations(server)
     server.transfers.gateway.functions.by_name.clear()
-    server.transfers.gateway.update_hosts(2 * SECOND, [row("w0")], True)
+    server.transfers.gateway.update_hosts(2 * SECOND, [row("w0")], complete=True)
     refill_cpu_budget(server)
     assert not request_observations(server, cursor=first.next).next
 
