--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -8,6 +8,7 @@
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds_once
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.shared_observations import SharedObservations
+from gaproute.decisions.routing.observations import Observation
 from gaproute.http1 import render
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
@@ -20,10 +21,6 @@
 PROTOBUF = ((b"Content-Type", b"application/x-protobuf"),)
 
 
-# kind, the names of host and function, values, when it was observed (ns)
-Observation = tuple[str, tuple[str, str], tuple[int, ...], int]
-
-
 class StandInDecisions:
     """Stands for the decisions of a gateway that observed so many loaded copies."""
 
@@ -34,7 +31,7 @@
         """Copies, each of one host and one function."""
         for number in range(self.facts):
             names = (f"host-{number % HOSTS:04}", f"model-{number // HOSTS:04}")
-            yield "warm", names, (4,), now - 1_000_000
+            yield Observation("warm", names, (4,), now - 1_000_000)
 
 
 class Transfer:
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -7,21 +7,20 @@
 import time
 from collections.abc import Callable, Generator, Iterator, Sequence
 from itertools import islice
-from typing import Any
 
 from gaproute.decisions.reports.cpu_budget import SLICE, CpuBudget
 from gaproute.decisions.reports.exchange_limits import ROUNDS_PER_FULL_WRITE, WRITE_INTERVAL
-from gaproute.decisions.reports.host_history import HostHistory, own_observations
+from gaproute.decisions.reports.host_history import HostHistory, OwnObservation, own_observations
 from gaproute.decisions.reports.observation_kinds import MAX_AGE
-from gaproute.loop import Loop
+from gaproute.decisions.reports.ports import ObservationSource
+from gaproute.loop import Loop, Promise
 from gaproute.storage import ObservationStore
-from gaproute.storage.observation_rows import Subject, Value
 
 MAX_ROWS_PER_WRITE = 256  # in one transaction, which takes about a millisecond
 # The value of `written_until` for a round that writes all observations, not only changed ones
 EVERYTHING = -1
 
-Observations = Iterator[tuple[Subject, Value, int]]  # (subject, value, time by the loop's clock in ns)
+Observations = Iterator[OwnObservation]
 
 
 class ObservationWriter:
@@ -36,7 +35,7 @@
         self,
         loop: Loop,
         store: ObservationStore,
-        gateway: Any,
+        gateway: ObservationSource,
         host_history: HostHistory,
         request_classes: Sequence[str],
         cpu_clock: Callable[[], int] = time.thread_time_ns,
@@ -70,7 +69,7 @@
         self.store.write(islice(changed, MAX_ROWS_PER_WRITE))
         self.store.close()
 
-    def _run(self) -> Generator[Any, Any, None]:
+    def _run(self) -> Generator[Promise, object, None]:
         while True:
             yield self.loop.sleep(WRITE_INTERVAL)
             if not self.store.ready():
@@ -78,7 +77,7 @@
                 continue
             yield from self._write_round()
 
-    def _write_round(self) -> Generator[Any, Any, None]:
+    def _write_round(self) -> Generator[Promise, object, None]:
         whole = self.rounds % ROUNDS_PER_FULL_WRITE == 0
         begun, self.round_written = self.loop.now(), True
         observations = self._observations(begun, EVERYTHING if whole else self.written_until)
@@ -89,9 +88,9 @@
         self.written_until = begun if self.round_written else EVERYTHING
         self.rounds += 1
 
-    def _next_batch(self, observations: Observations, begun: int) -> tuple[list[Any], bool]:
+    def _next_batch(self, observations: Observations, begun: int) -> tuple[list[OwnObservation], bool]:
         """Return the observations of one slice, and whether there are no more."""
-        batch = []
+        batch: list[OwnObservation] = []
         for observation in observations:
             batch.append(observation)
             if len(batch) >= MAX_ROWS_PER_WRITE or self.cpu_clock() - begun > SLICE / 2:
@@ -99,4 +98,4 @@
         return batch, True
 
     def _observations(self, now: int, since: int) -> Observations:
-        return iter(own_observations(self.gateway, self.host_history, self.request_classes, now, since))
+        return own_observations(self.gateway, self.host_history, self.request_classes, now, since)
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -5,7 +5,7 @@
 """
 
 from collections.abc import Collection, Iterable, Mapping
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.decisions.reports.observation_kinds import (
     ListedState,
@@ -14,6 +14,7 @@
     SharedObservation,
     Subject,
 )
+from gaproute.decisions.reports.ports import HintReceiver
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.shared.randomness import RandomSource
 
@@ -71,7 +72,7 @@
         self.observations = observations
         self._keep_alive, self._request_classes, self._random = keep_alive, request_classes, random
 
-    def follow(self, gateway: Any, now: int, starts: Starts, subjects: Collection[Subject]) -> int:
+    def follow(self, gateway: HintReceiver, now: int, starts: Starts, subjects: Collection[Subject]) -> int:
         """Hands the decisions hints on the subjects that came; returns how many hints were taken."""
         functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
         taken = sum([int(gateway.hint_instance(*hint)) for hint in self.warm_hints(now, starts, functions)])
@@ -137,7 +138,7 @@
         return None
 
     def _follow_one(
-        self, gateway: Any, starts: Starts, subject: Subject, observation: SharedObservation
+        self, gateway: HintReceiver, starts: Starts, subject: Subject, observation: SharedObservation
     ) -> int:
         """Uses one observation that is not of an instance; returns how many hints were taken."""
         kind, *names = subject
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -1,9 +1,11 @@
 """What a gateway reports of its own: its host list over time, and its observations. Times are ns."""
 
 from collections.abc import Iterator, Mapping, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.decisions.reports.observation_kinds import ListedState, ObservationKind, Subject, Value
+from gaproute.decisions.reports.ports import ObservationSource
+from gaproute.decisions.routing.observations import Observation
 
 MAX_GONE = 1024  # stored hosts that are gone: more than a fleet replaces in a rolling restart
 EVERYTHING = -1  # the value of `since` that asks for all observations
@@ -65,7 +67,11 @@
 
 
 def own_observations(
-    gateway: Any, history: HostHistory, request_classes: Sequence[str], now: int, since: int = EVERYTHING
+    gateway: ObservationSource,
+    history: HostHistory,
+    request_classes: Sequence[str],
+    now: int,
+    since: int = EVERYTHING,
 ) -> Iterator[OwnObservation]:
     """The observations of a gateway itself since that time; the iterator may be read in parts.
 
@@ -75,10 +81,17 @@
         if entry.listed_at > since:
             subject = (ObservationKind.LISTED_STATE.value, name)
             yield OwnObservation(subject, (entry.state, entry.started), entry.listed_at)
-    for kind, names, value, observed_at in gateway.observations_since(now, since):
-        if kind == ObservationKind.WARM_INSTANCE:
-            listed = history.entries.get(names[0])
+    for observation in gateway.observations_since(now, since):
+        value: Value = observation.value
+        if observation.kind == ObservationKind.WARM_INSTANCE:
+            listed = history.entries.get(str(observation.names[0]))
             value = (*value, 0 if listed is None else listed.started)
-        elif kind == ObservationKind.FAILURE:
-            names = (names[0], request_classes[names[1]])
-        yield OwnObservation((kind, *names), value, observed_at)
+        yield OwnObservation(_subject_of(observation, request_classes), value, observation.at)
+
+
+def _subject_of(observation: Observation, request_classes: Sequence[str]) -> Subject:
+    """The subject as other gateways know it, with the name of a request class in place of its number."""
+    if observation.kind == ObservationKind.FAILURE:
+        host, request_class = observation.names
+        return (observation.kind, str(host), request_classes[int(request_class)])
+    return (observation.kind, *map(str, observation.names))
