--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -15,6 +15,7 @@
 import sys
 import time
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
 from statistics import median
 from typing import Any
@@ -141,7 +142,10 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind(("127.0.0.1", 0))
             where = f"127.0.0.1:{free.getsockname()[1]}"
-        self._transport = MembershipTransport(Loop(), "me", where, Chance(1), IgnoredEvents())
+        loop = Loop()
+        self._transport = MembershipTransport(
+            loop, "me", where, Chance(1), IgnoredEvents(), partial(Datagrams, loop)
+        )
         self._node = GossipNode("me", 1, Chance(1), 0)
         self._node.set_peers(0, [SENDER])
         self._transport.register(PayloadKind.GOSSIP, self._receive)
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -29,7 +29,8 @@
 from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.peers.tables import CellTableTransport
+from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
+from gaproute.peers.tables.pull_exchange import HttpPullListener, PullClient
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import Record
 
@@ -93,13 +94,10 @@
         server.forwarded = front.handle
         carrier = CellTableTransport(
             self.loop,
-            self.configuration.name,
-            self.line.fleet,
-            membership_transport,
-            server,
+            CellTableSettings(self.configuration.name, self.line.fleet, path=self.line.stored_table),
+            CellTableChannels(membership_transport, HttpPullListener(server), PullClient(self.loop)),
             Chance(self.seed + CARRIER_SEED),
             self.record,
-            path=self.line.stored_table,
         )
         self.table = CellTableSource(self.loop, self.line, self.record, carrier, self._table_adopted)
         return front
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -5,13 +5,14 @@
 
 import secrets
 import time
+from functools import partial
 from typing import Any
 
 from gaproute.config.directives.fleet import RaftGroupLine
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.peers.raft import HostedNode
+from gaproute.peers.raft import HostedNode, RaftTransport
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
     OperatorCommand,
@@ -49,9 +50,9 @@
             loop,
             name,
             line.names,
-            self.peers,
             record,
             chance,
+            open_transport=partial(RaftTransport, loop, name, self.peers),
             disk=self.disk,
             fencing_base=time.time_ns() // MILLI,
             machine=LeaseTable(max_duration=line.longest),
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
+from functools import partial
 from typing import Any, Protocol
 
 from gaproute.appliance.leases import LeaseService
@@ -25,6 +26,7 @@
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
+from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.peer_server import LIMITS
@@ -95,6 +97,7 @@
                 server.address,
                 Chance(self.seed + MEMBERSHIP_SEED),
                 self.record,
+                partial(Datagrams, self.loop),
             )
             if self.configuration.raft_group is not None:
                 self.leases = self._lease_service(self.configuration.raft_group)
--- a/gaproute/hollow/cells/environment.py
+++ b/gaproute/hollow/cells/environment.py
@@ -4,12 +4,13 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import Any
 
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import EntryGateway
+from gaproute.hollow.cells.pulls import SimulatedPullClient, SimulatedPullServer
 from gaproute.hollow.cells.shared_tables import SharedCandidates, SharedCellTables
 from gaproute.hollow.environment import GatewayEnvironment
+from gaproute.hollow.simulation import GatewayLoop
 from gaproute.interface import ListedHost
 from gaproute.shared.dissemination import Peer
 from gaproute.storage.cell_table_file import StoredTable
@@ -30,8 +31,8 @@
     fleet_name: str
     seeds: tuple[Peer, ...]
     stored_table: StoredTable | None
-    open_pull_server: Callable[[str], Any]
-    open_pull_client: Callable[[Any, str], Any]
+    open_pull_server: Callable[[str], SimulatedPullServer]
+    open_pull_client: Callable[[GatewayLoop, str], SimulatedPullClient]
     host_rows: Callable[[str], Sequence[ListedHost]]
     is_entry_reachable: Callable[[EntryGateway, str], bool]
     shared_tables: SharedCellTables
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -6,13 +6,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import Any, NamedTuple, Protocol
+from typing import Protocol
 
 from gaproute.hollow.simulation import GatewayLoop
-from gaproute.peers.peer_server import Route
+from gaproute.peers.ports import PullAnswer, PullCallback, PullHandler, PullReply
 from gaproute.peers.tables import wire
-from gaproute.peers.tables.pull_exchange import TARGET, Answer, AnswerCallback
+from gaproute.peers.tables.pull_exchange import OK
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
 from gaproute.shared.dissemination.messages import Pull
 
@@ -20,7 +19,7 @@
 HTTP_REQUEST = 90  # bytes of the head
 HTTP_ANSWER = 110
 CONNECTION_SEGMENTS = 4  # beside those with data, half of them of each side
-OK, NOT_FOUND = 200, 404
+NOT_FOUND = PullReply(404, b"")  # where no transport serves pulls
 TRIPS_OF_REQUEST = 3  # one way each: two for the connection to stand, one for the request
 
 
@@ -42,48 +41,36 @@
         """Whether nothing gets from one gateway to the other and back."""
 
 
-class PullRequest(NamedTuple):
-    """A request as the product's handler reads it."""
-
-    method: bytes
-    body: bytes
-
-
-class HttpAnswer(NamedTuple):
-    """The status and the body of an answer."""
-
-    status: int
-    body: bytes
-
-
 class SimulatedPullServer:
-    """Stands in for `gaproute.peers.PeerServer` towards the transport of the cell table.
+    """Stands in for `gaproute.peers.tables.pull_exchange.HttpPullListener`.
 
     `answers` and `bytes` (with headers) count what it has sent.
     """
 
     def __init__(self, network: PullNetwork, name: str, address: str) -> None:
         self.name = name
-        self.routes: dict[bytes, Route] = {}
+        self.handler: PullHandler | None = None  # None: pulls are not served
         self.answers = self.bytes = 0
         self.address = address  # that gateways send with what they announce
         self._network = network
-        self._answer = HttpAnswer(NOT_FOUND, b"")
         network.pull_servers[address] = self
 
-    def handle(self, body: bytes) -> HttpAnswer:
-        """The answer to a pull."""
-        handler = self.routes.get(TARGET)
-        if handler is None:
-            return HttpAnswer(NOT_FOUND, b"")
-        handler(self, PullRequest(b"POST", body))
-        self.answers += 1
-        self.bytes += transferred(HTTP_ANSWER + len(self._answer.body))
-        return self._answer
+    def serve(self, handler: PullHandler) -> None:
+        """From now on pulls are answered with what the handler returns."""
+        self.handler = handler
 
-    def answer(self, request: PullRequest, status: int, headers: Sequence[Any], body: bytes) -> None:
-        """Called by the handler with its answer."""
-        self._answer = HttpAnswer(status, body)
+    def stop(self) -> None:
+        """From now on no pulls are answered."""
+        self.handler = None
+
+    def handle(self, body: bytes) -> PullReply:
+        """The reply to a pull."""
+        if self.handler is None:
+            return NOT_FOUND
+        reply = self.handler(body)
+        self.answers += 1
+        self.bytes += transferred(HTTP_ANSWER + len(reply.body))
+        return reply
 
     def close(self) -> None:
         """Answer no more."""
@@ -102,7 +89,7 @@
         self._current = 0  # the number of the pull that is open; an answer to an earlier one is dropped
         self.pulls = self.bytes = 0
 
-    def ask(self, where: str, pull: Pull, done: AnswerCallback) -> None:
+    def ask(self, where: str, pull: Pull, done: PullCallback) -> None:
         """Pull from the gateway with that address, and drop the pull before.
 
         `done(answer)` is called once, with None where none came; for a dropped pull it is not called.
@@ -124,13 +111,13 @@
         self._current += 1
 
     def _arrived(
-        self, number: int, server: SimulatedPullServer, body: bytes, delay: int, done: AnswerCallback
+        self, number: int, server: SimulatedPullServer, body: bytes, delay: int, done: PullCallback
     ) -> None:
-        answer = server.handle(body)
-        decoded = wire.decode_answer(answer.body) if answer.status == OK else None
-        self._loop.after(delay, self._finish, number, decoded, done)
+        reply = server.handle(body)
+        answer = wire.decode_answer(reply.body) if reply.status == OK else None
+        self._loop.after(delay, self._finish, number, answer, done)
 
-    def _finish(self, number: int, answer: Answer | None, done: AnswerCallback) -> None:
+    def _finish(self, number: int, answer: PullAnswer | None, done: PullCallback) -> None:
         if number == self._current:
             self.drop()
             done(answer)
--- a/gaproute/hollow/cells/shared_tables.py
+++ b/gaproute/hollow/cells/shared_tables.py
@@ -3,16 +3,17 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from typing import Any
 
 from gaproute.decisions.cells.change import TableHolder
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.version import Version
-from gaproute.peers.tables import CellTableTransport
+from gaproute.peers.ports import EventLog, TimerLoop
+from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
 from gaproute.peers.tables.document import TableDocument
 from gaproute.shared.dissemination import Change, Peer
 from gaproute.shared.dissemination.cell_peers import candidates
 from gaproute.shared.dissemination.partial_view import Candidates
+from gaproute.shared.randomness import RandomSource
 
 TableKey = tuple[Version, int]  # version and digest
 SharedCellTables = dict[TableKey, CellTable]
@@ -52,8 +53,17 @@
 class SharedCellTableTransport(CellTableTransport):
     """`shared_candidates`: the candidates that each table names, for all gateways of the process."""
 
-    def __init__(self, shared_candidates: SharedCandidates, *arguments: Any) -> None:
-        super().__init__(*arguments)
+    def __init__(
+        self,
+        loop: TimerLoop,
+        settings: CellTableSettings,
+        channels: CellTableChannels,
+        random: RandomSource,
+        record: EventLog,
+        *,
+        shared_candidates: SharedCandidates,
+    ) -> None:
+        super().__init__(loop, settings, channels, random, record)
         self._shared_candidates = shared_candidates
 
     def candidates(self, near: tuple[Peer, ...]) -> Candidates:
--- a/gaproute/hollow/cells/static_membership.py
+++ b/gaproute/hollow/cells/static_membership.py
@@ -7,8 +7,8 @@
 
 from gaproute.hollow.environment import GatewayEnvironment
 from gaproute.hollow.parts import DATAGRAM_HEADERS, ConfiguredGateway, ControlPart, Parts
-from gaproute.peers.membership import PayloadHandler
 from gaproute.peers.membership_wire import Payload, PayloadKind, decode_datagram, encode_payload
+from gaproute.peers.ports import PayloadHandler
 from gaproute.shared.membership import MemberState, MemberUpdate
 
 
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells.environment import CellGatewayEnvironment
 from gaproute.hollow.cells.shared_tables import SharedCellTableTransport, SharedTableDocument
 from gaproute.hollow.counting_transport import CountingTransport
 from gaproute.hollow.environment import RandomStream
 from gaproute.hollow.parts import ControlPart, Parts
-from gaproute.peers.tables import CellTableTransport
+from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
 from gaproute.shared.dissemination import Disseminator
 
 
@@ -20,18 +18,12 @@
     def __init__(self, environment: CellGatewayEnvironment, parts: Parts) -> None:
         self._environment = environment
         self._counting_transport = CountingTransport(parts["membership"])
-        self.peer_server = environment.open_pull_server(environment.address)
+        self.pull_server = environment.open_pull_server(environment.address)
+        self.pull_client = environment.open_pull_client(environment.loop, environment.name)
         self.transport = self._make_transport(
-            environment.loop,
-            environment.name,
-            environment.fleet_name,
-            self._counting_transport,
-            self.peer_server,
-            environment.random(RandomStream.CELL_TABLE),
-            environment.record,
+            CellTableSettings(environment.name, environment.fleet_name),
+            CellTableChannels(self._counting_transport, self.pull_server, self.pull_client),
         )
-        self.pull_client = environment.open_pull_client(environment.loop, environment.name)
-        self.transport.pull_client = self.pull_client
 
     def start(self) -> None:
         """Take the table of the own disk, then receive and send."""
@@ -52,7 +44,7 @@
         """`entries`: rows of the table, peers of the view, changes kept; `bytes`: of datagrams and pulls."""
         disseminator, table = self.transport.disseminator, self.transport.table()
         rows = 0 if table is None else len(table.cells)
-        datagrams, pull_client, server = self._counting_transport, self.pull_client, self.peer_server
+        datagrams, pull_client, server = self._counting_transport, self.pull_client, self.pull_server
         return {
             "messages": datagrams.messages + pull_client.pulls + server.answers,
             "bytes": datagrams.bytes + pull_client.bytes + server.bytes,
@@ -65,10 +57,12 @@
     def close(self) -> None:
         """Stop without writing the table."""
         self.transport.stop()
-        self.peer_server.close()
+        self.pull_server.close()
 
-    def _make_transport(self, *arguments: Any) -> CellTableTransport:
-        return CellTableTransport(*arguments)
+    def _make_transport(self, settings: CellTableSettings, channels: CellTableChannels) -> CellTableTransport:
+        environment = self._environment
+        random = environment.random(RandomStream.CELL_TABLE)
+        return CellTableTransport(environment.loop, settings, channels, random, environment.record)
 
 
 class SharedCellTablePart(CellTablePart):
@@ -80,5 +74,14 @@
         random = environment.random(RandomStream.CELL_TABLE)
         self.transport.disseminator = Disseminator(environment.name, document, random, environment.loop.now())
 
-    def _make_transport(self, *arguments: Any) -> CellTableTransport:
-        return SharedCellTableTransport(self._environment.shared_candidates, *arguments)
+    def _make_transport(self, settings: CellTableSettings, channels: CellTableChannels) -> CellTableTransport:
+        environment = self._environment
+        random = environment.random(RandomStream.CELL_TABLE)
+        return SharedCellTableTransport(
+            environment.loop,
+            settings,
+            channels,
+            random,
+            environment.record,
+            shared_candidates=environment.shared_candidates,
+        )
--- a/gaproute/hollow/counting_transport.py
+++ b/gaproute/hollow/counting_transport.py
@@ -4,8 +4,8 @@
 
 from typing import Any, Protocol
 
-from gaproute.peers.membership import PayloadHandler
 from gaproute.peers.membership_wire import PayloadKind
+from gaproute.peers.ports import PayloadHandler
 
 
 class PayloadSender(Protocol):
@@ -22,7 +22,7 @@
 
 
 class CountingTransport:
-    """The membership's transport as one part sees it: a `gaproute.peers.payload_transport.PayloadTransport`.
+    """The membership's transport as one part sees it: a `gaproute.peers.ports.PayloadTransport`.
 
     `messages` and `bytes` (with headers) count what this part has sent.
     """
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from enum import IntEnum
 from typing import Any
 
 from gaproute.config import Configuration
 from gaproute.decisions.chance import Chance
+from gaproute.peers.ports import DatagramHandler, DatagramSocket, RaftMessageHandler, RaftMessageTransport
 from gaproute.shared.raft import Disk
 
 
@@ -57,8 +58,8 @@
     address: str
     configuration: Configuration
     seed: int
-    open_datagrams: Callable[..., Any]
-    open_raft_transport: Callable[..., Any]
+    open_datagrams: Callable[[Any, str, DatagramHandler], DatagramSocket]
+    open_raft_transport: Callable[[Any, str, Mapping[str, str], RaftMessageHandler], RaftMessageTransport]
     open_raft_disk: Callable[[str], Disk]
     wall_clock: Callable[[], int]
     record: EventCounter = field(default_factory=EventCounter)
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from functools import partial
 
 from gaproute.hollow.environment import GatewayEnvironment, RandomStream
 from gaproute.hollow.parts import ConfiguredGateway, ControlPart, Parts
@@ -31,13 +32,14 @@
             self._loop,
             self._name,
             line.names,
-            self._peer_addresses,
             environment.record,
             environment.random(RandomStream.LEASES),
             disk=environment.open_raft_disk(self._name) if self._name in line.names else None,
             fencing_base=environment.wall_clock() // 1_000_000,
             machine=LeaseTable(initial_wait=False),
-            make_transport=environment.open_raft_transport,
+            open_transport=partial(
+                environment.open_raft_transport, self._loop, self._name, self._peer_addresses
+            ),
         )
         self._request: LeaseRequest | None = None
         self._rejected = self._expired = 0
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
-from typing import cast
+from collections.abc import Sequence
+from functools import partial
 
 from gaproute.hollow.environment import GatewayEnvironment, RandomStream
 from gaproute.hollow.parts import DATAGRAM_HEADERS, ConfiguredGateway, ControlPart, Parts
 from gaproute.peers import MembershipTransport
-from gaproute.peers.membership import Peer
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.shared.membership import Membership
 
@@ -27,7 +26,7 @@
             environment.address,
             environment.random(RandomStream.MEMBERSHIP),
             environment.record,
-            environment.open_datagrams,
+            partial(environment.open_datagrams, environment.loop),
             environment.wall_clock,
         )
 
@@ -47,7 +46,7 @@
 
     def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
         """Configure the members, which are never forgotten."""
-        self.transport.configure(cast(Iterable[Peer], gateways))  # which only reads them
+        self.transport.configure(gateways)
 
     def counters(self) -> dict[str, int]:
         """`entries`: members held; `refused`: members beyond the bound, and updates that make no sense."""
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -5,11 +5,11 @@
 """
 
 from collections.abc import Mapping
-from typing import Any
 
+from gaproute.decisions.reports.observation_kinds import ObservationKind
 from gaproute.peers.gossip.wire import decode, encode
 from gaproute.peers.membership_wire import PayloadKind
-from gaproute.peers.payload_transport import PayloadTransport
+from gaproute.peers.ports import GossipSource, PayloadTransport, TimerLoop
 from gaproute.shared.gossip import GossipNode
 from gaproute.shared.gossip.messages import SECOND
 from gaproute.shared.gossip.scheduler import RATE
@@ -25,20 +25,19 @@
 class GossipTransport:
     """Feeds a `GossipNode` with observations and carries its messages.
 
-    `gateway`: the decisions, whose `hosts_by_id` have the attempts in flight and whose observations include
-    warm instances. `rate`: bytes per second that may be sent.
+    `gateway`: the decisions that are observed; `rate`: bytes per second that may be sent.
     """
 
     def __init__(
         self,
-        loop: Any,
+        loop: TimerLoop,
         name: str,
         transport: PayloadTransport,
-        gateway: Any,
+        gateway: GossipSource,
         random: RandomSource,
         rate: int = RATE,
     ) -> None:
-        now: int = loop.now()
+        now = loop.now()
         self.loop, self.transport, self.gateway = loop, transport, gateway
         self.node = GossipNode(name, transport.membership.incarnation, random, now, rate)
         self._in_flight: dict[str, int] = {}  # by host: the number of requests that was recorded last
@@ -93,10 +92,10 @@
             self.node.record_in_flight(name, 0)
 
     def _observe_warm_instances(self, now: int) -> None:
-        for kind, names, _, seen in self.gateway.observations_since(now, self._observed_until):
-            if kind == "warm":
-                host, function = names[:2]
-                self.node.record_warm_instance(seen, host, function)
+        for observation in self.gateway.observations_since(now, self._observed_until):
+            if observation.kind == ObservationKind.WARM_INSTANCE:
+                host, function = observation.names
+                self.node.record_warm_instance(observation.at, str(host), str(function))
         self._observed_until = now
 
     def _send(self, now: int) -> None:
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -5,10 +5,10 @@
 
 import time
 from collections.abc import Callable, Iterable
-from typing import Any, Protocol
 
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.timers import Timer
 from gaproute.peers.membership_wire import Payload, PayloadKind, decode_datagram, encode, encode_payload
+from gaproute.peers.ports import EventLog, OpenDatagrams, PayloadHandler, Peer, TimerLoop
 from gaproute.shared.membership import Membership, MembershipMessage
 from gaproute.shared.membership.dissemination import Outgoing
 from gaproute.shared.membership.messages import Member
@@ -20,22 +20,6 @@
 MAX_DATAGRAMS = 2000
 UNIX_SUFFIX = ".words"  # appended to the path of the Unix socket
 
-PayloadHandler = Callable[[str, bytes], None]  # takes the sender's name and the data
-
-
-class Peer(Protocol):
-    """A configured gateway: its name and address."""
-
-    name: str
-    where: str
-
-
-class EventLog(Protocol):
-    """The log of changes of members."""
-
-    def event(self, level: str, name: str, /, **fields: object) -> None:
-        """Logs one event."""
-
 
 def datagram_address(address: str) -> str:
     """The address for datagrams of the gateway that has this address for peers."""
@@ -45,28 +29,27 @@
 class MembershipTransport:
     """Sends and receives the messages of `Membership`, and the payloads of other parts.
 
-    `datagrams(loop, address, received)` opens the socket, `wall` returns ns since 1970: a simulation hands in
-    its own. Errors: OSError where the address cannot be bound.
+    `wall` returns ns since 1970. Errors: OSError where the address cannot be bound.
     """
 
     def __init__(
         self,
-        loop: Any,
+        loop: TimerLoop,
         name: str,
         address: str,
         random: RandomSource,
         record: EventLog,
-        datagrams: Callable[..., Any] = Datagrams,
+        open_datagrams: OpenDatagrams,
         wall: Callable[[], int] = time.time_ns,
     ) -> None:
         self.loop, self.record = loop, record
         self.membership = Membership(name, address, random, loop.now(), wall() // MILLI)
-        self.datagrams = datagrams(loop, datagram_address(address), self._received)
+        self.datagrams = open_datagrams(datagram_address(address), self._received)
         self.sent = self.bytes = 0
         self.undecodable = self.rate_limited = 0
         self.read, self.second = 0, 0  # datagrams read in the present second, and when that second began (ns)
         self.handlers: dict[PayloadKind, PayloadHandler] = {}  # by kind of payload
-        self._timer: Any = None
+        self._timer: Timer | None = None
         self._schedule()
 
     def configure(self, peers: Iterable[Peer]) -> None:
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Collection, Generator, Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import NamedTuple
 
 from gaproute.decisions.reports.exchange_limits import (
     ANSWER_TIMEOUT,
@@ -21,10 +21,12 @@
 from gaproute.decisions.reports.observation_kinds import Subject
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import Exchange, Response
-from gaproute.loop import Promise
+from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
+from gaproute.loop.promises import Coroutine
 from gaproute.peers import observation_wire
-from gaproute.peers.membership import EventLog, Peer
+from gaproute.peers.observation_messages import ObservationAnswer
+from gaproute.peers.ports import EventLog, Peer
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -47,6 +49,13 @@
     retries: int = 0
 
 
+class _ExchangeResult(NamedTuple):
+    """The end of one request to a peer."""
+
+    response: Response | None  # None: none came
+    timed_out: bool
+
+
 class ObservationClient:
     """Gets observations from peers.
 
@@ -56,7 +65,7 @@
 
     def __init__(
         self,
-        loop: Any,
+        loop: Loop,
         peers: Iterable[Peer],
         observations: SharedObservations,
         follow: Callable[[Collection[Subject]], int],
@@ -69,7 +78,7 @@
         self._loop, self._record = loop, record
         self._follow, self._completed = follow, completed
         self._ends_at = loop.now() + LEARNING_TIME
-        self._tasks: list[Any] = []
+        self._tasks: list[Coroutine] = []
         self.set_peers(peers)
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
@@ -90,7 +99,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def take(self, origin: str, asked: int, answer: observation_wire.Answer) -> int:
+    def take(self, origin: str, asked: int, answer: ObservationAnswer) -> int:
         """Merges an answer and uses its observations; returns how many it had."""
         received = SharedObservations()
         observation_wire.read_observations(answer, asked, origin, received)
@@ -100,7 +109,7 @@
         self.hints_taken += self._follow(received.by_subject)
         return len(received.by_subject)
 
-    def _learn(self, peer: Peer) -> Generator[Any, Any, None]:
+    def _learn(self, peer: Peer) -> Generator[Promise, _ExchangeResult, None]:
         """Asks one peer until it has sent everything."""
         progress = PeerProgress()
         for _ in range(MAX_CHUNKS):
@@ -108,12 +117,12 @@
             if asked > self._ends_at:
                 self.state[peer.name] = _end_state(progress)
                 return
-            response, timed_out = yield self._exchange(peer, progress)
-            pause = _pause(progress, response, timed_out=timed_out)
+            result = yield self._exchange(peer, progress)
+            pause = _pause(progress, result)
             if pause is not None:
                 yield self._loop.sleep(pause)
                 continue
-            answer = _decoded(response)
+            answer = _decode(result.response)
             if answer is None:
                 self._drop(peer, progress)
                 return
@@ -126,7 +135,7 @@
                 return  # a peer of version 1 sends no changes
             yield self._loop.sleep(POLL_INTERVAL)
 
-    def _end_round(self, peer: Peer, progress: PeerProgress, answer: observation_wire.Answer) -> None:
+    def _end_round(self, peer: Peer, progress: PeerProgress, answer: ObservationAnswer) -> None:
         """Handles the last chunk of a snapshot or of changes."""
         if not progress.mark:
             self._completed()
@@ -148,16 +157,20 @@
         )
 
     def _exchange(self, peer: Peer, progress: PeerProgress) -> Promise:
-        """A promise of (response or None, whether the time was up)."""
+        """Sends the next request to the peer; a promise of its `_ExchangeResult`."""
         body = observation_wire.encode_request(progress.cursor, progress.run_id, progress.mark)
-        head = b"POST /lore HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n"
+        head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % observation_wire.TARGET
         data = head + b"Content-Length: %d\r\n\r\n" % len(body) + body
         promise = Promise()
-        exchange = Exchange(self._loop, data, lambda response, fault: promise.set((response, False)))
+        exchange = Exchange(
+            self._loop,
+            data,
+            lambda response, fault: promise.set(_ExchangeResult(response, timed_out=False)),
+        )
 
         def time_up() -> None:
             exchange.cancel()
-            promise.set((None, True))
+            promise.set(_ExchangeResult(None, timed_out=True))
 
         exchange.connect(address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
         timer = self._loop.after(ANSWER_TIMEOUT, time_up)
@@ -165,19 +178,20 @@
         return promise
 
 
-def _pause(progress: PeerProgress, response: Response | None, *, timed_out: bool) -> int | None:
+def _pause(progress: PeerProgress, result: _ExchangeResult) -> int | None:
     """How long to wait before the same request is repeated; None if it is not."""
+    response = result.response
     if response is not None and response.status == PUT_OFF:
         wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
         return min(MAX_PAUSE, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_PAUSE
-    absent = response is None and not timed_out and not progress.received
+    absent = response is None and not result.timed_out and not progress.received
     if absent and progress.retries < MAX_RETRIES:
         progress.retries += 1  # the peer may be starting as well
         return RETRY_INTERVAL
     return None
 
 
-def _decoded(response: Response | None) -> observation_wire.Answer | None:
+def _decode(response: Response | None) -> ObservationAnswer | None:
     if response is None or response.status != 200:
         return None
     return observation_wire.decode_answer(response.body)
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -6,7 +6,7 @@
 
 import secrets
 from collections.abc import Callable, Iterator, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.decisions.reports.cpu_budget import SLICE
 from gaproute.decisions.reports.exchange_limits import MAX_CHUNK_NAME_BYTES, MAX_CHUNK_OBSERVATIONS
@@ -16,7 +16,9 @@
     OwnObservation,
     own_observations,
 )
+from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.peers import lore_pb2, observation_wire
+from gaproute.peers.observation_messages import ObservationRequest
 
 MILLI = 1_000_000
 
@@ -68,7 +70,7 @@
 
     def __init__(
         self,
-        gateway: Any,
+        gateway: ObservationSource,
         history: HostHistory,
         request_classes: Sequence[str],
         cpu_clock: Callable[[], int],
@@ -80,7 +82,7 @@
         self._cpu_clock = cpu_clock
         self._last_number = 0
 
-    def answer(self, now: int, request: observation_wire.Request, begun: int) -> bytes:
+    def answer(self, now: int, request: ObservationRequest, begun: int) -> bytes:
         """The requested chunk, encoded, with what the asking gateway needs for the next request.
 
         `begun`: when work on the request began, by the CPU clock.
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -1,8 +1,7 @@
 """Encodes and decodes shared observations as protobuf messages; no I/O. Ages are sent in microseconds."""
 
 import math
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable
 
 from google.protobuf.message import DecodeError
 
@@ -16,8 +15,10 @@
 )
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.peers import lore_pb2
+from gaproute.peers.observation_messages import FigureMessage, ObservationAnswer, ObservationRequest
 
 VERSION = 2
+TARGET = b"/lore"  # of HTTP requests for observations
 MICROSECOND = 1000  # ns
 PEER_HOPS = 1
 NOT_FINITE = -1  # stands for a time that is not finite, and is rejected as any invalid time
@@ -30,8 +31,6 @@
 )
 TIMES = (ObservationKind.USUAL_TIME, ObservationKind.LOAD_TIME)  # whole ns
 
-Answer = Any  # lore_pb2.Told
-Request = Any  # lore_pb2.Ask
 # Is called with subject, value and age in microseconds
 AddObservation = Callable[[Subject, Value, int], None]
 
@@ -42,23 +41,24 @@
     return bytes(request.SerializeToString())
 
 
-def decode_request(data: bytes) -> Request:
+def decode_request(data: bytes) -> ObservationRequest:
     """Decodes a request. Errors: DecodeError."""
-    return lore_pb2.Ask.FromString(data)
+    request: ObservationRequest = lore_pb2.Ask.FromString(data)
+    return request
 
 
-def decode_answer(data: bytes) -> Answer | None:
+def decode_answer(data: bytes) -> ObservationAnswer | None:
     """Decodes an answer; None if its version is not supported or it cannot be decoded."""
     if len(data) > MAX_ANSWER_BYTES:
         return None
     try:
-        answer = lore_pb2.Told.FromString(data)
+        answer: ObservationAnswer = lore_pb2.Told.FromString(data)
     except DecodeError:
         return None
     return answer if abs(answer.version - VERSION) <= 1 else None
 
 
-def add_observation(answer: Answer, subject: Subject, value: Value, age: int) -> int:
+def add_observation(answer: ObservationAnswer, subject: Subject, value: Value, age: int) -> int:
     """Appends an observation to the answer; `age`: ns. Returns the length of its names."""
     kind, *names = subject
     age_us = max(0, age) // MICROSECOND
@@ -72,7 +72,7 @@
     return sum([len(name) for name in names])
 
 
-def _add_listed(answer: Answer, host: str, value: Value, age_us: int) -> None:
+def _add_listed(answer: ObservationAnswer, host: str, value: Value, age_us: int) -> None:
     state, started = value
     if state == ListedState.GONE:
         answer.gone.add(worker=host, age_us=age_us)
@@ -80,7 +80,9 @@
         answer.listed.add(worker=host, state=state, started_ns=started, age_us=age_us)
 
 
-def read_observations(answer: Answer, asked: int, origin: str, observations: SharedObservations) -> None:
+def read_observations(
+    answer: ObservationAnswer, asked: int, origin: str, observations: SharedObservations
+) -> None:
     """Adds every observation of an answer that was requested at `asked` (ns) from the peer `origin`."""
 
     def add(subject: Subject, value: Value, age_us: int) -> None:
@@ -92,7 +94,7 @@
     _read_figures(answer, add)
 
 
-def _read_hosts(answer: Answer, add: AddObservation) -> None:
+def _read_hosts(answer: ObservationAnswer, add: AddObservation) -> None:
     listed, warm = ObservationKind.LISTED_STATE.value, ObservationKind.WARM_INSTANCE.value
     for each in answer.listed:
         add((listed, each.worker), (each.state, each.started_ns), each.age_us)
@@ -102,12 +104,13 @@
         add((warm, each.worker, each.function), (each.lanes, each.started_ns), each.age_us)
 
 
-def _read_figures(answer: Answer, add: AddObservation) -> None:
+def _read_figures(answer: ObservationAnswer, add: AddObservation) -> None:
     for kind in FIGURES:
-        for each in getattr(answer, kind):
-            value = _whole(each.value) if kind in TIMES else each.value
+        figures: Iterable[FigureMessage] = getattr(answer, kind)
+        for each in figures:
+            value = _whole_time(each.value) if kind in TIMES else each.value
             add((kind.value, *each.names), (value,), each.age_us)
 
 
-def _whole(duration: float) -> int:
+def _whole_time(duration: float) -> int:
     return int(duration) if math.isfinite(duration) else NOT_FINITE
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -6,26 +6,25 @@
 
 import time
 from collections.abc import Callable, Sequence
-from typing import Any
 
 from google.protobuf.message import DecodeError
 
 from gaproute.decisions.reports.cpu_budget import MILLI, CpuBudget
 from gaproute.decisions.reports.host_history import HostHistory
+from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.http1 import Limits, Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 from gaproute.peers import observation_wire
 from gaproute.peers.observation_transfers import ObservationTransfers
 
-OBSERVATIONS_TARGET = b"/lore"
 FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded requests begin with
 PROTOBUF = (b"Content-Type", b"application/x-protobuf")
 RETRY_AFTER_HEADER = b"Gaproute-Retry-After-Ms"
 # Connections for observations: after a restart of all gateways, hundreds ask at the same time.
 LIMITS = Limits(body=4096, pipelined=1, connections=1024)
 
-Route = Callable[[Any, Any], None]  # is called with the server, a real or a simulated one, and the request
+Route = Callable[[Server, Request], None]  # answers the request at the server
 
 
 class PeerServer:
@@ -37,7 +36,7 @@
         self,
         loop: Loop,
         where: Address,
-        gateway: Any,
+        gateway: ObservationSource,
         history: HostHistory,
         request_classes: Sequence[str],
         limits: Limits = LIMITS,
@@ -62,7 +61,7 @@
             route(self.server, request)
         elif self.forwarded is not None and request.target.startswith(FORWARDED_PREFIX):
             self.forwarded(request)
-        elif request.target != OBSERVATIONS_TARGET or request.method != b"POST":
+        elif request.target != observation_wire.TARGET or request.method != b"POST":
             self.server.answer(request, 404, (), b"POST /lore\n")
         else:
             self._handle_observations(request)
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -3,9 +3,10 @@
 """
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
+from typing import Generic, TypeVar
 
-from gaproute.peers.raft.transport import RaftTransport
+from gaproute.loop.timers import Timer
+from gaproute.peers.ports import CallbackLoop, EventLog, RaftMessageHandler, RaftMessageTransport
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import Disk, RaftNode, Role
 from gaproute.shared.raft.invariants import replay
@@ -19,32 +20,32 @@
 SLOW_TURN = 50 * MILLI  # duration of a turn of the node above which its disk delays the gateway's requests
 NO_NODE = "refused: no keeper here"
 
+Transport = TypeVar("Transport", bound=RaftMessageTransport)
 
-class HostedNode:
+
+class HostedNode(Generic[Transport]):
     """Runs the lease client `client` and, if there is a disk and `name` is a member, the `node`.
 
-    `members`: the configured names; `peers`: addresses, by name, of all gateways that may send requests;
-    `record.event(level, what, ...)` takes log lines; `disk`: opened; `machine`: the node's; `fencing_base`:
-    as of `RaftNode`; `make_transport(loop, name, peers, receive)`: a simulation hands in its own.
+    `members`: the configured names; `open_transport(receive)`: makes the transport, which calls `receive` for
+    each message; `disk`: opened; `machine`: the node's; `fencing_base`: as of `RaftNode`.
     """
 
     def __init__(
         self,
-        loop: Any,
+        loop: CallbackLoop,
         name: str,
         members: Iterable[str],
-        peers: Mapping[str, str],
-        record: Any,
+        record: EventLog,
         chance: RandomSource,
         *,
+        open_transport: Callable[[RaftMessageHandler], Transport],
         machine: LeaseTable,
         disk: Disk | None = None,
         fencing_base: int = 0,
-        make_transport: Callable[..., Any] = RaftTransport,
     ) -> None:
         self.loop, self.name, self.record, self.machine = loop, name, record, machine
         members = tuple(members)
-        self.transport = make_transport(loop, name, peers, self.receive)
+        self.transport = open_transport(self.receive)
         self.client = LeaseClient(name, members, chance, loop.now())
         self.node: RaftNode | None = None
         if disk is not None and name in members:
@@ -52,7 +53,7 @@
             if self.node.store.discard_reason:
                 record.event("error", "raft_log_discarded", reason=self.node.store.discard_reason)
         self.log = NodeLog(record, loop.now())
-        self.timer: Any = None
+        self.timer: Timer | None = None
         self._schedule()
 
     def _parts(self) -> list[LeaseClient | RaftNode]:
@@ -101,7 +102,7 @@
         if self.node is not None:
             self.log.turn(self.node, begun, self.loop.now(), self.transport.counts)
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> dict[str, object]:
         """The status at the operators' address, with its JSON keys."""
         return {
             "holds": [
@@ -116,10 +117,10 @@
                 for request in self.client.requests
             ],
             "carried": dict(self.transport.counts),
-            "keeper": self.node and self._node_status(self.node),
+            "keeper": None if self.node is None else self._node_status(self.node),
         }
 
-    def _node_status(self, node: RaftNode) -> dict[str, Any]:
+    def _node_status(self, node: RaftNode) -> dict[str, object]:
         return {
             "role": node.role.value,
             "term": node.term,
@@ -145,11 +146,11 @@
 class NodeLog:
     """Logs changes of a node that an operator should know, each once."""
 
-    def __init__(self, record: Any, now: int) -> None:
+    def __init__(self, record: EventLog, now: int) -> None:
         self.record = record
-        self.logged: dict[str, Any] = {}  # by name of the figure: the last logged value
+        self.logged: dict[str, object] = {}  # by name of the figure: the last logged value
         self.rejections: dict[str, int] = {}
-        self.rejections_looked_at = now
+        self.rejections_logged_at = now
         self.breaches = 0  # how many were logged so far
 
     def turn(self, node: RaftNode, begun: int, now: int, counts: Mapping[str, int]) -> None:
@@ -160,10 +161,10 @@
         for breach in node.breaches[self.breaches :]:
             self.record.event("error", "raft_invariant_violated", violation=breach, replay=replay(node))
         self.breaches = len(node.breaches)
-        if now - self.rejections_looked_at >= REJECTIONS_INTERVAL:
-            self.rejections_looked_at = now
+        if now - self.rejections_logged_at >= REJECTIONS_INTERVAL:
+            self.rejections_logged_at = now
             refused = {what: count for what, count in counts.items() if what.startswith("refused")}
-            self._rejections({**node.rejections, **refused})
+            self._log_rejections({**node.rejections, **refused})
 
     def _log_changes(self, node: RaftNode) -> None:
         """Logs the role, failures of the disk, and the members, each if it has changed."""
@@ -180,13 +181,13 @@
                 "info", "raft_members_changed", members=members, term=node.term, leader=node.leader
             )
 
-    def _has_changed(self, what: str, value: Any) -> bool:
+    def _has_changed(self, what: str, value: object) -> bool:
         """Whether a value is not empty and differs from that of the last call."""
         changed = self.logged.get(what) != value
         self.logged[what] = value
         return changed and bool(value)
 
-    def _rejections(self, by_reason: dict[str, int]) -> None:
+    def _log_rejections(self, by_reason: dict[str, int]) -> None:
         if by_reason != self.rejections:
             self.rejections = by_reason
             self.record.event("warning", "raft_messages_rejected", by_reason=by_reason)
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -1,25 +1,22 @@
-"""Pulls of the cell table by HTTP from the peers' server: the client, one pull at a time, and the server's
-route.
-"""
+"""Pulls of the cell table by HTTP.
 
-from collections.abc import Callable
-from typing import Any
+`PullClient` sends one at a time; `HttpPullListener` receives those of other gateways at the peers' server.
+"""
 
-from gaproute.http1 import Exchange, Response
+from gaproute.http1 import Exchange, Request, Response, Server
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from gaproute.loop.timers import Timer
+from gaproute.peers.peer_server import PeerServer
+from gaproute.peers.ports import PullCallback, PullHandler
 from gaproute.peers.tables import wire
-from gaproute.shared.dissemination import Disseminator
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
-from gaproute.shared.dissemination.messages import Busy, Changes, Part, Pull
+from gaproute.shared.dissemination.messages import Pull
 
 TARGET = b"/tables"
 MAX_HEAD_BYTES = 4_096
 MESSAGE_PACK = (b"Content-Type", b"application/msgpack")
-
-Answer = Changes | Part | Busy
-AnswerCallback = Callable[[Answer | None], object]
+OK, METHOD_NOT_ALLOWED = 200, 405  # HTTP status
 
 
 class PullClient:
@@ -30,7 +27,7 @@
         self.exchange: Exchange | None = None  # the open one
         self._timer: Timer | None = None
 
-    def ask(self, where: str, pull: Pull, done: AnswerCallback) -> None:
+    def ask(self, where: str, pull: Pull, done: PullCallback) -> None:
         """Sends a pull; `done(answer)` is called once, later; with None if no answer came.
 
         It is not called for a pull that is replaced or dropped.
@@ -59,27 +56,37 @@
             self.exchange.cancel()
         self.exchange = self._timer = None
 
-    def _end(self, exchange: Exchange, response: Response | None, done: AnswerCallback) -> None:
+    def _end(self, exchange: Exchange, response: Response | None, done: PullCallback) -> None:
         if self.exchange is not exchange:
             return
         self.drop()
-        done(wire.decode_answer(response.body) if response is not None and response.status == 200 else None)
-
-
-def pull_route(loop: Loop, disseminator: Disseminator) -> Callable[[Any, Any], None]:
-    """The route of pulls at the peers' server, or at a simulated one."""
-
-    def handle(server: Any, request: Any) -> None:
-        now = loop.now()
-        if request.method != b"POST":
-            server.answer(request, 405, (), b"POST /tables\n")
-        elif not disseminator.admits(now, ""):
-            server.answer(request, 503, (), b"")
-        else:
-            answer = disseminator.answer(now, wire.decode_pull(request.body))
-            if answer is None:
-                server.answer(request, 400, (), b"not a pull of this fleet\n")
-            else:
-                server.answer(request, 200, (MESSAGE_PACK,), wire.encode_answer(answer))
-
-    return handle
+        done(wire.decode_answer(response.body) if response is not None and response.status == OK else None)
+
+
+class HttpPullListener:
+    """Receives pulls at the address of the peers' server."""
+
+    def __init__(self, peer_server: PeerServer) -> None:
+        self._peer_server = peer_server
+
+    @property
+    def address(self) -> str:
+        """The address of the peers' server."""
+        return self._peer_server.address
+
+    def serve(self, handler: PullHandler) -> None:
+        """From now on pulls are answered with what the handler returns."""
+
+        def answer(server: Server, request: Request) -> None:
+            if request.method != b"POST":
+                server.answer(request, METHOD_NOT_ALLOWED, (), b"POST /tables\n")
+                return
+            reply = handler(request.body)
+            headers = (MESSAGE_PACK,) if reply.status == OK else ()
+            server.answer(request, reply.status, headers, reply.body)
+
+        self._peer_server.routes[TARGET] = answer
+
+    def stop(self) -> None:
+        """From now on the address answers no pulls."""
+        self._peer_server.routes.pop(TARGET, None)
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -6,29 +6,36 @@
 
 from collections.abc import Callable, Iterable
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.decisions.cells.change import TableChange, TableHolder
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.version import Version
-from gaproute.peers.membership import EventLog
+from gaproute.loop.timers import Timer
 from gaproute.peers.membership_wire import PayloadKind
-from gaproute.peers.payload_transport import PayloadTransport
-from gaproute.peers.peer_server import PeerServer
+from gaproute.peers.ports import (
+    EventLog,
+    PayloadTransport,
+    PullAnswer,
+    PullListener,
+    PullReply,
+    PullSender,
+    TimerLoop,
+)
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encode_table_change
-from gaproute.peers.tables.pull_exchange import TARGET, PullClient, pull_route
 from gaproute.peers.tables.table_storage import TableStorage
 from gaproute.shared.dissemination import Disseminator, DocumentError, Peer, Send
 from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.cell_peers import candidates
-from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
+from gaproute.shared.dissemination.messages import NOTHING, Pull
 from gaproute.shared.dissemination.partial_view import Candidates
 from gaproute.shared.dissemination.version_reports import Propagation
 from gaproute.shared.randomness import RandomSource
 
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
 LIST_INTERVAL = 5 * SECOND  # between two reads of the members
+ANSWERED, INVALID, BUSY = 200, 400, 503  # HTTP status of replies to pulls
 
 TableCallback = Callable[[CellTable], object]
 
@@ -41,37 +48,46 @@
     table: CellTable | None
 
 
-class CellTableTransport:
-    """Disseminates the cell table of `fleet`.
+class CellTableSettings(NamedTuple):
+    """Whose table is disseminated, by which gateway, and where it is stored."""
+
+    gateway: str  # the own name
+    fleet: str
+    cell: str = ""  # the own one; "": its entries count as those of any other cell
+    path: str | Path | None = None  # the file for the table; None: it is not stored
+
+
+class CellTableChannels(NamedTuple):
+    """How the table reaches other gateways and comes from them."""
+
+    payloads: PayloadTransport  # announcements and pushes by datagrams
+    pull_listener: PullListener
+    pull_client: PullSender
 
-    `transport` and `peer_server` are the gateway's membership and peers' server; `cell`: the own one; `path`:
-    the file for the table, None for none. `record` takes events for operators.
-    """
+
+class CellTableTransport:
+    """Disseminates the cell table of a fleet. `record` takes events for operators."""
 
     def __init__(
         self,
-        loop: Any,
-        name: str,
-        fleet: str,
-        transport: PayloadTransport,
-        peer_server: PeerServer,
+        loop: TimerLoop,
+        settings: CellTableSettings,
+        channels: CellTableChannels,
         random: RandomSource,
         record: EventLog,
-        cell: str = "",
-        path: str | Path | None = None,
     ) -> None:
-        self.loop, self.transport, self.peer_server, self.record = loop, transport, peer_server, record
-        self.name, self.cell = name, cell
-        self.holder = TableHolder(fleet)
-        self.disseminator = Disseminator(name, TableDocument(self.holder), random, loop.now())
+        self.loop, self.record = loop, record
+        self.name, self.cell = settings.gateway, settings.cell
+        self.payloads, self.pull_listener, self.pull_client = channels
+        self.holder = TableHolder(settings.fleet)
+        self.disseminator = Disseminator(self.name, TableDocument(self.holder), random, loop.now())
         self.configured: tuple[Peer, ...] = ()
-        self.pull_client = PullClient(loop)
-        self.storage = TableStorage(loop.now, path, fleet, self._report_storage)
-        self.timer: Any = None
+        self.storage = TableStorage(loop.now, settings.path, settings.fleet, self._report_storage)
+        self.timer: Timer | None = None
         self._callbacks: list[TableCallback] = []
         self._reported_version = NOTHING  # the version for which the callbacks were called last
         self._listed: _Listed | None = None
-        self._list_at: int = loop.now()
+        self._list_at = loop.now()
         self._logged_rejections: set[str] = set()
 
     # For the gateway
@@ -79,8 +95,8 @@
     def start(self) -> None:
         """Reads the table on disk, then begins to receive and send."""
         self.storage.restore(self.disseminator)
-        self.transport.register(PayloadKind.CELL_TABLE, self._received)
-        self.peer_server.routes[TARGET] = pull_route(self.loop, self.disseminator)
+        self.payloads.register(PayloadKind.CELL_TABLE, self._received)
+        self.pull_listener.serve(self._answer_pull)
         self._list_candidates()
         self._finish_turn(())
 
@@ -90,8 +106,8 @@
             self.timer.cancel()
             self.timer = None
         self.pull_client.drop()
-        self.transport.unregister(PayloadKind.CELL_TABLE)
-        self.peer_server.routes.pop(TARGET, None)
+        self.payloads.unregister(PayloadKind.CELL_TABLE)
+        self.pull_listener.stop()
         self.storage.write(self.disseminator)
 
     def table(self) -> CellTable | None:
@@ -140,9 +156,18 @@
         address, message = datagram if datagram is not None else ("", None)
         self._finish_turn(self.disseminator.receive(now, Peer(sender, address), message))
 
-    def _receive_answer(self, peer: Peer, answer: Changes | Part | Busy | None) -> None:
+    def _receive_answer(self, peer: Peer, answer: PullAnswer | None) -> None:
         self._finish_turn(self.disseminator.receive_answer(self.loop.now(), peer, answer))
 
+    def _answer_pull(self, data: bytes) -> PullReply:
+        now = self.loop.now()
+        if not self.disseminator.admits(now, ""):
+            return PullReply(BUSY, b"")
+        answer = self.disseminator.answer(now, wire.decode_pull(data))
+        if answer is None:
+            return PullReply(INVALID, b"not a pull of this fleet\n")
+        return PullReply(ANSWERED, wire.encode_answer(answer))
+
     def _tick(self) -> None:
         self.timer = None
         now = self.loop.now()
@@ -174,8 +199,8 @@
         if isinstance(message, Pull):
             self.pull_client.ask(to.address, message, lambda answer: self._receive_answer(to, answer))
         else:
-            data = wire.encode_datagram(message, self.peer_server.address)
-            self.transport.send_payload(to.address, PayloadKind.CELL_TABLE, data)
+            data = wire.encode_datagram(message, self.pull_listener.address)
+            self.payloads.send_payload(to.address, PayloadKind.CELL_TABLE, data)
 
     def _report_table(self) -> None:
         table = self.holder.table
@@ -190,7 +215,7 @@
     def _list_candidates(self) -> None:
         """Computes the peers to exchange with, if something has changed."""
         self._list_at = self.loop.now() + LIST_INTERVAL
-        membership = self.transport.membership
+        membership = self.payloads.membership
         up = sorted([name for name in membership.members if name in membership.table.alive])
         neighbours = tuple([Peer(name, membership.members[name].address) for name in up])
         listed = _Listed(neighbours, self.configured, self.holder.table)
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -4,7 +4,6 @@
 from raft_net import Net as RaftNet
 
 from gaproute.decisions.chance import Chance
-from gaproute.loop.datagrams import Datagrams
 from gaproute.peers.membership import MembershipTransport
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
 from gaproute.shared.gossip.messages import LIMITS, HostEntry, name_key
@@ -83,7 +82,7 @@
     def wall():
         return (BEGUN_MS + ahead[0]) * 1_000_000 + made.loop.now()
 
-    monkeypatch.setattr(MembershipTransport.__init__, "__defaults__", (Datagrams, wall))
+    monkeypatch.setattr(MembershipTransport.__init__, "__defaults__", (wall,))
     second = start("second", "weak-word yes")
     at = second.peers.peer_server.address
     third = start("third", f"peer second {at}\nweak-word yes")
--- a/tests/hollow/test_cells.py
+++ b/tests/hollow/test_cells.py
@@ -6,7 +6,6 @@
 from gaproute.decisions.cells import invariants as cell_invariants
 from gaproute.hollow.cells import CELL_PARTS, CellFleet
 from gaproute.hollow.cells.plan import GATEWAYS, HOSTS
-from gaproute.peers.tables.pull_exchange import TARGET
 from gaproute.shared.dissemination import invariants as table_invariants
 from gaproute.shared.membership import MemberState
 
@@ -163,7 +162,7 @@
     tables = {id(gateway.parts["tables"].transport.table()) for gateway in fleet.gateways.values()}
     assert len(tables) == 1
     assert len(fleet.shared_tables) == 2
-    assert all(TARGET in gateway.parts["tables"].peer_server.routes for gateway in fleet.gateways.values())
+    assert all(gateway.parts["tables"].pull_server.handler for gateway in fleet.gateways.values())
     fleet.close()
 
 
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -2,6 +2,7 @@
 
 import socket
 from dataclasses import replace
+from functools import partial
 
 import pytest
 from cells_tables import FLEET, cells, table
@@ -15,11 +16,19 @@
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
+from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.peer_server import PeerServer
-from gaproute.peers.tables import CellTableTransport, table_storage, wire
+from gaproute.peers.tables import (
+    CellTableChannels,
+    CellTableSettings,
+    CellTableTransport,
+    table_storage,
+    wire,
+)
+from gaproute.peers.tables.pull_exchange import HttpPullListener, PullClient
 from gaproute.shared.dissemination import DocumentError, Peer
 from gaproute.shared.dissemination.bounds import PART_BYTES
 from gaproute.shared.dissemination.messages import Announcement, Pull
@@ -45,9 +54,15 @@
     def __init__(self, loop, name, seed, fleet=FLEET, path=None):
         self.record, self.name = Record(), name
         self.peer_server = PeerServer(loop, address("127.0.0.1:0"), None, None, ())
-        self.membership = MembershipTransport(loop, name, self.peer_server.address, Chance(seed), self.record)
+        self.membership = MembershipTransport(
+            loop, name, self.peer_server.address, Chance(seed), self.record, partial(Datagrams, loop)
+        )
         self.transport = CellTableTransport(
-            loop, name, fleet, self.membership, self.peer_server, Chance(seed + 100), self.record, path=path
+            loop,
+            CellTableSettings(name, fleet, path=path),
+            CellTableChannels(self.membership, HttpPullListener(self.peer_server), PullClient(loop)),
+            Chance(seed + 100),
+            self.record,
         )
         self.taken = []
         self.transport.on_table(lambda taken: self.taken.append(taken.version))
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -1,5 +1,7 @@
 """Raft nodes and lease clients on sockets and on disk; what a peer may not send."""
 
+from functools import partial
+
 import msgspec
 import pytest
 from raft_net import SECOND, Chance
@@ -7,7 +9,7 @@
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
-from gaproute.peers.raft import HostedNode, wire
+from gaproute.peers.raft import HostedNode, RaftTransport, wire
 from gaproute.peers.raft.transport import BURST
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft.messages import (
@@ -42,9 +44,9 @@
             self.loop,
             name,
             self.names,
-            self.peers,
             Record(),
             Chance(number),
+            open_transport=partial(RaftTransport, self.loop, name, self.peers),
             disk=disk,
             machine=LeaseTable(initial_wait=False),
         )
