--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -38,12 +38,12 @@
 
 def encoded(message: Any) -> bytes:
     """The message as a batch of its own."""
-    return wire.batch(GROUP[0], [wire.pack(message)])
+    return wire.encode_batch(GROUP[0], [wire.encode_message(message)])
 
 
 def decoded(data: Any) -> RaftMessage:
     """The message of such a batch."""
-    return wire.read(data)[1][0]
+    return wire.decode_batch(data)[1][0]
 
 
 def posted(data: bytes) -> int:
--- a/gaproute/hollow/simulation/network.py
+++ b/gaproute/hollow/simulation/network.py
@@ -119,7 +119,7 @@
         if to not in self._peers or self._closed:
             self.counts["lost"] += 1
             return
-        body = wire.batch(self.name, [wire.pack(message)])
+        body = wire.encode_batch(self.name, [wire.encode_message(message)])
         request_head = HTTP_REQUEST % len(body)
         self.counts["sent"] += 1
         self.counts["bytes"] += len(request_head) + len(body) + len(HTTP_ANSWER) + SEGMENT_HEADERS
@@ -129,7 +129,7 @@
         """A batch has come."""
         if self._closed:
             return
-        sender, messages = wire.read(data)
+        sender, messages = wire.decode_batch(data)
         if sender not in self._peers:
             self.counts["refused: stranger"] += 1
             return
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -126,7 +126,7 @@
             server.answer(request, 404, (), b"POST /keepers\n")
             return
         try:
-            sender, messages = wire.read(request.body)
+            sender, messages = wire.decode_batch(request.body)
         except wire.MalformedBatchError as reason:
             self.counts[f"refused: {reason}"] += 1
             server.answer(request, 400, (), b"not understood\n")
@@ -159,7 +159,7 @@
             self.counts["lost"] += 1
             return
         state = self._state(to)
-        self.counts["lost"] += state.push(wire.pack(message))
+        self.counts["lost"] += state.push(wire.encode_message(message))
         if state.exchange is None and state.timer is None:
             # After the present callbacks, so that all messages of one turn are sent in one batch.
             state.timer = self.loop.at(max(self.loop.now(), state.retry_at), self._flush, to, state)
@@ -170,7 +170,7 @@
         if not state.queue or state.exchange is not None or to not in self.peers or self.closed:
             return
         packed = state.pop_batch()
-        body = wire.batch(self.name, packed)
+        body = wire.encode_batch(self.name, packed)
         data = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n%b" % (TARGET, len(body), body)
         state.exchange = Exchange(
             self.loop, data, lambda answer, fault: self._finish(to, state, len(packed), answer)
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -5,7 +5,7 @@
 """
 
 from collections.abc import Sequence
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -31,22 +31,29 @@
 )
 
 
+class Batch(NamedTuple):
+    """The messages that a gateway sent together."""
+
+    sender: str
+    messages: list[RaftMessage]
+
+
 class MalformedBatchError(GaprouteError, ValueError):
     """Bytes that are no batch; the text is the reason by which the transport counts them."""
 
 
-def pack(message: RaftMessage) -> bytes:
+def encode_message(message: RaftMessage) -> bytes:
     """Encodes one message."""
     return _encoder.encode(message)
 
 
-def batch(sender: str, packed: Sequence[bytes]) -> bytes:
-    """Encodes a batch; `packed`: messages by `pack`."""
-    return _encoder.encode((VERSION, sender, [msgspec.Raw(each) for each in packed]))
+def encode_batch(sender: str, messages: Sequence[bytes]) -> bytes:
+    """Encodes a batch of messages that are encoded already."""
+    return _encoder.encode((VERSION, sender, [msgspec.Raw(message) for message in messages]))
 
 
-def read(data: bytes) -> tuple[str, list[RaftMessage]]:
-    """Decodes a batch: the sender and the messages. Errors: MalformedBatchError."""
+def decode_batch(data: bytes) -> Batch:
+    """Decodes a batch. Errors: MalformedBatchError."""
     if len(data) > MAX_BATCH_BYTES:
         raise MalformedBatchError("too long")
     if data[:1] != ARRAY_OF_THREE:
@@ -57,4 +64,4 @@
         _, sender, messages = _decoder.decode(data)
     except (ValueError, RecursionError):
         raise MalformedBatchError("noise") from None
-    return sender, messages
+    return Batch(sender, messages)
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -149,33 +149,33 @@
 def test_bad_batches_are_counted_by_reason_and_change_nothing(group):
     group.until(lambda: group.leader)
     host = group.hosts["a"]
-    good = wire.pack(AppendEntriesResponse(1, 1, True, 1))
+    good = wire.encode_message(AppendEntriesResponse(1, 1, True, 1))
     for body, reason in (
         (b"", "noise"),
         (b"\xff" * 65536, "noise"),
         (b"\x93\x07" + b"x", "version"),
-        (wire.batch("nobody", [good]), "stranger"),
-        (wire.batch("a", [good]), "stranger"),
-        (wire.batch("b", [good[:-1]]), "noise"),
-        (wire.batch("b", [good] * 65), "noise"),
-        (wire.batch("b", [msgspec.msgpack.encode([5, -1, 1, True, 1])]), "noise"),
-        (wire.batch("b", [wire.pack(Request(1, 1, b"x" * 4096))]), "noise"),
+        (wire.encode_batch("nobody", [good]), "stranger"),
+        (wire.encode_batch("a", [good]), "stranger"),
+        (wire.encode_batch("b", [good[:-1]]), "noise"),
+        (wire.encode_batch("b", [good] * 65), "noise"),
+        (wire.encode_batch("b", [msgspec.msgpack.encode([5, -1, 1, True, 1])]), "noise"),
+        (wire.encode_batch("b", [wire.encode_message(Request(1, 1, b"x" * 4096))]), "noise"),
         (b"\x93\x01\xa1b" + b"\x91" * 5000, "noise"),
     ):
         before = host.transport.counts[f"refused: {reason}"]
         assert post(group, "a", body) == 400
         assert host.transport.counts[f"refused: {reason}"] == before + 1, body[:20]
     term = host.node.term
-    assert post(group, "a", wire.batch("h", [wire.pack(RequestVote(term + 1, 1, 99, 99, False))])) == 204
+    assert post(group, "a", wire.encode_batch("h", [wire.encode_message(RequestVote(term + 1, 1, 99, 99, False))])) == 204
     assert host.node.rejections["stranger"] == 1
     assert host.node.term == term
-    assert post(group, "h", wire.batch("b", [good])) == 204
+    assert post(group, "h", wire.encode_batch("b", [good])) == 204
     assert group.hosts["h"].transport.counts["refused: no keeper here"] == 1
 
 
 def test_a_flood_is_refused_and_the_queue_to_a_dead_peer_is_bounded(group):
     group.until(lambda: group.leader)
-    flood = wire.batch("h", [wire.pack(Reply(1, 1, "busy"))] * wire.MAX_MESSAGES)
+    flood = wire.encode_batch("h", [wire.encode_message(Reply(1, 1, "busy"))] * wire.MAX_MESSAGES)
     answers = [post(group, "a", flood) for _ in range(BURST // wire.MAX_MESSAGES + 2)]
     assert answers[0] == 204
     assert answers[-1] == 429
@@ -197,4 +197,4 @@
         AppendEntries(1, 2, 3, 4, 5, (Entry(1, 0, 2, 3, b"x"),)),
         Reply(1, 2, "done", b"y"),
     ):
-        assert wire.read(wire.batch("a", [wire.pack(message)])) == ("a", [message])
+        assert wire.decode_batch(wire.encode_batch("a", [wire.encode_message(message)])) == ("a", [message])
