--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -154,7 +154,7 @@
         """A row. `read_before`: datagrams that were read in this second already."""
 
         def receive() -> None:
-            self._transport.read = read_before
+            self._transport.received_in_second = read_before
             self._transport._received(datagram)
 
         return {"word": name, "bytes": len(datagram), "refused, us": cpu_us(receive)}
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -77,7 +77,7 @@
     membership_transport = appliance.peers.membership_transport
     rows: list[JsonObject] = [{"name": name, "state": None} for name in fetched]
     if membership_transport is not None:
-        rows = membership_transport.table()
+        rows = membership_transport.member_rows()
     return [row | {"learnt": fetched.get(row["name"])} for row in rows]
 
 
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Records what the outcomes of attempts show: to health, demand, loads and entries."""
+"""Records what the outcomes of attempts show about cells and entries: health, demand and loads."""
 
 from typing import NamedTuple
 
@@ -22,14 +22,14 @@
     """An attempt without an outcome so far."""
 
     cell: str
-    gateway: Gateway | None  # that sent it to a host; None: it was sent to an entry gateway
+    gateway: Gateway | None  # of the known cell, which chose the host; None: sent to an entry gateway
     function: str
     sent_at: int
     own: bool  # whether the request came from a client of this gateway
 
 
 class AttemptRecorder:
-    """Has the `attempts` in flight, by (request, number), and records their outcomes."""
+    """Records the outcomes of `attempts`, which has those in flight by (request id, attempt number)."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         self.health.record_overdue(now, attempt.cell, attempt.sent_at, via)
 
     def _record_health(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
-        if not _tells_of_cell(outcome.result, attempt):
+        if not _shows_cell_state(outcome.result, attempt):
             return
         pace = None
         if outcome.result is Result.OK and outcome.found is Found.WARM:
@@ -114,8 +114,8 @@
             self.loads.record(now, name, outcome.report.in_hand / cell.capacity)
 
 
-def _tells_of_cell(result: Result, attempt: CellAttempt) -> bool:
-    """Whether a result shows something about its cell.
+def _shows_cell_state(result: Result, attempt: CellAttempt) -> bool:
+    """Whether a result shows something about the state of its cell.
 
     A full host does not mean a full cell, and an entry that does not know the cell shows nothing about it.
     """
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -18,10 +18,10 @@
 SHORT_MEMORY = 60 * SECOND  # of the short count, which follows a function that becomes hot
 # Of the long count, which separates functions that are requested often from rare ones
 LONG_MEMORY = 1_800 * SECOND
-CAUTION = 1.5  # standard deviations by which a count is estimated low: fewer than three arrivals show nothing
+CAUTION = 1.5  # standard deviations by which a count is estimated low: up to two arrivals count as none
 HOME_SHARE = 0.01  # share of a mean cell's work that one home of a function may get
 SHRINK_FACTOR = 4  # the homes are halved when this many times fewer are needed
-# Expected in a keep-alive at each home: then an instance is found unloaded once in 55 times
+# Requests expected at each home within a keep-alive: then an instance is found unloaded once in 55 requests
 WARM_REQUESTS = 4.0
 MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, except to more homes
 DEFAULT_DURATION = SECOND // 10  # of a request before any was measured
@@ -45,7 +45,7 @@
     homes: int
 
 
-RARE = Placement(False, 1)
+RARE = Placement(regional=False, homes=1)
 
 
 class DecayingCount:
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -22,7 +22,8 @@
 # From the gateway that took the request to an entry, and once more if that does not know the cell
 MAX_HOPS = 2
 MAX_ENTRIES_PER_CELL = 4  # in this gateway's order: two are tried for one request
-ENTRIES_KEPT_PER_CELL = 4  # stored for each cell, above which those that the table lacks are forgotten
+# Stored backoffs and answers for each cell, above which entries that the table lacks are forgotten
+ENTRIES_KEPT_PER_CELL = 4
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is avoided
 NEVER = -1  # the time of the last answer of an entry that has not answered
 
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryBackoff:
-    """Until when an entry is avoided that failed or does not know a cell; ns."""
+    """Until when an entry that failed or does not know a cell is avoided; ns."""
 
     retry_at: int
     duration: int
@@ -139,8 +140,8 @@
         _back_off(self.unknown_cells, (name, cell), now)
 
     def record_overdue(self, now: int, name: str, sent: int) -> None:
-        """Notes a request, sent at `sent`, without answer in time: a failure if the entry answered no other
-        since.
+        """Notes that a request, sent at `sent`, is overdue: a failure unless the entry has answered another
+        request since.
         """
         if not self.has_answered_since(name, sent):
             self.record_failure(now, name)
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -37,12 +37,12 @@
 
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials
 BACKOFF_JITTER = 0.25  # share of a backoff that is added at random, so that gateways differ
-IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request as a trial; then any is taken
+IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request as a trial; after that any request is used
 TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without an answer has failed
-OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes do not count; a gateway sends to most cells twice in 5 s
+OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes do not count; to most cells a gateway sends twice in 5 s
 MAX_REJECTED_SHARE = 0.5  # of the last outcomes, above which the cell has a fault
 MIN_OUTCOMES = 4  # outcomes that are needed to judge rejections
-SLOW = 4.0  # times slower than usual that is a fault
+SLOW = 4.0  # a cell that is more times slower than usual has a fault
 MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # over which functions return
 RAMP_JITTER = 0.1  # share of the ramp by which gateways differ for one function
 HASH_RANGE = 1 << 64
@@ -76,7 +76,10 @@
     # What may be sent
 
     def circuit_state(self, now: int, name: str, function: str, *, may_repeat: bool = True) -> CircuitState:
-        """Whether the function's request may go to the cell; `may_repeat`: others avoid suspected domains."""
+        """Whether a request of the function may go to the cell.
+
+        `may_repeat`: it may be sent again; a request that must not be avoids suspected domains.
+        """
         cell = self.cells.get(name)
         if cell is None or not may_repeat and self.silence.suspects(now, cell):
             return CircuitState.OPEN
@@ -238,7 +241,7 @@
         return self._turn(function) * fault.ramp <= now - fault.recovered_at
 
     def _turn(self, function: str) -> float:
-        """0 to 1: when on a recovery ramp the function returns; nearly the same at all gateways."""
+        """The share of a recovery ramp after which the function returns; nearly the same at all gateways."""
         shared = xxh3_64_intdigest(function.encode())
         own = xxh3_64_intdigest(f"{self.own_name}\0{function}".encode())
         return ((1 - RAMP_JITTER) * shared + RAMP_JITTER * own) / HASH_RANGE
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -5,10 +5,11 @@
 means that the cell rejected the request, and the caller tries the next cell.
 
 A request that may have run is repeated only if it is idempotent, or has an idempotency key that all hosts
-share and that they still remember: then it goes to one more entry of the cell if the connection to the first
-broke. The first entry, and one to which that forwarded the request, may still be sending it to hosts, so all
-of its time must lie within the window of the first sending. Keys that only a zone or a rack shares are not
-enough: a cell has several racks, and tables that differ may have it in two zones.
+share and still remember: then it goes to one more entry of the cell if the connection to the first entry
+broke. That entry, or one to which it forwarded the request, may still be sending it to hosts, so the deadline
+of the request must lie within the time for which hosts remember a key since it was first sent. A key that
+only the hosts of a zone or a rack share is not enough: a cell has several racks, and two tables may have the
+cell in different zones.
 """
 
 from gaproute.decisions.cells.actions import Actions, wakeup_of
@@ -29,9 +30,8 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
-TRANSIT = (
-    100 * MILLI
-)  # between two gateways: by so much an entry's deadline may be later than the one that was sent to it
+# Of a request between two gateways; by so much the deadline at the entry may be later than at the sender
+TRANSIT = 100 * MILLI
 
 
 class RemoteCells:
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -22,13 +22,13 @@
 
 SECOND = 1_000_000_000
 
-MAX_SUSPICION = (
-    10 * SECOND
-)  # after an overdue request, also where no request may show that the domain is well
-MAX_DOMAINS = 256  # whose last answer is stored, above which those that the table lacks are forgotten
-# Hosts or entries of a cell, cells of a zone, zones of a region: one alone may be slow work
+# After an overdue request; also ends the suspicion of a domain to which no request is sent that could end it
+MAX_SUSPICION = 10 * SECOND
+MAX_DOMAINS = 256  # stored times of last answers, above which domains that the table lacks are forgotten
+# Hosts or entries of a cell, cells of a zone, zones of a region: one alone may just have slow work
 MIN_SILENT_PARTS = 2
-MIN_SILENT_ZONES = 3  # by which the own zone or region is cut off: a region that fails has two or three
+# From which the own zone or region is cut off: another region that fails has two or three zones
+MIN_SILENT_ZONES = 3
 NEVER = -1  # the time of the last answer where there was none
 
 
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -18,20 +18,21 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.shared.randomness import RandomSource
 
-# The ages that are given to hints, as shares of the keep-alive. The minimum: another gateway's observation
-# counts for less than one of this gateway, however fresh; the decay leaves it 0.985 of its weight.
+# The least age of a hint, as a share of the keep-alive: another gateway's observation counts for less than an
+# own one, however fresh it is. At this age the decay leaves 0.985 of its weight.
 MIN_AGE_SHARE = 0.35
-# A random addition, so that gateways which learn the same at one moment rank the warm hosts differently and
-# do not all send to one.
+# Added at random, so that gateways that get the same observations at one moment rank the warm hosts
+# differently and do not all send to one.
 RANDOM_AGE_SHARE = 0.35
 RANDOM_STEPS = 1000
-# Of a function that are hinted at least, the freshest ones: the stable hash picks among them, and wrong
-# observations of several origins mostly differ
+# Instances of a function that are hinted at least, the freshest ones: the stable hash picks among them, and
+# wrong observations of several origins mostly name different hosts
 MIN_INSTANCES = 4
 # Instances hinted for each host that a function could fill: about as many as the decisions use
 INSTANCE_SPREAD = 2.5
-MAX_SLOWDOWN = 8.0  # largest slowdown of a host that is believed
+MAX_SLOWDOWN = 8.0  # a larger slowdown of a host counts as this
 
+# Kinds that are not hinted one by one: instances are ranked first, the others only decide about hints
 NOT_FOLLOWED_SINGLY = (
     ObservationKind.WARM_INSTANCE,
     ObservationKind.LISTED_STATE,
@@ -73,7 +74,7 @@
         self._keep_alive, self._request_classes, self._random = keep_alive, request_classes, random
 
     def follow(self, gateway: HintReceiver, now: int, starts: Starts, subjects: Collection[Subject]) -> int:
-        """Hands the decisions hints on the subjects that came; returns how many hints were taken."""
+        """Hands the decisions the observations of these subjects as hints; returns how many they use."""
         functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
         taken = sum([int(gateway.hint_instance(*hint)) for hint in self.warm_hints(now, starts, functions)])
         for subject in subjects:
@@ -103,14 +104,14 @@
             subject = (ObservationKind.WARM_INSTANCE.value, host, function)
             observation = self.observations.by_subject[subject]
             lanes, started = observation.value
-            reason = self._void_reason(host, observation, started, starts)
             seen = min(observation.observed_at, now - self._random_age())
+            reason = self._void_reason(host, observation, started, starts)
             if reason is None and now - seen >= self._keep_alive:
                 reason = ObservationRejection.EXPIRED
-            if reason is None:
-                candidates.append(_Candidate(observation.observed_at, WarmHint(host, function, lanes, seen)))
-            else:
+            if reason is not None:
                 self.observations.rejections[reason] += 1
+                continue
+            candidates.append(_Candidate(observation.observed_at, WarmHint(host, function, lanes, seen)))
         return candidates
 
     def _random_age(self) -> int:
@@ -122,7 +123,7 @@
     ) -> ObservationRejection | None:
         """Why an observation of a host is not to be used, or None.
 
-        `started`: the host's start by the list of the observing gateway, None if the kind has none.
+        `started`: the host's start by the list of the observing gateway; None if the observation has none.
         """
         if host not in starts:
             return ObservationRejection.NOT_LISTED
@@ -140,7 +141,7 @@
     def _follow_one(
         self, gateway: HintReceiver, starts: Starts, subject: Subject, observation: SharedObservation
     ) -> int:
-        """Uses one observation that is not of an instance; returns how many hints were taken."""
+        """Hands the decisions one observation that is not of an instance; returns how many hints they use."""
         kind, *names = subject
         value = observation.value[0]
         if kind == ObservationKind.USUAL_TIME:
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -15,7 +15,7 @@
 MAX_LANES = 1024  # requests that one instance runs at a time
 
 Subject = tuple[str, ...]  # (kind, name, ...)
-Value = tuple[Any, ...]
+Value = tuple[Any, ...]  # numbers and texts, as `KIND_RULES` lists them for the kind
 
 
 class ObservationKind(StrEnum):
@@ -94,8 +94,8 @@
     return None if 0 < share <= 1 else ObservationRejection.SHARE
 
 
-def _invalid_slowdown(times: float) -> ObservationRejection | None:
-    return None if 1 <= times < float("inf") else ObservationRejection.SLOWDOWN
+def _invalid_slowdown(factor: float) -> ObservationRejection | None:
+    return None if 1 <= factor < float("inf") else ObservationRejection.SLOWDOWN
 
 
 KIND_RULES: Mapping[str, KindRule] = {
--- a/gaproute/decisions/reports/shared_observations.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -34,16 +34,16 @@
         self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts at which an instance was seen
         self.rejections: Counter[ObservationRejection] = Counter()
 
-    def observed_at(self, asked: int, age: int) -> int | None:
+    def observed_at(self, requested_at: int, age: int) -> int | None:
         """The earliest time that an observation of that age can have; None if the age is rejected.
 
-        `asked`: when the observation was requested. The answer was written later, so a long round trip makes
-        an observation seem older, never younger.
+        `requested_at`: when the observation was requested. The answer was written later, so a long round trip
+        makes an observation seem older, never younger.
         """
         if not 0 <= age <= MAX_AGE:
             self.rejections[ObservationRejection.AGE] += 1
             return None
-        return asked - age
+        return requested_at - age
 
     def add(self, subject: Subject, observation: SharedObservation) -> None:
         """Stores an observation if it is newer than that of its subject."""
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -1,4 +1,4 @@
-"""The bytes of a gossip message, little-endian, strict: what is not wholly one is none.
+"""Encodes and decodes gossip messages, little-endian; bytes that are not exactly one message are rejected.
 
     message: version u8 (1), incarnation u64, sets u8, then each set
     set:     kind u8, partition u8, sequence u32, age u16 (10 ms), remainder u8 (scale), entries u16
@@ -7,8 +7,8 @@
                      deviation u16 (hundredths of the rate)
              warm instances: host u32, function u32, age u16 (10 ms)
 
-The scale: code c stands for 2^(c/12) - 1; rates and their remainder are sent in hundredths, so that three a
-second stays three.
+The scale: code c stands for the amount 2^(c/12) - 1. Rates and their remainder are sent in hundredths, so
+that a rate of three requests a second is decoded as three.
 """
 
 import struct
@@ -33,23 +33,23 @@
 )
 
 VERSION = 1
-AGE_UNIT = 10_000_000  # ns: 655 s is the longest age, twice what any set lives
+AGE_UNIT = 10_000_000  # ns; the longest age is 655 s, twice that at which any set expires
 MAX_AGE_UNITS = 65_535
 RATE_UNITS = 100  # rates are sent in hundredths of a request a second
 MAX_RELATIVE_DEVIATION = 655.0  # of the rate
 MAX_WARM_AGE = LIMITS[EntryKind.WARM_INSTANCES].max_age
-MAX_BYTES = 1200  # fits an unfragmented datagram everywhere
+MAX_BYTES = 1200  # fits in one unfragmented datagram on every usual network
 
 MESSAGE_HEADER, SET_HEADER = Struct("<BQB"), Struct("<BBIHBH")
 HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY = Struct("<IB"), Struct("<IBBH"), Struct("<IIH")
 ENTRY_STRUCTS = (HOST_ENTRY, HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY)  # by kind
 
-# The amounts between two codes, from which on the greater code is the nearer.
+# For each two successive codes, the amount above which the greater code is the nearer one.
 CODE_BOUNDS = [(low * high) ** 0.5 if low else high / 2 for low, high in pairwise(AMOUNT_SCALE)]
 
 
 class UndecodableError(GaprouteError, ValueError):
-    """The bytes are no message."""
+    """The bytes are not a message of this version."""
 
 
 def amount_code(amount: float) -> int:
@@ -67,7 +67,7 @@
 
 
 def decode(data: bytes) -> GossipMessage | None:
-    """The message, or None where it is none that is understood."""
+    """The message; None if the bytes cannot be decoded."""
     try:
         return _decode_message(data)
     except (struct.error, UndecodableError):
@@ -107,7 +107,7 @@
 
 
 def _age_units(age: int) -> int:
-    """Rounded up, as ages only grow."""
+    """The age as it is sent; rounded up, as an age must never seem lower than it is."""
     return min(MAX_AGE_UNITS, -(-age // AGE_UNIT))
 
 
@@ -117,7 +117,8 @@
     version, incarnation, count = MESSAGE_HEADER.unpack_from(data)
     if version != VERSION or count > MAX_SETS:
         raise UndecodableError("another version, or too many sets")
-    position, sets = MESSAGE_HEADER.size, []
+    sets: list[EntrySet] = []
+    position = MESSAGE_HEADER.size
     for _ in range(count):
         entries, position = _decode_set(data, position)
         sets.append(entries)
@@ -146,20 +147,15 @@
     if kind == EntryKind.DEMAND:
         return tuple([_decode_demand(*each) for each in fields])
     if kind == EntryKind.WARM_INSTANCES:
-        max_age = LIMITS[kind].max_age
         return tuple(
             [
-                WarmInstanceEntry(host, function, min(age * AGE_UNIT, max_age))
+                WarmInstanceEntry(host, function, min(age * AGE_UNIT, MAX_WARM_AGE))
                 for host, function, age in fields
             ]
         )
     return tuple([HostEntry(host, AMOUNT_SCALE[code]) for host, code in fields])
 
 
-def _decode_warm_instance(host: int, function: int, age: int) -> WarmInstanceEntry:
-    return WarmInstanceEntry(host, function, min(age * AGE_UNIT, MAX_WARM_AGE))
-
-
 def _decode_demand(function: int, request_class: int, rate_code: int, deviation: int) -> DemandEntry:
     rate = AMOUNT_SCALE[rate_code] / RATE_UNITS
     return DemandEntry(function, request_class, rate, rate * deviation / RATE_UNITS)
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -1,6 +1,7 @@
-"""Membership by datagrams, at an address that follows from the address for peers.
+"""Membership by datagrams.
 
-For UDP it is the same address; for Unix sockets `.words` is appended to the path.
+The address for datagrams follows from the address for peers: for UDP it is the same one, for Unix sockets
+`.words` is appended to the path.
 """
 
 import time
@@ -15,8 +16,8 @@
 from gaproute.shared.randomness import RandomSource
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-# Read in a second: 20 times the usual number at 1,000 gateways. In a flood, messages of other members are
-# dropped as well
+# Decoded in one second: 20 times the usual number at 1,000 gateways. A flood beyond it also costs messages of
+# other members, as the sender is known only after decoding
 MAX_DATAGRAMS = 2000
 UNIX_SUFFIX = ".words"  # appended to the path of the Unix socket
 
@@ -47,7 +48,8 @@
         self.datagrams = open_datagrams(datagram_address(address), self._received)
         self.sent = self.bytes = 0
         self.undecodable = self.rate_limited = 0
-        self.read, self.second = 0, 0  # datagrams read in the present second, and when that second began (ns)
+        self.received_in_second = 0  # datagrams received in the present second
+        self.second_began_at = 0  # ns
         self.handlers: dict[PayloadKind, PayloadHandler] = {}  # by kind of payload
         self._timer: Timer | None = None
         self._schedule()
@@ -58,7 +60,7 @@
         self._log_changes()
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
-        """Has the handler called with each payload of that kind."""
+        """Has the handler called with each payload of that kind from now on."""
         self.handlers[kind] = handler
 
     def unregister(self, kind: PayloadKind) -> None:
@@ -69,8 +71,8 @@
         """Sends a payload of another part to the gateway at that address."""
         self._send_datagram(address, encode_payload(kind, self.membership.name, data))
 
-    def table(self) -> list[dict[str, object]]:
-        """All members, for operators."""
+    def member_rows(self) -> list[dict[str, object]]:
+        """All members as the operators' address shows them, by name."""
         return [self._row(member) for _, member in sorted(self.membership.members.items())]
 
     def stop(self) -> None:
@@ -99,10 +101,10 @@
 
     def _received(self, data: bytes) -> None:
         now = self.loop.now()
-        if now - self.second >= SECOND:
-            self.read, self.second = 0, now
-        self.read += 1
-        if self.read > MAX_DATAGRAMS:
+        if now - self.second_began_at >= SECOND:
+            self.received_in_second, self.second_began_at = 0, now
+        self.received_in_second += 1
+        if self.received_in_second > MAX_DATAGRAMS:
             self.rate_limited += 1
             return
         message = decode_datagram(data)
--- a/gaproute/peers/membership_wire.py
+++ b/gaproute/peers/membership_wire.py
@@ -36,9 +36,10 @@
     envelope = word_pb2.Word(
         version=VERSION, kind=message.kind, number=message.sequence, target=message.target
     )
-    add = envelope.news.add
-    for target, update in [(envelope.sender, message.sender), *((add(), each) for each in message.updates)]:
-        target.name, target.where, target.state, target.incarnation = update
+    filled = [(envelope.sender, message.sender)]
+    filled += [(envelope.news.add(), update) for update in message.updates]
+    for fields, update in filled:
+        fields.name, fields.where, fields.state, fields.incarnation = update
     return bytes(envelope.SerializeToString())
 
 
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -1,7 +1,7 @@
-"""Requests observations from peers: after the start all of them, chunk by chunk, then the changes.
+"""Requests observations from peers: after the start a snapshot, chunk by chunk, then the changes.
 
-What was received from a peer stays usable if that peer dies or stalls. Each answer is used as it arrives, so
-that the first chunk, which has what was used last, helps while the rest is on its way. Times are ns.
+Observations stay usable if the peer that sent them fails. Each chunk is used as it arrives: the first one has
+the instances that were used last, so it helps before the others have come. Times are ns.
 """
 
 from collections.abc import Callable, Collection, Generator, Iterable
@@ -59,8 +59,8 @@
 class ObservationClient:
     """Gets observations from peers.
 
-    `follow(subjects)` hands the decisions what is known of the subjects and returns how many hints were
-    taken; `completed()` is called at the end of each snapshot.
+    `follow(subjects)` hands the decisions the observations of these subjects as hints, and returns how many
+    hints they use; `completed()` is called at the end of each snapshot.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
     def set_peers(self, peers: Iterable[Peer]) -> None:
         """Takes over the configured peers.
 
-        New ones are asked, as long as it is soon after the start and they are few.
+        Observations are requested of new peers for `LEARNING_TIME` after the start, of `MAX_PEERS` at a time.
         """
         for peer in peers:
             if peer.name in self.state or self._loop.now() >= self._ends_at:
@@ -99,22 +99,22 @@
         for task in self._tasks:
             task.cancel()
 
-    def take(self, origin: str, asked: int, answer: ObservationAnswer) -> int:
+    def take(self, origin: str, requested_at: int, answer: ObservationAnswer) -> int:
         """Merges an answer and uses its observations; returns how many it had."""
         received = SharedObservations()
-        observation_wire.read_observations(answer, asked, origin, received)
+        observation_wire.read_observations(answer, requested_at, origin, received)
         self.observations.merge(received)
-        # Only the subjects of this answer are used, but with what all peers sent of them: a host is gone
-        # whoever reports it.
+        # Only the subjects of this answer are used, but with the observations of all peers: a host is gone if
+        # any of them reports it as gone.
         self.hints_taken += self._follow(received.by_subject)
         return len(received.by_subject)
 
     def _learn(self, peer: Peer) -> Generator[Promise, _ExchangeResult, None]:
-        """Asks one peer until it has sent everything."""
+        """Requests a snapshot of one peer, then its changes until the time is up."""
         progress = PeerProgress()
         for _ in range(MAX_CHUNKS):
-            asked = self._loop.now()
-            if asked > self._ends_at:
+            requested_at = self._loop.now()
+            if requested_at > self._ends_at:
                 self.state[peer.name] = _end_state(progress)
                 return
             result = yield self._exchange(peer, progress)
@@ -126,7 +126,7 @@
             if answer is None:
                 self._drop(peer, progress)
                 return
-            progress.received += self.take(peer.name, asked, answer)
+            progress.received += self.take(peer.name, requested_at, answer)
             progress.cursor = answer.next
             if progress.cursor:
                 continue
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -24,8 +24,8 @@
 
 MAX_TRANSFERS = 16  # stored for peers; a peer that asks for an older one must begin again
 MAX_CHUNK_BYTES = 4 << 20  # of all stored chunks
-# After its begin, in which a snapshot is also given to other gateways that begin: after a restart of all
-# gateways many do
+# For so long after its begin, a snapshot is also sent to other gateways that have just started: after a
+# restart of all gateways these are many
 SHARED_TIME = 250 * MILLI
 CURSOR_BASE = 1 << 20  # a cursor is the transfer's number times this, plus the number of the chunk
 RUN_ID_BITS = 63
@@ -41,8 +41,8 @@
 class Transfer:
     """A snapshot, or the changes since a mark, read as far as it was requested."""
 
-    def __init__(self, begun_at: int, observations: Iterator[OwnObservation], *, whole: bool) -> None:
-        self.begun_at, self.observations, self.whole = begun_at, observations, whole
+    def __init__(self, begun_at: int, observations: Iterator[OwnObservation], *, is_snapshot: bool) -> None:
+        self.begun_at, self.observations, self.is_snapshot = begun_at, observations, is_snapshot
         self.chunks: list[Chunk] = []
         self.bytes = 0  # of all chunks
         self.ended = False  # whether everything was read
@@ -51,9 +51,10 @@
         """Whether another chunk follows the one at the position."""
         return not self.ended or position + 1 < len(self.chunks)
 
-    def can_give(self, position: int) -> bool:
-        """Whether the chunk at the position exists or is the next one."""
-        return position < len(self.chunks) or position == len(self.chunks) and not self.ended
+    def can_serve(self, position: int) -> bool:
+        """Whether the chunk at the position exists, or is the next one to read."""
+        is_next = position == len(self.chunks) and not self.ended
+        return position < len(self.chunks) or is_next
 
     def append(self, chunk: Chunk) -> None:
         """Stores a chunk."""
@@ -83,13 +84,13 @@
         self._last_number = 0
 
     def answer(self, now: int, request: ObservationRequest, begun: int) -> bytes:
-        """The requested chunk, encoded, with what the asking gateway needs for the next request.
+        """The requested chunk, encoded, with what the requesting gateway needs for the next request.
 
         `begun`: when work on the request began, by the CPU clock.
         """
         number, position = divmod(request.cursor, CURSOR_BASE)
         transfer = self.transfers.get(number)
-        if transfer is None or not transfer.can_give(position):
+        if transfer is None or not transfer.can_serve(position):
             since = request.mark if request.life == self.run_id else EVERYTHING
             number, position = self._begin(now, since), 0
             transfer = self.transfers[number]
@@ -106,21 +107,22 @@
         return data
 
     def _begin(self, now: int, since: int) -> int:
-        """Begins a transfer of the changes since that time, or of everything; returns its number."""
-        whole = since < 0
-        if whole:
-            shared = self._shared(now)
-            if shared is not None:
-                return shared
+        """Returns the number of a transfer of the changes since that time, or of a snapshot."""
+        is_snapshot = since == EVERYTHING
+        if is_snapshot:
+            recent = self._recent_snapshot(now)
+            if recent is not None:
+                return recent
         observations = own_observations(self.gateway, self._history, self._request_classes, now, since)
         self._last_number += 1
-        self.transfers[self._last_number] = Transfer(now, observations, whole=whole)
+        self.transfers[self._last_number] = Transfer(now, observations, is_snapshot=is_snapshot)
         self._drop_oldest()
         return self._last_number
 
-    def _shared(self, now: int) -> int | None:
+    def _recent_snapshot(self, now: int) -> int | None:
+        """The number of a snapshot that began so lately that other gateways get it too; None if none did."""
         for number, transfer in self.transfers.items():
-            if transfer.whole and now - transfer.begun_at <= SHARED_TIME:
+            if transfer.is_snapshot and now - transfer.begun_at <= SHARED_TIME:
                 return number
         return None
 
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -81,12 +81,12 @@
 
 
 def read_observations(
-    answer: ObservationAnswer, asked: int, origin: str, observations: SharedObservations
+    answer: ObservationAnswer, requested_at: int, origin: str, observations: SharedObservations
 ) -> None:
-    """Adds every observation of an answer that was requested at `asked` (ns) from the peer `origin`."""
+    """Adds the observations of an answer that was requested at that time (ns) from the peer `origin`."""
 
     def add(subject: Subject, value: Value, age_us: int) -> None:
-        observed_at = observations.observed_at(asked, (age_us + answer.held_us) * MICROSECOND)
+        observed_at = observations.observed_at(requested_at, (age_us + answer.held_us) * MICROSECOND)
         if observed_at is not None:
             observations.add(subject, SharedObservation(observed_at, origin, PEER_HOPS, value))
 
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -28,8 +28,10 @@
 
 
 class PeerServer:
-    """Serves other gateways. `cpu_clock`: CPU time of this thread, ns. Errors: OSError where it cannot
-    listen.
+    """Serves other gateways.
+
+    `gateway`: the decisions whose observations are sent; `cpu_clock`: CPU time of this thread, ns. Errors:
+    OSError where it cannot listen.
     """
 
     def __init__(
@@ -43,9 +45,8 @@
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
         self.routes: dict[bytes, Route] = {}  # by target: the routes of other parts
-        self.forwarded: Callable[[Request], None] | None = (
-            None  # takes the requests that other gateways forward
-        )
+        # Takes the requests that other gateways forward; None while none are accepted
+        self.forwarded: Callable[[Request], None] | None = None
         self.transfers = ObservationTransfers(gateway, history, request_classes, cpu_clock)
         self.cpu_budget = CpuBudget(loop.now())
         self.put_off = 0  # requests for observations that were put off
@@ -67,7 +68,7 @@
             self._handle_observations(request)
 
     def stop(self) -> None:
-        """Stops accepting; answers go on until `close`."""
+        """Called as the process begins to shut down; other gateways are served until `close`."""
 
     def close(self) -> None:
         """Closes the address."""
@@ -80,11 +81,11 @@
             return
         begun = self._cpu_clock()
         try:
-            asked = observation_wire.decode_request(request.body)
+            decoded = observation_wire.decode_request(request.body)
         except DecodeError:
             self.server.answer(request, 400, (), b"not an Ask\n")
             return
-        self.server.answer(request, 200, (PROTOBUF,), self.transfers.answer(now, asked, begun))
+        self.server.answer(request, 200, (PROTOBUF,), self.transfers.answer(now, decoded, begun))
         spent = self._cpu_clock() - begun
         self.spent += spent
         self.cpu_budget.spend(now, spent)
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -1,4 +1,4 @@
-"""Batches of messages between gateways: `POST /keepers`.
+"""Sends and receives batches of messages between gateways, by HTTP: `POST /keepers`.
 
 They are sent to the address where a gateway listens for its peers, or to one of their own. There is one
 exchange at a time with each peer, on a connection that stays open. A message is dropped if the queue is full
@@ -59,15 +59,15 @@
 
     def pop_batch(self) -> list[bytes]:
         """The messages that are sent together next."""
-        packed: list[bytes] = []
+        messages: list[bytes] = []
         size = 0
-        while self.queue and len(packed) < wire.MAX_MESSAGES:
-            if packed and size + len(self.queue[0]) >= wire.FULL_BATCH_BYTES:
+        while self.queue and len(messages) < wire.MAX_MESSAGES:
+            if messages and size + len(self.queue[0]) >= wire.FULL_BATCH_BYTES:
                 break
-            packed.append(self.queue.popleft())
-            size += len(packed[-1])
+            messages.append(self.queue.popleft())
+            size += len(messages[-1])
         self.queued_bytes -= size
-        return packed
+        return messages
 
     def spend_tokens(self, now: int, messages: int) -> bool:
         """Whether the peer may send that many messages now."""
@@ -78,6 +78,10 @@
         self.tokens -= messages
         return True
 
+    def set_connection(self, connection: ClientConnection) -> None:
+        """Stores the connection for the next exchanges."""
+        self.connection = connection
+
     def close(self) -> None:
         """Ends the exchange and closes the connection."""
         if self.timer is not None:
@@ -135,7 +139,7 @@
             self.counts["refused: stranger"] += 1
             server.answer(request, 400, (), b"not a peer\n")
             return
-        if not self._state(sender).spend_tokens(self.loop.now(), len(messages)):
+        if not self._peer_state(sender).spend_tokens(self.loop.now(), len(messages)):
             self.counts["refused: flood"] += len(messages)
             server.answer(request, 429, (), b"too much\n")
             return
@@ -146,7 +150,8 @@
 
     # Sending
 
-    def _state(self, name: str) -> PeerState:
+    def _peer_state(self, name: str) -> PeerState:
+        """The state of a peer; a new one also drops those of gateways that are no peers any more."""
         if name not in self.states:
             for gone in [each for each in self.states if each not in self.peers]:
                 self.states.pop(gone).close()
@@ -158,24 +163,24 @@
         if to not in self.peers or self.closed:
             self.counts["lost"] += 1
             return
-        state = self._state(to)
+        state = self._peer_state(to)
         self.counts["lost"] += state.push(wire.encode_message(message))
         if state.exchange is None and state.timer is None:
             # After the present callbacks, so that all messages of one turn are sent in one batch.
-            state.timer = self.loop.at(max(self.loop.now(), state.retry_at), self._flush, to, state)
+            state.timer = self.loop.at(max(self.loop.now(), state.retry_at), self._send_batch, to, state)
 
-    def _flush(self, to: str, state: PeerState) -> None:
-        """Begins the next exchange."""
+    def _send_batch(self, to: str, state: PeerState) -> None:
+        """Sends the messages that are queued, in one exchange."""
         state.timer = None
         if not state.queue or state.exchange is not None or to not in self.peers or self.closed:
             return
-        packed = state.pop_batch()
-        body = wire.encode_batch(self.name, packed)
+        messages = state.pop_batch()
+        body = wire.encode_batch(self.name, messages)
         data = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n%b" % (TARGET, len(body), body)
         state.exchange = Exchange(
-            self.loop, data, lambda answer, fault: self._finish(to, state, len(packed), answer)
+            self.loop, data, lambda answer, fault: self._finish(to, state, len(messages), answer)
         )
-        state.timer = self.loop.after(EXCHANGE_TIMEOUT, self._finish, to, state, len(packed), None)
+        state.timer = self.loop.after(EXCHANGE_TIMEOUT, self._finish, to, state, len(messages), None)
         if state.connection is not None and state.connection.open:
             state.exchange.send_on(state.connection)
             return
@@ -184,7 +189,7 @@
             EXCHANGE_TIMEOUT,
             MAX_RESPONSE_BYTES,
             MAX_RESPONSE_BYTES,
-            lambda connection: setattr(state, "connection", connection),
+            state.set_connection,
         )
 
     def _finish(self, to: str, state: PeerState, messages: int, answer: Response | None) -> None:
@@ -204,7 +209,7 @@
         self.counts["sent" if sent else "lost"] += messages
         state.retry_at = now if sent else now + RETRY_DELAY
         if state.queue and not self.closed:
-            state.timer = self.loop.at(state.retry_at, self._flush, to, state)
+            state.timer = self.loop.at(state.retry_at, self._send_batch, to, state)
 
     def close(self) -> None:
         """Ends sending and listening."""
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -153,8 +153,11 @@
         if sender == self.name or not self.disseminator.admits(now, sender):
             return
         datagram = wire.decode_datagram(data)
-        address, message = datagram if datagram is not None else ("", None)
-        self._finish_turn(self.disseminator.receive(now, Peer(sender, address), message))
+        if datagram is None:  # the disseminator counts it
+            self._finish_turn(self.disseminator.receive(now, Peer(sender, ""), None))
+            return
+        peer = Peer(sender, datagram.address)
+        self._finish_turn(self.disseminator.receive(now, peer, datagram.message))
 
     def _receive_answer(self, peer: Peer, answer: PullAnswer | None) -> None:
         self._finish_turn(self.disseminator.receive_answer(self.loop.now(), peer, answer))
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -1,7 +1,7 @@
 """Encodes and decodes messages of the dissemination as MessagePack, strict and bounded; no sockets."""
 
 from collections.abc import Callable
-from typing import Annotated, TypeVar
+from typing import Annotated, NamedTuple, TypeVar
 
 import msgspec
 from msgspec import Meta
@@ -82,6 +82,13 @@
 _answer = msgspec.msgpack.Decoder(_Changes | _Part | _Busy).decode
 
 
+class Datagram(NamedTuple):
+    """A decoded datagram; `address`: where other gateways reach its sender."""
+
+    address: str
+    message: Announcement | Push
+
+
 def encode_datagram(message: Announcement | Push, address: str) -> bytes:
     """Encodes a datagram; `address`: where its sender is reached."""
     if isinstance(message, Push):
@@ -89,13 +96,14 @@
     return _encode(_Announcement(message.fleet, address, message.version, message.digest))
 
 
-def decode_datagram(data: bytes) -> tuple[str, Announcement | Push] | None:
-    """The sender's address and the message of a datagram; None if it cannot be decoded."""
+def decode_datagram(data: bytes) -> Datagram | None:
+    """Decodes a datagram; None if it cannot be decoded."""
     decoded = _read(_datagram, data, MAX_DATAGRAM_BYTES)
     if isinstance(decoded, _Push):
-        return decoded.address, Push(decoded.fleet, _decode_changes(decoded.changes))
+        return Datagram(decoded.address, Push(decoded.fleet, _decode_changes(decoded.changes)))
     if isinstance(decoded, _Announcement):
-        return decoded.address, Announcement(decoded.fleet, Version(*decoded.version), decoded.digest)
+        announcement = Announcement(decoded.fleet, Version(*decoded.version), decoded.digest)
+        return Datagram(decoded.address, announcement)
     return None
 
 
@@ -118,8 +126,8 @@
     if isinstance(answer, Changes):
         return _encode(_Changes(answer.fleet, _encode_changes(answer.changes)))
     if isinstance(answer, Part):
-        head = answer.fleet, answer.version, answer.digest, answer.size, answer.offset
-        return _encode(_Part(*head, answer.data))
+        part = _Part(answer.fleet, answer.version, answer.digest, answer.size, answer.offset, answer.data)
+        return _encode(part)
     return _encode(_Busy(answer.fleet, answer.wait))
 
 
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -166,7 +166,12 @@
         assert post(group, "a", body) == 400
         assert host.transport.counts[f"refused: {reason}"] == before + 1, body[:20]
     term = host.node.term
-    assert post(group, "a", wire.encode_batch("h", [wire.encode_message(RequestVote(term + 1, 1, 99, 99, False))])) == 204
+    assert (
+        post(
+            group, "a", wire.encode_batch("h", [wire.encode_message(RequestVote(term + 1, 1, 99, 99, False))])
+        )
+        == 204
+    )
     assert host.node.rejections["stranger"] == 1
     assert host.node.term == term
     assert post(group, "h", wire.encode_batch("b", [good])) == 204
