--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -31,7 +31,7 @@
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
 # Of a request between two gateways; by so much the deadline at the entry may be later than at the sender
-TRANSIT = 100 * MILLI
+MAX_TRANSIT_TIME = 100 * MILLI
 
 
 class RemoteCells:
@@ -130,7 +130,7 @@
         return False
     assert progress.first_sent_at is not None  # it was sent, as it may have run
     forgotten_at: int = progress.first_sent_at + request_class.repeat_window
-    return progress.deadline + TRANSIT <= forgotten_at
+    return progress.deadline + MAX_TRANSIT_TIME <= forgotten_at
 
 
 def _await_end(now: int, outcome: Outcome | None) -> Actions[None]:
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -9,11 +9,11 @@
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.remote_cells import TRANSIT
+from gaproute.decisions.cells.remote_cells import MAX_TRANSIT_TIME
 
 MILLI = 1_000_000
 IDEMPOTENT_WITH_KEY = 1
-LIMIT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].repeat_window - TRANSIT
+LIMIT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].repeat_window - MAX_TRANSIT_TIME
 
 
 def broken_off(result=face.Result.RESET, time_left=LIMIT, **options):
