--- /dev/null
+++ b/tests/decisions/reports/test_cpu_budget.py
@@ -0,0 +1,31 @@
+"""The CPU time that sending and storing observations may take."""
+
+from helpers import MILLI
+
+from gaproute.decisions.reports.cpu_budget import CPU_BURST, CPU_SHARE, REST, CpuBudget
+
+
+def test_telling_takes_a_share_of_the_time_and_a_small_burst():
+    budget = CpuBudget(0)
+    assert budget.may_spend(0)
+    budget.spend(0, CPU_BURST + MILLI)
+    assert not budget.may_spend(0)
+    assert not budget.may_spend(round(0.9 * MILLI / CPU_SHARE))
+    assert budget.may_spend(budget.wait(0) + MILLI)
+
+
+def test_two_slices_are_never_told_on_end():
+    budget = CpuBudget(0)
+    budget.spend(0, MILLI)
+    assert not budget.may_spend(REST - 1)
+    assert budget.may_spend(REST)
+
+
+def test_those_put_off_come_again_one_after_the_other():
+    budget = CpuBudget(0)
+    budget.spend(0, MILLI)
+    assert [budget.wait(0) for _ in range(3)] == [REST, 2 * REST, 3 * REST]
+    budget.spend(0, 2 * CPU_BURST)
+    waits = [budget.wait(0) for _ in range(3)]
+    assert waits[0] > 1000 * MILLI
+    assert waits[2] - waits[1] == waits[1] - waits[0] == 100 * MILLI
