--- a/gaproute/cluster/link_faults.py
+++ b/gaproute/cluster/link_faults.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Callable, Iterable, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.cluster import slot_sets
 from gaproute.cluster.address_plan import AddressPlan
@@ -17,7 +17,7 @@
 from gaproute.cluster.slot_sets import NamedSlot
 from gaproute.scenarios.processes import MILLI, SECOND, Routine
 
-AFTER_BLOCK = 500 * MILLI  # after a cut or hold, until all that it delayed has flown on
+AFTER_BLOCK = 500 * MILLI  # after a cut or hold, until all that it delayed has arrived
 RARE = 1e-6  # a chance of losses in a row that is not allowed for
 MAX_LOSSES = 6
 INVISIBLE_KINDS = (
@@ -82,7 +82,7 @@
         context.report(f"{line.at / SECOND:5.1f} s  {line.kind} on the wire")
         self.emulators.send(BeginFault(fault_id, fault_spec(line, source, destination)))
         allowance = allowance_of(line)
-        note: dict[str, Any] = {
+        note: dict[str, object] = {
             "id": fault_id,
             "kind": line.kind,
             "late": allowance.lateness,
--- a/gaproute/hollow/cells/environment.py
+++ b/gaproute/hollow/cells/environment.py
@@ -9,8 +9,7 @@
 from gaproute.decisions.cells.table import EntryGateway
 from gaproute.hollow.cells.pulls import SimulatedPullClient, SimulatedPullServer
 from gaproute.hollow.cells.shared_tables import SharedCandidates, SharedCellTables
-from gaproute.hollow.environment import GatewayEnvironment
-from gaproute.hollow.simulation import GatewayLoop
+from gaproute.hollow.environment import GatewayEnvironment, PartLoop
 from gaproute.interface import ListedHost
 from gaproute.shared.dissemination import Peer
 from gaproute.storage.cell_table_file import StoredTable
@@ -32,7 +31,7 @@
     seeds: tuple[Peer, ...]
     stored_table: StoredTable | None
     open_pull_server: Callable[[str], SimulatedPullServer]
-    open_pull_client: Callable[[GatewayLoop, str], SimulatedPullClient]
+    open_pull_client: Callable[[PartLoop, str], SimulatedPullClient]
     host_rows: Callable[[str], Sequence[ListedHost]]
     is_entry_reachable: Callable[[EntryGateway, str], bool]
     shared_tables: SharedCellTables
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from gaproute.hollow.simulation import GatewayLoop
+from gaproute.hollow.environment import PartLoop
 from gaproute.peers.ports import PullAnswer, PullCallback, PullHandler, PullReply
 from gaproute.peers.tables import wire
 from gaproute.peers.tables.pull_exchange import OK
@@ -84,7 +84,7 @@
     `pulls` and `bytes` (with headers) count what it has sent.
     """
 
-    def __init__(self, network: PullNetwork, loop: GatewayLoop, name: str) -> None:
+    def __init__(self, network: PullNetwork, loop: PartLoop, name: str) -> None:
         self._network, self._loop, self._name = network, loop, name
         self._current = 0  # the number of the pull that is open; an answer to an earlier one is dropped
         self.pulls = self.bytes = 0
