--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -67,9 +67,6 @@
         else:
             self._handle_observations(request)
 
-    def stop(self) -> None:
-        """Called as the process begins to shut down; other gateways are served until `close`."""
-
     def close(self) -> None:
         """Closes the address."""
         self.server.close()
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -3,6 +3,7 @@
 """
 
 from collections.abc import Callable, Iterable, Mapping
+from dataclasses import dataclass
 from typing import Generic, TypeVar
 
 from gaproute.loop.timers import Timer
@@ -23,39 +24,70 @@
 Transport = TypeVar("Transport", bound=RaftMessageTransport)
 
 
-class HostedNode(Generic[Transport]):
-    """Runs the lease client `client` and, if there is a disk and `name` is a member, the `node`.
+@dataclass(frozen=True, slots=True)
+class NodeEnvironment(Generic[Transport]):
+    """What a hosted node runs on; a simulation has parts of its own.
 
-    `members`: the configured names; `open_transport(receive)`: makes the transport, which calls `receive` for
-    each message; `disk`: opened; `machine`: the node's; `fencing_base`: as of `RaftNode`.
+    `open_transport(receive)` makes the transport, which calls `receive` for each message that comes.
     """
 
+    loop: CallbackLoop
+    record: EventLog
+    random: RandomSource
+    open_transport: Callable[[RaftMessageHandler], Transport]
+
+
+@dataclass(frozen=True, slots=True)
+class RaftGroupView:
+    """A Raft group as one gateway is configured with it, which may be a member or a client only."""
+
+    name: str  # of this gateway
+    members: tuple[str, ...]  # the names of the group
+
+
+@dataclass(frozen=True, slots=True)
+class NodeStorage:
+    """What a node's log is applied to, and where it is stored.
+
+    `disk` is opened; None at a gateway that stores no log. `fencing_base`: as of `RaftNode`.
+    """
+
+    machine: LeaseTable
+    disk: Disk | None = None
+    fencing_base: int = 0
+
+
+class HostedNode(Generic[Transport]):
+    """Runs the lease client `client` and, if there is a disk and this gateway is a member, the `node`."""
+
     def __init__(
-        self,
-        loop: CallbackLoop,
-        name: str,
-        members: Iterable[str],
-        record: EventLog,
-        chance: RandomSource,
-        *,
-        open_transport: Callable[[RaftMessageHandler], Transport],
-        machine: LeaseTable,
-        disk: Disk | None = None,
-        fencing_base: int = 0,
+        self, environment: NodeEnvironment[Transport], group: RaftGroupView, storage: NodeStorage
     ) -> None:
-        self.loop, self.name, self.record, self.machine = loop, name, record, machine
-        members = tuple(members)
-        self.transport = open_transport(self.receive)
-        self.client = LeaseClient(name, members, chance, loop.now())
-        self.node: RaftNode | None = None
-        if disk is not None and name in members:
-            self.node = RaftNode(name, members, disk, chance, loop.now(), machine, fencing_base=fencing_base)
-            if self.node.store.discard_reason:
-                record.event("error", "raft_log_discarded", reason=self.node.store.discard_reason)
-        self.log = NodeLog(record, loop.now())
+        self.loop, self.record = environment.loop, environment.record
+        self.name, self.machine = group.name, storage.machine
+        self.transport = environment.open_transport(self.receive)
+        self.client = LeaseClient(self.name, group.members, environment.random, self.loop.now())
+        self.node = self._make_node(environment.random, group, storage)
+        self.log = NodeLog(self.record, self.loop.now())
         self.timer: Timer | None = None
         self._schedule()
 
+    def _make_node(self, random: RandomSource, group: RaftGroupView, storage: NodeStorage) -> RaftNode | None:
+        if storage.disk is None or group.name not in group.members:
+            return None
+        node = RaftNode(
+            group.name,
+            group.members,
+            storage.disk,
+            random,
+            self.loop.now(),
+            storage.machine,
+            fencing_base=storage.fencing_base,
+        )
+        if node.store.discard_reason:
+            self.record.event("error", "raft_log_discarded", reason=node.store.discard_reason)
+        return node
+
     def _parts(self) -> list[LeaseClient | RaftNode]:
         return [self.client] if self.node is None else [self.client, self.node]
 
@@ -163,8 +195,8 @@
         self.breaches = len(node.breaches)
         if now - self.rejections_logged_at >= REJECTIONS_INTERVAL:
             self.rejections_logged_at = now
-            refused = {what: count for what, count in counts.items() if what.startswith("refused")}
-            self._log_rejections({**node.rejections, **refused})
+            rejected = {what: count for what, count in counts.items() if what.startswith("refused")}
+            self._log_rejections({**node.rejections, **rejected})
 
     def _log_changes(self, node: RaftNode) -> None:
         """Logs the role, failures of the disk, and the members, each if it has changed."""
@@ -181,10 +213,10 @@
                 "info", "raft_members_changed", members=members, term=node.term, leader=node.leader
             )
 
-    def _has_changed(self, what: str, value: object) -> bool:
+    def _has_changed(self, figure: str, value: object) -> bool:
         """Whether a value is not empty and differs from that of the last call."""
-        changed = self.logged.get(what) != value
-        self.logged[what] = value
+        changed = self.logged.get(figure) != value
+        self.logged[figure] = value
         return changed and bool(value)
 
     def _log_rejections(self, by_reason: dict[str, int]) -> None:
