--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -124,7 +124,7 @@
         """
         self._listen()
         if self.peers.gossip is not None:
-            self.core.on_arrival = self.peers.gossip.arrived
+            self.core.on_arrival = self.peers.gossip.record_arrival
         if self.cells is not None:
             self.cells.start()
         else:
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -124,7 +124,7 @@
         self.host_history.update(self.loop.now(), states)
         if self.gossip is not None:
             history = self.host_history.entries
-            self.gossip.listed({name: entry.started for name, entry in history.items() if name in states})
+            self.gossip.set_hosts({name: entry.started for name, entry in history.items() if name in states})
 
     def update_peers(self, peers: Sequence[PeerLine]) -> None:
         """Takes over the complete list of gateways, which may include this one."""
--- a/gaproute/hollow/demand_gossip.py
+++ b/gaproute/hollow/demand_gossip.py
@@ -60,7 +60,7 @@
             environment.random(RandomStream.GOSSIP),
             self.RATE,
         )
-        self._hosts.listeners.append(self._gossip.listed)
+        self._hosts.listeners.append(self._gossip.set_hosts)
         self._busy_hosts: Sequence[str] = ()
         self.next_tick = loop.now()
 
@@ -74,7 +74,7 @@
         self.next_tick = now + FEED_INTERVAL
         for _ in range(ARRIVALS):  # functions with low numbers come more often
             number = self._random.below(FUNCTIONS) * self._random.below(FUNCTIONS) // FUNCTIONS
-            self._gossip.arrived(now, f"model-{number:03}", REQUEST_CLASS)
+            self._gossip.record_arrival(now, f"model-{number:03}", REQUEST_CLASS)
         active_hosts = self._hosts.decisions.active_hosts
         chosen = self._draw_hosts(active_hosts) if active_hosts else []
         for host in self._busy_hosts:
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -46,11 +46,11 @@
         transport.register(PayloadKind.GOSSIP, self._received)
         self._timer = loop.at(now, self._tick)
 
-    def arrived(self, now: int, function: str, request_class: int) -> None:
+    def record_arrival(self, now: int, function: str, request_class: int) -> None:
         """Records a request that arrived."""
         self.node.record_arrival(now, function, request_class)
 
-    def listed(self, hosts: Mapping[str, object]) -> None:
+    def set_hosts(self, hosts: Mapping[str, object]) -> None:
         """Takes over the listed hosts: by name, their start."""
         self.node.set_hosts(self.loop.now(), hosts)
 
