--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -30,6 +30,11 @@
 MAX_FUNCTIONS = 32_768  # stored functions; the one that was seen longest ago is dropped first
 
 
+def counted_time(running_time: int, memory: int) -> float:
+    """The time over which a count reaches back that decays over `memory`, `running_time` after its begin; ns."""
+    return memory * (1 - exp(-max(running_time, SECOND) / memory))
+
+
 class FleetScope(NamedTuple):
     """What a gateway knows of the fleet to which it belongs."""
 
@@ -138,7 +143,8 @@
         stay so.
         """
         count = demand.long_term * exp((demand.updated_at - now) / LONG_MEMORY)
-        keep_alives = self.scope.regional_gateways * self.scope.keep_alive / self._counted(now, LONG_MEMORY)
+        counted = counted_time(now - self.started_at, LONG_MEMORY)
+        keep_alives = self.scope.regional_gateways * self.scope.keep_alive / counted
         if demand.placement.regional:
             return count >= 1 and count * keep_alives >= WARM_REQUESTS
         return _lower_estimate(count) * keep_alives >= WARM_REQUESTS
@@ -169,14 +175,9 @@
             count = _lower_estimate(function_count * exp((demand.updated_at - now) / memory))
             work *= exp((total.updated_at - now) / memory)
             share = max(share, count * self._duration(demand) / max(work, 1.0))
-            rate = max(rate, count / self._counted(now, memory))
+            rate = max(rate, count / counted_time(now - self.started_at, memory))
         return share, rate
 
-    def _counted(self, now: int, memory: int) -> float:
-        """The time over which a count reaches back, ns; at first only to the gateway's start."""
-        age = max(now - self.started_at, SECOND)
-        return memory * (1 - exp(-age / memory))
-
 
 def _lower_estimate(count: float) -> float:
     return max(0.0, count - CAUTION * sqrt(count))
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -14,7 +14,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from gaproute.decisions.cells.demand import LONG_MEMORY, SECOND, SHORT_MEMORY, DecayingCount
+from gaproute.decisions.cells.demand import LONG_MEMORY, SECOND, SHORT_MEMORY, DecayingCount, counted_time
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import Cell, CellTable
 
@@ -96,8 +96,8 @@
 
     def _rate(self, now: int, updated_at: int, count: float, memory: int) -> float:
         """Requests per second, from a count that decays over the time `memory` (ns)."""
-        age, passed = max(now - self.started_at, SECOND), now - updated_at
-        return count * exp(-passed / memory) / (memory * (1 - exp(-age / memory))) * SECOND
+        decayed = count * exp((updated_at - now) / memory)
+        return decayed / counted_time(now - self.started_at, memory) * SECOND
 
     def _assigned(self, table: CellTable) -> tuple[str, ...]:
         own_zone = [cell for cell in table.cells if cell.zone == self.location.zone]
