--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -31,7 +31,7 @@
 
 
 def counted_time(running_time: int, memory: int) -> float:
-    """The time over which a count reaches back that decays over `memory`, `running_time` after its begin; ns."""
+    """The time over which a decaying count reaches back, `running_time` after its begin; ns."""
     return memory * (1 - exp(-max(running_time, SECOND) / memory))
 
 
