--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -75,7 +75,9 @@
     def receive(self) -> None:
         """Decode and merge all answers; what the decisions do with them is not included."""
         for body in self.answers:
-            self.client.take("peer", self.loop.now(), observation_wire.decode_answer(body))
+            answer = observation_wire.decode_answer(body)
+            assert answer is not None
+            self.client.take("peer", self.loop.now(), answer)
         assert len(self.client.observations.by_subject) == self.facts
 
     def close(self) -> None:
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -96,12 +96,13 @@
 
 def _read_hosts(answer: ObservationAnswer, add: AddObservation) -> None:
     listed, warm = ObservationKind.LISTED_STATE.value, ObservationKind.WARM_INSTANCE.value
-    for each in answer.listed:
-        add((listed, each.worker), (each.state, each.started_ns), each.age_us)
-    for each in answer.gone:
-        add((listed, each.worker), (ListedState.GONE.value, 0), each.age_us)
-    for each in answer.warm:
-        add((warm, each.worker, each.function), (each.lanes, each.started_ns), each.age_us)
+    for host in answer.listed:
+        add((listed, host.worker), (host.state, host.started_ns), host.age_us)
+    for gone_host in answer.gone:
+        add((listed, gone_host.worker), (ListedState.GONE.value, 0), gone_host.age_us)
+    for instance in answer.warm:
+        subject = (warm, instance.worker, instance.function)
+        add(subject, (instance.lanes, instance.started_ns), instance.age_us)
 
 
 def _read_figures(answer: ObservationAnswer, add: AddObservation) -> None:
