--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -11,7 +11,7 @@
 from gaproute.peers.membership_wire import Payload, PayloadKind, decode_datagram, encode, encode_payload
 from gaproute.peers.ports import EventLog, OpenDatagrams, PayloadHandler, Peer, TimerLoop
 from gaproute.shared.membership import Membership, MembershipMessage
-from gaproute.shared.membership.dissemination import Outgoing
+from gaproute.shared.membership.message_builder import Outgoing
 from gaproute.shared.membership.messages import Member
 from gaproute.shared.randomness import RandomSource
 
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -23,8 +23,9 @@
     encode,
     expiry_wait,
 )
-from gaproute.shared.leases.expiry import ExpiryTimers, ExpiryUpdate
+from gaproute.shared.leases.expiry import ExpiryTimers
 from gaproute.shared.messages import Message
+from gaproute.shared.raft.state_machine import DeadlineChange
 
 # At a time: the maintenance of hosts and the lent capacity of a large fleet; 200 bytes each
 MAX_LEASES = 4096
@@ -57,8 +58,9 @@
 
 
 class Pool(NamedTuple):
-    """A resource of which `size` may be held. `excess`: the amount that was held when it shrank below that,
-    or 0.
+    """A resource of which `size` may be held.
+
+    `excess`: the amount that is held if that is more than `size`, as the pool shrank; else 0.
     """
 
     size: int
@@ -93,7 +95,7 @@
         self.leases: dict[int, Lease] = {}  # by fencing token
         self.amounts_held: dict[str, int] = {}  # by resource
         self.pools: dict[str, Pool] = {}  # by resource
-        self.last_change: ExpiryUpdate | None = None  # the change to a lease by the last entry
+        self.last_change: DeadlineChange | None = None  # the change to a lease by the last entry
 
     def pool_size(self, resource: str) -> int:
         """How much of the resource may be held in total."""
@@ -107,7 +109,9 @@
             return NOT_UNDERSTOOD
         if command.holder != sender:
             return NOT_THE_HOLDERS
-        return TOO_LONG if getattr(command, "duration", 0) > self.max_duration else ""
+        if isinstance(command, AcquireLease | RenewLease) and command.duration > self.max_duration:
+            return TOO_LONG
+        return ""
 
     def raise_last_token(self, lowest: int) -> None:
         """Has later fencing tokens be above `lowest`."""
@@ -145,26 +149,32 @@
         return CommandResult("", lease.fencing_token)
 
     def _acquire(self, index: int, command: AcquireLease) -> CommandResult:
-        held = self.amounts_held.get(command.resource, 0)
         if self.initial_wait:
             return CommandResult(INITIAL_WAIT)
         if len(self.leases) >= MAX_LEASES:
             return CommandResult(TOO_MANY_LEASES)
+        held = self.amounts_held.get(command.resource, 0)
         if command.amount > self.pool_size(command.resource):
             return CommandResult(ABOVE_POOL_SIZE)
         if held + command.amount > self.pool_size(command.resource):
             return CommandResult(TAKEN)
         self.last_token += 1
         self.amounts_held[command.resource] = held + command.amount
-        self._put(
-            Lease(self.last_token, command.resource, command.holder, command.amount, command.duration, index)
+        lease = Lease(
+            fencing_token=self.last_token,
+            resource=command.resource,
+            holder=command.holder,
+            amount=command.amount,
+            duration=command.duration,
+            log_index=index,
         )
+        self._put(lease)
         return CommandResult("", self.last_token)
 
     def _put(self, lease: Lease) -> None:
         """Stores a lease that was granted or renewed."""
         self.leases[lease.fencing_token] = lease
-        self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
+        self.last_change = DeadlineChange(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
 
     def _resize(self, command: ResizePool) -> CommandResult:
         if command.resource not in self.pools and command.amount != 1 and len(self.pools) >= MAX_POOLS:
@@ -174,6 +184,7 @@
         return CommandResult()
 
     def _update_excess(self, resource: str) -> None:
+        """Updates the pool after its size or the amount that is held of it has changed."""
         held = self.amounts_held.get(resource, 0)
         size = self.pool_size(resource)
         if size == 1 and held <= 1:
@@ -194,15 +205,15 @@
 
     def _remove(self, lease: Lease) -> None:
         del self.leases[lease.fencing_token]
-        self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, None)
-        left = self.amounts_held[lease.resource] - lease.amount
-        if left:
-            self.amounts_held[lease.resource] = left
+        self.last_change = DeadlineChange(lease.fencing_token, lease.log_index, None)
+        remaining = self.amounts_held[lease.resource] - lease.amount
+        if remaining:
+            self.amounts_held[lease.resource] = remaining
         else:
             del self.amounts_held[lease.resource]
         self._update_excess(lease.resource)
 
-    def pop_change(self) -> ExpiryUpdate | None:
+    def pop_change(self) -> DeadlineChange | None:
         """The last change by the entries since the last call, if any; each change is returned once."""
         change, self.last_change = self.last_change, None
         return change
@@ -211,14 +222,14 @@
         """Makes the timers of a new leader for all leases, counted from now."""
         return ExpiryTimers(now, self.expiry_waits())
 
-    def expiry_waits(self) -> list[ExpiryUpdate]:
+    def expiry_waits(self) -> list[DeadlineChange]:
         """For each lease, how long a new leader waits before it lets the lease expire."""
         waits = [
-            ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
+            DeadlineChange(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
             for lease in self.leases.values()
         ]
         if self.initial_wait:
-            waits.insert(0, ExpiryUpdate(INITIAL_WAIT_TOKEN, 0, expiry_wait(self.max_duration)))
+            waits.insert(0, DeadlineChange(INITIAL_WAIT_TOKEN, 0, expiry_wait(self.max_duration)))
         return waits
 
     @staticmethod
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -2,17 +2,16 @@
 
 from typing import NamedTuple
 
-from gaproute.shared.membership.dissemination import MessageBuilder, Outgoing
+from gaproute.shared.membership.message_builder import MessageBuilder, Outgoing
 from gaproute.shared.membership.messages import Member, MembershipMessage, MemberState
 from gaproute.shared.membership.probe_order import ProbeOrder
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLISECOND, SECOND
 
 # Between probes; each gateway costs 2 small messages in a period, whatever the number of gateways
 PERIOD = SECOND
-PROBE_TIMEOUT = 300 * MILLI  # for the answer to a probe: many round trips, and some late turns
+PROBE_TIMEOUT = 300 * MILLISECOND  # for the answer to a probe: many round trips, and some late turns
 RETRIES = 2  # of a probe, each PROBE_TIMEOUT after the last
 HELPERS = 3  # members asked to probe for this one, so that one lossy path does not make a suspect
 MAX_INDIRECT_PROBES = 64  # in progress for others at a time
@@ -95,8 +94,11 @@
         return [self._builder.ping(target, self._sequence)]
 
     def ack_received(self, member: Member, message: MembershipMessage) -> list[Outgoing]:
-        """Handles an answer; it is passed on if the probe was for another member."""
-        if self._probe in ((message.sequence, member.name), (message.sequence, message.target)):
+        """Handles an answer; it is forwarded if the probe was for another member."""
+        probe = self._probe
+        # The answer comes from the target itself, or from a member that probed the target for this gateway
+        answered_targets = (member.name, message.target)
+        if probe is not None and probe.sequence == message.sequence and probe.target in answered_targets:
             self._probe = None
         indirect = self.indirect_probes.pop(message.sequence, None)
         if indirect is None or indirect.target != member.name:
