--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -31,7 +31,8 @@
 from gaproute.interface import Report
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.peers.tables import CellTableTransport
+from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
+from gaproute.peers.tables.pull_exchange import HttpPullListener, PullClient
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import Record
 
@@ -92,13 +93,12 @@
         server.forwarded = front.handle
         transport = CellTableTransport(
             self.loop,
-            self.configuration.name,
-            self.cells_line.fleet,
-            membership_transport,
-            server,
+            CellTableSettings(
+                self.configuration.name, self.cells_line.fleet, path=self.cells_line.stored_table
+            ),
+            CellTableChannels(membership_transport, HttpPullListener(server), PullClient(self.loop)),
             Chance(self.seed + SeedOffset.CELL_TABLE),
             self.record,
-            path=self.cells_line.stored_table,
         )
         self.table = CellTableSource(self.loop, self.cells_line, self.record, transport, self._table_adopted)
         return front
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -5,13 +5,14 @@
 
 import secrets
 import time
+from functools import partial
 
 from gaproute.appliance.json_object import JsonObject
 from gaproute.config.directives.fleet import RaftGroupLine
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView
+from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView, RaftTransport
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
     OperatorCommand,
@@ -46,8 +47,8 @@
         if name in line.names and line.votes is not None:
             self.disk = self._open_raft_log(line.votes, record)
         self.hosted_node = HostedNode(
-            NodeEnvironment(loop, record, chance),
-            RaftGroupView(name, line.names, self.peers),
+            NodeEnvironment(loop, record, chance, partial(RaftTransport, loop, name, self.peers)),
+            RaftGroupView(name, line.names),
             NodeStorage(LeaseTable(max_duration=line.longest), self.disk, time.time_ns() // MILLI),
         )
         last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -17,7 +17,7 @@
     own_observations,
 )
 from gaproute.decisions.reports.observation_kinds import MAX_AGE
-from gaproute.decisions.routing import Gateway
+from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.loop import Loop, Promise
 from gaproute.storage import ObservationStore
 
@@ -36,7 +36,7 @@
         self,
         loop: Loop,
         store: ObservationStore,
-        gateway: Gateway,
+        gateway: ObservationSource,
         host_history: HostHistory,
         request_classes: Sequence[str],
         cpu_clock: Callable[[], int] = time.thread_time_ns,
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
+from functools import partial
 from typing import Protocol
 
 from gaproute.appliance.leases import LeaseService
@@ -27,6 +28,7 @@
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
+from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.peer_server import LIMITS
@@ -122,7 +124,7 @@
         self.host_history.update(self.loop.now(), states)
         if self.gossip is not None:
             history = self.host_history.entries
-            self.gossip.listed({name: entry.started for name, entry in history.items() if name in states})
+            self.gossip.set_hosts({name: entry.started for name, entry in history.items() if name in states})
 
     def update_peers(self, peers: Sequence[PeerLine]) -> None:
         """Takes over the complete list of gateways, which may include this one."""
@@ -196,7 +198,10 @@
 
     def _open_membership(self, server: PeerServer) -> MembershipTransport:
         chance = Chance(self.seed + SeedOffset.MEMBERSHIP)
-        return MembershipTransport(self.loop, self.configuration.name, server.address, chance, self.record)
+        open_datagrams = partial(Datagrams, self.loop)
+        return MembershipTransport(
+            self.loop, self.configuration.name, server.address, chance, self.record, open_datagrams
+        )
 
     def _open_leases(self, server: PeerServer) -> None:
         line = self.configuration.raft_group
--- a/gaproute/hollow/counting_transport.py
+++ b/gaproute/hollow/counting_transport.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol, cast
 
-from gaproute.peers.membership import PayloadHandler
 from gaproute.peers.membership_wire import PayloadKind
+from gaproute.peers.ports import PayloadHandler
 from gaproute.shared.membership import Membership
 
 
@@ -35,7 +35,7 @@
 
 
 class CountingTransport:
-    """The membership's transport as one part sees it: a `gaproute.peers.payload_transport.PayloadTransport`.
+    """The membership's transport as one part sees it: a `gaproute.peers.ports.PayloadTransport`.
 
     `messages` and `bytes` (with headers) count what this part has sent.
     """
--- a/gaproute/hollow/demand_gossip.py
+++ b/gaproute/hollow/demand_gossip.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping, Sequence
+from collections.abc import Sequence
 from typing import ClassVar, Protocol
 
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.observations import Observation
 from gaproute.hollow.counting_transport import CountingTransport, PayloadSender
 from gaproute.hollow.environment import GatewayEnvironment, RandomStream
 from gaproute.hollow.host_list import HostListListener
 from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.peers.gossip import GossipTransport
+from gaproute.peers.ports import GossipSource
 from gaproute.shared.gossip import GossipNode
 from gaproute.shared.gossip.scheduler import RATE, RATE_IN_CELLS
 
@@ -23,20 +23,13 @@
 REQUEST_CLASS = 0
 
 
-class ObservedDecisions(Protocol):
+class ObservedDecisions(GossipSource, Protocol):
     """The decisions whose requests and warm instances the gossip reports."""
 
     @property
     def active_hosts(self) -> Sequence[Host]:
         """The hosts that take requests."""
 
-    @property
-    def hosts_by_id(self) -> Mapping[str, Host]:
-        """All hosts by their name."""
-
-    def observations_since(self, now: int, since: int) -> Iterator[Observation]:
-        """What was observed since then."""
-
 
 class ObservedHosts(Protocol):
     """The part `hosts` as the gossip uses it."""
@@ -67,7 +60,7 @@
             environment.random(RandomStream.GOSSIP),
             self.RATE,
         )
-        self._hosts.listeners.append(self._gossip.listed)
+        self._hosts.listeners.append(self._gossip.set_hosts)
         self._busy_hosts: Sequence[str] = ()
         self.next_tick = loop.now()
 
@@ -81,7 +74,7 @@
         self.next_tick = now + FEED_INTERVAL
         for _ in range(ARRIVALS):  # functions with low numbers come more often
             number = self._random.below(FUNCTIONS) * self._random.below(FUNCTIONS) // FUNCTIONS
-            self._gossip.arrived(now, f"model-{number:03}", REQUEST_CLASS)
+            self._gossip.record_arrival(now, f"model-{number:03}", REQUEST_CLASS)
         active_hosts = self._hosts.decisions.active_hosts
         chosen = self._draw_hosts(active_hosts) if active_hosts else []
         for host in self._busy_hosts:
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from enum import IntEnum
 from typing import Any, Protocol
@@ -11,6 +11,13 @@
 from gaproute.config import Configuration
 from gaproute.decisions.chance import Chance
 from gaproute.loop.timers import Callback, Timer
+from gaproute.peers.ports import (
+    CallbackLoop,
+    DatagramHandler,
+    DatagramSocket,
+    RaftMessageHandler,
+    RaftMessageTransport,
+)
 from gaproute.shared.raft import Disk
 
 
@@ -40,23 +47,14 @@
         self.counts[name] += 1
 
 
-class PartLoop(Protocol):
+class PartLoop(CallbackLoop, Protocol):
     """What parts use of a loop: that of `gaproute.loop`, or a simulated one."""
 
     on_late_turn: list[Callable[[], object]]
 
-    def now(self) -> int:
-        """The time, ns."""
-
-    def at(self, when: int, call: Callback, *args: object) -> Timer:
-        """Calls `call(*args)` at that time, ns."""
-
-    def after(self, span: int, call: Callback, *args: object) -> Timer:
+    def after(self, span: int, call: Callback, /, *args: object) -> Timer:
         """Calls `call(*args)` after the span, ns."""
 
-    def soon(self, call: Callback, *args: object) -> object:
-        """Calls `call(*args)` in this turn or the next."""
-
 
 @dataclass(kw_only=True)
 class GatewayEnvironment:
@@ -76,8 +74,8 @@
     address: str
     configuration: Configuration
     seed: int
-    open_datagrams: Callable[..., Any]
-    open_raft_transport: Callable[..., Any]
+    open_datagrams: Callable[[Any, str, DatagramHandler], DatagramSocket]
+    open_raft_transport: Callable[[Any, str, Mapping[str, str], RaftMessageHandler], RaftMessageTransport]
     open_raft_disk: Callable[[str], Disk]
     wall_clock: Callable[[], int]
     record: EventCounter = field(default_factory=EventCounter)
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from functools import partial
 
 from gaproute.hollow.environment import GatewayEnvironment, RandomStream
 from gaproute.hollow.parts import ConfiguredGateway, ControlPart, Parts
@@ -32,9 +33,9 @@
                 self._loop,
                 environment.record,
                 environment.random(RandomStream.LEASES),
-                environment.open_raft_transport,
+                partial(environment.open_raft_transport, self._loop, self._name, self._peer_addresses),
             ),
-            RaftGroupView(self._name, line.names, self._peer_addresses),
+            RaftGroupView(self._name, line.names),
             NodeStorage(
                 LeaseTable(initial_wait=False),
                 disk=environment.open_raft_disk(self._name) if self._name in line.names else None,
--- a/gaproute/hollow/peer_server.py
+++ b/gaproute/hollow/peer_server.py
@@ -22,7 +22,8 @@
         assert isinstance(environment.loop, Loop)
         hosts: HostListPart = parts["hosts"]
         leases: LeasePart = parts["leases"]
-        raft_transport: RaftTransport = leases.hosted_node.transport
+        raft_transport = leases.hosted_node.transport
+        assert isinstance(raft_transport, RaftTransport)
         self._peer_server = PeerServer(
             environment.loop,
             address(environment.address),
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -1,41 +1,26 @@
-"""Membership by datagrams, at an address that follows from the address for peers.
+"""Membership by datagrams.
 
-For UDP it is the same address; for Unix sockets `.words` is appended to the path.
+The address for datagrams follows from the address for peers: for UDP it is the same one, for Unix sockets
+`.words` is appended to the path.
 """
 
 import time
 from collections.abc import Callable, Iterable
-from typing import Any, Protocol
 
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.timers import Timer
 from gaproute.peers.membership_wire import Payload, PayloadKind, decode_datagram, encode, encode_payload
+from gaproute.peers.ports import EventLog, OpenDatagrams, PayloadHandler, Peer, TimerLoop
 from gaproute.shared.membership import Membership, MembershipMessage
 from gaproute.shared.membership.message_builder import Outgoing
 from gaproute.shared.membership.messages import Member
 from gaproute.shared.randomness import RandomSource
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-# Read in a second: 20 times the usual number at 1,000 gateways. In a flood, messages of other members are
-# dropped as well
+# Decoded in one second: 20 times the usual number at 1,000 gateways. A flood beyond it also costs messages of
+# other members, as the sender is known only after decoding
 MAX_DATAGRAMS = 2000
 UNIX_SUFFIX = ".words"  # appended to the path of the Unix socket
 
-PayloadHandler = Callable[[str, bytes], None]  # takes the sender's name and the data
-
-
-class Peer(Protocol):
-    """A configured gateway: its name and address."""
-
-    name: str
-    where: str
-
-
-class EventLog(Protocol):
-    """The log of changes of members."""
-
-    def event(self, level: str, name: str, /, **fields: object) -> None:
-        """Logs one event."""
-
 
 def datagram_address(address: str) -> str:
     """The address for datagrams of the gateway that has this address for peers."""
@@ -45,28 +30,28 @@
 class MembershipTransport:
     """Sends and receives the messages of `Membership`, and the payloads of other parts.
 
-    `datagrams(loop, address, received)` opens the socket, `wall` returns ns since 1970: a simulation hands in
-    its own. Errors: OSError where the address cannot be bound.
+    `wall` returns ns since 1970. Errors: OSError where the address cannot be bound.
     """
 
     def __init__(
         self,
-        loop: Any,
+        loop: TimerLoop,
         name: str,
         address: str,
         random: RandomSource,
         record: EventLog,
-        datagrams: Callable[..., Any] = Datagrams,
+        open_datagrams: OpenDatagrams,
         wall: Callable[[], int] = time.time_ns,
     ) -> None:
         self.loop, self.record = loop, record
         self.membership = Membership(name, address, random, loop.now(), wall() // MILLI)
-        self.datagrams = datagrams(loop, datagram_address(address), self._received)
+        self.datagrams = open_datagrams(datagram_address(address), self._received)
         self.sent = self.bytes = 0
         self.undecodable = self.rate_limited = 0
-        self.read, self.second = 0, 0  # datagrams read in the present second, and when that second began (ns)
+        self.received_in_second = 0  # datagrams received in the present second
+        self.second_began_at = 0  # ns
         self.handlers: dict[PayloadKind, PayloadHandler] = {}  # by kind of payload
-        self._timer: Any = None
+        self._timer: Timer | None = None
         self._schedule()
 
     def configure(self, peers: Iterable[Peer]) -> None:
@@ -75,7 +60,7 @@
         self._log_changes()
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
-        """Has the handler called with each payload of that kind."""
+        """Has the handler called with each payload of that kind from now on."""
         self.handlers[kind] = handler
 
     def unregister(self, kind: PayloadKind) -> None:
@@ -86,8 +71,8 @@
         """Sends a payload of another part to the gateway at that address."""
         self._send_datagram(address, encode_payload(kind, self.membership.name, data))
 
-    def table(self) -> list[dict[str, object]]:
-        """All members, for operators."""
+    def member_rows(self) -> list[dict[str, object]]:
+        """All members as the operators' address shows them, by name."""
         return [self._row(member) for _, member in sorted(self.membership.members.items())]
 
     def stop(self) -> None:
@@ -116,10 +101,10 @@
 
     def _received(self, data: bytes) -> None:
         now = self.loop.now()
-        if now - self.second >= SECOND:
-            self.read, self.second = 0, now
-        self.read += 1
-        if self.read > MAX_DATAGRAMS:
+        if now - self.second_began_at >= SECOND:
+            self.received_in_second, self.second_began_at = 0, now
+        self.received_in_second += 1
+        if self.received_in_second > MAX_DATAGRAMS:
             self.rate_limited += 1
             return
         message = decode_datagram(data)
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -4,11 +4,10 @@
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Generic, TypeVar
 
 from gaproute.loop.timers import Timer
-from gaproute.peers.membership import EventLog
-from gaproute.peers.raft.transport import RaftTransport
+from gaproute.peers.ports import CallbackLoop, EventLog, RaftMessageHandler, RaftMessageTransport
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import Disk, RaftNode, Role
 from gaproute.shared.raft.invariants import replay
@@ -22,44 +21,28 @@
 SLOW_TURN = 50 * MILLI  # duration of a turn of the node above which its disk delays the gateway's requests
 NO_NODE = "refused: no keeper here"
 
-
-class NodeLoop(Protocol):
-    """What a hosted node needs of `gaproute.loop.Loop`. Times are ns."""
-
-    def now(self) -> int:
-        """The time."""
-
-    def at(self, when: int, call: Callable[..., object], *args: object) -> Timer:
-        """Calls `call(*args)` at that time."""
-
-    def soon(self, call: Callable[..., object], *args: object) -> object:
-        """Calls `call(*args)` after the present callback has returned."""
+Transport = TypeVar("Transport", bound=RaftMessageTransport)
 
 
 @dataclass(frozen=True, slots=True)
-class NodeEnvironment:
+class NodeEnvironment(Generic[Transport]):
     """What a hosted node runs on; a simulation has parts of its own.
 
-    `make_transport(loop, name, peers, receive)` makes what `RaftTransport` is on sockets.
+    `open_transport(receive)` makes the transport, which calls `receive` for each message that comes.
     """
 
-    loop: NodeLoop
+    loop: CallbackLoop
     record: EventLog
     random: RandomSource
-    make_transport: Callable[..., Any] = RaftTransport
+    open_transport: Callable[[RaftMessageHandler], Transport]
 
 
 @dataclass(frozen=True, slots=True)
 class RaftGroupView:
-    """The gateways of a Raft group and its clients, as one of them is configured.
-
-    `name`: of this gateway; `members`: the names of the group; `peers`: addresses, by name, of all gateways
-    that may send requests, changed in place by the owner.
-    """
+    """A Raft group as one gateway is configured with it, which may be a member or a client only."""
 
-    name: str
-    members: tuple[str, ...]
-    peers: Mapping[str, str]
+    name: str  # of this gateway
+    members: tuple[str, ...]  # the names of the group
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,13 +57,15 @@
     fencing_base: int = 0
 
 
-class HostedNode:
+class HostedNode(Generic[Transport]):
     """Runs the lease client `client` and, if there is a disk and this gateway is a member, the `node`."""
 
-    def __init__(self, environment: NodeEnvironment, group: RaftGroupView, storage: NodeStorage) -> None:
+    def __init__(
+        self, environment: NodeEnvironment[Transport], group: RaftGroupView, storage: NodeStorage
+    ) -> None:
         self.loop, self.record = environment.loop, environment.record
         self.name, self.machine = group.name, storage.machine
-        self.transport = environment.make_transport(self.loop, self.name, group.peers, self.receive)
+        self.transport = environment.open_transport(self.receive)
         self.client = LeaseClient(self.name, group.members, environment.random, self.loop.now())
         self.node = self._make_node(environment.random, group, storage)
         self.log = NodeLog(self.record, self.loop.now())
@@ -149,7 +134,7 @@
         if self.node is not None:
             self.log.turn(self.node, begun, self.loop.now(), self.transport.counts)
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> dict[str, object]:
         """The status at the operators' address, with its JSON keys."""
         return {
             "holds": [
@@ -164,10 +149,10 @@
                 for request in self.client.requests
             ],
             "carried": dict(self.transport.counts),
-            "keeper": self.node and self._node_status(self.node),
+            "keeper": None if self.node is None else self._node_status(self.node),
         }
 
-    def _node_status(self, node: RaftNode) -> dict[str, Any]:
+    def _node_status(self, node: RaftNode) -> dict[str, object]:
         return {
             "role": node.role.value,
             "term": node.term,
@@ -197,7 +182,7 @@
         self.record = record
         self.logged: dict[str, object] = {}  # by name of the figure: the last logged value
         self.rejections: dict[str, int] = {}
-        self.rejections_looked_at = now
+        self.rejections_logged_at = now
         self.logged_violations = 0  # how many were logged so far
 
     def turn(self, node: RaftNode, begun: int, now: int, counts: Mapping[str, int]) -> None:
@@ -208,8 +193,8 @@
         for violation in node.violations[self.logged_violations :]:
             self.record.event("error", "raft_invariant_violated", violation=violation, replay=replay(node))
         self.logged_violations = len(node.violations)
-        if now - self.rejections_looked_at >= REJECTIONS_INTERVAL:
-            self.rejections_looked_at = now
+        if now - self.rejections_logged_at >= REJECTIONS_INTERVAL:
+            self.rejections_logged_at = now
             rejected = {what: count for what, count in counts.items() if what.startswith("refused")}
             self._log_rejections({**node.rejections, **rejected})
 
