--- a/benchmarks/campaign_ends.py
+++ b/benchmarks/campaign_ends.py
@@ -8,7 +8,7 @@
 from gaproute.rollouts.campaign import RolloutHost
 from gaproute.rollouts.completion import CompletionEstimate
 from gaproute.rollouts.forecast import DAY_FACTORS, SLOT, DemandReading, FleetForecast
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 END_HOSTS = 40
 END_SEEDS = 40  # at least
--- a/benchmarks/fleet/candidates.py
+++ b/benchmarks/fleet/candidates.py
@@ -12,8 +12,9 @@
 
 from benchmarks.fleet.split_choice import EqualFirstChoices, HostScore
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.parameters import MILLI, REPORT_LIFETIME, SECOND
+from gaproute.decisions.routing.parameters import REPORT_LIFETIME
 from gaproute.interface import Request
+from gaproute.units import MILLI, SECOND
 
 NEAR_TIE = 0.3  # points: less than from one choice of the hash to the next
 ANSWER_TIME = 100 * MILLI  # over which the requests that a report counts have been answered
--- a/benchmarks/fleet/oracles.py
+++ b/benchmarks/fleet/oracles.py
@@ -6,8 +6,9 @@
 
 from benchmarks.fleet.split_choice import EqualFirstChoices
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.parameters import MILLI, USUAL_CONCURRENCY
+from gaproute.decisions.routing.parameters import USUAL_CONCURRENCY
 from gaproute.interface import Request
+from gaproute.units import MILLI
 
 POINTS = 0.5  # for each request in flight, where queues are true: an instance is worth twelve
 
--- a/benchmarks/fleet/smoothed.py
+++ b/benchmarks/fleet/smoothed.py
@@ -10,13 +10,9 @@
 from gaproute.decisions.routing.function_mix import FunctionMix
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_loads import HostLoads
-from gaproute.decisions.routing.parameters import (
-    REPORT_LIFETIME,
-    SECOND,
-    SPREAD_FACTOR,
-    USUAL_CONCURRENCY,
-)
+from gaproute.decisions.routing.parameters import REPORT_LIFETIME, SPREAD_FACTOR, USUAL_CONCURRENCY
 from gaproute.interface import Report, Request
+from gaproute.units import SECOND
 
 SMOOTHED_REPORTS = 8  # over which a host's load is averaged
 SMOOTHED_WEIGHT = 4.0  # times more points for the smoothed load
--- a/benchmarks/fleet/split_choice.py
+++ b/benchmarks/fleet/split_choice.py
@@ -18,9 +18,9 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_loads import HostLoads
 from gaproute.decisions.routing.host_selector import HostSelector
-from gaproute.decisions.routing.parameters import SECOND
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Request, Terms
+from gaproute.units import SECOND
 
 
 class HostScore(NamedTuple):
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -21,7 +21,7 @@
 from gaproute.simulation.rounds import RunKind, play
 from gaproute.simulation.rounds.baselines import BestOrder, FixedGroups, OneAtATime
 from gaproute.simulation.rounds.judge import FloorBreach
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 Row = dict[str, Any]  # of a run, as it is stored
 
--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -13,14 +13,14 @@
 from gaproute.decisions.cells.version import Version
 from gaproute.errors import GaprouteError
 from gaproute.shared.dissemination.messages import NOTHING
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
-CHANGE_INTERVAL = 1_878 * MILLISECOND  # 46,000 a day
+CHANGE_INTERVAL = 1_878 * MILLI  # 46,000 a day
 WARM_CHANGES = 2  # of a play at that pace, which are not counted
 LOAD_CHANGES = 6  # of it after these
 REST_SECONDS = 10
 LONGEST_PLAY = 600  # seconds, after which a play that has not come to its end is given up
-STEP = 50 * MILLISECOND
+STEP = 50 * MILLI
 HOUR_CHANGES = 1_917  # at 46,000 a day
 PUBLISHER = 0
 NEWCOMER = 7
@@ -74,7 +74,7 @@
     else:
         fleet.publish(source)
     _play_until(fleet, lambda: _all_have(fleet.gateways, Version(1, 2)))
-    times = sorted((gateway.taken_at - start) / MILLISECOND for gateway in fleet.gateways if gateway.alive)
+    times = sorted((gateway.taken_at - start) / MILLI for gateway in fleet.gateways if gateway.alive)
     return Spread(times[len(times) // 2], times[len(times) * 99 // 100], times[-1])
 
 
--- a/benchmarks/scale/dissemination_fleet.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -18,13 +18,13 @@
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer, Send
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES
 from gaproute.shared.dissemination.messages import Announcement, Busy, Changes, Part, Pull, Push, wire_size
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 REGIONS, ZONES = 5, 13
 CELL_GATEWAYS, CELL_ENTRIES = 33, 3  # 16,000 gateways in 490 cells
 SEED_FACTOR = 1_000_003  # by which the gateways' seeds of two fleets lie apart
 CONNECT_TIMEOUT = SECOND  # of TCP, for a lost SYN
-DATA_TIMEOUT = 200 * MILLISECOND  # of TCP at least, for a lost segment
+DATA_TIMEOUT = 200 * MILLI  # of TCP at least, for a lost segment
 SEGMENT = 1_400  # bytes
 
 PullAnswer = Changes | Part | Busy | None
--- a/benchmarks/scale/dissemination_links.py
+++ b/benchmarks/scale/dissemination_links.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 
 from gaproute.decisions.chance import Chance
-from gaproute.units import MILLISECOND
+from gaproute.units import MILLI
 
 PERMILLE = 1_000
-SLOW_DELAY = 250 * MILLISECOND  # that a slow gateway takes for each message in and out
-REGION_DELAY = 5 * MILLISECOND  # one way between zones of a region
+SLOW_DELAY = 250 * MILLI  # that a slow gateway takes for each message in and out
+REGION_DELAY = 5 * MILLI  # one way between zones of a region
 
 
 @dataclass(frozen=True)
@@ -40,11 +40,11 @@
     def delay(self, sender: Place, receiver: Place) -> int:
         """Draw the delay of one message, one way, ns."""
         if sender.zone == receiver.zone:
-            delay = MILLISECOND + self.chance.below(2 * MILLISECOND)
+            delay = MILLI + self.chance.below(2 * MILLI)
         elif sender.region == receiver.region:
             delay = REGION_DELAY
         else:
-            delay = 40 * MILLISECOND + self.chance.below(60 * MILLISECOND)
+            delay = 40 * MILLI + self.chance.below(60 * MILLI)
         return delay + SLOW_DELAY * (sender.slow + receiver.slow)
 
     def retransmission_delay(self, timeout: int, segments: int) -> int:
--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -14,8 +14,8 @@
 from gaproute.loop import Loop, Promise
 from gaproute.loop.descriptors import READ
 from gaproute.loop.timers import Timer
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 MAX_START_TIME = 30 * SECOND  # until a child serves, on a busy machine; then it is killed
 READY_MESSAGE_BYTES = 16  # longer than the message of a child
 
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -13,8 +13,8 @@
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Log
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 SEEDS_PER_PARENT = 1000  # so that children of parents with neighbouring seeds have different seeds
 
 
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -24,8 +24,8 @@
 from gaproute.storage.files import TRANSIENT_ERRNOS
 from gaproute.storage.raft_log_file import RaftLogFile
 from gaproute.telemetry.record import Record
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 # Each run draws the first number of its requests from this range; all numbers stay below JSON's 2^53.
 RUN_BITS = 40
 REQUEST_BITS = 12
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -15,8 +15,8 @@
 from gaproute.loop.starting import retry_time
 from gaproute.loop.timers import Timer
 from gaproute.telemetry.record import Log
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 MIN_BACKOFF, MAX_BACKOFF = 50 * MILLI, SECOND  # between attempts to reload, or to start a child
 MAX_START_ATTEMPTS = 8  # to start a child with the new configuration, about 4 s in all
 
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -6,8 +6,7 @@
 from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.config.configuration import Configuration
 from gaproute.core.termination import kill_delay
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 # After the stop, while connections that were accepted before may still bring requests: longer than an active
 # connection takes to be parked
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -12,8 +12,7 @@
 from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.connections.descriptors import descriptors
 from gaproute.decisions.routing.functions import Function
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 
 def status(appliance: RunningGateway) -> JsonObject:
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -20,8 +20,8 @@
     StreamStarted,
     WireFormatError,
 )
+from gaproute.units import MICRO
 
-MICRO = 1_000
 MICROS_PER_MILLI = 1_000
 STATES = {"active": interface.State.ACTIVE, "leaving": interface.State.DRAINING, "left": interface.State.GONE}
 RESULTS = {
--- a/gaproute/cluster/child.py
+++ b/gaproute/cluster/child.py
@@ -31,7 +31,8 @@
 
 import click
 
-SECOND, MILLI = 1_000_000_000, 1_000_000
+from gaproute.units import MILLI, SECOND
+
 MAX_RATE = 100
 PR_SET_PDEATHSIG = 1  # prctl of Linux: a signal for this process when the thread that started it ends
 INIT_PID = 1  # the parent of a process whose own has ended
--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -21,8 +21,8 @@
 from gaproute.scenarios.cpu_waits import read_cpu_wait
 from gaproute.scenarios.gateways import DayGateways
 from gaproute.scenarios.processes import DayProcess, Routine
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 TRANSIT_TIME = 25 * MILLI  # the configuration's own, for an answer's way on a machine that is not crowded
 STARVE_CYCLE = 100 * MILLI
 
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -37,8 +37,8 @@
 from gaproute.scenarios.processes import Routine
 from gaproute.scenarios.trial import Trial
 from gaproute.standins.tap import read_tap
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 ALARM_AFTER_BOUND = 30  # seconds: it ends a parent that no longer turns its loop
 RESTART_TIME = 60 * SECOND  # after the day, for gateways that are being restarted: a fleet's start, at most
 RESTART_POLL_INTERVAL = 20 * MILLI
--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -13,8 +13,8 @@
 from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine
 from gaproute.scenarios.hosts import DayHost, DayHosts, ListedState
 from gaproute.scenarios.processes import Routine
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 WRITES_PER_TURN = 16  # some milliseconds, so that the parent keeps time
 GATHER_TIME = 5 * MILLI  # changes that come within it are written together
 ADDRESS_MARK = "@"  # in a line before a gateway's own address takes its place
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -14,8 +14,8 @@
 from gaproute.cluster.links.messages import ReportCounts
 from gaproute.cluster.play_record import PlayRecord
 from gaproute.scenarios.processes import Routine
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 CHECK_INTERVAL = 20 * MILLI  # between looks at the parent's own clock
 # ms that the parent may be late whatever the script allows: it judges nobody, it begins and ends faults and
 # notes when. A later one plays another script.
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -23,8 +23,8 @@
 from gaproute.scenarios.processes import Routine
 from gaproute.shared.leases.requests import LeaseState
 from gaproute.standins.tap import read_tap
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 POLL_INTERVAL = 40 * MILLI  # between questions about a lease request
 MAX_REST = 60 * MILLI  # between lease requests of one client
 # How long a gateway renews a lease that its client does not extend. For as long a client that died blocks its
--- a/gaproute/cluster/lease_operator.py
+++ b/gaproute/cluster/lease_operator.py
@@ -11,8 +11,8 @@
 from gaproute.loop import Loop, Promise
 from gaproute.shared.leases.requests import LeaseState
 from gaproute.shared.raft.role import Role
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 PATH = "/permits"
 
 
--- a/gaproute/cluster/link_emulators.py
+++ b/gaproute/cluster/link_emulators.py
@@ -21,7 +21,8 @@
 from gaproute.loop import Loop, Promise
 from gaproute.loop.descriptors import HANGUP, READ
 from gaproute.scenarios.errors import NotReadyError
-from gaproute.scenarios.processes import MILLI, SECOND, DayProcess, Routine
+from gaproute.scenarios.processes import DayProcess, Routine
+from gaproute.units import MILLI, SECOND
 
 MODULE = "gaproute.cluster.links"
 REPORT_TIMEOUT = 5 * SECOND  # for an emulator's counts: one that takes longer ran late anyway
--- a/gaproute/cluster/link_faults.py
+++ b/gaproute/cluster/link_faults.py
@@ -15,7 +15,8 @@
 from gaproute.cluster.links.messages import BeginFault, EndFault
 from gaproute.cluster.script_lines import LinkFaultLine
 from gaproute.cluster.slot_sets import NamedSlot
-from gaproute.scenarios.processes import MILLI, SECOND, Routine
+from gaproute.scenarios.processes import Routine
+from gaproute.units import MILLI, SECOND
 
 AFTER_BLOCK = 500 * MILLI  # after a cut or hold, until all that it delayed has arrived
 RARE = 1e-6  # a chance of losses in a row that is not allowed for
--- a/gaproute/cluster/links/codec.py
+++ b/gaproute/cluster/links/codec.py
@@ -25,7 +25,7 @@
 from gaproute.cluster.json_objects import JsonObject
 from gaproute.cluster.links.counts import LinkCounts
 from gaproute.cluster.links.errors import LinkCommandError
-from gaproute.cluster.links.faults import MILLI, FaultSpec, LinkFaultKind, LinkTraffic
+from gaproute.cluster.links.faults import FaultSpec, LinkFaultKind, LinkTraffic
 from gaproute.cluster.links.messages import (
     Answer,
     BeginFault,
@@ -39,6 +39,7 @@
 )
 from gaproute.cluster.links.slots import ANY, Slot, SlotKind
 from gaproute.loop.addresses import address
+from gaproute.units import MILLI
 
 MAX_NUMBER = 1e12  # of a fault's figures
 # A fault's figures by key, and what each is where it is left out.
--- a/gaproute/cluster/links/conditions.py
+++ b/gaproute/cluster/links/conditions.py
@@ -13,11 +13,12 @@
 
 from gaproute.cluster.addresses import MAX_SLOT, MIN_SLOT, Link
 from gaproute.cluster.links.errors import LinkCommandError
-from gaproute.cluster.links.faults import MILLI, FaultSpec, LinkFault, LinkFaultKind, LinkTraffic
+from gaproute.cluster.links.faults import FaultSpec, LinkFault, LinkFaultKind, LinkTraffic
 from gaproute.cluster.links.link_random import LinkRandom
 from gaproute.cluster.links.rate_queues import RateQueues
 from gaproute.cluster.links.slots import Slot
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import MILLI
 
 RETRANSMISSION_TIMEOUT = 200 * MILLI  # TCP's least time before it sends lost bytes again
 MAX_LOSSES = 6  # in a row, 12.6 s in all: a share of 1 must end some time
--- a/gaproute/cluster/links/faults.py
+++ b/gaproute/cluster/links/faults.py
@@ -28,8 +28,8 @@
 
 from gaproute.cluster.addresses import Link
 from gaproute.cluster.links.slots import ANY, Slot, slots_named
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 DEFAULT_REORDER_DELAY = 10 * MILLI  # ns: many other datagrams pass meanwhile
 
 
--- a/gaproute/cluster/links/rate_queues.py
+++ b/gaproute/cluster/links/rate_queues.py
@@ -6,8 +6,8 @@
 
 from gaproute.cluster.addresses import Link
 from gaproute.cluster.links.faults import LinkFault, LinkTraffic
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 MAX_QUEUE_TIME = SECOND  # longest wait of a datagram: a router's queue is not endless
 
 
--- a/gaproute/cluster/operator_client.py
+++ b/gaproute/cluster/operator_client.py
@@ -11,8 +11,8 @@
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
 from gaproute.loop.timers import Timer
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 CONNECT_TIMEOUT, ANSWER_TIMEOUT = 200 * MILLI, 400 * MILLI  # a paused gateway answers nothing: then again
 MAX_HEAD, MAX_BODY = 1 << 14, 1 << 22  # bytes of an answer
 
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -17,8 +17,7 @@
 from gaproute.scenarios.hosts import DayHost, ListedState
 from gaproute.scenarios.processes import DayProcess, Routine
 from gaproute.standins.platform.host_list import ListedMember, Snapshot, VersionedHostList, member
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 
 class PlatformChangeLog(HostPublisher):
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -17,8 +17,8 @@
     deployment_settings,
 )
 from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 MODULE = "gaproute.platform"
 READY_POLL_INTERVAL = 20 * MILLI
 
--- a/gaproute/cluster/process_faults.py
+++ b/gaproute/cluster/process_faults.py
@@ -14,8 +14,8 @@
 from gaproute.cluster.script_lines import EndSignal, HostListFaultLine, ProcessFaultKind, ProcessFaultLine
 from gaproute.cluster.slot_sets import NamedSlot
 from gaproute.scenarios.processes import Routine
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 BUSY_MODULE = "gaproute.cluster.spin"
 
 
--- a/gaproute/cluster/processes.py
+++ b/gaproute/cluster/processes.py
@@ -11,8 +11,8 @@
 from gaproute.cluster.priorities import GATEWAY_NICENESS, raise_priority
 from gaproute.loop import Loop, Promise
 from gaproute.scenarios.processes import DayProcess, DayProcesses
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 CHILD_MODULE = "gaproute.cluster.child"
 
 
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -21,8 +21,7 @@
 from gaproute.config.errors import Mistake, example
 from gaproute.config.parsing import Directive, NamedDirective
 from gaproute.scenarios.script_lines import DayLine
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 
 def find_mistakes(file: str, found: list[NamedDirective]) -> list[Mistake]:
--- a/gaproute/cluster/script_lines.py
+++ b/gaproute/cluster/script_lines.py
@@ -14,8 +14,7 @@
 from gaproute.cluster.links.faults import LinkFaultKind, LinkTraffic
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration, YesNo
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 
 class GatewayKind(StrEnum):
--- a/gaproute/cluster/start_limiter.py
+++ b/gaproute/cluster/start_limiter.py
@@ -6,8 +6,8 @@
 
 from gaproute.loop import Loop, Promise
 from gaproute.scenarios.processes import Routine
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 START_INTERVAL = 20 * MILLI  # a start takes the parent some 15 ms
 
 
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -16,8 +16,8 @@
 from gaproute.judge import TIME_INDEPENDENT
 from gaproute.scenarios.result import DayResult
 from gaproute.scenarios.trial import Trial
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 MAX_SHOWN = 20  # violations of each sort
 
 
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -4,12 +4,13 @@
 from functools import partial
 
 from gaproute import interface
-from gaproute.core.completion import MILLI, RequestCompletion
+from gaproute.core.completion import RequestCompletion
 from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts, RequestSender
 from gaproute.interface.call import Ending
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
+from gaproute.units import MILLI
 
 
 class AttemptRunner(RequestCompletion):
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -10,8 +10,7 @@
 from gaproute.interface.call import Answer, Ending, Final
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 # The texts of final answers, as clients read them.
 REJECTED = "declined: it is safe to try again"
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -9,13 +9,13 @@
 
 from gaproute import interface
 from gaproute.core.attempts import AttemptRunner
-from gaproute.core.completion import MILLI
 from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts
 from gaproute.interface.call import Call, Final
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
 from gaproute.telemetry.record import Record
+from gaproute.units import MILLI
 
 
 class Core(AttemptRunner):
--- a/gaproute/core/termination.py
+++ b/gaproute/core/termination.py
@@ -1,6 +1,7 @@
 """When SIGKILL may follow SIGTERM, by what the operators promise: after the longest deadline and a grace."""
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
+
 KILL_GRACE = 700 * MILLI  # beyond the longest deadline
 MAX_COUNTED_DEADLINE = 3 * SECOND  # what a longer deadline counts as
 
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -12,8 +12,7 @@
 from enum import Enum
 
 from gaproute.decisions.chance import Chance
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 # Time in each turn of the loop for the queues, at most: requests in flight are delayed by no more than that.
 ADMISSION_TIME = 3 * MILLI
--- a/gaproute/decisions/admission/restarts.py
+++ b/gaproute/decisions/admission/restarts.py
@@ -5,8 +5,7 @@
 """
 
 from gaproute.decisions.chance import Chance
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 FIRST_DELAY = 100 * MILLI  # before the first restart, so that a single crash costs little time
 DELAY_GROWTH = 2  # factor on the delay for each early exit in a row
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -11,8 +11,7 @@
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Found, Outcome, Result
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 # Shortest mean time by which paces are measured, so that a stall of this gateway is not taken for a slow cell
 MIN_MEAN_DURATION = 25 * MILLI
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -20,8 +20,7 @@
 from gaproute.decisions.cells.views import CellView
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Attempt, Fail, Reject, RejectReason, Result, Wait
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 MAX_CELLS_TRIED = 3  # for one request: what three cells rejected, a fourth would probably reject too
 OVERDUE_FACTOR = 4  # mean durations after which an attempt is overdue
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -13,7 +13,7 @@
 from math import exp, sqrt
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 SHORT_MEMORY = 60 * SECOND  # of the short count, which follows a function that becomes hot
 # Of the long count, which separates functions that are requested often from rare ones
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -16,8 +16,7 @@
 
 from gaproute.decisions.cells.table import Cell, CellTable, EntryGateway
 from gaproute.interface import Attempt, Reject
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 # From the gateway that took the request to an entry, and once more if that does not know the cell
 MAX_HOPS = 2
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -32,8 +32,7 @@
 from gaproute.decisions.cells.table import Cell, CellTable
 from gaproute.interface import Result
 from gaproute.shared.randomness import RandomSource
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials
 BACKOFF_JITTER = 0.25  # share of a backoff that is added at random, so that gateways differ
--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -12,8 +12,7 @@
 from math import exp
 
 from gaproute.shared.randomness import RandomSource
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 LOAD_MEMORY = 10 * SECOND  # time over which the reports of a cell are averaged
 LOAD_MAX_AGE = 60 * SECOND  # an older load does not count
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -12,8 +12,7 @@
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.decisions.routing.parameters import NEVER
 from gaproute.interface import Action, ListedHost, Report, Terms
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 LOAD_MAX_AGE = SECOND  # for which the sum of the loads of a cell's hosts is cached
 HOUSEKEEPING_INTERVAL = SECOND  # the longest time between two checks for housekeeping that is due
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -26,8 +26,7 @@
 from gaproute.decisions.cells.table import Cell
 from gaproute.decisions.routing.request_router import ANSWER_BY
 from gaproute.interface import Cancel, Group, Idempotency, Outcome, Reject, RejectReason, Result, Wait
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
 # Of a request between two gateways; by so much the deadline at the entry may be later than at the sender
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -9,7 +9,7 @@
 
 from gaproute.decisions.cells.actions import FinalAnswer
 from gaproute.decisions.cells.entries import Forwarded
-from gaproute.decisions.routing.parameters import MILLI, NEVER
+from gaproute.decisions.routing.parameters import NEVER
 from gaproute.interface import (
     NEVER_RAN,
     Fail,
@@ -21,6 +21,7 @@
     Result,
     Terms,
 )
+from gaproute.units import MILLI
 
 LOOK_INTERVAL = 500 * MILLI  # between checks of a request with an overdue attempt
 
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -19,8 +19,7 @@
 from gaproute.decisions.cells.faults import CellRecord, FaultDomain, FaultScope
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import Cell
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 # After an overdue request; also ends the suspicion of a domain to which no request is sent that could end it
 MAX_SUSPICION = 10 * SECOND
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -14,9 +14,10 @@
 
 from xxhash import xxh3_64_intdigest
 
-from gaproute.decisions.cells.demand import LONG_MEMORY, SECOND, SHORT_MEMORY, DecayingCount, counted_time
+from gaproute.decisions.cells.demand import LONG_MEMORY, SHORT_MEMORY, DecayingCount, counted_time
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import Cell, CellTable
+from gaproute.units import SECOND
 
 # Of the own zone; with a thousand gateways and 38 cells in a zone, 50 gateways know a cell
 ASSIGNED_CELLS = 2
--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -13,8 +13,7 @@
 from typing import NamedTuple, Protocol, TypeVar
 
 from gaproute.interface import Idempotency
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 # Idle time after which no connection is used: most servers close between 5 and 75 s.
 MAX_IDLE = 20 * SECOND
--- a/gaproute/decisions/reports/cpu_budget.py
+++ b/gaproute/decisions/reports/cpu_budget.py
@@ -1,6 +1,6 @@
 """Limits the CPU time that exchanging and storing observations may take."""
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI
 
 CPU_SHARE = 0.01  # of a core
 # CPU time that may be spent at once: that of a dozen chunks, less than one slow turn of the loop
--- a/gaproute/decisions/reports/exchange_limits.py
+++ b/gaproute/decisions/reports/exchange_limits.py
@@ -1,6 +1,6 @@
 """Limits and intervals of the exchange of observations with peers and of their storage. Times are ns."""
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 MAX_CHUNK_OBSERVATIONS = 256  # in one answer
 MAX_CHUNK_NAME_BYTES = 16_384  # bytes of names in one answer; the rest of an answer is bounded
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 # Older observations are rejected: no instance stays loaded so long, and clocks are not accurate enough
 MAX_AGE = 300 * SECOND
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -23,7 +23,6 @@
 from gaproute.decisions.routing.observations import BEFORE_ALL, Observation, Observations
 from gaproute.decisions.routing.outcome_recorder import OutcomeRecorder
 from gaproute.decisions.routing.outlier_detector import OutlierDetector
-from gaproute.decisions.routing.parameters import SECOND
 from gaproute.decisions.routing.ranking import Ranking
 from gaproute.decisions.routing.request_router import RequestRouter, RouterParts
 from gaproute.decisions.routing.retry_rules import RetryRules
@@ -33,6 +32,7 @@
 from gaproute.decisions.routing.tables import Tables
 from gaproute.decisions.routing.throughput import Throughput
 from gaproute.interface import Action, ListedHost, Outcome, Report, Request, Result, Terms
+from gaproute.units import SECOND
 
 UNANSWERED_PROBE = 1.0  # weight of a probe that failed among a host's results
 
--- a/gaproute/decisions/routing/host.py
+++ b/gaproute/decisions/routing/host.py
@@ -3,9 +3,10 @@
 from collections import deque
 from typing import NamedTuple
 
-from gaproute.decisions.routing.parameters import NEVER, REPORT_LIFETIME, SAMPLES, SECOND
+from gaproute.decisions.routing.parameters import NEVER, REPORT_LIFETIME, SAMPLES
 from gaproute.decisions.routing.samples import Sample
 from gaproute.interface import ListedHost, Report, State
+from gaproute.units import SECOND
 
 # Unspent credit fades over this time, about that in which an overloaded host that warms up fails.
 CREDIT_LIFETIME = 2 * SECOND
--- a/gaproute/decisions/routing/host_selector.py
+++ b/gaproute/decisions/routing/host_selector.py
@@ -5,12 +5,13 @@
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.parameters import NEVER, SECOND
+from gaproute.decisions.routing.parameters import NEVER
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
 from gaproute.decisions.routing.scorer import RankedScore, Scorer
 from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Request, RequestClass
+from gaproute.units import SECOND
 
 
 class HostSelector:
--- a/gaproute/decisions/routing/housekeeping.py
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -5,9 +5,9 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
-from gaproute.decisions.routing.parameters import MILLI, SECOND
 from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Action, PollHostList, Probe, Terms, Wait
+from gaproute.units import MILLI, SECOND
 
 PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
 UNPAID_INTERVAL = 100 * MILLI  # between checks whether requests have paid for a probe
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -11,10 +11,10 @@
     JUDGEMENT_INTERVAL,
     RATE_SAMPLES,
     REPORT_LIFETIME,
-    SECOND,
     USUAL_CONCURRENCY,
 )
 from gaproute.interface import Request, RequestClass, Terms
+from gaproute.units import SECOND
 
 # Of the shortest latency objective: the longest expected wait for which a request of the highest priority
 # weight is taken; half of it for one without any weight.
--- a/gaproute/decisions/routing/parameters.py
+++ b/gaproute/decisions/routing/parameters.py
@@ -1,6 +1,7 @@
 """Constants of the routing decisions that several of its modules share; times in ns."""
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
+
 NEVER = 1 << 62  # a time that never comes
 
 SAMPLES = 8  # last samples that are stored of each measured figure: two outliers do not move their median
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.routing.load_orders import LoadOrders
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 from gaproute.decisions.routing.load_shedder import LoadShedder
-from gaproute.decisions.routing.parameters import MILLI, NEVER, SECOND
+from gaproute.decisions.routing.parameters import NEVER
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
 from gaproute.decisions.routing.slow_start import SlowStart
@@ -32,6 +32,7 @@
     Terms,
     Wait,
 )
+from gaproute.units import MILLI, SECOND
 
 PAUSE = 100 * MILLI  # between searches while a request waits for a host: about half an answer time
 RETRY_AFTER_SHARE = 1.0  # of the latency objective: the Retry-After of a rejected request
--- a/gaproute/decisions/routing/slow_start.py
+++ b/gaproute/decisions/routing/slow_start.py
@@ -2,8 +2,8 @@
 
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_table import HostTable
-from gaproute.decisions.routing.parameters import SECOND
 from gaproute.interface import Terms
+from gaproute.units import SECOND
 
 SAFE_SHARE = 0.8  # of the load at which a host that warms up fails: the rest is a margin
 FIRST_SHARE = (
--- a/gaproute/decisions/routing/throughput.py
+++ b/gaproute/decisions/routing/throughput.py
@@ -3,8 +3,9 @@
 from collections import deque
 from statistics import median
 
-from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME, RATE_SAMPLES, SAMPLES, SECOND
+from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME, RATE_SAMPLES, SAMPLES
 from gaproute.decisions.routing.samples import Sample
+from gaproute.units import SECOND
 
 REFUSAL_LIFETIME = 2 * SECOND  # older refusals do not count
 FULL_FLEET_SHARE = 1 / 2  # share of refusals among the last outcomes above which the fleet counts as full
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -11,10 +11,11 @@
 from urllib.parse import quote
 
 from gaproute.discovery.changelog.events import Event
-from gaproute.discovery.changelog.watcher import SECOND, SILENCE_TIMEOUT, ChangeLogWatcher
+from gaproute.discovery.changelog.watcher import SILENCE_TIMEOUT, ChangeLogWatcher
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address as parse_address
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import SECOND
 
 # Half of it at least, so that a source that ends or comes back meets its gateways over half a second.
 FIRST_BACKOFF = SECOND
--- a/gaproute/discovery/changelog/member_records.py
+++ b/gaproute/discovery/changelog/member_records.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from gaproute.interface import State
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 STATES = {"Ready": State.ACTIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
 DEFAULT_CAPACITY = 1.0  # of a host whose size makes no sense
 
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -11,8 +11,8 @@
 from gaproute.loop.addresses import address as parse_address
 from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 SILENCE_TIMEOUT = 2 * SECOND  # two of its comments missing; an event counts as delivered 4 s after it
 MIN_BYTES_PER_SECOND = 64 << 10  # of what has not ended: 1,024 hosts come over 50 kB/s
 CONNECT_TIMEOUT = 500 * MILLI  # many round trips, and several attempts within the time above
--- a/gaproute/faultinjection/catalog.py
+++ b/gaproute/faultinjection/catalog.py
@@ -12,8 +12,7 @@
 from enum import StrEnum
 
 from gaproute.faultinjection.plan import ClockStep, Failure, Fault, ShortTransfer
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 
 class NetworkCall(StrEnum):
--- a/gaproute/faultinjection/network.py
+++ b/gaproute/faultinjection/network.py
@@ -25,8 +25,8 @@
 from gaproute.faultinjection.catalog import NetworkCall
 from gaproute.faultinjection.plan import ClockStep, FaultPlan
 from gaproute.faultinjection.sockets import CallFaults, EpollWait, FaultyEpoll, FaultySocket
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 # All that a gateway of the platform runs. Modules outside, and those imported after the installation, keep
 # the real calls.
 PACKAGES = (
--- a/gaproute/faultinjection/play/far_client.py
+++ b/gaproute/faultinjection/play/far_client.py
@@ -9,8 +9,9 @@
 from enum import Enum
 
 from gaproute.faultinjection.play.far_connection import FarConnection, JsonObject
-from gaproute.faultinjection.play.timeline import MILLI, FarLoop
+from gaproute.faultinjection.play.timeline import FarLoop
 from gaproute.loop.addresses import SocketAddress
+from gaproute.units import MILLI
 
 HEADER_END = b"\r\n\r\n"
 
--- a/gaproute/faultinjection/play/far_host.py
+++ b/gaproute/faultinjection/play/far_host.py
@@ -9,7 +9,8 @@
 from enum import Enum
 
 from gaproute.faultinjection.play.far_connection import FarConnection, FarServer, JsonObject
-from gaproute.faultinjection.play.timeline import MILLI, FarLoop
+from gaproute.faultinjection.play.timeline import FarLoop
+from gaproute.units import MILLI
 
 NEVER_RAN_ANSWERS = ("overload", "not_here")  # answers of a host that prove that a request never ran
 SERVICE_TIMES = (2, 40)  # ms, from the first to below the second
--- a/gaproute/faultinjection/play/far_others.py
+++ b/gaproute/faultinjection/play/far_others.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass
 
 from gaproute.faultinjection.play.far_connection import READ_SIZE, FarConnection, FarServer, JsonObject
-from gaproute.faultinjection.play.timeline import SECOND, FarLoop
+from gaproute.faultinjection.play.timeline import FarLoop
 from gaproute.standins.event_stream import COMMENT, HEAD_END, RESPONSE_HEAD, last_event_id
+from gaproute.units import SECOND
 
 COMMENT_INTERVAL = SECOND  # between the change log's signs of life
 
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -15,8 +15,8 @@
 from gaproute.faultinjection.play.far_client import FarClient, FarRequest
 from gaproute.faultinjection.play.far_host import NEVER_RAN_ANSWERS, FarHost, ReceivedAttempt
 from gaproute.faultinjection.play.scene import KEYED, NON_IDEMPOTENT, REPEAT_WINDOW, Scene
-from gaproute.faultinjection.play.timeline import MILLI, SECOND
 from gaproute.loop.addresses import address
+from gaproute.units import MILLI, SECOND
 
 PACKAGE = "faultinjection"  # files of these frames are not the gateway's
 GRACE = 50 * MILLI  # by which an answer may be late
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -14,8 +14,8 @@
 from gaproute.faultinjection.play.far_client import FarRequest
 from gaproute.faultinjection.play.rules import Check, Finding
 from gaproute.faultinjection.play.scene import REQUEST_CLASSES, Scene, StuckError
-from gaproute.faultinjection.play.timeline import MILLI, SECOND
 from gaproute.faultinjection.play.traffic import Conditions, Traffic
+from gaproute.units import MILLI, SECOND
 
 RECOVERY_TIME = 4 * SECOND  # without faults, until all requests are answered and ejected hosts are used again
 IDLE_TIME = 18 * SECOND  # without clients, until idle connections are closed
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -17,7 +17,7 @@
 from gaproute.faultinjection.play.far_connection import JsonObject
 from gaproute.faultinjection.play.far_host import FarHost
 from gaproute.faultinjection.play.far_others import FarChangeLog, FarPeer
-from gaproute.faultinjection.play.timeline import MICRO, MILLI, SECOND, FarLoop, PlayClock, arrives_soon
+from gaproute.faultinjection.play.timeline import FarLoop, PlayClock, arrives_soon
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.loop import Loop
 from gaproute.loop.addresses import SocketAddress, address
@@ -25,6 +25,7 @@
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 from gaproute.standins.platform.deployment_settings import sample_settings
+from gaproute.units import MICRO, MILLI, SECOND
 
 EPOCH = 1_800_000_000 * SECOND  # by which the wall clock is ahead of the play's monotonic clock
 HOSTS_AGE = 86_400 * SECOND  # longer than any step of the wall clock, so that the hosts are warm
--- a/gaproute/faultinjection/play/timeline.py
+++ b/gaproute/faultinjection/play/timeline.py
@@ -11,7 +11,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-MICRO, MILLI, SECOND = 1_000, 1_000_000, 1_000_000_000
+from gaproute.units import MICRO, SECOND
+
 START = 1000 * SECOND  # on the monotonic clock of a play
 LOOPBACK_DELAY = 0.0001  # seconds of real time within which bytes arrive over loopback
 
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -8,7 +8,7 @@
 from gaproute.faultinjection.catalog import CLOCK_STEP_SIZES
 from gaproute.faultinjection.play.far_client import Departure, FarClient, FarRequest
 from gaproute.faultinjection.play.scene import IDEMPOTENT, KEYED, NON_IDEMPOTENT, REQUEST_CLASSES, Scene
-from gaproute.faultinjection.play.timeline import MILLI, SECOND
+from gaproute.units import MILLI, SECOND
 
 CLASS_WEIGHTS = {IDEMPOTENT: 2, NON_IDEMPOTENT: 2, KEYED: 1}
 TIMEOUTS = (400 * MILLI, 1000 * MILLI, 1500 * MILLI)  # for which clients wait, ns
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -12,8 +12,8 @@
 from gaproute.fronts.jsonrpc.presence import ClientPresence
 from gaproute.fronts.jsonrpc.requests import request_number
 from gaproute.loop import Stream
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 # Time without a request after which a connection is parked. Only a parked connection can be closed to free
 # capacity, and hundreds arrive in a second where clients open one for each request.
 QUIET_TIME = 100 * MILLI
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -30,8 +30,8 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 MAX_OPEN_REQUESTS = 32  # of one connection at a time, by the protocol
 SWEEP_INTERVAL = 100 * MILLI  # between checks for quiet and slow clients: one timer for all of them
 FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection: an unused one is to be closed within 3 s
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -19,8 +19,8 @@
 from gaproute.hollow.host_list import HostListListener
 from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.interface import ListedHost
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 CHECK_INTERVAL = SECOND  # between checks which host lists are wanted
 
 
--- a/gaproute/hollow/demand_gossip.py
+++ b/gaproute/hollow/demand_gossip.py
@@ -14,8 +14,8 @@
 from gaproute.peers.ports import GossipSource
 from gaproute.shared.gossip import GossipNode
 from gaproute.shared.gossip.scheduler import RATE, RATE_IN_CELLS
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 FEED_INTERVAL = SECOND
 ARRIVALS = 15  # in an interval
 FUNCTIONS = 100
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -10,8 +10,8 @@
 from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 LEASE_DURATION = 30 * SECOND  # renewed after half of it
 CHECK_INTERVAL = 5 * SECOND  # between checks whether the lease is held
 MAX_FIRST_DELAY = SECOND  # of the first request, by chance: the gateways of a fleet do not start at once
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -22,8 +22,8 @@
 from gaproute.loop.descriptors import READ
 from gaproute.peers.raft import RaftTransport
 from gaproute.shared.raft import Disk
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 LATENESS_INTERVAL = 20 * MILLI  # between checks how late the process runs
 START_INTERVAL = 10 * MILLI  # between the starts of two gateways
 READ_SIZE = 1 << 16  # bytes
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -20,8 +20,8 @@
     SimulatedRaftTransport,
 )
 from gaproute.simulation.disk import SimulatedDisk
+from gaproute.units import SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 WALL_CLOCK_START = 1_790_000_000 * SECOND  # ns since 1970
 STEP = SECOND // 4  # between checks whether a condition holds
 START_SPAN = SECOND  # within which the gateways of a fleet start
--- a/gaproute/hollow/simulation/network.py
+++ b/gaproute/hollow/simulation/network.py
@@ -14,8 +14,8 @@
 from gaproute.hollow.simulation.loop import GatewayLoop, SimulatedLoop
 from gaproute.peers.raft import wire
 from gaproute.shared.raft.messages import RaftMessage
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 REGIONS = 5  # by the gateway's number
 NEAR, FAR = 2 * MILLI, 60 * MILLI  # ns one way, within a region and between two
 HTTP_REQUEST = b"POST /keepers HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n"
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -21,8 +21,7 @@
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address as parse_address
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 
 class EntryGatewayClient(KServeClient):
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -13,7 +13,7 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts.attempts import OnAttemptEnded, OnLoadOrderEnded, UnsentAttempt
 from gaproute.hosts.jsonlines import messages
-from gaproute.hosts.jsonlines.connection_pool import SECOND, ConnectionPool
+from gaproute.hosts.jsonlines.connection_pool import ConnectionPool
 from gaproute.hosts.jsonlines.host import Host
 from gaproute.hosts.jsonlines.messages import Reply
 from gaproute.hosts.jsonlines.pending_request import NO_DEADLINE, PendingRequest
@@ -21,6 +21,7 @@
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.settings import DeploymentSettings
+from gaproute.units import SECOND
 
 DEFAULT_ORDER_TIMEOUT = 10 * SECOND  # where the settings have none
 
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -14,8 +14,8 @@
 from gaproute.interface.call import always
 from gaproute.loop import Loop
 from gaproute.settings import DeploymentSettings
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 DEFAULT_CONNECT_TIMEOUT = 250 * MILLI  # where the settings have none
 SWEEP_INTERVAL = SECOND
 
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -13,8 +13,8 @@
 from gaproute.interface import Found, Report, Result
 from gaproute.interface.call import Answer, Call
 from gaproute.settings import read_report
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 OK_STATUS = 200  # status of answers: this protocol has none
 RESULTS = {
     "served": Result.OK,
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -17,11 +17,12 @@
 from gaproute.hosts.kserve import messages
 from gaproute.hosts.kserve.attempts import SentAttempt, attempt_result
 from gaproute.hosts.kserve.host_connections import HostConnections
-from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS, SECOND, ClientSettings
+from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS, ClientSettings
 from gaproute.http1 import Exchange, NoResponseError, Response
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
+from gaproute.units import SECOND
 
 OK_STATUS = 200
 REFUSED_STATUSES = (404, 409, 429)  # of a load order: there is no space for it, or no such model
--- a/gaproute/hosts/kserve/settings.py
+++ b/gaproute/hosts/kserve/settings.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 
 class ClientSettings(NamedTuple):
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -10,8 +10,8 @@
 from gaproute.http1.message import Response
 from gaproute.http1.reader import CONTENT_LENGTH, TRANSFER_ENCODING, ResponseReader
 from gaproute.loop import Loop, Stream
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 NO_CONTENT = 204
 FIRST_FINAL_STATUS = 200  # lower ones are of interim responses
 
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -10,8 +10,8 @@
 from gaproute.http1.reader import RequestReader
 from gaproute.loop import Loop, Stream
 from gaproute.loop.timers import Timer
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 QUIET_TIME = SECOND  # after its last answer until a connection is parked
 SWEEP_INTERVAL = SECOND // 4  # between checks for quiet connections: one timer for all of them
 
--- a/gaproute/http1/limits.py
+++ b/gaproute/http1/limits.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 
 class Limits(NamedTuple):
--- a/gaproute/judge/final_answers.py
+++ b/gaproute/judge/final_answers.py
@@ -8,14 +8,8 @@
 
 from gaproute.judge.day import Day
 from gaproute.judge.events import EndKind, RequestEnd
-from gaproute.judge.terms import (
-    CLIENT_LEFT_GRACE,
-    DEADLINE_SLACK,
-    MILLI,
-    DayTerms,
-    Violation,
-    ViolationKind,
-)
+from gaproute.judge.terms import CLIENT_LEFT_GRACE, DEADLINE_SLACK, DayTerms, Violation, ViolationKind
+from gaproute.units import MILLI
 
 RULE = 1
 FIRST_SERVER_ERROR = 500  # HTTP statuses from here on
--- a/gaproute/judge/leases.py
+++ b/gaproute/judge/leases.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from gaproute.judge.tap_reading import TapEvent
-from gaproute.judge.terms import MILLI, SECOND
+from gaproute.units import MILLI, SECOND
 
 # For a grant after a fault has healed: an election (1 to 2 s) and the duration of one lease.
 GRANT_TIME = 3 * SECOND
--- a/gaproute/judge/terms.py
+++ b/gaproute/judge/terms.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 TRANSIT_ALLOWANCE = (
     60 * MILLI
--- a/gaproute/load/connector.py
+++ b/gaproute/load/connector.py
@@ -10,8 +10,8 @@
 from gaproute.load.connection import LoadConnection
 from gaproute.loop import Loop, connect
 from gaproute.loop.addresses import Address
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 MAX_CONNECTING = 200  # attempts at once; more would overflow the accept queue of the other side
 CONNECT_TIMEOUT = 5 * SECOND
 
--- a/gaproute/load/generator.py
+++ b/gaproute/load/generator.py
@@ -19,8 +19,8 @@
 from gaproute.load.traffic import ActiveTraffic, Deadline
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 POLL_INTERVAL = 20 * MILLI  # between checks whether all is open, or all has ended
 DEADLINE_CHECK_INTERVAL = 50 * MILLI
 PROGRESS_INTERVAL = SECOND
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -15,8 +15,7 @@
 from gaproute.config.errors import ConfigurationError, Mistake
 from gaproute.config.parsing import Directive, NamedDirective, read_lines
 from gaproute.config.values import Address, Duration, Name, Size, YesNo
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 DirectiveT = TypeVar("DirectiveT", bound=Directive)
 
--- a/gaproute/load/slow_clients.py
+++ b/gaproute/load/slow_clients.py
@@ -12,8 +12,8 @@
 from gaproute.load.script import Slow
 from gaproute.loop import Loop, Promise, Stream, connect
 from gaproute.loop.addresses import Address
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 CONNECT_CHECK_INTERVAL = 20 * MILLI  # between checks whether an attempt to connect has ended
 FIRST_BYTES = 60  # sent at once; then come single bytes
 FILLER = b"x" * 4000  # bytes of a head or a body that is never finished
--- a/gaproute/loop/descriptors.py
+++ b/gaproute/loop/descriptors.py
@@ -6,8 +6,8 @@
 
 from gaproute.loop.faults import Backoff, is_transient
 from gaproute.loop.timers import Callback, Clock, Timer, TimerQueue
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 HANGUP = select.EPOLLHUP | select.EPOLLERR
 FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE = 2 * MILLI, 50 * MILLI  # between attempts to register
--- a/gaproute/loop/dialing.py
+++ b/gaproute/loop/dialing.py
@@ -15,8 +15,9 @@
     Backoff,
     is_transient,
 )
-from gaproute.loop.loop import MILLI, Loop
+from gaproute.loop.loop import Loop
 from gaproute.loop.timers import Timer
+from gaproute.units import MILLI
 
 BIND_ADDRESS_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT of Linux, which the socket module does not name
 FIRST_DIAL_PAUSE = 2 * MILLI  # until a dial that failed on this machine is retried; doubled with each failure
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -11,8 +11,9 @@
 from gaproute.loop.addresses import SocketAddress, address_of
 from gaproute.loop.descriptors import READ
 from gaproute.loop.faults import FAILED_CONNECTION_ERRNOS, SHORTAGE_ERRNOS, Backoff
-from gaproute.loop.loop import MILLI, Loop
+from gaproute.loop.loop import Loop
 from gaproute.loop.timers import Timer
+from gaproute.units import MILLI
 
 BACKLOG = 4096  # connections that wait in the kernel to be accepted
 MAX_ACCEPTS_PER_TURN = 32  # so that requests in flight get their share of the turn
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -22,8 +22,8 @@
 from gaproute.loop.promises import Coroutine, Promise
 from gaproute.loop.signals import SignalHandlers
 from gaproute.loop.timers import Callback, Clock
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 LATE_TURN = 50 * MILLI  # after such a delay the process was stopped: a busy turn lasts some milliseconds
 MAX_LATE_POLLS = 8  # in a late turn, so that a flood of data does not keep timers from firing
 MAX_POLL_TIME = SECOND  # longest wait in one poll, within which a jump of the clock is noticed
--- a/gaproute/loop/polling.py
+++ b/gaproute/loop/polling.py
@@ -2,7 +2,7 @@
 
 import select
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 Events = list[tuple[int, int]]  # (descriptor, mask of events), as epoll reports them
 
--- a/gaproute/loop/starting.py
+++ b/gaproute/loop/starting.py
@@ -6,8 +6,8 @@
 
 from gaproute.loop.faults import ADDRESS_UNAVAILABLE_ERRNOS, Backoff, cause_of, is_transient_read
 from gaproute.loop.timers import Clock
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 START_TIME = 6 * SECOND  # for all steps: a process must serve, or report why it cannot, within 10 s
 ADDRESS_TIME = 2 * SECOND  # for an address that cannot be bound, which is usually a wrong one
 # Between attempts. They allow over a hundred, as a step may make several calls of which one in three fails.
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -5,10 +5,10 @@
 from contextlib import suppress
 
 from gaproute.loop import unread
-from gaproute.loop.loop import MILLI
 from gaproute.loop.sockets import close_quietly
 from gaproute.loop.stream_reader import READ_SIZE, EndHandler, StreamReader
 from gaproute.loop.stream_writer import WRITE_HIGH_WATER
+from gaproute.units import MILLI
 
 __all__ = ["CLOSE_WAIT", "HANGUP_CHECK_INTERVAL", "READ_SIZE", "WRITE_HIGH_WATER", "Stream"]
 
--- a/gaproute/loop/unread.py
+++ b/gaproute/loop/unread.py
@@ -11,7 +11,8 @@
 import termios
 from typing import NamedTuple
 
-MILLI = 1_000_000
+from gaproute.units import MILLI
+
 END = select.EPOLLRDHUP  # the other side has ended its sending; reported even while bytes lie unread
 LAST_DATA_RECEIVED = slice(52, 56)  # of `struct tcp_info`: ms since the last bytes came
 MAX_PEEK = 2 << 20  # bytes that are peeked at most: more than the open requests of one client have
--- a/gaproute/maintenance/capacity_estimate.py
+++ b/gaproute/maintenance/capacity_estimate.py
@@ -8,8 +8,7 @@
 from gaproute.maintenance.host_progress import HostIncarnations
 from gaproute.maintenance.round_spec import RoundSpec
 from gaproute.maintenance.warm_capacity import WarmLanes
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 MAX_DEMAND_AGE = 15 * SECOND  # without a report of demand for longer, no capacity is judged sufficient
 
--- a/gaproute/maintenance/controller.py
+++ b/gaproute/maintenance/controller.py
@@ -49,8 +49,7 @@
 from gaproute.maintenance.spec_validation import find_mistakes
 from gaproute.maintenance.turn import MaintenanceTurn
 from gaproute.shared.leases import LeaseClient
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 OBSERVATION_TIME = 4 * SECOND  # after a turn is granted: hosts have to be seen anew before anything is judged
 JUDGMENT_TIME = 20 * SECOND  # of a turn, until an infeasible round is rejected: the estimate fills first
--- a/gaproute/maintenance/drain_proof.py
+++ b/gaproute/maintenance/drain_proof.py
@@ -20,8 +20,8 @@
 import msgspec
 
 from gaproute.maintenance.host_report import HostReport
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 CLOCK_ERROR = 10  # per mille by which a clock may be wrong, the same as for leases
 
 
--- a/gaproute/maintenance/feasibility.py
+++ b/gaproute/maintenance/feasibility.py
@@ -21,7 +21,8 @@
     select_hosts,
 )
 from gaproute.maintenance.load_planning import FunctionLoad, LoadSituation, plan_loads
-from gaproute.maintenance.round_spec import SECOND, RoundSpec
+from gaproute.maintenance.round_spec import RoundSpec
+from gaproute.units import SECOND
 
 
 class SchedulingEstimates(msgspec.Struct, frozen=True):
--- a/gaproute/maintenance/host_report.py
+++ b/gaproute/maintenance/host_report.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 RESPONSE_TIMEOUT = 6 * SECOND  # a host that has not answered for so long, some probes, counts as absent
 
--- a/gaproute/maintenance/host_transitions.py
+++ b/gaproute/maintenance/host_transitions.py
@@ -15,8 +15,7 @@
 from gaproute.maintenance.round_spec import RoundSpec
 from gaproute.maintenance.turn import RETRY_PAUSE, MaintenanceTurn
 from gaproute.shared.leases import LeaseClient
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 MAX_DRAIN_TIME = 120 * SECOND  # a host that has not drained by then is returned to service
 RETURN_GRACE = 10 * SECOND  # beyond a host's longest absence until it is lost
--- a/gaproute/maintenance/progress_planner.py
+++ b/gaproute/maintenance/progress_planner.py
@@ -14,8 +14,7 @@
 from gaproute.maintenance.orders import HostOrder, LoadOrder, ServeOrder
 from gaproute.maintenance.round_log import RoundStage
 from gaproute.maintenance.turn import MAX_HOLD_TIME
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 ORDER_MEMORY = 10 * SECOND  # an order whose effect was not seen by then counts as lost
 
--- a/gaproute/maintenance/round_spec.py
+++ b/gaproute/maintenance/round_spec.py
@@ -6,7 +6,7 @@
 import msgspec
 from msgspec import Meta
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 MAX_HOSTS = 4096  # of one round: as many as a fleet may list
 MAX_NAME_LENGTH = 128  # characters, the same as of a leased resource
--- a/gaproute/maintenance/spec_validation.py
+++ b/gaproute/maintenance/spec_validation.py
@@ -5,12 +5,12 @@
 from gaproute.maintenance.round_spec import (
     FAILURE_LEVELS,
     GROUPING_LEVELS,
-    SECOND,
     Fleet,
     MaintenanceHost,
     RoundSpec,
     selected_hosts,
 )
+from gaproute.units import SECOND
 
 SELECTORS = ("kind", "zone", "rack")  # keys by which hosts are selected other than by name
 
--- a/gaproute/maintenance/turn.py
+++ b/gaproute/maintenance/turn.py
@@ -6,8 +6,7 @@
 
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 RESOURCE = "maintenance turn"
 MAX_HOLD_TIME = 300 * SECOND  # while another round may wait for the turn
--- a/gaproute/maintenance/warm_capacity.py
+++ b/gaproute/maintenance/warm_capacity.py
@@ -11,8 +11,7 @@
 from gaproute.maintenance.fleet_status import FleetStatus
 from gaproute.maintenance.host_report import HostReport
 from gaproute.shared.gossip.fleet_view import WarmSighting
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 FULL_WEIGHT_AGE = 5 * SECOND  # until this age an observation counts in full: some probes of one host
 MAX_AGE = 20 * SECOND  # from this age on it counts for nothing: a failed host is noticed within it
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -14,8 +14,8 @@
 from gaproute.shared.membership.message_builder import Outgoing
 from gaproute.shared.membership.messages import Member
 from gaproute.shared.randomness import RandomSource
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 # Decoded in one second: 20 times the usual number at 1,000 gateways. A flood beyond it also costs messages of
 # other members, as the sender is known only after decoding
 MAX_DATAGRAMS = 2000
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -27,8 +27,7 @@
 from gaproute.peers import observation_wire
 from gaproute.peers.observation_messages import ObservationAnswer
 from gaproute.peers.ports import EventLog, Peer
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 PUT_OFF = 503  # HTTP status of a peer that has no CPU time left for the answer
 DEFAULT_PAUSE = 100 * MILLI  # until the next request, if the peer does not say when
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -19,8 +19,7 @@
 from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.peers import lore_pb2, observation_wire
 from gaproute.peers.observation_messages import ObservationRequest
-
-MILLI = 1_000_000
+from gaproute.units import MICRO, MILLI
 
 MAX_TRANSFERS = 16  # stored for peers; a peer that asks for an older one must begin again
 MAX_CHUNK_BYTES = 4 << 20  # of all stored chunks
@@ -100,7 +99,7 @@
         more = transfer.has_more_after(position)
         tail = lore_pb2.Told(
             next=number * CURSOR_BASE + position + 1 if more else 0,
-            held_us=(now - chunk.built_at) // observation_wire.MICROSECOND,
+            held_us=(now - chunk.built_at) // MICRO,
         )
         # Protobuf messages that follow one another are one message, so the chunk need not be encoded again.
         data: bytes = chunk.data + tail.SerializeToString()
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -16,10 +16,10 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.peers import lore_pb2
 from gaproute.peers.observation_messages import FigureMessage, ObservationAnswer, ObservationRequest
+from gaproute.units import MICRO
 
 VERSION = 2
 TARGET = b"/lore"  # of HTTP requests for observations
-MICROSECOND = 1000  # ns
 PEER_HOPS = 1
 NOT_FINITE = -1  # stands for a time that is not finite, and is rejected as any invalid time
 FIGURES = (  # kinds that are sent as names and one number
@@ -61,7 +61,7 @@
 def add_observation(answer: ObservationAnswer, subject: Subject, value: Value, age: int) -> int:
     """Appends an observation to the answer; `age`: ns. Returns the length of its names."""
     kind, *names = subject
-    age_us = max(0, age) // MICROSECOND
+    age_us = max(0, age) // MICRO
     if kind == ObservationKind.WARM_INSTANCE:
         lanes, started = value
         answer.warm.add(worker=names[0], function=names[1], lanes=lanes, started_ns=started, age_us=age_us)
@@ -86,7 +86,7 @@
     """Adds the observations of an answer that was requested at that time (ns) from the peer `origin`."""
 
     def add(subject: Subject, value: Value, age_us: int) -> None:
-        observed_at = observations.observed_at(requested_at, (age_us + answer.held_us) * MICROSECOND)
+        observed_at = observations.observed_at(requested_at, (age_us + answer.held_us) * MICRO)
         if observed_at is not None:
             observations.add(subject, SharedObservation(observed_at, origin, PEER_HOPS, value))
 
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -9,7 +9,7 @@
 
 from google.protobuf.message import DecodeError
 
-from gaproute.decisions.reports.cpu_budget import MILLI, CpuBudget
+from gaproute.decisions.reports.cpu_budget import CpuBudget
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.http1 import Limits, Request, Server
@@ -17,6 +17,7 @@
 from gaproute.loop.addresses import Address
 from gaproute.peers import observation_wire
 from gaproute.peers.observation_transfers import ObservationTransfers
+from gaproute.units import MILLI
 
 FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded requests begin with
 PROTOBUF = (b"Content-Type", b"application/x-protobuf")
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -13,8 +13,7 @@
 from gaproute.shared.raft.invariants import replay
 from gaproute.shared.raft.messages import RaftMessage, Reply
 from gaproute.shared.randomness import RandomSource
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 # Between log lines about rejected messages, so that a flood of them is not a flood of lines
 REJECTIONS_INTERVAL = 60_000 * MILLI
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -18,8 +18,7 @@
 from gaproute.loop.timers import Timer
 from gaproute.peers.raft import wire
 from gaproute.shared.raft.messages import RaftMessage
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.units import MILLI, SECOND
 
 # Messages that wait for one peer; above it the oldest is dropped, which is the most outdated
 MAX_QUEUED = 256
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -8,8 +8,8 @@
 from gaproute.loop.timers import Timer
 from gaproute.platform.configuration import Configuration
 from gaproute.platform.log import Log
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 BIND_BACKOFF, MAX_BIND_BACKOFF = 50 * MILLI, 5 * SECOND
 
 
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -12,8 +12,8 @@
     read_configuration,
 )
 from gaproute.platform.log import Log
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 READ_BACKOFF, MAX_READ_BACKOFF = 200 * MILLI, 5 * SECOND
 
 
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -9,8 +9,8 @@
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.loop import Loop
 from gaproute.platform.log import Log
+from gaproute.units import MILLI
 
-MILLI = 1_000_000
 CLIENTS_NOTICE = 600 * MILLI  # time after SIGTERM in which clients still open connections
 ACCEPT_TIME = CLIENTS_NOTICE + 200 * MILLI  # time after SIGTERM in which connections are accepted
 CLOSE_MARGIN = 200 * MILLI  # time before SIGKILL in which connections are closed
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -12,8 +12,8 @@
 from gaproute.loop import Loop
 from gaproute.platform.host_list import HostList
 from gaproute.platform.log import Log
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 MEBIBYTE = 1 << 20
 STATUS_INTERVAL = 5 * SECOND
 
--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -5,8 +5,7 @@
 from typing import NamedTuple
 
 from gaproute.shared.leases.commands import expiry_wait
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 # A rollout that has not reached its host by then never does: its connection is closed.
 MAX_TRAVEL_TIME = SECOND
--- a/gaproute/rollouts/campaign_validation.py
+++ b/gaproute/rollouts/campaign_validation.py
@@ -2,15 +2,10 @@
 
 from collections.abc import Collection, Iterator, Sequence
 
-from gaproute.rollouts.campaign import (
-    SECOND,
-    Campaign,
-    RolloutHost,
-    lendable_lanes,
-    strictest_reservations,
-)
+from gaproute.rollouts.campaign import Campaign, RolloutHost, lendable_lanes, strictest_reservations
 from gaproute.shared.leases.commands import MAX_DURATION
 from gaproute.shared.messages import MAX_COUNT
+from gaproute.units import SECOND
 
 MAX_CAMPAIGNS = 32  # at once: each costs every gateway a row for each host
 MAX_STEPS = 1_000_000
--- a/gaproute/rollouts/dispatcher.py
+++ b/gaproute/rollouts/dispatcher.py
@@ -19,8 +19,7 @@
 from gaproute.rollouts.rate_limit import RateLimit
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.requests import LeaseRequest
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 # From when a host was asked until its report counts no more. The promise is 200 ms.
 MAX_REPORT_AGE = 150 * MILLI
--- a/gaproute/rollouts/forecast.py
+++ b/gaproute/rollouts/forecast.py
@@ -8,8 +8,7 @@
 from typing import NamedTuple
 
 from gaproute.rollouts.campaign import RolloutHost
-
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 SLOT = 30 * SECOND  # of a plan: as long as several loads, short beside the course of a day
 DEFAULT_SLOTS = 8  # minutes ahead that a plan looks
--- a/gaproute/rollouts/host_allotment.py
+++ b/gaproute/rollouts/host_allotment.py
@@ -5,8 +5,7 @@
 from typing import NamedTuple
 
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
-
-MILLI = 1_000_000
+from gaproute.units import MILLI
 
 RETRY_PAUSE = 300 * MILLI  # until a lease that was rejected is requested again
 MAX_LEASE_LANES = 4  # a lease: with fewer, more are renewed; with more, they cannot be released in parts
--- a/gaproute/rollouts/rate_limit.py
+++ b/gaproute/rollouts/rate_limit.py
@@ -1,6 +1,6 @@
 """A limit on how many rollouts of one campaign one gateway sends a second."""
 
-SECOND = 1_000_000_000
+from gaproute.units import SECOND
 
 BURST = 16  # rollouts at once at most: lanes that become free together are filled together
 
--- a/gaproute/scenarios/clients.py
+++ b/gaproute/scenarios/clients.py
@@ -5,8 +5,9 @@
 from gaproute.judge.tap_reading import TapEvent
 from gaproute.scenarios.context import DayContext
 from gaproute.scenarios.gateways import DayGateways
-from gaproute.scenarios.processes import MILLI, DayProcess, Message, Routine
+from gaproute.scenarios.processes import DayProcess, Message, Routine
 from gaproute.standins.tap import read_tap
+from gaproute.units import MILLI
 
 PATIENCE = [0.6, 1.0]  # a client waits for a share of its deadline that is drawn from this range
 EXIT_POLL = 50 * MILLI  # between two looks at whether clients have ended
--- a/gaproute/scenarios/cpu_waits.py
+++ b/gaproute/scenarios/cpu_waits.py
@@ -9,7 +9,8 @@
 from typing import NamedTuple, Protocol
 
 from gaproute.scenarios.clients import ClientContext, DayClients
-from gaproute.scenarios.processes import MILLI, DayProcess, Routine
+from gaproute.scenarios.processes import DayProcess, Routine
+from gaproute.units import MILLI
 
 SAMPLE_INTERVAL = 20 * MILLI
 MIN_NOTED_WAIT = 1 * MILLI  # shorter waits are part of ordinary scheduling
--- a/gaproute/scenarios/faults.py
+++ b/gaproute/scenarios/faults.py
@@ -7,8 +7,9 @@
 from gaproute.scenarios.clients import ClientContext, DayClients
 from gaproute.scenarios.host_list import HostListPublisher
 from gaproute.scenarios.hosts import DayHost, DayHosts, ListedState
-from gaproute.scenarios.processes import MILLI, SECOND, Routine
+from gaproute.scenarios.processes import Routine
 from gaproute.scenarios.script_lines import CLIENT_FAULTS, HOST_FAULTS, DayFaultLine
+from gaproute.units import MILLI, SECOND
 
 REPLACEMENT_DELAY = 200 * MILLI  # until the list names a host that replaces another, and no longer the other
 
--- a/gaproute/scenarios/gateways.py
+++ b/gaproute/scenarios/gateways.py
@@ -8,7 +8,8 @@
 
 from gaproute.scenarios.context import DayContext
 from gaproute.scenarios.errors import GatewayStartError, NotReadyError
-from gaproute.scenarios.processes import ANY_ADDRESS, MILLI, READY_TIME, DayProcess, Routine
+from gaproute.scenarios.processes import ANY_ADDRESS, READY_TIME, DayProcess, Routine
+from gaproute.units import MILLI
 
 START_POLL = 20 * MILLI  # between two looks at the log of a gateway that starts
 LIST_POLL = "50ms"  # by which gateways look at their host list
--- a/gaproute/scenarios/processes.py
+++ b/gaproute/scenarios/processes.py
@@ -11,8 +11,8 @@
 from gaproute.loop import Loop, Promise
 from gaproute.loop.descriptors import HANGUP, READ
 from gaproute.scenarios.errors import NotReadyError
+from gaproute.units import MILLI, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
 # Not 127.0.0.1, from which all connect: a port of a killed process stays free for it.
 ANY_ADDRESS = "127.0.0.2:0"
 READY_TIME = 20 * SECOND  # for a process to come up, on a crowded machine
--- a/gaproute/scenarios/service.py
+++ b/gaproute/scenarios/service.py
@@ -11,8 +11,8 @@
 
 from gaproute.config.directives.requests import RequestClassLine
 from gaproute.judge.tap_reading import TapEvent
+from gaproute.units import SECOND
 
-SECOND = 1_000_000_000
 WINDOW = 5  # seconds of a day that `by_window` takes together
 
 
--- a/gaproute/scenarios/trial.py
+++ b/gaproute/scenarios/trial.py
@@ -18,10 +18,11 @@
 from gaproute.scenarios.gateways import DayGateways
 from gaproute.scenarios.host_list import HostListFile, HostListPublisher
 from gaproute.scenarios.hosts import DayHosts
-from gaproute.scenarios.processes import ANY_ADDRESS, MILLI, SECOND, DayProcess, DayProcesses, Routine
+from gaproute.scenarios.processes import ANY_ADDRESS, DayProcess, DayProcesses, Routine
 from gaproute.scenarios.result import DayResult
 from gaproute.scenarios.script import Script
 from gaproute.standins.tap import Tap
+from gaproute.units import MILLI, SECOND
 
 DEFAULT_DECISIONS = "gaproute.decisions.routing:Gateway"
 SETTLE_TIME = 700 * MILLI  # between all being up and the first request
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -9,8 +9,8 @@
 from typing import Any, NamedTuple
 
 from gaproute import interface
+from gaproute.units import MICRO
 
-MICRO = 1_000
 MICROS_PER_MILLI = 1_000
 IDEMPOTENCY = {
     "free": interface.Idempotency.IDEMPOTENT,
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -1,25 +1,25 @@
 """Intervals, budgets and bounds of the dissemination. Times are nanoseconds, sizes bytes."""
 
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 # Sending
 FANOUT = 4  # peers to which a newer version is pushed; without loss the pushes miss 1 gateway in 50
 ANNOUNCE_INTERVAL = SECOND  # between two announcements when nothing is new
-EAGER_INTERVAL = 200 * MILLISECOND  # between two announcements while a version is new
+EAGER_INTERVAL = 200 * MILLI  # between two announcements while a version is new
 EAGER_TIME = 2 * SECOND  # how long a version counts as new: time to reach gateways that the pushes missed
 PUSH_BYTES = 1_100  # of changes in one datagram, so that it is not fragmented on any network
 
 # Fetching
 MAX_DATAGRAM_GAP = 4  # versions behind, up to which changes are requested by datagram
-REPLY_TIME = 300 * MILLISECOND  # for the answer to a datagram: one and a half times the longest round trip
+REPLY_TIME = 300 * MILLI  # for the answer to a datagram: one and a half times the longest round trip
 EXCHANGE_TIME = 3 * SECOND  # for one exchange, with a lost segment or two
-FAILURE_PAUSE = 250 * MILLISECOND  # after a failed exchange
+FAILURE_PAUSE = 250 * MILLI  # after a failed exchange
 MAX_CHANGES_FAILURES = 4  # of requests for changes, after which the complete document is requested
 MAX_PART_FAILURES = 3  # after which a source that has sent parts of a complete document is given up
 MAX_FAILURES = 8  # after which a fetch ends; the next announcement begins another one
 MAX_SOURCES = 4  # stored peers that have the newer version, beside the one that is asked
 MAX_WAIT = 5 * SECOND  # longest time by which a busy source may delay a fetch
-BUSY_PAUSE = 500 * MILLISECOND  # before another source is asked after a busy one
+BUSY_PAUSE = 500 * MILLI  # before another source is asked after a busy one
 MAX_DOCUMENT_BYTES = 4 << 20  # of a complete document, encoded
 
 # Answering pulls
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -11,13 +11,13 @@
 from xxhash import xxh32_intdigest
 
 from gaproute.shared.messages import MAX_COUNT
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 HEADER_BYTES = 10  # of a message
 SET_HEADER_BYTES = 11  # of each set in it
 # Around a message: IP and UDP headers, the sender's name, the tags of the envelope's fields
 ENVELOPE_BYTES = 60
-TRAVEL_TIME = 5 * MILLISECOND  # assumed for every message, as clocks of gateways are not compared
+TRAVEL_TIME = 5 * MILLI  # assumed for every message, as clocks of gateways are not compared
 
 MAX_INCARNATION = MAX_COUNT
 MAX_SEQUENCE = (1 << 32) - 1
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -32,12 +32,12 @@
 from gaproute.shared.messages import MAX_COUNT
 from gaproute.shared.raft.messages import Reply, ReplyStatus, Request
 from gaproute.shared.randomness import RandomSource
-from gaproute.units import MILLISECOND
+from gaproute.units import MILLI
 
 # After which a command without an answer is sent to the next member; above a sync and a round trip, below an
 # election
-RESEND_AFTER = 500 * MILLISECOND
-RETRY_PAUSE = 100 * MILLISECOND  # before the next member is tried after one that knows no leader
+RESEND_AFTER = 500 * MILLI
+RETRY_PAUSE = 100 * MILLI  # before the next member is tried after one that knows no leader
 MAX_REDIRECTS = 2  # that are followed without a pause: members that name one another must not cause a flood
 
 
--- a/gaproute/shared/leases/commands.py
+++ b/gaproute/shared/leases/commands.py
@@ -11,10 +11,10 @@
 from msgspec import Meta
 
 from gaproute.shared.messages import MAX_COUNT, Message, Name
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 MAX_DURATION = 600 * SECOND  # longest time for which a resource stays taken by a holder that died
-MIN_DURATION = 100 * MILLISECOND  # with shorter durations the renewals would cost too much
+MIN_DURATION = 100 * MILLI  # with shorter durations the renewals would cost too much
 CLOCK_ERROR = 10  # per mille by which any clock's rate may differ from true time (1%)
 # The number of hosts in a large fleet; bounds the state that one client can cause
 MAX_LEASES_PER_CLIENT = 1024
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -21,7 +21,7 @@
 from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.leases.requests import LeaseRequest, LeaseRequestError, LeaseState
 from gaproute.shared.messages import MAX_COUNT, MAX_NAME_LENGTH
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 MAX_REQUESTS = 1024  # at a time: as many as the client takes
 # How long a request that has ended is still shown, so that the reason can be read
@@ -144,7 +144,7 @@
             "state": state.value,
             "why": request.reason,
             "fence": request.fencing_token,
-            "ms_left": max(0, time_left) // MILLISECOND,
+            "ms_left": max(0, time_left) // MILLI,
         }
 
     def table(self, now: int) -> list[RequestStatus]:
@@ -178,8 +178,8 @@
 
 def _duration(milliseconds: int, longest: int) -> int:
     """The duration in ns. Errors: `LeaseRequestError` if it is out of bounds."""
-    if not MIN_DURATION <= milliseconds * MILLISECOND <= longest:
+    if not MIN_DURATION <= milliseconds * MILLI <= longest:
         raise LeaseRequestError(
-            f"{milliseconds} ms: {MIN_DURATION // MILLISECOND} to {longest // MILLISECOND} are possible"
+            f"{milliseconds} ms: {MIN_DURATION // MILLI} to {longest // MILLI} are possible"
         )
-    return milliseconds * MILLISECOND
+    return milliseconds * MILLI
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -7,11 +7,11 @@
 from gaproute.shared.membership.probe_order import ProbeOrder
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 # Between probes; each gateway costs 2 small messages in a period, whatever the number of gateways
 PERIOD = SECOND
-PROBE_TIMEOUT = 300 * MILLISECOND  # for the answer to a probe: many round trips, and some late turns
+PROBE_TIMEOUT = 300 * MILLI  # for the answer to a probe: many round trips, and some late turns
 RETRIES = 2  # of a probe, each PROBE_TIMEOUT after the last
 HELPERS = 3  # members asked to probe for this one, so that one lossy path does not make a suspect
 MAX_INDIRECT_PROBES = 64  # in progress for others at a time
--- a/gaproute/shared/membership/state_transfer.py
+++ b/gaproute/shared/membership/state_transfer.py
@@ -4,9 +4,9 @@
 requested when the last one has come, so that the source is never flooded.
 """
 
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
-CHUNK_TIMEOUT = 300 * MILLISECOND  # after which the chunk is requested again
+CHUNK_TIMEOUT = 300 * MILLI  # after which the chunk is requested again
 MAX_ATTEMPTS = 6  # for one chunk, after which another member is asked
 INTERVAL = 300 * SECOND  # between two transfers without a reason, which repair what updates missed
 MIN_INTERVAL = 20 * SECOND  # between two starts, as one healed partition brings back hundreds of members
--- a/gaproute/shared/raft/timing.py
+++ b/gaproute/shared/raft/timing.py
@@ -1,9 +1,9 @@
 """The times of the group, in ns. They affect how soon it acts, never its safety."""
 
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 # Between two messages of a leader to a follower: a fifth of the shortest election timeout.
-HEARTBEAT_INTERVAL = 200 * MILLISECOND
+HEARTBEAT_INTERVAL = 200 * MILLI
 # A follower without messages of a leader begins an election after this time and a random part of it. Far
 # above a late turn, a sync and a round trip; below the usual durations of leases.
 ELECTION_TIMEOUT = SECOND
--- a/gaproute/simulation/campaigns/cases.py
+++ b/gaproute/simulation/campaigns/cases.py
@@ -11,7 +11,7 @@
 from gaproute.simulation.fault_schedule import FaultKind, ScheduledFault
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 FAULT_AT = 6 * SECOND
 LONG_CUT = 9 * SECOND  # outlasts every lease
@@ -73,7 +73,7 @@
     now = 5 * SECOND
     while now < end - 2 * SECOND:
         faults.append(_noisy_fault(fleet, random, now))
-        now += random.between(500, 2500) * MILLISECOND
+        now += random.between(500, 2500) * MILLI
     return tuple(faults)
 
 
@@ -89,12 +89,12 @@
         )
     )
     link = fleet.numbers[random.choice(fleet.gateways)], fleet.numbers[random.choice(list(fleet.hosts))]
-    until = now + random.between(200, 1500) * MILLISECOND
+    until = now + random.between(200, 1500) * MILLI
     match kind:
         case FaultKind.HOLD_MESSAGES | FaultKind.CUT_ONE_WAY:
             return ScheduledFault(kind, now, until, link)
         case FaultKind.DELAY_MESSAGES:
-            return ScheduledFault(kind, now, until, (), 300 * MILLISECOND)
+            return ScheduledFault(kind, now, until, (), 300 * MILLI)
     return ScheduledFault(kind, now, until, (target,))
 
 
--- a/gaproute/simulation/campaigns/checks.py
+++ b/gaproute/simulation/campaigns/checks.py
@@ -19,7 +19,7 @@
 from gaproute.simulation.process_slot import ProcessSlot
 from gaproute.simulation.raft_group.message_checks import SentMessageChecks
 from gaproute.simulation.simulation import Simulation
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 MAX_STOP_TIME = SECOND // 5  # after production wants a host's lanes no gateway sends rollouts there
 EXPENSIVE_CHECK_PERIOD = 12  # steps: a lease lasts seconds
@@ -97,7 +97,7 @@
         late = simulation.now - (host.production_waits_since or 0)
         self.scene.rollouts.last_sent_late = max(self.scene.rollouts.last_sent_late, late)
         if late > MAX_STOP_TIME:
-            since = f"{late / MILLISECOND:.0f} ms after production wanted its lanes"
+            since = f"{late / MILLI:.0f} ms after production wanted its lanes"
             yield f"production first: {task.name} to {host.name} {since}"
 
     @staticmethod
--- a/gaproute/simulation/campaigns/copy_loader.py
+++ b/gaproute/simulation/campaigns/copy_loader.py
@@ -12,7 +12,7 @@
 from gaproute.simulation.campaigns.host_views import HostView, HostViews
 from gaproute.simulation.campaigns.messages import Copy, DropCopy, LoadCopy
 from gaproute.simulation.process_slot import Outbox, OutgoingMessages
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 EXCHANGE = "rollouts/exchange"  # the pool of leases that hosts without room for two copies need
 EXCHANGE_LEASE_TIME = 10 * SECOND
--- a/gaproute/simulation/campaigns/fleet.py
+++ b/gaproute/simulation/campaigns/fleet.py
@@ -6,7 +6,7 @@
 from gaproute.errors import GaprouteError
 from gaproute.rollouts.campaign import Campaign, RolloutHost, lendable_lanes, strictest_reservations
 from gaproute.rollouts.campaign_validation import find_mistakes
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 ZONES = "abc"
 RAFT_NODES = ("k1", "k2", "k3")
@@ -14,7 +14,7 @@
 COPY_ROOM = 2  # of a host: for a campaign's old and new copy, or for the copies of two campaigns
 FUNCTION = "m"
 MAX_TASK_TIME = SECOND
-USUAL_TASK_TIME = 450 * MILLISECOND
+USUAL_TASK_TIME = 450 * MILLI
 GROUP_SIZE = 4
 STEPS = 1000
 SECOND_WEIGHT = 3  # of the second campaign; the first one has 1
--- a/gaproute/simulation/campaigns/gateway.py
+++ b/gaproute/simulation/campaigns/gateway.py
@@ -23,10 +23,10 @@
 from gaproute.simulation.campaigns.scene import Scene
 from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND
+from gaproute.units import MILLI
 
-VERSION_REPORT_INTERVAL = 500 * MILLISECOND
-COPY_STEP_INTERVAL = 100 * MILLISECOND
+VERSION_REPORT_INTERVAL = 500 * MILLI
+COPY_STEP_INTERVAL = 100 * MILLI
 
 
 class SimulatedGateway:
--- a/gaproute/simulation/campaigns/host.py
+++ b/gaproute/simulation/campaigns/host.py
@@ -19,7 +19,7 @@
 )
 from gaproute.simulation.campaigns.scene import Scene
 from gaproute.simulation.process_slot import Outbox, OutgoingMessages
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 COLD_TIME = 2 * SECOND  # after a restart, in which the host says that it bears little
 
--- a/gaproute/simulation/campaigns/host_views.py
+++ b/gaproute/simulation/campaigns/host_views.py
@@ -5,7 +5,7 @@
 
 from gaproute.simulation.campaigns.messages import Copy, HostStatus, StatusQuery
 from gaproute.simulation.campaigns.scene import Numbers
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 MAX_QUERY_TIME = SECOND  # an answer that comes later is not taken
 
--- a/gaproute/simulation/campaigns/planner.py
+++ b/gaproute/simulation/campaigns/planner.py
@@ -19,11 +19,11 @@
 from gaproute.simulation.campaigns.host_views import HostView, HostViews
 from gaproute.simulation.campaigns.scene import MEAN_PRODUCTION_TIME, Scene
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 PLAN_INTERVAL = SECOND
-QUERY_INTERVAL = 250 * MILLISECOND  # between queries of all hosts
-SILENCE_LIMIT = 1500 * MILLISECOND  # a host or gateway that is silent for so long gets nothing
+QUERY_INTERVAL = 250 * MILLI  # between queries of all hosts
+SILENCE_LIMIT = 1500 * MILLI  # a host or gateway that is silent for so long gets nothing
 LEASE_DURATION = 4 * SECOND
 PLANNED_SLOTS = 4
 WANTED_LANES = 10_000  # by each campaign: as many as there are
--- a/gaproute/simulation/campaigns/production_client.py
+++ b/gaproute/simulation/campaigns/production_client.py
@@ -5,9 +5,9 @@
 from gaproute.simulation.campaigns.messages import Task
 from gaproute.simulation.campaigns.scene import Scene
 from gaproute.simulation.process_slot import OutgoingMessages
-from gaproute.simulation.units import MILLISECOND
+from gaproute.units import MILLI
 
-MAX_REQUEST_TIME = 1500 * MILLISECOND  # until a request without an answer counts as lost
+MAX_REQUEST_TIME = 1500 * MILLI  # until a request without an answer counts as lost
 DURATIONS_MS = (50, 350)  # least and most
 
 
@@ -34,7 +34,7 @@
         host = other if self._in_flight(other) < self._in_flight(one) else one
         name = f"p{scene.numbers.next()}"
         self._requests[name] = _SentRequest(host, now)
-        duration = random.between(*DURATIONS_MS) * MILLISECOND
+        duration = random.between(*DURATIONS_MS) * MILLI
         return [(host, Task(name, None, duration, MAX_REQUEST_TIME, scene.true_time()))]
 
     def record_end(self, name: str) -> bool:
--- a/gaproute/simulation/campaigns/record.py
+++ b/gaproute/simulation/campaigns/record.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from gaproute.rollouts.campaign import Campaign
-from gaproute.simulation.units import MILLISECOND
+from gaproute.units import MILLI
 
 LATE_MS = 100  # a wait of production above it is late
 
@@ -34,9 +34,9 @@
     def record_start(self, task: str, duration: int) -> None:
         """The request runs from now on, for so many ns."""
         if task in self._arrivals:
-            wait = (self.true_time() - self._arrivals.pop(task)) / MILLISECOND
+            wait = (self.true_time() - self._arrivals.pop(task)) / MILLI
             self.waits.append(wait)
-            self.answers.append(wait + duration / MILLISECOND)
+            self.answers.append(wait + duration / MILLI)
 
     def figures(self) -> dict[str, float]:
         """Waits and answers; `lost` are requests that never ran."""
--- a/gaproute/simulation/campaigns/rollout_sender.py
+++ b/gaproute/simulation/campaigns/rollout_sender.py
@@ -12,7 +12,7 @@
 from gaproute.simulation.campaigns.scene import Scene
 from gaproute.simulation.process_slot import OutgoingMessages
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND
+from gaproute.units import MILLI
 
 DURATIONS_MS = (200, 700)  # of a rollout, least and most
 
@@ -101,7 +101,7 @@
         return outgoing
 
     def _task(self, rollout: Rollout) -> Task:
-        duration = self.random.between(*DURATIONS_MS) * MILLISECOND
+        duration = self.random.between(*DURATIONS_MS) * MILLI
         limit = self.campaigns[rollout.copy.campaign].max_duration
         return Task(rollout.task, rollout.copy, duration, limit, self.scene.true_time())
 
--- a/gaproute/simulation/campaigns/run.py
+++ b/gaproute/simulation/campaigns/run.py
@@ -16,8 +16,8 @@
 from gaproute.simulation.process_slot import ProcessFactory
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
-from gaproute.simulation.units import MILLISECOND, SECOND
 from gaproute.simulation.violation import InvariantViolationError
+from gaproute.units import MILLI, SECOND
 
 DEFAULT_END = 18 * SECOND  # of faults and of production
 
@@ -54,7 +54,7 @@
             "done": dict(scene.progress.delivered),
             "versions": dict(scene.progress.versions),
             **scene.production.figures(),
-            "stop": rollouts.last_sent_late / MILLISECOND,
+            "stop": rollouts.last_sent_late / MILLI,
             "scrapped": sum(sum(each.values()) - each["delivered"] for each in ends),
         }
 
@@ -86,7 +86,7 @@
         return factories | dict.fromkeys(self.scene.fleet.hosts, self._make_host)
 
     def _make_node(self, name: str, disk: SimulatedDisk, random: SeededRandom, now: int) -> RaftNode:
-        base = 1 + self.simulation.now // MILLISECOND
+        base = 1 + self.simulation.now // MILLI
         return RaftNode(
             name, RAFT_NODES, disk, random, now, LeaseTable(initial_wait=False), fencing_base=base
         )
--- a/gaproute/simulation/campaigns/scene.py
+++ b/gaproute/simulation/campaigns/scene.py
@@ -6,11 +6,11 @@
 from gaproute.simulation.campaigns.fleet import CampaignFleet
 from gaproute.simulation.campaigns.record import CampaignProgress, ProductionRecord, RolloutRecord
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND
+from gaproute.units import MILLI
 
-LOAD_TIME = 500 * MILLISECOND  # of a copy
+LOAD_TIME = 500 * MILLI  # of a copy
 SLOW_STORE_FACTOR = 10  # a store at a tenth of its pace
-MEAN_PRODUCTION_TIME = 200 * MILLISECOND  # of a request
+MEAN_PRODUCTION_TIME = 200 * MILLI  # of a request
 
 
 @dataclass(frozen=True, slots=True)
--- a/gaproute/simulation/campaigns/script.py
+++ b/gaproute/simulation/campaigns/script.py
@@ -8,14 +8,14 @@
 from gaproute.simulation.campaigns.trainer import Trainer
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 USUAL_LOAD = 0.35  # of all lanes that production wants on an ordinary day
 BURST_FACTORS = (1.5, 2.3)  # of the usual load, least and most
 BURSTS = 3
 BURST_SECONDS = (1, 3)  # least and most
 SAMPLE_FROM = 5 * SECOND  # by then there are a leader, a plan, leases and the first loads
-SAMPLE_INTERVAL = 10 * MILLISECOND
+SAMPLE_INTERVAL = 10 * MILLI
 
 
 class ProductionLoad:
--- a/gaproute/simulation/events.py
+++ b/gaproute/simulation/events.py
@@ -7,7 +7,7 @@
 
 from gaproute.simulation.fault_schedule import ScheduledFault
 from gaproute.simulation.process_slot import ProcessSlot
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 NO_SLOT = 0xFFFF  # in an event's digest
 _digest_form = struct.Struct("<qBHH")
--- a/gaproute/simulation/fault_effects.py
+++ b/gaproute/simulation/fault_effects.py
@@ -11,7 +11,7 @@
 from gaproute.simulation.network import SimulatedNetwork
 from gaproute.simulation.process_slot import ProcessSlot
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND
+from gaproute.units import MILLI
 
 DISK_ERRORS = {
     FaultKind.DISK_FULL: errno.ENOSPC,
@@ -19,7 +19,7 @@
     FaultKind.DISK_FAILING: errno.EIO,
 }
 # What arrived while a process was paused is delivered within this time, ns.
-MIN_RESUME_DELAY = MILLISECOND // 1000
+MIN_RESUME_DELAY = MILLI // 1000
 RESUME_SPREAD = 50 * MIN_RESUME_DELAY
 
 
--- a/gaproute/simulation/network.py
+++ b/gaproute/simulation/network.py
@@ -4,12 +4,13 @@
 from enum import StrEnum
 
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLION, MILLISECOND
+from gaproute.simulation.units import MILLION
+from gaproute.units import MILLI
 
-MIN_DELAY = MILLISECOND // 5
-USUAL_DELAY = 2 * MILLISECOND  # more, evenly distributed
+MIN_DELAY = MILLI // 5
+USUAL_DELAY = 2 * MILLI  # more, evenly distributed
 LATE_MILLIONTHS = 15_000  # of the messages are late without any fault
-MAX_LATE_DELAY = 60 * MILLISECOND  # more that such a message takes
+MAX_LATE_DELAY = 60 * MILLI  # more that such a message takes
 
 
 class MessageFate(StrEnum):
@@ -63,7 +64,7 @@
         held_until = self.held_until.get((sender, receiver), 0)
         if held_until > first:
             counts[MessageFate.HELD] += 1
-            first = held_until + random.below(MILLISECOND)
+            first = held_until + random.below(MILLI)
         if self.duplication_rates and random.happens(max(self.duplication_rates)):
             counts[MessageFate.DUPLICATED] += 1
             return first, first + self._delay()
--- a/gaproute/simulation/raft_group/run.py
+++ b/gaproute/simulation/raft_group/run.py
@@ -21,10 +21,10 @@
 from gaproute.simulation.random_load import RandomLoad
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
-from gaproute.simulation.units import MILLISECOND
 from gaproute.simulation.violation import InvariantViolationError
+from gaproute.units import MILLI
 
-REQUEST_INTERVAL = 20 * MILLISECOND
+REQUEST_INTERVAL = 20 * MILLI
 EXPENSIVE_CHECK_PERIOD = 20  # steps
 # In a third of the runs elections collide: timeouts differ by a 64th of what they should.
 NARROW_PARTS = (0, 0, 64)
@@ -105,7 +105,7 @@
 
     def _make_node(self, name: str, disk: SimulatedDisk, random: SeededRandom, now: int) -> RaftNode:
         members = self.members.read_by(name)
-        base = 1 + self.simulation.now // MILLISECOND
+        base = 1 + self.simulation.now // MILLI
         table = LeaseTable(initial_wait=True, max_duration=self.setup.lease_duration)
         return RaftNode(name, members, disk, random, now, table, fencing_base=base)
 
--- a/gaproute/simulation/raft_group/schedule.py
+++ b/gaproute/simulation/raft_group/schedule.py
@@ -6,7 +6,7 @@
 from gaproute.simulation.raft_group.setup import ALLOWED_DRIFT, DEFAULT_SETUP, RaftGroupSetup, RunKind
 from gaproute.simulation.random_faults import FaultOptions, draw_schedule
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 FAULT_TIME = 16 * SECOND  # a dozen elections
 SETTLE_TIME = 12 * SECOND  # a disk that failed is tried again within 5 s
@@ -59,5 +59,5 @@
     yield ScheduledFault(FaultKind.PARTITION, at, FAULT_TIME, (client,))
     for node in range(setup.nodes + 1):
         lost_at = at + random.below(SECOND // 10)
-        until = lost_at + 20 * MILLISECOND + random.below(SECOND // 10)
+        until = lost_at + 20 * MILLI + random.below(SECOND // 10)
         yield ScheduledFault(FaultKind.LOSE_DISK, lost_at, until, (node,))
--- a/gaproute/simulation/raft_group/setup.py
+++ b/gaproute/simulation/raft_group/setup.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from gaproute.shared.leases.commands import CLOCK_ERROR
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 # The drift that leases allow for, in millionths; CLOCK_ERROR is per mille.
 ALLOWED_DRIFT = CLOCK_ERROR * 1_000
--- a/gaproute/simulation/random_faults.py
+++ b/gaproute/simulation/random_faults.py
@@ -11,12 +11,12 @@
     ScheduledFault,
 )
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 MAX_DRIFT = 100  # millionths by which a clock goes wrong by default: what quartz is built to
 CALM_TIME = 2 * SECOND  # before the first fault, in which the processes find each other
 MAX_OPERATIONS_TO_CRASH = 12  # a crash in a call comes within so many disk operations
-MIN_FAULT_TIME = 50 * MILLISECOND
+MIN_FAULT_TIME = 50 * MILLI
 
 WEIGHTS = {
     FaultKind.CRASH: 4,
@@ -97,7 +97,7 @@
     def draw(self) -> FaultSchedule:
         weighted = self._weighted_kinds()
         faults: list[ScheduledFault] = []
-        least = self.random.choice((150, 400, 900)) * MILLISECOND
+        least = self.random.choice((150, 400, 900)) * MILLI
         now = min(CALM_TIME, self.end // 4)
         while True:
             now += least + self.random.below(3 * least)
@@ -146,7 +146,7 @@
             case FaultKind.DUPLICATE_MESSAGES:
                 return random.choice((50_000, 300_000))
             case FaultKind.DELAY_MESSAGES:
-                return random.choice((30, 200, 1500)) * MILLISECOND
+                return random.choice((30, 200, 1500)) * MILLI
             case FaultKind.CLOCK_DRIFT:
                 return random.between(-max_drift, max_drift)
         return 0
--- a/gaproute/simulation/rounds/faults.py
+++ b/gaproute/simulation/rounds/faults.py
@@ -8,7 +8,7 @@
 from gaproute.simulation.rounds.fleet import DrawnFleet
 from gaproute.simulation.rounds.kinds import GATEWAYS, RAFT_NODES, WORKER, RunKind
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 FAULT_TIME = 100 * SECOND
 CALM_TIME = 5 * SECOND  # at the beginning and before the end: no fault begins
--- a/gaproute/simulation/rounds/fleet.py
+++ b/gaproute/simulation/rounds/fleet.py
@@ -5,7 +5,7 @@
 from gaproute.maintenance import MaintenanceHost, RoundSpec
 from gaproute.simulation.rounds.kinds import RunKind
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 COPY_SLOTS = 4  # of each host
 MAX_INITIAL_COPIES = 3  # of a host, so that a slot is free
--- a/gaproute/simulation/rounds/host.py
+++ b/gaproute/simulation/rounds/host.py
@@ -13,7 +13,7 @@
 )
 from gaproute.simulation.rounds.scene import HostMemory, RoundsScene
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 LOAD_TIME = 2 * SECOND  # that a copy takes, and up to as long again
 WARM_UP_TIME = 5 * SECOND  # after its start, in which a host has half of its power
--- a/gaproute/simulation/rounds/interventions.py
+++ b/gaproute/simulation/rounds/interventions.py
@@ -10,7 +10,7 @@
 from gaproute.simulation.rounds.scheduler import SimulatedScheduler
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 EARLIEST = 20 * SECOND
 SPREAD = 80 * SECOND
--- a/gaproute/simulation/rounds/observer.py
+++ b/gaproute/simulation/rounds/observer.py
@@ -12,10 +12,10 @@
 from gaproute.simulation.rounds.messages import DemandReport, ProbeMessage, ProbeReply, RunRequest
 from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.seeded_random import SeededRandom
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 PROBE_INTERVAL = SECOND  # between two probes of one host
-MIN_REQUEST_DURATION = 200 * MILLISECOND
+MIN_REQUEST_DURATION = 200 * MILLI
 REQUEST_DURATION_SPREAD = 2 * SECOND
 TRAFFIC_ODDS = 4  # one in so many ticks of a gateway sends a request and reports demand
 
--- a/gaproute/simulation/rounds/run.py
+++ b/gaproute/simulation/rounds/run.py
@@ -26,8 +26,8 @@
 from gaproute.simulation.rounds.worker import MaintenanceWorker
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
-from gaproute.simulation.units import SECOND
 from gaproute.simulation.violation import InvariantViolationError
+from gaproute.units import SECOND
 
 MAX_TIME = 300 * SECOND  # a run that has not ended by then is judged as it is
 DEFAULT_OUT_TIME = 10 * SECOND  # that a host is away
--- a/gaproute/simulation/rounds/scheduler.py
+++ b/gaproute/simulation/rounds/scheduler.py
@@ -21,9 +21,9 @@
 )
 from gaproute.simulation.rounds.observer import HostObserver, ProcessStart
 from gaproute.simulation.rounds.scene import RoundsScene
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
-STEP_INTERVAL = 500 * MILLISECOND  # between two looks at the rounds
+STEP_INTERVAL = 500 * MILLI  # between two looks at the rounds
 LEASE_DURATION = 20 * SECOND  # some renewals may be lost
 PEAK_TIME = 60 * SECOND  # the highest demand reported within it is the peak
 MAX_DEMAND_SAMPLES = 8  # stored of a function beside the last one
--- a/gaproute/simulation/rounds/worker.py
+++ b/gaproute/simulation/rounds/worker.py
@@ -2,9 +2,9 @@
 
 from gaproute.simulation.process_slot import OutgoingMessages
 from gaproute.simulation.rounds.messages import HostHandover, ReadyHostsQuery, Restart
-from gaproute.simulation.units import MILLISECOND
+from gaproute.units import MILLI
 
-QUERY_INTERVAL = 500 * MILLISECOND
+QUERY_INTERVAL = 500 * MILLI
 MAX_OPEN_QUERIES = 100
 
 
--- a/gaproute/simulation/simulation.py
+++ b/gaproute/simulation/simulation.py
@@ -28,12 +28,12 @@
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.slots import MAX_CLOCK_START, make_slots
 from gaproute.simulation.timeline import Timeline
-from gaproute.simulation.units import MILLISECOND
 from gaproute.simulation.violation import InvariantViolationError
+from gaproute.units import MILLI
 
 MAX_INBOX = 2_000  # messages stored for a paused process, as a socket's buffer is bounded
-MIN_TICK_DELAY = MILLISECOND // 1000  # a process whose time to tick is over is called again no sooner
-RESTART_DELAY = 200 * MILLISECOND  # until a process that ended by an error is started again
+MIN_TICK_DELAY = MILLI // 1000  # a process whose time to tick is over is called again no sooner
+RESTART_DELAY = 200 * MILLI  # until a process that ended by an error is started again
 
 SlotCall: TypeAlias = Callable[[int], OutgoingMessages | None]  # takes the process's own time
 
--- a/gaproute/simulation/slots.py
+++ b/gaproute/simulation/slots.py
@@ -6,7 +6,7 @@
 from gaproute.simulation.process_slot import ProcessFactory, ProcessSlot
 from gaproute.simulation.random_faults import MAX_DRIFT
 from gaproute.simulation.seeded_random import NarrowRandom, SeededRandom
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 MAX_CLOCK_START = 5_000 * SECOND  # a monotonic clock begins below it
 
--- a/gaproute/simulation/units.py
+++ b/gaproute/simulation/units.py
@@ -1,5 +1,3 @@
-"""Units of the simulation: times are whole nanoseconds, rates and probabilities whole millionths."""
+"""The unit of the simulation's rates and probabilities: they are whole millionths."""
 
-MILLISECOND = 1_000_000  # ns
-SECOND = 1_000 * MILLISECOND
 MILLION = 1_000_000
--- a/gaproute/simulation/violation.py
+++ b/gaproute/simulation/violation.py
@@ -4,7 +4,7 @@
 
 from gaproute.errors import GaprouteError
 from gaproute.simulation.fault_schedule import FaultSchedule
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 
 class RunPosition(NamedTuple):
--- a/gaproute/standins/cell_source.py
+++ b/gaproute/standins/cell_source.py
@@ -15,7 +15,6 @@
 
 from gaproute.loop import Listener, Loop
 from gaproute.loop.addresses import address
-from gaproute.loop.loop import SECOND
 from gaproute.standins.event_stream import (
     COMMENT,
     RESPONSE_HEAD,
@@ -24,6 +23,7 @@
     last_event_id,
 )
 from gaproute.standins.platform.host_list import ListedMember, VersionedHostList
+from gaproute.units import SECOND
 
 COMMENT_INTERVAL = SECOND // 2  # half of the silence that a follower tolerates
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
--- a/gaproute/standins/kserve/client_request.py
+++ b/gaproute/standins/kserve/client_request.py
@@ -13,11 +13,11 @@
 from gaproute.http1 import ClientConnection, Exchange, NoResponseError, Response
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
-from gaproute.loop.loop import MILLI
 from gaproute.loop.timers import Timer
 from gaproute.standins.kserve.idle_connections import IdleConnections
 from gaproute.standins.tap import EventRecorder
 from gaproute.standins.traffic import ClientRequestClass, TrafficProfile
+from gaproute.units import MILLI
 
 MIN_TIME_LEFT = 50 * MILLI  # of a further attempt: with less no answer could come in time
 # For which a client waits beyond its deadline: by the operators' terms an answer that comes so late earns
--- a/gaproute/standins/kserve/clients.py
+++ b/gaproute/standins/kserve/clients.py
@@ -16,7 +16,6 @@
 
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
-from gaproute.loop.loop import MILLI
 from gaproute.standins.kserve.client_request import (
     MIN_TIME_LEFT,
     ClientAttempt,
@@ -26,6 +25,7 @@
 from gaproute.standins.kserve.idle_connections import IdleConnections
 from gaproute.standins.tap import EventRecorder
 from gaproute.standins.traffic import ClientRequestClass, RequestSource, TrafficCommand, TrafficProfile
+from gaproute.units import MILLI
 
 CHECK_INTERVAL = 50 * MILLI  # between looks whether all requests have ended
 LAST_ANSWERS = 1500 * MILLI  # after the end, for what comes after the final answers
--- a/gaproute/standins/membership_network.py
+++ b/gaproute/standins/membership_network.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 
 from gaproute.decisions.chance import Chance
-from gaproute.loop.loop import MILLI
 from gaproute.peers.membership_wire import encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState
+from gaproute.units import MILLI
 
 DELAY = 5 * MILLI  # of a message
 STOPPED_RETRY = 10 * MILLI  # after which an event of a stopped gateway is tried again
--- a/gaproute/standins/model_server/fetching.py
+++ b/gaproute/standins/model_server/fetching.py
@@ -7,8 +7,8 @@
 from gaproute.http1 import Exchange, NoResponseError, Response
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
-from gaproute.loop.loop import SECOND
 from gaproute.standins.model_server.profiles import ModelProfile
+from gaproute.units import SECOND
 
 CONNECT_TIMEOUT = SECOND
 HEAD_LIMIT, BODY_LIMIT = 65536, 1 << 20  # bytes of an answer: stand-ins send little
--- a/gaproute/standins/model_server/instance_pool.py
+++ b/gaproute/standins/model_server/instance_pool.py
@@ -10,12 +10,12 @@
 from typing import Protocol
 
 from gaproute.loop import Loop, Promise
-from gaproute.loop.loop import SECOND
 from gaproute.standins.model_server.coroutines import CoroutineGroup
 from gaproute.standins.model_server.fetching import Fetch
 from gaproute.standins.model_server.model_instances import ModelInstances
 from gaproute.standins.model_server.profiles import HostProfile, ModelProfile
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import SECOND
 
 FETCH_ATTEMPTS = 8  # that the store refuses, until the load has failed
 FETCH_PAUSE = 0.1, 0.4  # seconds between them, by chance: hosts that are refused do not come back as one
--- a/gaproute/standins/model_server/profiles.py
+++ b/gaproute/standins/model_server/profiles.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from gaproute.loop.loop import MILLI, SECOND
+from gaproute.units import MILLI, SECOND
 
 
 class HostProfile(msgspec.Struct, frozen=True):
--- a/gaproute/standins/model_server/server.py
+++ b/gaproute/standins/model_server/server.py
@@ -13,7 +13,6 @@
 import msgspec
 
 from gaproute.loop import Loop, Promise
-from gaproute.loop.loop import MILLI
 from gaproute.standins.invariant_violation import note_violations
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.model_server.coroutines import CoroutineGroup
@@ -35,6 +34,7 @@
 )
 from gaproute.standins.model_server.warm_up import WarmUp
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import MILLI
 
 WORK_SHAPE = 4  # of the gamma distribution of work: a spread of half the mean
 UPKEEP_INTERVAL = 50 * MILLI  # between looks at idle instances and at the invariants
--- a/gaproute/standins/model_store.py
+++ b/gaproute/standins/model_store.py
@@ -10,10 +10,10 @@
 from gaproute.http1 import Limits, Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
-from gaproute.loop.loop import SECOND
 from gaproute.loop.timers import Timer
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import SECOND
 
 DONE = 1e-6  # share of a fetch that may be left when it is answered: rounding
 ROUNDING = 1000  # ns, by which a timer is set later, so that it never spins
--- a/gaproute/standins/platform/change_log.py
+++ b/gaproute/standins/platform/change_log.py
@@ -9,13 +9,13 @@
 
 from gaproute.errors import GaprouteError
 from gaproute.loop import Loop
-from gaproute.loop.loop import SECOND
 from gaproute.standins.invariant_violation import note_violations
 from gaproute.standins.json_objects import JsonObject, WriteLine
 from gaproute.standins.platform.change_log_invariants import find_violations
 from gaproute.standins.platform.gateway_feed import FeedFaultCommand, GatewayFeed
 from gaproute.standins.platform.host_list import ChangeEvent
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import SECOND
 
 UPKEEP_INTERVAL = SECOND  # also between signs of life
 
--- a/gaproute/standins/platform/client_attempt.py
+++ b/gaproute/standins/platform/client_attempt.py
@@ -12,7 +12,6 @@
 from typing import NamedTuple, Protocol
 
 from gaproute.loop import Loop
-from gaproute.loop.loop import MILLI
 from gaproute.loop.timers import Timer
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.gateway_pool import GatewayPool
@@ -20,6 +19,7 @@
 from gaproute.standins.platform.rpc_connection import CallLoss, RpcConnection
 from gaproute.standins.platform.traffic import PlatformTraffic
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import MILLI
 
 GRACE = 50 * MILLI  # by which every time limit is longer on sockets: the platform's rule
 REJECTED_CODE = -32008  # of a JSON-RPC error
--- a/gaproute/standins/platform/clients.py
+++ b/gaproute/standins/platform/clients.py
@@ -15,7 +15,6 @@
 import msgspec
 
 from gaproute.loop import Loop
-from gaproute.loop.loop import MILLI, SECOND
 from gaproute.standins.json_objects import JsonObject, WriteLine
 from gaproute.standins.model_server import ModelProfile
 from gaproute.standins.platform.client_request import PlatformRequest
@@ -23,6 +22,7 @@
 from gaproute.standins.platform.traffic import PlatformTraffic
 from gaproute.standins.tap import EventRecorder
 from gaproute.standins.traffic import ClientRequestClass, RequestSource, TrafficCommand
+from gaproute.units import MILLI, SECOND
 
 START_TIMEOUT = 30 * SECOND  # after which clients come although not all gateways are in
 CHECK_INTERVAL = 50 * MILLI
--- a/gaproute/standins/platform/deployment_settings.py
+++ b/gaproute/standins/platform/deployment_settings.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from gaproute.loop.loop import MILLI, SECOND
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.model_server import HostProfile
+from gaproute.units import MILLI, SECOND
 
 # The platform's words, by those of scripts:
 EFFECTS = {"pure": "free", "receipted": "guarded", "effectful": "single_shot"}
--- a/gaproute/standins/platform/gateway_feed.py
+++ b/gaproute/standins/platform/gateway_feed.py
@@ -20,7 +20,6 @@
 
 from gaproute.loop import Listener, Loop
 from gaproute.loop.addresses import address
-from gaproute.loop.loop import SECOND
 from gaproute.standins.event_stream import (
     COMMENT,
     RESPONSE_HEAD,
@@ -30,6 +29,7 @@
 )
 from gaproute.standins.platform.host_list import STATES, ChangeEvent, ListedMember
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import SECOND
 
 # After which what would have been sent by a dead way counts as known: the platform's rule.
 COUNTED_AFTER = 4 * SECOND
--- a/gaproute/standins/platform/gateway_pool.py
+++ b/gaproute/standins/platform/gateway_pool.py
@@ -7,10 +7,10 @@
 
 from gaproute.errors import GaprouteError
 from gaproute.loop import Loop
-from gaproute.loop.loop import SECOND
 from gaproute.standins.platform.pooled_gateway import PooledGateway
 from gaproute.standins.platform.traffic import PlatformTraffic
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import SECOND
 
 IDLE_TIME = 4 * SECOND  # after which clients close a connection
 SWEEP_INTERVAL = SECOND
--- a/gaproute/standins/platform/host.py
+++ b/gaproute/standins/platform/host.py
@@ -8,7 +8,6 @@
 
 from gaproute.loop import Listener, Loop, Promise
 from gaproute.loop.addresses import Address
-from gaproute.loop.loop import MILLI, SECOND
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.model_server import (
     HostRequest,
@@ -36,6 +35,7 @@
     check_request,
 )
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import MILLI, SECOND
 
 SWEEP_INTERVAL = SECOND  # between looks for idle connections
 GREEN, RED = "green", "red"  # states
--- a/gaproute/standins/platform/pooled_gateway.py
+++ b/gaproute/standins/platform/pooled_gateway.py
@@ -12,10 +12,10 @@
 
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address, address
-from gaproute.loop.loop import MILLI, SECOND
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.rpc_connection import CallLoss, RpcConnection
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import MILLI, SECOND
 
 PING_INTERVAL = 250 * MILLI  # to a gateway that is out
 DEATH_NOTICE = 1.0, 3.0  # seconds until a gateway that has died is out
--- a/gaproute/standins/platform/rpc_connection.py
+++ b/gaproute/standins/platform/rpc_connection.py
@@ -8,9 +8,9 @@
 
 from gaproute.loop import Loop, Stream, connect
 from gaproute.loop.addresses import Address
-from gaproute.loop.loop import MILLI
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.answer_reader import AnswerReader, MalformedAnswerError, encode_message
+from gaproute.units import MILLI
 
 CONNECT_TIMEOUT = 250 * MILLI  # loopback: what takes longer is a gateway that does not accept
 MAX_WITHDRAWN = 256  # withdrawn numbers that are remembered: an answer to one of them was asked for
--- a/gaproute/standins/platform/scripted.py
+++ b/gaproute/standins/platform/scripted.py
@@ -11,10 +11,10 @@
 
 from gaproute.loop import Listener, Loop, Promise, Stream, connect
 from gaproute.loop.addresses import address
-from gaproute.loop.loop import SECOND
 from gaproute.standins.event_stream import RESPONSE_HEAD, last_event_id
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.host_list import ChangeEvent, ListedMember
+from gaproute.units import SECOND
 
 HEAD_END = b"\r\n\r\n"
 CONNECT_TIMEOUT = SECOND
--- a/gaproute/standins/rule_violators.py
+++ b/gaproute/standins/rule_violators.py
@@ -8,11 +8,11 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_selector import HostSelector
-from gaproute.decisions.routing.parameters import MILLI
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
 from gaproute.interface import Attempt, ListedHost, LoadOrder, Reject, Request, RequestClass, State, Wait
 from gaproute.interface.actions import Action
+from gaproute.units import MILLI
 
 PAUSE = 200 * MILLI  # from the final answer to the attempt after it, and from that to the end
 VIOLATES_ONE_IN = 10  # requests; the others are served as the rules say
--- a/gaproute/standins/tap_flusher.py
+++ b/gaproute/standins/tap_flusher.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from gaproute.loop import Loop
-from gaproute.loop.loop import MILLI
 from gaproute.standins.tap import EventRecorder
+from gaproute.units import MILLI
 
 FLUSH_INTERVAL = 50 * MILLI  # a tap is read after the day: often enough that a kill costs little of it
 LATE = 20 * MILLI  # a turn of a crowded but living process; beyond it the figures are the machine's
--- a/gaproute/standins/traffic.py
+++ b/gaproute/standins/traffic.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gaproute.loop.loop import SECOND
+from gaproute.units import SECOND
 
 
 class ClientRequestClass(msgspec.Struct, frozen=True):
--- a/tests/cluster/test_conditions.py
+++ b/tests/cluster/test_conditions.py
@@ -6,10 +6,10 @@
 from gaproute.cluster.links.codec import decode_fault, decode_slots
 from gaproute.cluster.links.conditions import RETRANSMISSION_TIMEOUT, NetworkConditions
 from gaproute.cluster.links.errors import LinkCommandError
-from gaproute.cluster.links.faults import MILLI
 from gaproute.cluster.links.invariants import check_conditions
-from gaproute.cluster.links.rate_queues import MAX_QUEUE_TIME, SECOND
+from gaproute.cluster.links.rate_queues import MAX_QUEUE_TIME
 from gaproute.decisions.chance import Chance
+from gaproute.units import MILLI, SECOND
 
 A, B, C, H = 16, 17, 18, 40
 SLOTS = {
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -9,7 +9,7 @@
 )
 
 from gaproute.cluster.addresses import link_address
-from gaproute.cluster.links.faults import MILLI
+from gaproute.units import MILLI
 
 
 def test_datagrams_answer_to_their_source_and_vanish_in_a_cut(network):
--- a/tests/cluster/test_emulator_checks.py
+++ b/tests/cluster/test_emulator_checks.py
@@ -9,13 +9,14 @@
 )
 
 from gaproute.cluster.addresses import Link
-from gaproute.cluster.links.faults import MILLI, LinkTraffic
+from gaproute.cluster.links.faults import LinkTraffic
 from gaproute.cluster.links.lateness import LinkLateness
 from gaproute.cluster.links.rate_queues import QueueKey
 from gaproute.cluster.links.stream_end import HIGH_WATER, READ_SIZE, StreamEnd
 from gaproute.cluster.links.stream_relay import StreamRelay
 from gaproute.cluster.links.transit_queue import TransitQueue
 from gaproute.loop import Loop
+from gaproute.units import MILLI
 
 
 def test_an_emulator_that_is_late_knows_by_how_much():
--- a/tests/cluster/test_lease_clients.py
+++ b/tests/cluster/test_lease_clients.py
@@ -9,8 +9,8 @@
 from gaproute.cluster.script import read_script
 from gaproute.config import ConfigurationError
 from gaproute.judge import leases
-from gaproute.judge.terms import SECOND
 from gaproute.standins.tap import read_tap
+from gaproute.units import SECOND
 
 
 def test_leases_hold_while_members_of_the_group_die_are_paused_and_do_not_reach_each_other(tmp_path):
--- a/tests/cluster/test_stream_faults.py
+++ b/tests/cluster/test_stream_faults.py
@@ -9,8 +9,8 @@
     reset,
 )
 
-from gaproute.cluster.links.faults import MILLI
 from gaproute.cluster.links.messages import EndFault
+from gaproute.units import MILLI
 
 
 def test_delay_is_as_long_as_given_both_ways_and_for_opening(network):
--- a/tests/cluster/test_streams.py
+++ b/tests/cluster/test_streams.py
@@ -17,8 +17,8 @@
 )
 
 from gaproute.cluster.addresses import Link, link_of_address
-from gaproute.cluster.links.faults import MILLI
 from gaproute.cluster.links.stream_end import HIGH_WATER, READ_SIZE
+from gaproute.units import MILLI
 
 
 def test_bytes_go_both_ways_and_each_end_of_sending_alone(network):
--- a/tests/decisions/cells/test_cut_off.py
+++ b/tests/decisions/cells/test_cut_off.py
@@ -3,10 +3,11 @@
 from cells_tables import cells, table
 
 from gaproute.decisions.cells.faults import CircuitState, FaultScope
-from gaproute.decisions.cells.health import MAX_RECOVERY_RAMP, SECOND, CellHealth
+from gaproute.decisions.cells.health import MAX_RECOVERY_RAMP, CellHealth
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.chance import Chance
 from gaproute.interface import Result
+from gaproute.units import SECOND
 
 OWN = GatewayLocation("gateway0", "region0", "zone0")  # zones 5 and 10 lie in region 0 too
 OTHER_ZONES, OTHER_REGIONS = (FaultScope.OTHER_ZONES, "zone0"), (FaultScope.OTHER_REGIONS, "region0")
--- a/tests/decisions/cells/test_demand.py
+++ b/tests/decisions/cells/test_demand.py
@@ -2,9 +2,10 @@
 
 from random import Random
 
-from gaproute.decisions.cells.demand import MIN_PLACEMENT_TIME, RARE, SECOND, Demand, FleetScope, Placement
+from gaproute.decisions.cells.demand import MIN_PLACEMENT_TIME, RARE, Demand, FleetScope, Placement
 from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.chance import Chance
+from gaproute.units import SECOND
 
 SCOPE = FleetScope(16_000, 3_200, 600 * SECOND)
 CELLS, REGIONAL = 490, 98.0
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -8,12 +8,12 @@
     MAX_RECOVERY_RAMP,
     MIN_OUTCOMES,
     MIN_RECOVERY_RAMP,
-    SECOND,
     TRIAL_TIMEOUT,
     CellHealth,
 )
 from gaproute.decisions.chance import Chance
 from gaproute.interface import Result
+from gaproute.units import SECOND
 
 FUNCTIONS = [f"f{number}" for number in range(400)]
 
--- a/tests/decisions/cells/test_suspicion.py
+++ b/tests/decisions/cells/test_suspicion.py
@@ -7,11 +7,12 @@
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.faults import CircuitState
-from gaproute.decisions.cells.health import SECOND, CellHealth
+from gaproute.decisions.cells.health import CellHealth
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.silence import MAX_SUSPICION
 from gaproute.decisions.chance import Chance
 from gaproute.interface import Result
+from gaproute.units import SECOND
 
 OWN = GatewayLocation("gateway0", "region0", "zone0")
 NOW = 10 * SECOND
--- a/tests/decisions/cells/test_views.py
+++ b/tests/decisions/cells/test_views.py
@@ -16,7 +16,8 @@
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import EntryGateway
 from gaproute.decisions.cells.version import Version
-from gaproute.decisions.cells.views import ADD_RATE, ASSIGNED_CELLS, MAX_HOSTS_IN_VIEW, SECOND, CellView
+from gaproute.decisions.cells.views import ADD_RATE, ASSIGNED_CELLS, MAX_HOSTS_IN_VIEW, CellView
+from gaproute.units import SECOND
 
 
 def view(name="gateway1", zone=0, **options):
--- a/tests/dissemination/test_dissemination.py
+++ b/tests/dissemination/test_dissemination.py
@@ -8,10 +8,10 @@
 from gaproute.shared.dissemination import bounds
 from gaproute.shared.dissemination.invariants import check
 from gaproute.shared.dissemination.messages import NOTHING
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 COUNT = 300
-CHANGE_INTERVAL = 1_878 * MILLISECOND  # 46,000 a day
+CHANGE_INTERVAL = 1_878 * MILLI  # 46,000 a day
 
 
 def all_hold(fleet, version):
--- a/tests/dissemination/test_orders.py
+++ b/tests/dissemination/test_orders.py
@@ -6,7 +6,7 @@
 
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import LOG_CHANGES
-from gaproute.units import MILLISECOND
+from gaproute.units import MILLI
 
 STEP = some.one_of(
     some.tuples(some.just("publish"), some.integers(1, 3)),
@@ -28,7 +28,7 @@
             writer = number
             mesh.publish(writer, term_change(mesh.nodes[writer].document.version, term))
         elif act == "pass":
-            mesh.pass_time(number * MILLISECOND)
+            mesh.pass_time(number * MILLI)
         elif mesh.flight:
             place = number % len(mesh.flight)
             mesh.deliver(place, drop=act == "drop", double=act == "double")
--- a/tests/faultinjection/test_fault_network.py
+++ b/tests/faultinjection/test_fault_network.py
@@ -12,11 +12,12 @@
 
 from gaproute.connections import accepted
 from gaproute.discovery.changelog.members import MemberConverter
-from gaproute.faultinjection.catalog import ERRNOS, FAULTS, SECOND, NetworkCall
+from gaproute.faultinjection.catalog import ERRNOS, FAULTS, NetworkCall
 from gaproute.faultinjection.network import PACKAGES, NetworkFaults, modules_of
 from gaproute.faultinjection.plan import ClockStep, Failure, FaultPlan, Script, ShortTransfer
 from gaproute.fronts.jsonrpc import front
 from gaproute.loop import Loop, datagrams, descriptors, dialing, listening, loop, signals, streams
+from gaproute.units import SECOND
 
 HOLDERS = (
     (loop, "select"),
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gaproute.core.core import Core
-from gaproute.faultinjection.catalog import SECOND, NetworkCall
+from gaproute.faultinjection.catalog import NetworkCall
 from gaproute.faultinjection.plan import Failure, Periodic, ShortTransfer
 from gaproute.faultinjection.play.rules import Check
 from gaproute.faultinjection.play.runner import play
@@ -21,6 +21,7 @@
 from gaproute.loop import loop as loops
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.listening import Accepted
+from gaproute.units import SECOND
 
 HOUR = 3600 * SECOND
 
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -10,7 +10,6 @@
 from gaproute.shared.gossip.messages import (
     LIMITS,
     MAX_INCARNATION,
-    SECOND,
     WARM_PARTITIONS,
     DemandEntry,
     HostEntry,
@@ -21,6 +20,7 @@
 from gaproute.shared.gossip.scheduler import RATE
 from gaproute.shared.gossip.table import Tombstone
 from gaproute.shared.token_bucket import TokenBucket
+from gaproute.units import SECOND
 
 IN_FLIGHT, DEMAND, WARM = EntryKind.IN_FLIGHT, EntryKind.DEMAND, EntryKind.WARM_INSTANCES
 
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -17,7 +17,7 @@
 from gaproute.simulation.rounds import MaintenanceRun, RunKind, play
 from gaproute.simulation.rounds.baselines import OneAtATime
 from gaproute.simulation.rounds.judge import BreachKind
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 
 def verdict(seed, kind, **options):
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -11,7 +11,7 @@
 from gaproute.shared.leases import table
 from gaproute.shared.leases.requests import LeaseState
 from gaproute.simulation.campaigns import CASES, fleet, gateway, play
-from gaproute.simulation.units import SECOND
+from gaproute.units import SECOND
 
 USED = {"plain": 0.8, "two campaigns": 0.8, "liars": 0.5, "noise": 0.4, "slow store": 0.5}  # else 0.5
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -24,7 +24,7 @@
 from gaproute.simulation.invariant_checks import NeverDecreases
 from gaproute.simulation.network import MessageFate
 from gaproute.simulation.simulation import ProcessEvent
-from gaproute.simulation.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 
 class Register:
@@ -37,7 +37,7 @@
         self.number = max((int.from_bytes(record) for record in disk.read()), default=0)
 
     def tick(self, now):
-        self.due = now + 100 * MILLISECOND
+        self.due = now + 100 * MILLI
         return [(other, self.number) for other in self.others]
 
     def write(self, now, number):
@@ -70,7 +70,7 @@
         simulation.ask(random.choice(simulation.slot_list).name, Register.write, simulation.timeline.step)
 
     checks = InvariantChecks([NeverDecreases("never less", lambda process: process.number)])
-    load = RandomLoad([(1, write)], 50 * MILLISECOND, SeededRandom(schedule.seed, "load"))
+    load = RandomLoad([(1, write)], 50 * MILLI, SeededRandom(schedule.seed, "load"))
     simulation = Simulation(schedule, factories(kind), checks=checks, workload=load)
     try:
         simulation.run()
@@ -141,12 +141,12 @@
 def test_a_paused_process_finds_its_clock_gone_on_and_its_messages():
     schedule = FaultSchedule(1, 3 * SECOND, (fault(FaultKind.PAUSE, (0,)),))
     simulation = Simulation(schedule, factories(Register))
-    simulation.run(1900 * MILLISECOND)
+    simulation.run(1900 * MILLI)
     slot = simulation.slots["r0"]
     waiting, due = len(slot.inbox), slot.process.due
     assert waiting > 5
-    assert slot.clock.own_time(simulation.now) - due > 700 * MILLISECOND
-    simulation.run(2100 * MILLISECOND)
+    assert slot.clock.own_time(simulation.now) - due > 700 * MILLI
+    simulation.run(2100 * MILLI)
     assert not slot.inbox
     assert slot.process.due > due
 
@@ -162,7 +162,7 @@
 def test_the_network_reorders():
     network, at = SimulatedNetwork(2, SeededRandom(1)), [0] * 100
     for number in range(100):
-        (at[number],) = network.arrivals(number * MILLISECOND, 0, 1)
+        (at[number],) = network.arrivals(number * MILLI, 0, 1)
     assert at != sorted(at)
 
 
--- a/tests/support/observation_scenes.py
+++ b/tests/support/observation_scenes.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.reports.follower import ObservationFollower
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 from gaproute.decisions.reports.shared_observations import SharedObservations
-from gaproute.decisions.routing.parameters import SECOND
+from gaproute.units import SECOND
 
 NOW = 1000 * SECOND
 KEEP = 10 * SECOND
