--- a/tests/connections/conftest.py
+++ b/tests/connections/conftest.py
@@ -20,7 +20,7 @@
 class ServedClients:
     """A server on a loop of the test's own clock, and blocking clients."""
 
-    def __init__(self, limits=LIMITS, made=None, answer=True):
+    def __init__(self, limits=LIMITS, made=None, *, answer=True):
         self.skew = 0
         self.loop = Loop(lambda: time.monotonic_ns() + self.skew)
         self.connections = AcceptedConnections(self.loop, made)
--- a/tests/decisions/cells/test_all_slow.py
+++ b/tests/decisions/cells/test_all_slow.py
@@ -31,7 +31,7 @@
     return made
 
 
-def choices(made, function="f", may_repeat=False):
+def choices(made, function="f", *, may_repeat=False):
     return [choice.cell for choice in made.selector.cells(NOW, function, may_repeat=may_repeat)]
 
 
--- a/tests/decisions/routing/test_retry_rules.py
+++ b/tests/decisions/routing/test_retry_rules.py
@@ -46,7 +46,7 @@
     for still_out in (True, False):
         assert (
             made.retry_rules.allowed(
-                made.hosts_by_id[other], track, attempts_with(made, result, 0, still_out), now
+                made.hosts_by_id[other], track, attempts_with(made, result, 0, still_out=still_out), now
             )
             is lawful
         )
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -24,7 +24,7 @@
 }
 
 
-def settings(cancel=True, **options):
+def settings(*, cancel=True, **options):
     return (
         SETTINGS
         | {
--- a/tests/judge/test_violation_texts.py
+++ b/tests/judge/test_violation_texts.py
@@ -8,7 +8,7 @@
 ORDER = {"what": "order", "gateway": "0", "count": 1, "model": "m"}
 
 
-def reported(hosts=None, clients=(), run=(), warm=True):
+def reported(hosts=None, clients=(), run=(), *, warm=True):
     """The violations of a day as plain data."""
     hosts = {name: [[dict(UP, warm=warm), *events]] for name, events in (hosts or {}).items()}
     return [tuple(violation) for violation in judge(TERMS, hosts, list(clients), list(run))]
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -23,7 +23,7 @@
 
 
 class Bench:
-    def __init__(self, make=(), warm=True, fetched=True):
+    def __init__(self, make=(), *, warm=True, fetched=True):
         self.loop = Loop(Stepped(SECOND))
         self.tap, self.ends, self.fetched, self.fetches = ListTap(self.loop.clock), [], fetched, 0
         profile = HostProfile("h", **{"cores": 2, "copies": 5, **dict(make)})
--- a/tests/support/dissemination_mesh.py
+++ b/tests/support/dissemination_mesh.py
@@ -6,7 +6,7 @@
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer
 from gaproute.shared.dissemination.invariants import Watch
 from gaproute.shared.dissemination.messages import Pull
-from gaproute.units import MILLISECOND, SECOND
+from gaproute.units import MILLI, SECOND
 
 __all__ = ["FLEET", "Mesh", "StubDocument", "Version", "change_from", "digest_of", "term_change"]
 
@@ -55,7 +55,7 @@
         node = self.nodes[index]
         self.send(index, node.publish(self.now, change or change_from(node.document.version)))
 
-    def deliver(self, place, drop=False, double=False):
+    def deliver(self, place, *, drop=False, double=False):
         """Deliver one message; a pull and its answer go at once, dropped is either."""
         sender, receiver, message = self.flight[place]
         if not double:
@@ -76,7 +76,7 @@
     def settle(self, seconds=20, blocked=lambda sender, receiver: False):
         """Play on with every message delivered in order, but what is blocked."""
         for _ in range(seconds * 20):
-            self.pass_time(50 * MILLISECOND)
+            self.pass_time(50 * MILLI)
             for _ in range(1_000):
                 if not self.flight:
                     break
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -26,7 +26,7 @@
     return [host(name, **fields) for name in names]
 
 
-def event(seq, members, complete=True):
+def event(seq, members, *, complete=True):
     """An event's bytes."""
     watch_event = {"seq": seq, "fleet": {"revision": seq, "complete": complete, "members": members}}
     return b"data: %b\n\n" % json.dumps(watch_event).encode()
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -11,7 +11,6 @@
 from gaproute.appliance import Appliance
 from gaproute.config import read_configuration
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.parameters import MILLI, SECOND
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
@@ -20,6 +19,7 @@
 from gaproute.standins.model_store import ModelStore, StoreProfile
 from gaproute.standins.tap import Tap
 from gaproute.telemetry.logs import logger
+from gaproute.units import MILLI, SECOND
 
 IDEMPOTENT = face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
 IDEMPOTENT_WITH_KEY = IDEMPOTENT._replace(
@@ -198,6 +198,7 @@
         configuration=CONFIGURATION,
         decisions=None,
         make=(),
+        *,
         warm=True,
         clock=time.monotonic_ns,
     ):
@@ -212,7 +213,7 @@
         }
         lines = []
         for number in range(hosts):
-            host = self.add_host(f"h{number}", dict(make), warm)
+            host = self.add_host(f"h{number}", dict(make), warm=warm)
             lines.append(f"host h{number} {host.address} rack r{number} capacity 4")
         self.list = self.folder / "hosts.list"
         self.list.write_text("\n".join(lines) + "\n")
@@ -223,7 +224,7 @@
         self.gate.start()
         self.at = address(self.gate.fronts[0].address)
 
-    def add_host(self, name, make=None, warm=True, seed=3, where="127.0.0.1:0"):
+    def add_host(self, name, make=None, *, warm=True, seed=3, where="127.0.0.1:0"):
         tap = ListTap(self.loop.clock)
         profile = HostProfile(name, **(make or {}))
         setup = HostSetup(profile=profile, models=self.models, store=self.store.address, seed=seed, warm=warm)
--- a/tests/support/raft_net.py
+++ b/tests/support/raft_net.py
@@ -68,7 +68,7 @@
             name, self.names, self.disks[name], self.chance, self.now, LeaseTable(initial_wait=False)
         )
 
-    def crash(self, name, lost=False):
+    def crash(self, name, *, lost=False):
         if self.nodes.pop(name, None) is not None:
             self.disks[name].crash(self.chance)
         if lost:
--- a/tests/support/routing_scenes.py
+++ b/tests/support/routing_scenes.py
@@ -14,7 +14,7 @@
 NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NOT_LOADED]
 
 
-def attempts_with(made, result, sent=0, still_out=False):
+def attempts_with(made, result, sent=0, *, still_out=False):
     attempts = RequestAttempts()
     attempts.in_flight[0] = SentAttempt(made.hosts_by_id["a"], sent)
     attempts.first_run = attempts.in_flight[0]
