--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -5,28 +5,24 @@
 import socket
 from collections.abc import Mapping, Sequence
 
-from gaproute.appliance.cells import CellServices
 from gaproute.appliance.host_list import HostList
 from gaproute.appliance.listening_sockets import CLIENT_PROTOCOL, PEER_PROTOCOL
 from gaproute.appliance.operator import OperatorFront
 from gaproute.appliance.parent_pipes import report_ready, watch_parent
 from gaproute.appliance.peer_services import PeerServices
+from gaproute.appliance.request_path import make_request_path
 from gaproute.appliance.running_gateway import Front
 from gaproute.appliance.seed_offsets import SeedOffset
 from gaproute.appliance.shutdown import GracefulShutdown
 from gaproute.config.configuration import Configuration
 from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
-from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve import KServeFront
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.hosts.kserve.client import KServeClient
-from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
@@ -66,39 +62,11 @@
         self.address_shared = False
         self.fronts: list[Front] = []
         self.client_fronts: list[RestFront] = []
-        self.cells: CellServices | None = None
-        self._make_core()
+        path = make_request_path(self.loop, configuration, self.record, self.seed, self.hosts_changed)
+        self.gateway, self.hosts, self.core, self.cells = path.gateway, path.hosts, path.core, path.cells
         self.connections = self._make_connections()
         self.peers = self._make_peer_services()
 
-    def _make_core(self) -> None:
-        """Makes the decisions, the connections to hosts and the request driver."""
-        configuration = self.configuration
-        run_name = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids of two runs differ
-        limits = configuration.host_limits
-        client_settings = ClientSettings(
-            limits.connect, limits.probe, limits.order, limits.connections, limits.answer
-        )
-        self.hosts: KServeClient
-        self.core: Core
-        self.gateway: Gateway
-        if configuration.cells is not None:
-            self.cells = CellServices(
-                self.loop,
-                configuration,
-                self.record,
-                self.seed,
-                client_settings,
-                run_name,
-                self.hosts_changed,
-            )
-            self.hosts, self.core = self.cells.hosts, self.cells.core
-            self.gateway = self.cells.placeholder_gateway
-            return
-        self.gateway = configuration.decisions(self.seed, configuration.terms, self.loop.now())
-        self.hosts = KServeClient(self.loop, Pooling(), client_settings, configuration.name)
-        self.core = Core(self.loop, self.gateway, configuration.terms, self.hosts, self.record, run_name)
-
     def _make_connections(self) -> AcceptedConnections:
         connections = AcceptedConnections.of(self.loop)
         clients = self.configuration.client_limits
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -5,6 +5,9 @@
 from enum import Enum
 from typing import NamedTuple
 
+from gaproute.units import SECOND
+
+TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without an answer has failed
 OUTCOMES = 8  # last outcomes of a cell that are stored, by which rejections and slowness are judged
 
 
@@ -55,6 +58,12 @@
     recovered_at: int | None = None  # when a trial succeeded
     ramp: int = 0  # the time over which the functions return
 
+    def is_trial_due(self, now: int) -> bool:
+        """Whether a trial may be sent at the time `now`, ns."""
+        if now < self.next_trial_at:
+            return False
+        return self.trial_sent_at is None or now - self.trial_sent_at >= TRIAL_TIMEOUT
+
 
 class CallOutcome(NamedTuple):
     """Whether a request was rejected."""
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -37,7 +37,6 @@
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials
 BACKOFF_JITTER = 0.25  # share of a backoff that is added at random, so that gateways differ
 IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request as a trial; after that any request is used
-TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without an answer has failed
 OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes do not count; to most cells a gateway sends twice in 5 s
 MAX_REJECTED_SHARE = 0.5  # of the last outcomes, above which the cell has a fault
 MIN_OUTCOMES = 4  # outcomes that are needed to judge rejections
@@ -193,7 +192,7 @@
         if fault is None:
             return CircuitState.CLOSED
         if fault.recovered_at is None:
-            return CircuitState.HALF_OPEN if _is_trial_due(now, fault) else CircuitState.OPEN
+            return CircuitState.HALF_OPEN if fault.is_trial_due(now) else CircuitState.OPEN
         if now >= fault.recovered_at + fault.ramp:
             del self.faults[domain]
             return CircuitState.CLOSED
@@ -244,9 +243,3 @@
         shared = xxh3_64_intdigest(function.encode())
         own = xxh3_64_intdigest(f"{self.own_name}\0{function}".encode())
         return ((1 - RAMP_JITTER) * shared + RAMP_JITTER * own) / HASH_RANGE
-
-
-def _is_trial_due(now: int, fault: Fault) -> bool:
-    if now < fault.next_trial_at:
-        return False
-    return fault.trial_sent_at is None or now - fault.trial_sent_at >= TRIAL_TIMEOUT
--- a/gaproute/faultinjection/disk.py
+++ b/gaproute/faultinjection/disk.py
@@ -1,17 +1,16 @@
 """A faulty disk for the tests of storage: calls that fail or are short, and what a kill leaves behind.
 
 `FaultyDisk.installed(module, ...)` replaces the name `os` in modules that write files. Calls go through to
-real files in one folder, so that the modules read what they wrote. In addition, the disk records what would
-be durable: the bytes that an fsync covered, and the names that an fsync of the folder covered.
+real files in one folder, so that the modules read what they wrote. The disk also records what is durable: the
+bytes that an fsync covered, and the names that an fsync of the folder covered.
 
 - A fault of the plan makes a call fail, or makes a read or write short.
 - A failed fsync drops what it should have made durable: that can still be read, as from the page cache, but
   no later fsync makes it durable (Linux marks the pages clean); only writing the bytes again does.
 - A kill at the n-th call raises `ProcessKilled` before, after or, for a write, in the middle of that call.
-  `end_process` then leaves what a killed process leaves: the content of the page cache, or what is read once
-  its clean pages were evicted.
-  `fail_power` leaves what a power failure leaves: what is durable, and any prefix of the other changes,
-  perhaps with zeros in place of written bytes; the same holds for renames, creations and removals.
+  `end_process` then leaves the page cache, or what is read once its clean pages were evicted. `fail_power`
+  leaves what is durable, and any prefix of the other changes, perhaps with zeros in place of written bytes;
+  the same holds for renames, creations and removals.
 """
 
 from __future__ import annotations
@@ -19,11 +18,11 @@
 import os
 import random
 from collections import Counter
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
 from types import ModuleType
-from typing import TYPE_CHECKING, TypeVar
+from typing import TYPE_CHECKING
 
 from gaproute.faultinjection.durability import (
     CachedDirectory,
@@ -39,8 +38,6 @@
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer
 
-Result = TypeVar("Result")
-
 
 class FaultyDisk:
     """One folder on a faulty disk.
@@ -112,7 +109,8 @@
         """See open(2)."""
         name = os.path.abspath(path)
         existed = os.path.lexists(name)
-        descriptor = self._call("open", lambda: os.open(path, flags, mode))
+        self._begin_call("open")
+        descriptor = os.open(path, flags, mode)
         if os.path.dirname(name) == self.folder:
             self._descriptors[descriptor] = self._open_file(name, flags, existed=existed)
         elif name == self.folder:
@@ -156,7 +154,8 @@
 
     def ftruncate(self, descriptor: int, size: int) -> None:
         """See ftruncate(2)."""
-        self._call("ftruncate", lambda: os.ftruncate(descriptor, size))
+        self._begin_call("ftruncate")
+        os.ftruncate(descriptor, size)
         opened = self._descriptors.get(descriptor)
         if opened is not None and opened.file is not None:
             opened.file.change(Truncate(size))
@@ -174,7 +173,8 @@
 
     def rename(self, source: FilePath, target: FilePath, call: str = "rename") -> None:
         """See rename(2)."""
-        self._call(call, lambda: os.rename(source, target))
+        self._begin_call(call)
+        os.rename(source, target)
         old, new = os.path.abspath(source), os.path.abspath(target)
         file = self._directory.names.get(old)
         if file is not None:
@@ -183,7 +183,8 @@
 
     def link(self, source: FilePath, target: FilePath) -> None:
         """See link(2)."""
-        self._call("link", lambda: os.link(source, target))
+        self._begin_call("link")
+        os.link(source, target)
         file = self._directory.names.get(os.path.abspath(source))
         if file is not None:
             self._directory.change(NameChange(os.path.abspath(target), file))
@@ -191,7 +192,8 @@
 
     def unlink(self, path: FilePath) -> None:
         """See unlink(2)."""
-        self._call("unlink", lambda: os.unlink(path))
+        self._begin_call("unlink")
+        os.unlink(path)
         self._directory.change(NameChange(os.path.abspath(path), None))
         self._end_call()
 
@@ -225,10 +227,6 @@
 
     # Faults and the kill
 
-    def _call(self, name: str, effect: Callable[[], Result]) -> Result:
-        self._begin_call(name)
-        return effect()
-
     def _begin_call(self, name: str) -> Fault | None:
         if self.killed:  # so that `finally` blocks have no effect, which a killed process does not run
             raise ProcessKilled(f"{name} after the kill")
@@ -250,4 +248,4 @@
         raise ProcessKilled(where)
 
     def _kill_due(self, moment: Moment) -> bool:
-        return self.kill is not None and self.kill.call == self.calls and self.kill.moment is moment
+        return self.kill == KillPoint(self.calls, moment)
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -1,19 +1,15 @@
-"""Judges a play by what the far ends saw, and by what the gateway still holds at the end.
-
-Each check has a name, so that a test can show which check catches a planted fault.
-"""
+"""Judges a play by what the far ends saw, and by what the gateway still holds at the end."""
 
 from __future__ import annotations
 
 import traceback
 from collections.abc import Iterator
-from dataclasses import dataclass
-from enum import Enum
 from pathlib import Path
 
 from gaproute.connections import AcceptedConnections
 from gaproute.faultinjection.play.far_client import FarClient, FarRequest
 from gaproute.faultinjection.play.far_host import NEVER_RAN_ANSWERS, FarHost, ReceivedAttempt
+from gaproute.faultinjection.play.findings import Check, Finding
 from gaproute.faultinjection.play.scene import KEYED, NON_IDEMPOTENT, REPEAT_WINDOW, Scene
 from gaproute.loop.addresses import address
 from gaproute.units import MILLI, SECOND
@@ -42,41 +38,6 @@
 )
 
 
-class Check(Enum):
-    """The checks of a play; the value says what must hold."""
-
-    ONE_ANSWER = "each request whose client stayed has exactly one final answer"
-    IN_TIME = "the final answer comes before the deadline"
-    NOT_TWICE = "nothing that may not be repeated runs twice"
-    NOT_FOR_NOBODY = "nothing begins over 0.1 s after its client left"
-    NOT_AFTER_ANSWER = "nothing begins after the final answer"
-    TRIED_AGAIN = "what no host was sent does not end as what may have run"
-    DEADLINE_SENT = "the deadline passed to a host is at most what the client has left"
-    READABLE = "what the far ends are sent can be read"
-    DRAINING_RESPECTED = "nothing goes to a host past the grace after it was reported draining"
-    DESCRIPTORS = "no descriptor is left over"
-    WATCHED = "no descriptor is watched for nobody"
-    TIMERS = "no timer is left over"
-    HELD = "no request, connection or attempt is held for nobody"
-    NO_ERROR = "no error escapes"
-    NO_SPIN = "the loop does not turn without end while nothing happens"
-    RECOVERS = "service is back once the faults are over"
-    PEERS_RECOVER = "gateways hear each other once the faults are over"
-    STARTS = "the gateway starts although calls fail for a moment"
-    STOPS = "the gateway stops within the time that SIGTERM grants"
-
-
-@dataclass(frozen=True)
-class Finding:
-    """A check that did not hold."""
-
-    check: Check
-    text: str
-
-    def __str__(self) -> str:
-        return f"{self.check.name}: {self.text}"
-
-
 # What the far ends saw
 
 
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -12,7 +12,7 @@
 from gaproute.faultinjection.plan import FaultPlan, FaultSource, InjectedFault, RandomFaults, Script
 from gaproute.faultinjection.play import rules
 from gaproute.faultinjection.play.far_client import FarRequest
-from gaproute.faultinjection.play.rules import Check, Finding
+from gaproute.faultinjection.play.findings import Check, Finding
 from gaproute.faultinjection.play.scene import REQUEST_CLASSES, Scene, StuckError
 from gaproute.faultinjection.play.traffic import Conditions, Traffic
 from gaproute.units import MILLI, SECOND
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -185,22 +185,13 @@
                     command=None, request=None, session=0, nonce=nonce, body=b"", first_sent=now
                 )
             queued = (self.urgent or self.queue).popleft()
-            if self._outdated(queued):
+            if queued.outdated:
                 continue
             self.nonce += 1
             body = encode(queued.command)
             return OutstandingCommand(queued.command, queued.request, self.session, self.nonce, body, now)
         return None
 
-    @staticmethod
-    def _outdated(queued: QueuedCommand) -> bool:
-        """Whether the lease request has changed its state, so that the command is not needed any more."""
-        request = queued.request
-        if request is None:
-            return False
-        expected = LeaseState.REQUESTED if isinstance(queued.command, AcquireLease) else LeaseState.HELD
-        return request.state != expected
-
     def _send(self, now: int, command: OutstandingCommand) -> ClientOutbox:
         self.resend_at = now + RESEND_AFTER
         return [(self.target, Request(command.session, command.nonce, command.body))]
@@ -239,7 +230,7 @@
             if result.error:
                 self._end(request, LeaseState.EXPIRED, result.error)
             else:
-                self._extend(request, command.first_sent)
+                request.extend(command.first_sent)
 
     def _acquired(self, now: int, request: LeaseRequest, first_sent: int, result: CommandResult) -> None:
         still_wanted = request.state == LeaseState.REQUESTED
@@ -250,14 +241,8 @@
         request.fencing_token = result.fencing_token
         if still_wanted and now < first_sent + request.duration:
             request.state = LeaseState.HELD
-            self._extend(request, first_sent)
+            request.extend(first_sent)
             return
         self._queue_release(result.fencing_token)  # granted too late, or not wanted any more
         if still_wanted:
             self._end(request, LeaseState.EXPIRED, "answered too late")
-
-    @staticmethod
-    def _extend(request: LeaseRequest, first_sent: int) -> None:
-        """Extends the lease, which a command granted or renewed that was first sent at `first_sent`."""
-        request.expires_at = first_sent + request.duration
-        request.renew_at = first_sent + request.duration // 2
--- a/gaproute/shared/leases/requests.py
+++ b/gaproute/shared/leases/requests.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from gaproute.errors import GaprouteError
-from gaproute.shared.leases.commands import ClientCommand, CommandResult, decode_result
+from gaproute.shared.leases.commands import AcquireLease, ClientCommand, CommandResult, decode_result
 from gaproute.shared.raft.messages import Reply, ReplyStatus
 
 REASON_LENGTH = 64  # characters of a rejection's reason that are stored
@@ -49,6 +49,11 @@
         """Whether the lease is requested or held."""
         return self.state in OPEN_STATES
 
+    def extend(self, first_sent: int) -> None:
+        """Extends the lease, which a command granted or renewed that was first sent at `first_sent`, ns."""
+        self.expires_at = first_sent + self.duration
+        self.renew_at = first_sent + self.duration // 2
+
 
 @dataclass
 class QueuedCommand:
@@ -57,6 +62,14 @@
     command: ClientCommand
     request: LeaseRequest | None = None
 
+    @property
+    def outdated(self) -> bool:
+        """Whether the lease request has changed its state, so that the command is not needed any more."""
+        if self.request is None:
+            return False
+        expected = LeaseState.REQUESTED if isinstance(self.command, AcquireLease) else LeaseState.HELD
+        return self.request.state != expected
+
 
 @dataclass
 class OutstandingCommand:
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from gaproute.shared.leases import result_errors
 from gaproute.shared.leases.commands import (
     MAX_DURATION,
     AcquireLease,
@@ -32,19 +33,6 @@
 MAX_POOLS = 4096  # resources with a size of their own: hosts whose capacity is lent
 INITIAL_WAIT_TOKEN = 0  # the token with which `ExpireLease` ends the initial wait; no lease has it
 
-# Error texts of results. They are stored in the replicated table of sessions, and members of two versions
-# must give the same ones, so they never change.
-NOT_UNDERSTOOD = "not understood"
-NOT_THE_HOLDERS = "not the holder's own"
-TOO_LONG = "too long a span"
-NOT_EXPIRED = "not over"
-NO_SUCH_LEASE = "gone"
-INITIAL_WAIT = "quiet after founding"
-TOO_MANY_LEASES = "too many permits"
-TOO_MANY_POOLS = "too many pools"
-ABOVE_POOL_SIZE = "more than there is"
-TAKEN = "taken"
-
 
 class Lease(Message, frozen=True):
     """A lease that is held. `log_index`: of the entry that granted or last renewed it."""
@@ -106,11 +94,11 @@
         try:
             command = decode_client_command(body)
         except ValueError:
-            return NOT_UNDERSTOOD
+            return result_errors.NOT_UNDERSTOOD
         if command.holder != sender:
-            return NOT_THE_HOLDERS
+            return result_errors.NOT_THE_HOLDERS
         if isinstance(command, AcquireLease | RenewLease) and command.duration > self.max_duration:
-            return TOO_LONG
+            return result_errors.TOO_LONG
         return ""
 
     def raise_last_token(self, lowest: int) -> None:
@@ -126,12 +114,12 @@
         try:
             command = decode_command(body)
         except ValueError:
-            return encode(CommandResult(NOT_UNDERSTOOD))
+            return encode(CommandResult(result_errors.NOT_UNDERSTOOD))
         if isinstance(command, ExpireLease):
             expired = not owner and self._expire(command)
-            return encode(CommandResult("" if expired else NOT_EXPIRED))
+            return encode(CommandResult("" if expired else result_errors.NOT_EXPIRED))
         if command.holder != owner:
-            return encode(CommandResult(NOT_THE_HOLDERS))
+            return encode(CommandResult(result_errors.NOT_THE_HOLDERS))
         return encode(self._execute(index, command))
 
     def _execute(self, index: int, command: ClientCommand) -> CommandResult:
@@ -141,7 +129,7 @@
             return self._resize(command)
         lease = self.leases.get(command.fencing_token)
         if lease is None or lease.holder != command.holder:
-            return CommandResult(NO_SUCH_LEASE)
+            return CommandResult(result_errors.NO_SUCH_LEASE)
         if isinstance(command, ReleaseLease):
             self._remove(lease)
         elif isinstance(command, RenewLease):
@@ -150,14 +138,14 @@
 
     def _acquire(self, index: int, command: AcquireLease) -> CommandResult:
         if self.initial_wait:
-            return CommandResult(INITIAL_WAIT)
+            return CommandResult(result_errors.INITIAL_WAIT)
         if len(self.leases) >= MAX_LEASES:
-            return CommandResult(TOO_MANY_LEASES)
+            return CommandResult(result_errors.TOO_MANY_LEASES)
         held = self.amounts_held.get(command.resource, 0)
         if command.amount > self.pool_size(command.resource):
-            return CommandResult(ABOVE_POOL_SIZE)
+            return CommandResult(result_errors.ABOVE_POOL_SIZE)
         if held + command.amount > self.pool_size(command.resource):
-            return CommandResult(TAKEN)
+            return CommandResult(result_errors.TAKEN)
         self.last_token += 1
         self.amounts_held[command.resource] = held + command.amount
         lease = Lease(
@@ -178,7 +166,7 @@
 
     def _resize(self, command: ResizePool) -> CommandResult:
         if command.resource not in self.pools and command.amount != 1 and len(self.pools) >= MAX_POOLS:
-            return CommandResult(TOO_MANY_POOLS)
+            return CommandResult(result_errors.TOO_MANY_POOLS)
         self.pools[command.resource] = Pool(command.amount, 0)
         self._update_excess(command.resource)
         return CommandResult()
--- a/gaproute/simulation/raft_group/planted_lease_faults.py
+++ b/gaproute/simulation/raft_group/planted_lease_faults.py
@@ -45,11 +45,11 @@
         seed=13,
         kind=RunKind.TIGHT,
         edits=(
-            Edit(LeaseClient._acquired, "self._extend(request, first_sent)", "self._extend(request, now)"),
+            Edit(LeaseClient._acquired, "request.extend(first_sent)", "request.extend(now)"),
             Edit(
                 LeaseClient._completed,
-                "self._extend(request, command.first_sent)",
-                "self._extend(request, now)",
+                "request.extend(command.first_sent)",
+                "request.extend(now)",
             ),
         ),
     ),
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -2,13 +2,12 @@
 
 from cells_tables import cells, table
 
-from gaproute.decisions.cells.faults import OUTCOMES, CircuitState, FaultKind, FaultScope
+from gaproute.decisions.cells.faults import OUTCOMES, TRIAL_TIMEOUT, CircuitState, FaultKind, FaultScope
 from gaproute.decisions.cells.health import (
     MAX_BACKOFF,
     MAX_RECOVERY_RAMP,
     MIN_OUTCOMES,
     MIN_RECOVERY_RAMP,
-    TRIAL_TIMEOUT,
     CellHealth,
 )
 from gaproute.decisions.chance import Chance
--- a/tests/faultinjection/test_fault_runner.py
+++ b/tests/faultinjection/test_fault_runner.py
@@ -7,7 +7,7 @@
 from benchmarks import fault_hunt
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script
 from gaproute.faultinjection.play import runner
-from gaproute.faultinjection.play.rules import Check, Finding
+from gaproute.faultinjection.play.findings import Check, Finding
 from gaproute.faultinjection.play.runner import Verdict, reduce_faults
 
 FULL = Failure(errno.EMFILE)
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -10,7 +10,7 @@
 from gaproute.core.core import Core
 from gaproute.faultinjection.catalog import NetworkCall
 from gaproute.faultinjection.plan import Failure, Periodic, ShortTransfer
-from gaproute.faultinjection.play.rules import Check
+from gaproute.faultinjection.play.findings import Check
 from gaproute.faultinjection.play.runner import play
 from gaproute.faultinjection.play.scene import EPOCH
 from gaproute.faultinjection.play.traffic import Conditions
