--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -1,5 +1,6 @@
 """SIGTERM: clients go on sending until SIGKILL may come, and each request gets its one final answer."""
 
+import gc
 import json
 import os
 import signal
@@ -246,6 +247,16 @@
     assert not made.loop.running
 
 
+@pytest.fixture
+def no_collection():
+    """No garbage collection of the test's own process, which would stall what it measures."""
+    gc.collect()
+    gc.disable()
+    yield
+    gc.enable()
+
+
+@pytest.mark.usefixtures("no_collection")
 def test_a_process_asked_to_stop_answers_on_its_open_connections_until_it_closes_them(tmp_path):
     """The program itself, on the machine's own clock, with deadlines of 0.3 s."""
     made = Gate(tmp_path, settings=lanes(300))
