--- a/gaproute/judge/tap_reading.py
+++ b/gaproute/judge/tap_reading.py
@@ -95,10 +95,12 @@
 
 
 def _read_request_end(event: TapEvent) -> RequestEnd:
-    kind, due = EndKind(event["what"]), event.get("due", event["at"])
+    kind, at = EndKind(event["what"]), event["at"]
+    if kind in (EndKind.OVERDUE, EndKind.ANSWERED_LATE):
+        at = event.get("due", at)
     return RequestEnd(
         kind=kind,
-        at=due,
+        at=at,
         request=event["id"],
         request_class=event["track"],
         gateway=event["gateway"],
@@ -107,7 +109,7 @@
         outcome=event.get("outcome", ""),
         status=event.get("status", 0),
         text=event.get("text", ""),
-        late_by=event["at"] - due if kind is EndKind.ANSWERED_LATE else 0,
+        late_by=event["at"] - at if kind is EndKind.ANSWERED_LATE else 0,
     )
 
 
--- a/gaproute/standins/kserve/client_request.py
+++ b/gaproute/standins/kserve/client_request.py
@@ -105,10 +105,10 @@
         owner = self.owner
         owner.open_requests += 1
         self._reused = self.gateway.idle.take()
-        self._timers.append(owner.loop.after(self.patience + LATE_ANSWER_WAIT, self._give_up_overdue))
+        self._timers.append(owner.loop.after(self.patience + LATE_ANSWER_WAIT, self._give_up, "overdue"))
         if owner.chance.random() < owner.traffic.impatient:
             span = round(self.patience * owner.chance.random())
-            self._timers.append(owner.loop.after(span, self._leave))
+            self._timers.append(owner.loop.after(span, self._give_up, "left"))
         if self._reused is not None:
             self._exchange.send_on(self._reused)
         else:
@@ -121,21 +121,12 @@
         """When its answer is due, ns."""
         return self.started_at + self.patience
 
-    def _leave(self) -> None:
-        """Its client leaves early."""
+    def _give_up(self, what: str) -> None:
+        """Its client leaves; `what`: the event that says why."""
         if not self._exchange.finished:
-            self._cancel()
-            self._note("left")
-
-    def _give_up_overdue(self) -> None:
-        """Its client leaves, as no answer came."""
-        if not self._exchange.finished:
-            self._cancel()
-            self._note_overdue()
-
-    def _cancel(self) -> None:
-        self.owner.open_requests -= 1
-        self._exchange.cancel()
+            self.owner.open_requests -= 1
+            self._exchange.cancel()
+            self._note(what)
 
     def _done(self, response: Response | None, failure: NoResponseError | None) -> None:
         self.owner.open_requests -= 1
@@ -152,7 +143,7 @@
         spent = self.owner.loop.now() - self.started_at
         left = attempt.time_limit - spent
         if spent >= self.patience:
-            self._note_overdue()
+            self._note("overdue")
         elif not failure.connected:
             self.owner.tap.note("refused", id=attempt.id, gateway=self.gateway.number)
             refused = (*attempt.refused, self.gateway.number)
@@ -174,7 +165,7 @@
         if in_time:
             self._note("answer", status=response.status, outcome=outcome, handed=self.started_at)
         else:
-            self._note("answered late", due=self._due, status=response.status, outcome=outcome)
+            self._note("answered late", status=response.status, outcome=outcome)
         if self._exchange.connection is not None:
             self.gateway.idle.put(self._exchange.connection)
         idempotent = self.attempt.request_class.idempotent
@@ -193,9 +184,6 @@
             )
             owner.loop.after(pause, owner.send, retry)
 
-    def _note_overdue(self) -> None:
-        self._note("overdue", due=self._due)
-
     def _note(self, what: str, **fields: Any) -> None:
         self.owner.tap.note(
             what,
@@ -205,6 +193,7 @@
             gateway=self.gateway.number,
             asked=self.started_at,
             patience=self.patience,
+            due=self._due,
             tries=self.attempt.number,
             **fields,
         )
