--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -2,14 +2,24 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from functools import partial
+from typing import TypeAlias
+
 from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells.environment import CellGatewayEnvironment
 from gaproute.hollow.cells.shared_tables import SharedCellTableTransport, SharedTableDocument
 from gaproute.hollow.counting_transport import CountingTransport
 from gaproute.hollow.environment import RandomStream
 from gaproute.hollow.parts import ControlPart, Parts
+from gaproute.peers.ports import EventLog, TimerLoop
 from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
 from gaproute.shared.dissemination import Disseminator
+from gaproute.shared.randomness import RandomSource
+
+TransportFactory: TypeAlias = Callable[
+    [TimerLoop, CellTableSettings, CellTableChannels, RandomSource, EventLog], CellTableTransport
+]
 
 
 class CellTablePart(ControlPart):
@@ -20,9 +30,12 @@
         self._counting_transport = CountingTransport(parts["membership"])
         self.pull_server = environment.open_pull_server(environment.address)
         self.pull_client = environment.open_pull_client(environment.loop, environment.name)
-        self.transport = self._make_transport(
+        self.transport = self._transport_factory()(
+            environment.loop,
             CellTableSettings(environment.name, environment.fleet_name),
             CellTableChannels(self._counting_transport, self.pull_server, self.pull_client),
+            environment.random(RandomStream.CELL_TABLE),
+            environment.record,
         )
 
     def start(self) -> None:
@@ -59,10 +72,8 @@
         self.transport.stop()
         self.pull_server.close()
 
-    def _make_transport(self, settings: CellTableSettings, channels: CellTableChannels) -> CellTableTransport:
-        environment = self._environment
-        random = environment.random(RandomStream.CELL_TABLE)
-        return CellTableTransport(environment.loop, settings, channels, random, environment.record)
+    def _transport_factory(self) -> TransportFactory:
+        return CellTableTransport
 
 
 class SharedCellTablePart(CellTablePart):
@@ -74,14 +85,5 @@
         random = environment.random(RandomStream.CELL_TABLE)
         self.transport.disseminator = Disseminator(environment.name, document, random, environment.loop.now())
 
-    def _make_transport(self, settings: CellTableSettings, channels: CellTableChannels) -> CellTableTransport:
-        environment = self._environment
-        random = environment.random(RandomStream.CELL_TABLE)
-        return SharedCellTableTransport(
-            environment.loop,
-            settings,
-            channels,
-            random,
-            environment.record,
-            shared_candidates=environment.shared_candidates,
-        )
+    def _transport_factory(self) -> TransportFactory:
+        return partial(SharedCellTableTransport, shared_candidates=self._environment.shared_candidates)
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -10,7 +10,7 @@
 from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
-from gaproute.units import SECOND
+from gaproute.units import MILLI, SECOND
 
 LEASE_DURATION = 30 * SECOND  # renewed after half of it
 CHECK_INTERVAL = 5 * SECOND  # between checks whether the lease is held
@@ -39,7 +39,7 @@
             NodeStorage(
                 LeaseTable(initial_wait=False),
                 disk=environment.open_raft_disk(self._name) if self._name in line.names else None,
-                fencing_base=environment.wall_clock() // 1_000_000,
+                fencing_base=environment.wall_clock() // MILLI,
             ),
         )
         self._request: LeaseRequest | None = None
