--- a/benchmarks/connection_processes.py
+++ b/benchmarks/connection_processes.py
@@ -91,7 +91,7 @@
 
     def __init__(self, loop: Loop, where: Address) -> None:
         self.late: list[int] = []
-        limits = Limits(idle_time=IDLE_TIME, connections=10**6)
+        limits = Limits(idle_timeout=IDLE_TIME, max_connections=10**6)
         self._loop = loop
         self._server = Server(loop, where, self._answer, limits, counted=True)
         self.address = self._server.address
@@ -104,7 +104,7 @@
 
     def set_idle_time(self, span: int) -> None:
         """See `IdleServer`."""
-        self._server.limits = self._server.limits._replace(idle_time=span, spread=SPREAD)
+        self._server.limits = self._server.limits._replace(idle_timeout=span, idle_jitter=SPREAD)
 
     def _answer(self, request: Request) -> None:
         self._server.answer(request, 200, (), b"ok")
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -89,7 +89,7 @@
     def answer(request: Request) -> None:
         request.connection.answer(request, 200, headers, b"{}")
 
-    serve_hosts(count, answer, Limits(idle_time=idle_time))
+    serve_hosts(count, answer, Limits(idle_timeout=idle_time))
 
 
 def start_hosts(count: int, *, announced: bool, idle_time: int = IDLE_TIME) -> HostsProcess:
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -41,7 +41,12 @@
 FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
 # Connections of gateways that request leases from a member of the Raft group: batches are long, and every
 # gateway of a large fleet may have a connection to each member.
-LEASE_PEER_LIMITS = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
+LEASE_PEER_LIMITS = Limits(
+    max_body_bytes=MAX_BATCH_BYTES,
+    max_pipelined_requests=1,
+    max_connections=4096,
+    max_buffered_bytes=4 * MAX_BATCH_BYTES,
+)
 
 
 class PeerListObserver(Protocol):
@@ -243,8 +248,8 @@
 def _with_forwarded_requests(limits: Limits, clients: ClientLimitsLine) -> Limits:
     """Limits where other gateways also forward requests: as large as the limits for clients."""
     return limits._replace(
-        head=clients.head + FORWARDED_HEADER_BYTES,
-        body=max(limits.body, clients.body),
-        pipelined=max(limits.pipelined, clients.pipelined),
-        connections=max(limits.connections, clients.connections),
+        max_head_bytes=clients.head + FORWARDED_HEADER_BYTES,
+        max_body_bytes=max(limits.max_body_bytes, clients.body),
+        max_pipelined_requests=max(limits.max_pipelined_requests, clients.pipelined),
+        max_connections=max(limits.max_connections, clients.connections),
     )
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -42,13 +42,13 @@
 
 def _limits(clients: ClientLimitsLine) -> Limits:
     return Limits(
-        head=clients.head,
-        body=clients.body,
-        pipelined=clients.pipelined,
-        read_time=clients.read,
-        idle_time=clients.idle,
-        connections=clients.connections,
-        spread=IDLE_JITTER,
+        max_head_bytes=clients.head,
+        max_body_bytes=clients.body,
+        max_pipelined_requests=clients.pipelined,
+        read_timeout=clients.read,
+        idle_timeout=clients.idle,
+        max_connections=clients.connections,
+        idle_jitter=IDLE_JITTER,
     )
 
 
--- a/gaproute/hosts/kserve/attempts.py
+++ b/gaproute/hosts/kserve/attempts.py
@@ -39,7 +39,7 @@
 def attempt_result(outcome: Response | NoResponseError) -> AttemptResult:
     """What the answer, or the failure, of an exchange says of its attempt."""
     if isinstance(outcome, NoResponseError):
-        return AttemptResult(Result.NOT_SENT if outcome.lapsed else results.of_undelivered(outcome), None)
+        return AttemptResult(Result.NOT_SENT if outcome.expired else results.of_undelivered(outcome), None)
     answer = outcome
     reported = orca.decode_headers(answer.headers)
     result, passed = results.of_status(answer.status), None
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -13,7 +13,7 @@
 from gaproute.units import SECOND
 
 NO_CONTENT = 204
-FIRST_FINAL_STATUS = 200  # lower ones are of interim responses
+MIN_FINAL_STATUS = 200  # lower ones are of interim responses
 
 
 class PendingExchange(Protocol):
@@ -31,7 +31,7 @@
         "stream",
         "reader",
         "exchange",
-        "sent_before",
+        "bytes_sent_before",
         "last_used",
         "on_idle_end",
         "responses",
@@ -45,7 +45,7 @@
         self.reader = ResponseReader(head_limit, body_limit)
         self.stream = Stream(loop, sock, self._receive, self._on_closed)
         self.exchange: PendingExchange | None = None  # the exchange that waits for its response
-        self.sent_before = 0  # bytes sent before the request of the exchange
+        self.bytes_sent_before = 0  # bytes sent before the request of the exchange
         self.last_used: int = loop.now()
         # Called when the connection ends while idle
         self.on_idle_end: Callable[[ClientConnection], object] | None = None
@@ -62,14 +62,14 @@
     @property
     def any_byte_sent(self) -> bool:
         """Whether the kernel has taken any byte of the present request."""
-        return self.stream.bytes_sent > self.sent_before
+        return self.stream.bytes_sent > self.bytes_sent_before
 
     def send(self, exchange: PendingExchange, data: bytes) -> None:
         """Sends the request, if the connection takes any byte of it.
 
         If it takes none, the exchange fails soon, as one whose request never ran.
         """
-        self.exchange, self.sent_before = exchange, self.stream.bytes_sent
+        self.exchange, self.bytes_sent_before = exchange, self.stream.bytes_sent
         if not self.stream.try_begin(data):
             self.loop.soon(self._fail, "the connection takes no bytes")
 
@@ -80,12 +80,12 @@
             self._fail(f"the answer breaks the protocol: {error.text}")
             return
         for response in responses:
-            if response.status >= FIRST_FINAL_STATUS and not self._take_response(response):
+            if response.status >= MIN_FINAL_STATUS and not self._take_response(response):
                 return
 
     def _take_response(self, response: Response) -> bool:
         """Ends the exchange with its response; returns whether the connection can be used again."""
-        if not _has_length(response):
+        if not _declares_body_length(response):
             self._fail("an answer without a length")
             return False
         exchange, self.exchange = self.exchange, None
@@ -121,7 +121,7 @@
         self.stream.abort()
 
 
-def _has_length(response: Response) -> bool:
+def _declares_body_length(response: Response) -> bool:
     """Whether the head of the response gave the length of the body."""
     headers = response.headers
     return response.status == NO_CONTENT or CONTENT_LENGTH in headers or TRANSFER_ENCODING in headers
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -45,17 +45,17 @@
         request_count: int,
     ) -> None:
         self.server, self.address_id, self.request_count = server, address_id, request_count
-        self.queue = []
+        self.pending_answers = []
         self.closing = False
         self.client_closed = False
         self.timer, self.deadline = None, None
-        self.idle_end = 0
+        self.idle_deadline = 0
         self.in_quiet_queue = False
         self.presence_checked_at = 0  # when the client was last known not to have closed, ns
         self.buffered_bytes = 0  # bytes of an incomplete request
         self.read_delay = 0  # how long the bytes that are being read may have lain unread, ns
         limits = server.limits
-        self.reader = RequestReader(self._arrival_time, limits.head, limits.body)
+        self.reader = RequestReader(self._arrival_time, limits.max_head_bytes, limits.max_body_bytes)
         self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
         self.stream.on_half_close = self._on_client_closed
         self.stream.on_writable = self._resume_reading
@@ -77,10 +77,10 @@
             self._reject(error)
             return
         self._dispatch_all(requests)
-        self._note_buffered(self.reader.size if self.reader.mid_message else 0)
+        self._update_buffered_bytes(self.reader.section_bytes if self.reader.mid_message else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
-            if not self.queue:  # otherwise the request has to wait for the answers before its own
+            if not self.pending_answers:  # otherwise the request has to wait for the answers before its own
                 self.stream.write(CONTINUE)
         if self.stream.open:
             self._set_deadline()
@@ -106,9 +106,9 @@
         if request.client_closed and server.loop.read_delay and not server.counted:
             return  # the client gave up while this process stood still, so the request is dropped
         self.request_count += 1
-        if not request.keep_alive or server.says_close():
+        if not request.keep_alive or server.announces_close():
             self.closing = True
-        self.queue.append(PendingAnswer(request))
+        self.pending_answers.append(PendingAnswer(request))
         server.handle(request)
 
     def client_present(self) -> bool:
@@ -123,17 +123,20 @@
             self.presence_checked_at = now
         return True
 
-    def _note_buffered(self, size: int) -> None:
+    def _update_buffered_bytes(self, size: int) -> None:
         """Updates the account of the memory of incomplete requests; `size`: of this connection's, bytes."""
         server = self.server
         server.buffered_bytes += size - self.buffered_bytes
         self.buffered_bytes = size
-        if server.buffered_bytes > server.limits.buffered:
+        if server.buffered_bytes > server.limits.max_buffered_bytes:
             server.enforce_memory_limit()
 
     def _is_saturated(self) -> bool:
         """Whether reading stops: enough requests are open, or the client does not read its answers."""
-        return len(self.queue) >= self.server.limits.pipelined or self.stream.bytes_unsent >= WRITE_HIGH_WATER
+        return (
+            len(self.pending_answers) >= self.server.limits.max_pipelined_requests
+            or self.stream.bytes_unsent >= WRITE_HIGH_WATER
+        )
 
     def _reject(self, error: HttpError) -> None:
         """Answers an invalid request and closes; complete requests before it are answered first."""
@@ -141,12 +144,12 @@
         self._dispatch_all(self.reader.take_completed())
         headers, body = self.server.render_error(error)
         self.closing = True
-        self.queue.append(PendingAnswer(None, render(error.status, headers, body, close=True)))
+        self.pending_answers.append(PendingAnswer(None, render(error.status, headers, body, close=True)))
         self._write_answers()
 
     def reject_incomplete(self) -> None:
         """Rejects the incomplete request, to free its memory."""
-        self._note_buffered(0)
+        self._update_buffered_bytes(0)
         self._reject(HttpError(408, "too much is coming in, and this request takes longest"))
 
     # Writing
@@ -155,28 +158,30 @@
         """Writes the answer to a request, in order. Errors: RuntimeError for a second answer to one
         request.
         """
-        position = next((index for index, each in enumerate(self.queue) if each.request is request), None)
+        position = next(
+            (index for index, each in enumerate(self.pending_answers) if each.request is request), None
+        )
         if position is None:
             return
-        pending = self.queue[position]
-        if pending.data is not None:
+        pending = self.pending_answers[position]
+        if pending.encoded is not None:
             raise RuntimeError("a second answer to one request")
         request.on_client_left = None
-        is_last = position == len(self.queue) - 1 and (self.closing or self.server.stopping)
+        is_last = position == len(self.pending_answers) - 1 and (self.closing or self.server.stopping)
         close = is_last or self.client_closed
         if close:
             self.closing = True  # the answer announces the close, so no further request is taken
-        pending.data = render(status, headers, body, close=close)
+        pending.encoded = render(status, headers, body, close=close)
         self._write_answers()
 
     def _write_answers(self) -> None:
         """Writes the answers that are next in order; closes after the last if the connection is to close."""
         wrote = False
-        while self.queue and (data := self.queue[0].data) is not None:
+        while self.pending_answers and (data := self.pending_answers[0].encoded) is not None:
             wrote = True
-            self.queue.pop(0)
+            self.pending_answers.pop(0)
             self.stream.write(data)
-        if not self.queue and (self.closing or self.client_closed or self.server.stopping):
+        if not self.pending_answers and (self.closing or self.client_closed or self.server.stopping):
             self.close_gracefully()
         elif wrote and self.stream.open:
             self._resume_reading()
@@ -192,12 +197,12 @@
     def park(self) -> None:
         """Parks the connection, or closes it if its idle time is over; answers an unread request before."""
         server = self.server
-        if server.loop.now() < self.idle_end and self.stream.open and not server.stopping:
+        if server.loop.now() < self.idle_deadline and self.stream.open and not server.stopping:
             self._clear_deadline()
-            server.park(self, self.idle_end)
+            server.park(self, self.idle_deadline)
             return
         self.stream.read_now()
-        if not self.queue and not self.reader.mid_message:
+        if not self.pending_answers and not self.reader.mid_message:
             self.close_gracefully()
 
     def stop(self) -> None:
@@ -208,13 +213,17 @@
         """
         if self.reader.mid_message:
             self._set_deadline()
-        elif self.server.last_request_by is None and not self.queue and self.stream.is_quiet():
+        elif (
+            self.server.request_arrival_deadline is None
+            and not self.pending_answers
+            and self.stream.is_quiet()
+        ):
             self.close_gracefully()
 
     def _on_client_closed(self) -> None:
         """Abandons the requests of a client that has closed its side; answers owed to it are still sent."""
         self._abandon_requests()
-        if not self.queue:
+        if not self.pending_answers:
             self.close_gracefully()
 
     def _on_closed(self, error: OSError | None) -> None:
@@ -225,9 +234,9 @@
         """Notifies the handlers of open requests that nobody waits for their answers."""
         self.client_closed = True
         self._clear_deadline()
-        for pending in list(self.queue):
+        for pending in list(self.pending_answers):
             request = pending.request
-            if pending.data is None and request is not None and request.on_client_left is not None:
+            if pending.encoded is None and request is not None and request.on_client_left is not None:
                 on_client_left, request.on_client_left = request.on_client_left, None
                 on_client_left()
 
@@ -254,5 +263,5 @@
         """Cancels the timer and removes the connection, whose socket is closed, from the server."""
         self._clear_deadline()
         if self in self.server.active_connections:
-            self._note_buffered(0)
+            self._update_buffered_bytes(0)
             self.server.unregister(self)
--- a/gaproute/http1/connection_owner.py
+++ b/gaproute/http1/connection_owner.py
@@ -32,7 +32,7 @@
     def active_connections(self) -> Container[object]:
         """The connections that are in use."""
 
-    def says_close(self) -> bool:
+    def announces_close(self) -> bool:
         """Whether answers announce that the connection closes."""
 
     def enforce_memory_limit(self) -> None:
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -21,9 +21,10 @@
 
     loop: Loop
     limits: Limits
-    last_request_by: int | None  # after a stop with grace: when the last request must be complete, ns
+    # After a stop with grace: when the last request must be complete, ns
+    request_arrival_deadline: int | None
 
-    def idle_end(self, now: int) -> int:
+    def idle_deadline(self, now: int) -> int:
         """When a connection that is idle from `now` on is closed, ns."""
 
     def enqueue_quiet(self, connection: DeadlineConnection, due: int) -> None:
@@ -40,23 +41,23 @@
         "server",
         "stream",
         "reader",
-        "queue",
+        "pending_answers",
         "closing",
         "timer",
         "deadline",
-        "idle_end",
+        "idle_deadline",
         "in_quiet_queue",
     )
 
     server: DeadlineOwner
     stream: Stream
     reader: RequestReader
-    queue: list[PendingAnswer]  # in the order of the requests
+    pending_answers: list[PendingAnswer]  # in the order of the requests
     # Whether no further request is taken and the connection closes after the answers that are owed
     closing: bool
     timer: Timer | None
     deadline: int | None  # of the timer, or of the queue of quiet connections; ns of the loop's clock
-    idle_end: int  # when the connection is closed if no further request comes
+    idle_deadline: int  # when the connection is closed if no further request comes
     # Whether the server's queue has the connection, to park it at its deadline if it is still quiet then
     in_quiet_queue: bool
 
@@ -77,15 +78,15 @@
         before that.
         """
         server = self.server
-        read_time = server.limits.read_time
+        read_time = server.limits.read_timeout
         if self.reader.message is not None:
             self.deadline = self.reader.message.arrived_at + read_time
-            if server.last_request_by is not None:
-                self.deadline = min(self.deadline, server.last_request_by)
+            if server.request_arrival_deadline is not None:
+                self.deadline = min(self.deadline, server.request_arrival_deadline)
         elif self.stream.bytes_unsent:
             self.deadline = server.loop.now() + read_time
-        elif not self.queue and not self.closing:
-            if self._wait_for_parking():
+        elif not self.pending_answers and not self.closing:
+            if self._schedule_parking():
                 return
         else:
             self.deadline = None
@@ -93,20 +94,20 @@
         if self.deadline is not None and (self.timer is None or self.timer.when > self.deadline):
             self._start_timer(self.deadline)
 
-    def _wait_for_parking(self) -> bool:
+    def _schedule_parking(self) -> bool:
         """Arranges for a quiet connection to be parked.
 
         Returns whether the server's queue of quiet connections sees to that, so that no timer is needed.
         """
         server = self.server
         now = server.loop.now()
-        if server.limits.idle_time <= 2 * QUIET_TIME:
-            self.idle_end = server.idle_end(now)
-            self.deadline = min(now + QUIET_TIME, self.idle_end)
+        if server.limits.idle_timeout <= 2 * QUIET_TIME:
+            self.idle_deadline = server.idle_deadline(now)
+            self.deadline = min(now + QUIET_TIME, self.idle_deadline)
             return False
         deadline = now + QUIET_TIME
         if not self.in_quiet_queue or self.deadline is None or deadline - self.deadline > SWEEP_INTERVAL:
-            self.idle_end = server.idle_end(now)
+            self.idle_deadline = server.idle_deadline(now)
             self.deadline = deadline
             self.in_quiet_queue = True
             server.enqueue_quiet(self, deadline)
@@ -115,9 +116,9 @@
     def _start_timer(self, deadline: int) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.server.loop.at(deadline, self._deadline_passed)
+        self.timer = self.server.loop.at(deadline, self._on_deadline)
 
-    def _deadline_passed(self) -> None:
+    def _on_deadline(self) -> None:
         self.timer = None
         if self.deadline is None or self.in_quiet_queue:
             return
@@ -128,14 +129,14 @@
             self._on_closed(None)
         elif not self.reader.mid_message:
             self.park()
-        elif self._rest_arrived():
+        elif self._read_overdue_rest():
             return
-        elif self.queue:
+        elif self.pending_answers:
             self.closing = True  # answers that are owed are sent first
         else:
             self._reject(HttpError(408, "the request did not come in whole in time"))
 
-    def _rest_arrived(self) -> bool:
+    def _read_overdue_rest(self) -> bool:
         """Reads now; returns whether the rest of the overdue request had already arrived."""
         self.stream.read_now()
         return not self.stream.open or not self.reader.mid_message
--- a/gaproute/http1/errors.py
+++ b/gaproute/http1/errors.py
@@ -15,7 +15,7 @@
     """No complete response came.
 
     `any_byte_sent`: whether the kernel took any byte of the request; if not, it never ran. `connected`:
-    whether there was a connection. `error`: how dialing or the connection ended, if with an error. `lapsed`:
+    whether there was a connection. `error`: how dialing or the connection ended, if with an error. `expired`:
     the request was not allowed to begin any more, which is no fault of the server.
     """
 
@@ -26,10 +26,15 @@
         any_byte_sent: bool,
         connected: bool,
         error: OSError | None = None,
-        lapsed: bool = False,
+        expired: bool = False,
     ) -> None:
         super().__init__(text)
-        self.any_byte_sent, self.connected, self.error, self.lapsed = any_byte_sent, connected, error, lapsed
+        self.any_byte_sent, self.connected, self.error, self.expired = (
+            any_byte_sent,
+            connected,
+            error,
+            expired,
+        )
 
     @property
     def reset(self) -> bool:
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -26,7 +26,7 @@
         "connection",
         "started_at",
         "finished",
-        "start_before",
+        "start_deadline",
         "still_wanted",
         "_cancel_connect",
     )
@@ -36,16 +36,16 @@
         loop: Loop,
         request: bytes | Callable[[int], bytes],
         on_done: OnDone,
-        start_before: int | None = None,
+        start_deadline: int | None = None,
         still_wanted: Callable[[], bool] | None = None,
     ) -> None:
         """`request`: its bytes, or a function of the time `now` (ns) that makes them when they are sent.
 
-        `start_before`: when the request may begin at the latest, ns; `still_wanted()`: whether it may still
-        begin. If it may not, the exchange fails as `lapsed`.
+        `start_deadline`: when the request may begin at the latest, ns; `still_wanted()`: whether it may still
+        begin. If it may not, the exchange fails as `expired`.
         """
         self.loop, self.request, self.on_done = loop, request, on_done
-        self.start_before, self.still_wanted = start_before, still_wanted
+        self.start_deadline, self.still_wanted = start_deadline, still_wanted
         self.connection: ClientConnection | None = None  # set once the request has begun
         self.started_at: int = loop.now()
         self.finished = False
@@ -85,9 +85,9 @@
         if error is not None:
             self._fail_unsent(f"no connection: {error}", error)
             return
-        if self.lapsed:
+        if self.expired:
             sock.close()
-            self._fail_unsent("the connection came up too late", lapsed=True)
+            self._fail_unsent("the connection came up too late", expired=True)
             return
         connection = ClientConnection(self.loop, sock, head_limit, body_limit)
         if on_connection is not None:
@@ -95,9 +95,9 @@
         self.send_on(connection)
 
     @property
-    def lapsed(self) -> bool:
+    def expired(self) -> bool:
         """Whether the request is not allowed to begin any more."""
-        if self.start_before is not None and self.loop.now() >= self.start_before:
+        if self.start_deadline is not None and self.loop.now() >= self.start_deadline:
             return True
         return self.still_wanted is not None and not self.still_wanted()
 
@@ -118,11 +118,11 @@
         if not self.finished:
             self.finished = True
             # The closure often refers to this exchange, so it is dropped to break the reference cycle
-            on_done, self.on_done = self.on_done, _ignore
+            on_done, self.on_done = self.on_done, _ignore_result
             on_done(response, failure)
 
-    def _fail_unsent(self, text: str, error: OSError | None = None, *, lapsed: bool = False) -> None:
-        failure = NoResponseError(text, any_byte_sent=False, connected=False, error=error, lapsed=lapsed)
+    def _fail_unsent(self, text: str, error: OSError | None = None, *, expired: bool = False) -> None:
+        failure = NoResponseError(text, any_byte_sent=False, connected=False, error=error, expired=expired)
         self.finish(None, failure)
 
     def fail_if_unsent(self, text: str) -> None:
@@ -133,7 +133,7 @@
     def cancel(self) -> bool:
         """Ends the exchange and its connection without `on_done`; returns whether any byte was sent."""
         any_byte_sent = self.any_byte_sent
-        self.finished, self.on_done = True, _ignore
+        self.finished, self.on_done = True, _ignore_result
         if self._stop_connecting():
             return any_byte_sent
         if self.connection is not None and self.connection.exchange is self:
@@ -149,5 +149,5 @@
         return True
 
 
-def _ignore(response: Response | None, failure: NoResponseError | None) -> None:
+def _ignore_result(response: Response | None, failure: NoResponseError | None) -> None:
     """Replaces `on_done` after the end."""
--- a/gaproute/http1/message.py
+++ b/gaproute/http1/message.py
@@ -74,8 +74,8 @@
 class PendingAnswer:
     """A place in the order of answers; `data`: the encoded answer, once there is one."""
 
-    __slots__ = ("request", "data")
+    __slots__ = ("request", "encoded")
 
-    def __init__(self, request: Request | None, data: bytes | None = None) -> None:
+    def __init__(self, request: Request | None, encoded: bytes | None = None) -> None:
         """`request`: None for a message that cannot be decoded."""
-        self.request, self.data = request, data
+        self.request, self.encoded = request, encoded
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -14,7 +14,7 @@
 from gaproute.http1.message import Request, Response
 
 MAX_TARGET_BYTES = 8192  # longer ones cannot name a model
-HEADER_OVERHEAD = 4  # bytes of a header line beside its name and its value
+HEADER_OVERHEAD_BYTES = 4  # bytes of a header line beside its name and its value
 
 CONTENT_LENGTH, TRANSFER_ENCODING = b"content-length", b"transfer-encoding"
 
@@ -28,7 +28,7 @@
     The methods whose names begin with `on_` are called by the parser.
     """
 
-    UNSUPPORTED_CODING: int  # status for a transfer coding other than chunked
+    UNSUPPORTED_CODING_STATUS: int  # status for a transfer coding other than chunked
 
     def __init__(self, parser: Parser, head_limit: int, body_limit: int) -> None:
         self.parser: Parser = parser
@@ -37,9 +37,9 @@
         self.headers: dict[bytes, bytes] = {}  # of `message`
         self.in_head = False
         self.head_bytes = 0  # bytes received while a head was incomplete
-        self.size = 0  # bytes of the head's fields, then of the body
-        self.length_count = 0  # fields of the head that give the length of the body
-        self.parts: list[bytes] = []  # of the body
+        self.section_bytes = 0  # bytes of the head's fields, then of the body
+        self.length_field_count = 0  # fields of the head that give the length of the body
+        self.body_parts: list[bytes] = []  # of the body
         self.completed: list[MessageType] = []
         # Whether the head of a request asks for a response 100 before its body is sent
         self.wants_continue = False
@@ -83,25 +83,25 @@
 
     def _begin(self, message: MessageType) -> None:
         self.message, self.headers = message, message.headers
-        self.in_head, self.size, self.length_count, self.parts = True, 0, 0, []
+        self.in_head, self.section_bytes, self.length_field_count, self.body_parts = True, 0, 0, []
         self.wants_continue = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called for a field of the head or of the trailer."""
         name = name.lower()
-        self.size += len(name) + len(value) + HEADER_OVERHEAD
-        if self.size > self.head_limit:
+        self.section_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
+        if self.section_bytes > self.head_limit:
             self._fail(431, f"the head is over {self.head_limit} bytes")
         if name == CONTENT_LENGTH:
             self._check_length(value)
         elif name == TRANSFER_ENCODING and value.strip().lower() != b"chunked":
-            self._fail(self.UNSUPPORTED_CODING, "a transfer coding other than chunked")
+            self._fail(self.UNSUPPORTED_CODING_STATUS, "a transfer coding other than chunked")
         headers = self.headers
         headers[name] = headers[name] + b", " + value if name in headers else value
 
     def _check_length(self, value: bytes) -> None:
-        self.length_count += 1
-        if self.length_count > 1:
+        self.length_field_count += 1
+        if self.length_field_count > 1:
             self._fail(400, "two lengths")
         if not value.isdigit() or int(value) > self.body_limit:
             self._fail(413, f"the body is over {self.body_limit} bytes")
@@ -109,30 +109,30 @@
     def on_headers_complete(self) -> None:
         """Called when the head is complete."""
         assert self.message is not None
-        self.in_head, self.head_bytes, self.size = False, 0, 0
+        self.in_head, self.head_bytes, self.section_bytes = False, 0, 0
         self.message.keep_alive = self.parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
         """Called for a part of the body."""
         self.wants_continue = False
-        self.size += len(body)
-        if self.size > self.body_limit:
+        self.section_bytes += len(body)
+        if self.section_bytes > self.body_limit:
             self._fail(413, f"the body is over {self.body_limit} bytes")
-        self.parts.append(body)
+        self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
         """Called when the message is complete."""
         message, self.message, self.wants_continue = self.message, None, False
         assert message is not None
-        message.body = b"".join(self.parts) if len(self.parts) != 1 else self.parts[0]
-        self.parts = []
+        message.body = b"".join(self.body_parts) if len(self.body_parts) != 1 else self.body_parts[0]
+        self.body_parts = []
         self.completed.append(message)
 
 
 class RequestReader(MessageReader[Request]):
     """Reads requests. `arrival_time()`: when the bytes that are being read arrived, ns."""
 
-    UNSUPPORTED_CODING = 501
+    UNSUPPORTED_CODING_STATUS = 501
     parser: httptools.HttpRequestParser
 
     def __init__(self, arrival_time: Callable[[], int], head_limit: int, body_limit: int) -> None:
@@ -158,7 +158,7 @@
         assert request is not None
         request.method = self.parser.get_method()
         headers = self.headers
-        if self.length_count and TRANSFER_ENCODING in headers:
+        if self.length_field_count and TRANSFER_ENCODING in headers:
             self._fail(400, "a length and chunks at once")
         if b"host" not in headers and self.parser.get_http_version() == "1.1":
             self._fail(400, "no Host")
@@ -168,7 +168,7 @@
 class ResponseReader(MessageReader[Response]):
     """Reads responses."""
 
-    UNSUPPORTED_CODING = 502
+    UNSUPPORTED_CODING_STATUS = 502
     parser: httptools.HttpResponseParser
 
     def __init__(self, head_limit: int, body_limit: int) -> None:
--- a/gaproute/http1/rendering.py
+++ b/gaproute/http1/rendering.py
@@ -13,7 +13,7 @@
     body: bytes
 
 
-REASONS = {
+REASON_PHRASES = {
     100: "Continue",
     200: "OK",
     204: "No Content",
@@ -32,12 +32,12 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-UNKNOWN_REASON = "Other"
+DEFAULT_REASON_PHRASE = "Other"
 
 
 def render(status: int, headers: Iterable[Header], body: bytes, *, close: bool) -> bytes:
     """Encodes a response; `close`: whether it announces that the connection closes."""
-    lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, UNKNOWN_REASON).encode())]
+    lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, DEFAULT_REASON_PHRASE).encode())]
     lines += [b"%s: %s\r\n" % header for header in headers]
     lines.append(b"Content-Length: %d\r\n%s\r\n" % (len(body), b"Connection: close\r\n" if close else b""))
     return b"".join(lines) + body
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -28,7 +28,7 @@
     connection: DeadlineConnection
 
 
-def plain_error(error: HttpError) -> ErrorAnswer:
+def render_plain_error(error: HttpError) -> ErrorAnswer:
     """The answer for an error as a line of text."""
     return ErrorAnswer((), error.text.encode() + b"\n")
 
@@ -45,7 +45,7 @@
         handle: Callable[[Request], object],
         limits: Limits = LIMITS,
         *,
-        render_error: Callable[[HttpError], ErrorAnswer] = plain_error,
+        render_error: Callable[[HttpError], ErrorAnswer] = render_plain_error,
         counted: bool = False,
         inherited: socket.socket | None = None,
     ) -> None:
@@ -60,15 +60,15 @@
         self.quiet_connections: deque[QuietConnection] = deque()
         self.sweep_timer: Timer | None = None
         # After a stop with grace: when the last request must be complete, ns
-        self.last_request_by: int | None = None
+        self.request_arrival_deadline: int | None = None
 
     # Accepting
 
     def _may_accept(self) -> bool:
-        return self.connection_count < self.limits.connections
+        return self.connection_count < self.limits.max_connections
 
     def _first_request_due(self) -> int:
-        return self.idle_end(self.loop.now())
+        return self.idle_deadline(self.loop.now())
 
     def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> ServerConnection:
         return ServerConnection(self, sock, address_id, request_count)
@@ -85,11 +85,13 @@
             sock.recv(READ_SIZE)
         sock.close()
 
-    def idle_end(self, now: int) -> int:
+    def idle_deadline(self, now: int) -> int:
         """When a connection that is idle from `now` on is closed, ns."""
-        return self.connections.admission.idle_deadline(now, self.limits.idle_time, self.limits.spread)
+        return self.connections.admission.idle_deadline(
+            now, self.limits.idle_timeout, self.limits.idle_jitter
+        )
 
-    def says_close(self) -> bool:
+    def announces_close(self) -> bool:
         """Whether answers announce that the connection closes, as there are too many connections."""
         return self.counted and self.connections.admission.announces_close(self.connections.client_count)
 
@@ -145,14 +147,14 @@
             return
         self.stopping = True
         if grace is not None:
-            self.last_request_by = self.loop.now() + grace
+            self.request_arrival_deadline = self.loop.now() + grace
         self._drain_accept_queue()
         for connection in list(self.active_connections):
             connection.stop()
 
     def _drain_accept_queue(self) -> bool:
         drained = super()._drain_accept_queue()
-        self.connections.close_owned(self.owner_id, first_request_by=self.last_request_by)
+        self.connections.close_owned(self.owner_id, first_request_by=self.request_arrival_deadline)
         self.check_emptied()
         return drained
 
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -112,10 +112,10 @@
     def listen(self, where: str) -> str:
         """Listens at an address of its own, which is returned as text. Errors: OSError."""
         limits = Limits(
-            body=wire.MAX_BATCH_BYTES,
-            pipelined=1,
-            connections=MAX_CONNECTIONS,
-            buffered=4 * wire.MAX_BATCH_BYTES,
+            max_body_bytes=wire.MAX_BATCH_BYTES,
+            max_pipelined_requests=1,
+            max_connections=MAX_CONNECTIONS,
+            max_buffered_bytes=4 * wire.MAX_BATCH_BYTES,
         )
         server: Server = Server(
             self.loop, address(where), lambda request: self.handle(server, request), limits
--- a/tests/connections/conftest.py
+++ b/tests/connections/conftest.py
@@ -14,7 +14,7 @@
 from gaproute.loop.addresses import address
 
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-LIMITS = Limits(idle_time=60 * SECOND)
+LIMITS = Limits(idle_timeout=60 * SECOND)
 
 
 class ServedClients:
--- a/tests/connections/test_admission.py
+++ b/tests/connections/test_admission.py
@@ -18,7 +18,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-LIMITS = Limits(idle_time=60 * SECOND)
+LIMITS = Limits(idle_timeout=60 * SECOND)
 
 
 def test_clients_can_never_take_what_is_reserved_for_hosts_and_operators():
--- a/tests/connections/test_calendar.py
+++ b/tests/connections/test_calendar.py
@@ -9,7 +9,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-LIMITS = Limits(idle_time=60 * SECOND)
+LIMITS = Limits(idle_timeout=60 * SECOND)
 
 
 @given(st.lists(st.integers(1, 10**9), max_size=60), st.lists(st.integers(0, 5 * 10**8), max_size=20))
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -11,7 +11,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-LIMITS = Limits(idle_time=60 * SECOND)
+LIMITS = Limits(idle_timeout=60 * SECOND)
 
 
 def test_a_connection_is_parked_until_it_speaks_and_again_when_it_is_quiet(serving):
@@ -66,7 +66,7 @@
 
 
 def test_an_idle_end_comes_on_time_and_is_moved_by_each_request(serving):
-    made = serving(Limits(idle_time=10 * SECOND))
+    made = serving(Limits(idle_timeout=10 * SECOND))
     client = made.client()
     made.turns(lambda: made.connections.parked_count == 1)
     made.skew += 9 * SECOND
@@ -84,7 +84,7 @@
 
 
 def test_after_a_stop_bytes_are_seen_before_an_idle_end_and_ends_do_not_fall_into_one_turn(serving):
-    made = serving(Limits(idle_time=10 * SECOND))
+    made = serving(Limits(idle_timeout=10 * SECOND))
     speaks = made.client()
     quiet = [made.client() for _ in range(MAX_EXPIRIES_PER_TURN + 40)]
     made.turns(lambda: made.connections.parked_count == len(quiet) + 1)
@@ -159,7 +159,7 @@
 
 
 def test_a_parked_descriptor_closed_and_used_again_keeps_nothing_of_the_old(serving):
-    made = serving(Limits(idle_time=10 * SECOND))
+    made = serving(Limits(idle_timeout=10 * SECOND))
     old = made.client()
     made.turns(lambda: made.connections.parked_count == 1)
     fd = next(fd for fd, state in enumerate(made.connections.states) if state)
@@ -196,7 +196,7 @@
 
 
 def test_unfinished_requests_together_are_bounded_and_the_slowest_ends_first(serving):
-    made = serving(Limits(idle_time=60 * SECOND, buffered=5000))
+    made = serving(Limits(idle_timeout=60 * SECOND, max_buffered_bytes=5000))
     slow, other, quick = made.client(), made.client(), made.client()
     for client in (slow, other):
         client.sendall(b"POST / HTTP/1.1\r\nHost: g\r\nContent-Length: 4000\r\n\r\n" + b"x" * 2000)
--- a/tests/connections/test_eviction.py
+++ b/tests/connections/test_eviction.py
@@ -14,7 +14,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-LIMITS = Limits(idle_time=60 * SECOND)
+LIMITS = Limits(idle_timeout=60 * SECOND)
 
 
 def was_rejected(client):
--- a/tests/connections/test_stop.py
+++ b/tests/connections/test_stop.py
@@ -7,7 +7,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-LIMITS = Limits(idle_time=60 * SECOND)
+LIMITS = Limits(idle_timeout=60 * SECOND)
 
 
 def test_a_stop_closes_what_is_parked_and_accepts_no_more(serving):
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -248,6 +248,6 @@
         assert came.recv(1) == b""
         came.close()
     assert results[0][0] is None
-    assert results[0][1].lapsed
+    assert results[0][1].expired
     assert not results[0][1].any_byte_sent
     loop.close()
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -45,7 +45,7 @@
     (link,) = made.gate.fronts[0].server.active_connections
     if stops:
         made.gate.stop()
-    link.idle_end = made.loop.now()
+    link.idle_deadline = made.loop.now()
     client.sendall(ASK)  # in the gateway's socket, not read by it
     link.park()
     made.until(lambda: not made.gate.core.in_flight)
@@ -61,7 +61,7 @@
     (link,) = made.gate.fronts[0].server.active_connections
     client.sendall(ASK[40:])
     link.deadline = made.loop.now() - 1
-    ServerConnection._deadline_passed(link)
+    ServerConnection._on_deadline(link)
     made.until(lambda: made.seen("task"))
     made.until(lambda: not made.gate.core.in_flight)
     made.rest(10 * MILLI)
