--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -19,7 +19,7 @@
 from gaproute.interface import Found, Report
 from gaproute.interface.call import Answer, Call, Final
 
-NEVER_RAN, CELL_UNKNOWN = 429, 404  # status codes
+NEVER_RAN_STATUS, CELL_UNKNOWN_STATUS = 429, 404  # status codes
 
 
 class EntryFront(RestFront):
@@ -37,26 +37,26 @@
         super().__init__(server, core, configuration, is_ready)
         self.load_report = load_report
 
-    def _call(self, request: Request, model: str, version: str) -> Call:
-        call = super()._call(request, model, version)
+    def _build_call(self, request: Request, model: str, version: str) -> Call:
+        call = super()._build_call(request, model, version)
         forwarded = forwarding.decode(request.headers)
         if forwarded is None:
             return call
         return call._replace(forwarded=forwarded, origin=forwarding.decode_origin(request.headers))
 
-    def _answer(self, request: Request, final: Final, answer: Answer) -> None:
+    def _send_answer(self, request: Request, final: Final, answer: Answer) -> None:
         forwarded = forwarding.decode(request.headers)
         if forwarded is not None:
-            fields = (*answer.fields, *self._metrics(forwarded.cell, final.found))
+            fields = (*answer.fields, *self._metrics_headers(forwarded.cell, final.found))
             answer = answer._replace(fields=fields)
-        super()._answer(request, final, answer)
+        super()._send_answer(request, final, answer)
 
-    def _rejected_status(self, request: Request, final: Final) -> int:
+    def _rejection_status(self, request: Request, final: Final) -> int:
         if not final.never_ran or forwarding.decode(request.headers) is None:
-            return super()._rejected_status(request, final)
-        return CELL_UNKNOWN if final.cell_unknown else NEVER_RAN
+            return super()._rejection_status(request, final)
+        return CELL_UNKNOWN_STATUS if final.cell_unknown else NEVER_RAN_STATUS
 
-    def _metrics(self, cell: str, found: Found) -> tuple[Header, ...]:
+    def _metrics_headers(self, cell: str, found: Found) -> tuple[Header, ...]:
         """The header with the cell's load and what the call found, as far as they are known."""
         report = self.load_report(cell)
         metrics: dict[str, float] = {}
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -32,7 +32,7 @@
             loop,
             address,
             self.handle,
-            _limits(configuration.client_limits),
+            _server_limits(configuration.client_limits),
             render_error=_error_answer,
             counted=True,
             inherited=inherited,
@@ -40,7 +40,7 @@
         super().__init__(server, core, configuration, is_ready)
 
 
-def _limits(clients: ClientLimitsLine) -> Limits:
+def _server_limits(clients: ClientLimitsLine) -> Limits:
     return Limits(
         max_head_bytes=clients.head,
         max_body_bytes=clients.body,
--- a/gaproute/fronts/kserve/inference.py
+++ b/gaproute/fronts/kserve/inference.py
@@ -14,16 +14,16 @@
 from gaproute.http1 import Request
 from gaproute.interface.call import Call, Final
 
-MAX_DIGITS = 12  # of a number in a header
+MAX_HEADER_NUMBER_DIGITS = 12  # of a number in a header
 
-TIME_LIMIT, TENANT = b"gaproute-limit-ms", b"gaproute-tenant"
-JSON_LENGTH = b"inference-header-content-length"
+TIME_LIMIT_HEADER, TENANT_HEADER = b"gaproute-limit-ms", b"gaproute-tenant"
+JSON_LENGTH_HEADER = b"inference-header-content-length"
 FORWARDED_HEADERS = (
     b"content-type",
     b"content-encoding",
     b"accept",
     b"accept-encoding",
-    JSON_LENGTH,
+    JSON_LENGTH_HEADER,
     b"traceparent",
     b"tracestate",
     b"x-request-id",
@@ -45,11 +45,11 @@
 class PendingInference:
     """An inference that the core has, until its final answer or until its client has left."""
 
-    __slots__ = ("front", "request", "key", "abandoned")
+    __slots__ = ("front", "request", "gateway_request_id", "abandoned")
 
     def __init__(self, front: InferenceFront, request: Request) -> None:
         self.front, self.request = front, request
-        self.key = ""  # the gateway's id of the request
+        self.gateway_request_id = ""  # the gateway's id of the request
         self.abandoned = False
 
     def finish(self, final: Final) -> None:
@@ -60,32 +60,32 @@
     def abandon(self) -> None:
         """The client has closed its side: the request ends."""
         self.abandoned = True
-        self.front.core.client_left(self.key)
+        self.front.core.client_left(self.gateway_request_id)
         self.front.answer_half_closed(self.request)
 
 
 def time_limit(headers: Mapping[bytes, bytes], class_limit: int) -> int:
     """How long the request may take, ns, where its class has that limit. Errors: RequestError."""
-    value = headers.get(TIME_LIMIT)
+    value = headers.get(TIME_LIMIT_HEADER)
     if value is None:
         return class_limit
-    if not value.isdigit() or len(value) > MAX_DIGITS or int(value) == 0:
+    if not value.isdigit() or len(value) > MAX_HEADER_NUMBER_DIGITS or int(value) == 0:
         raise RequestError(BAD_REQUEST, "Gaproute-Limit-Ms is a whole number of milliseconds, 1 or more")
     return min(class_limit, int(value) * NS_PER_MS)
 
 
 def check_json_length(request: Request) -> None:
     """Checks the length of the JSON before binary tensors. Errors: RequestError."""
-    value = request.headers.get(JSON_LENGTH)
+    value = request.headers.get(JSON_LENGTH_HEADER)
     if value is None:
         return
-    if not value.isdigit() or len(value) > MAX_DIGITS or int(value) > len(request.body):
+    if not value.isdigit() or len(value) > MAX_HEADER_NUMBER_DIGITS or int(value) > len(request.body):
         raise RequestError(BAD_REQUEST, "Inference-Header-Content-Length is at most the body's length")
 
 
 def tenant_index(headers: Mapping[bytes, bytes], tenants: Mapping[str, int]) -> int:
     """The index of the request's tenant; one above all of them where it names none. Errors: RequestError."""
-    value = headers.get(TENANT)
+    value = headers.get(TENANT_HEADER)
     if value is None or not tenants:
         return len(tenants)
     index = tenants.get(value.decode("latin-1"))
@@ -94,7 +94,7 @@
     return index
 
 
-def call_of(request: Request, model: str, version: str) -> Call:
+def build_call(request: Request, model: str, version: str) -> Call:
     """The call of an inference request; it asks its connection whether the client still waits."""
     headers = request.headers
     return Call(
@@ -102,6 +102,6 @@
         version,
         tuple([(name, headers[name]) for name in FORWARDED_HEADERS if name in headers]),
         request.body,
-        tenant=headers.get(TENANT, b""),
+        tenant=headers.get(TENANT_HEADER, b""),
         client_present=request.connection.client_present,
     )
--- a/gaproute/fronts/kserve/responses.py
+++ b/gaproute/fronts/kserve/responses.py
@@ -21,9 +21,9 @@
 UNAVAILABLE, TIMEOUT = 503, 504
 
 JSON_TYPE: Header = (b"Content-Type", b"application/json")
-DELIVERED: Header = (b"Gaproute-Outcome", b"delivered")
-REJECTED: Header = (b"Gaproute-Outcome", b"declined")
-FAILED: Header = (b"Gaproute-Outcome", b"scrapped")
+OUTCOME_DELIVERED: Header = (b"Gaproute-Outcome", b"delivered")
+OUTCOME_REJECTED: Header = (b"Gaproute-Outcome", b"declined")
+OUTCOME_FAILED: Header = (b"Gaproute-Outcome", b"scrapped")
 
 
 class RequestError(GaprouteError):
@@ -39,39 +39,39 @@
     return msgspec.json.encode({"error": text})
 
 
-def delivered(final: Final, answer: Answer) -> Answer:
+def delivered_answer(final: Final, answer: Answer) -> Answer:
     """The host's answer."""
-    fields = (*answer.fields, DELIVERED, _request_id(final), _attempts(final))
+    fields = (*answer.fields, OUTCOME_DELIVERED, _request_id_header(final), _attempts_header(final))
     return Answer(answer.status, fields, answer.body)
 
 
-def rejected(final: Final, status: int) -> Answer:
+def rejected_answer(final: Final, status: int) -> Answer:
     """The answer to a request that provably did not run, or may run again."""
     fields = (
         JSON_TYPE,
-        REJECTED,
+        OUTCOME_REJECTED,
         (b"Retry-After", b"%d" % -(-final.retry_after // NS_PER_S)),
         (b"Gaproute-Retry-After-Ms", b"%d" % -(-final.retry_after // NS_PER_MS)),
-        _request_id(final),
+        _request_id_header(final),
     )
     return Answer(status, fields, encode_error(final.reason))
 
 
-def failed(final: Final) -> Answer:
+def failed_answer(final: Final) -> Answer:
     """The answer to a request that may have run."""
-    fields = (JSON_TYPE, FAILED, _request_id(final), _attempts(final))
+    fields = (JSON_TYPE, OUTCOME_FAILED, _request_id_header(final), _attempts_header(final))
     return Answer(TIMEOUT, fields, encode_error(final.reason))
 
 
-def half_closed() -> Answer:
+def half_closed_answer() -> Answer:
     """The answer for a client that has closed its side and may still read."""
     text = "scrapped: the client closed its side before the answer"
-    return Answer(TIMEOUT, (JSON_TYPE, FAILED), encode_error(text))
+    return Answer(TIMEOUT, (JSON_TYPE, OUTCOME_FAILED), encode_error(text))
 
 
-def _request_id(final: Final) -> Header:
+def _request_id_header(final: Final) -> Header:
     return b"Gaproute-Task", final.request.encode()
 
 
-def _attempts(final: Final) -> Header:
+def _attempts_header(final: Final) -> Header:
     return b"Gaproute-Relays", b"%d" % final.attempts
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -24,9 +24,9 @@
 from gaproute.http1 import Request, Server
 from gaproute.interface.call import Answer, Call, Ending, Final
 
-VERSION = "0.2.0"
+SERVER_VERSION = "0.2.0"
 EXTENSIONS = ["binary_tensor_data"]
-MAX_SHOWN_NAME = 128  # characters of an unknown model's name in an error
+MAX_SHOWN_NAME_LENGTH = 128  # characters of an unknown model's name in an error
 NO_SUCH_PATH = (
     "no such path: /v2, /v2/health/live, /v2/health/ready, /v2/models/NAME, "
     "/v2/models/NAME/ready, /v2/models/NAME/infer"
@@ -56,7 +56,7 @@
             line.name: ClassLimit(index, line.limit)
             for index, line in enumerate(configuration.request_classes)
         }
-        self.return_time: int = configuration.client_limits.way_back  # of an answer to its client, ns
+        self.answer_transit_time: int = configuration.client_limits.way_back  # of an answer to its client, ns
 
     # Requests
 
@@ -72,7 +72,7 @@
         path = request.target.partition(b"?")[0].split(b"/")
         match [part.decode("utf-8", "replace") for part in map(unquote_to_bytes, path[1:])]:
             case ["v2"] | ["v2", ""]:
-                metadata = {"name": self.name, "version": VERSION, "extensions": EXTENSIONS}
+                metadata = {"name": self.name, "version": SERVER_VERSION, "extensions": EXTENSIONS}
                 self._send_json(request, metadata)
             case ["v2", "health", "live"]:
                 self._send_json(request, {"live": True})
@@ -88,11 +88,11 @@
     def _route_model(self, request: Request, name: str, version: str, rest: Sequence[str]) -> None:
         model = self.models.get(name)
         if model is None or version and version not in model.versions:
-            shown_version = f" version {version[:MAX_SHOWN_NAME]!r}" if version else ""
-            raise RequestError(NOT_FOUND, f"unknown model {name[:MAX_SHOWN_NAME]!r}{shown_version}")
+            shown_version = f" version {version[:MAX_SHOWN_NAME_LENGTH]!r}" if version else ""
+            raise RequestError(NOT_FOUND, f"unknown model {name[:MAX_SHOWN_NAME_LENGTH]!r}{shown_version}")
         match rest:
             case ["infer"] if request.method == b"POST":
-                self._infer(request, model, version)
+                self._submit_inference(request, model, version)
             case ["infer"]:
                 raise RequestError(METHOD_NOT_ALLOWED, "infer is a POST")
             case ["ready"]:
@@ -113,7 +113,7 @@
             raise RequestError(METHOD_NOT_ALLOWED, "this is a GET")
         self.server.answer(request, status, (JSON_TYPE,), msgspec.json.encode(content))
 
-    def _infer(self, request: Request, model: ModelLine, version: str) -> None:
+    def _submit_inference(self, request: Request, model: ModelLine, version: str) -> None:
         class_limit = self.class_limits[model.track]
         time_limit = inference.time_limit(request.headers, class_limit.time_limit)
         inference.check_json_length(request)
@@ -122,45 +122,45 @@
             self.answer_half_closed(request)
             return
         pending = inference.PendingInference(self, request)
-        pending.key = self.core.submit(
-            self._call(request, model.name, version),
+        pending.gateway_request_id = self.core.submit(
+            self._build_call(request, model.name, version),
             class_limit.class_index,
             tenant,
             model.lanes,
             model.load,
             request.arrived_at,
-            time_limit - self.return_time,
+            time_limit - self.answer_transit_time,
             pending.finish,
         )
         request.on_client_left = pending.abandon
 
-    def _call(self, request: Request, model: str, version: str) -> Call:
+    def _build_call(self, request: Request, model: str, version: str) -> Call:
         """A request as a call."""
-        return inference.call_of(request, model, version)
+        return inference.build_call(request, model, version)
 
     # Answers
 
     def finish_request(self, request: Request, final: Final) -> None:
         """Sends the final answer to a request."""
         if final.answer is not None and final.ending is Ending.DELIVERED:
-            answer = responses.delivered(final, final.answer)
+            answer = responses.delivered_answer(final, final.answer)
         elif final.ending is Ending.REJECTED:
-            answer = responses.rejected(final, self._rejected_status(request, final))
+            answer = responses.rejected_answer(final, self._rejection_status(request, final))
         else:
-            answer = responses.failed(final)
-        self._answer(request, final, answer)
+            answer = responses.failed_answer(final)
+        self._send_answer(request, final, answer)
 
-    def _rejected_status(self, request: Request, final: Final) -> int:
+    def _rejection_status(self, request: Request, final: Final) -> int:
         """The status of the response to a rejected request."""
         return UNAVAILABLE
 
-    def _answer(self, request: Request, final: Final, answer: Answer) -> None:
+    def _send_answer(self, request: Request, final: Final, answer: Answer) -> None:
         """Sends the one answer to a request."""
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
     def answer_half_closed(self, request: Request) -> None:
         """Answers one that has closed its side and may still read."""
-        answer = responses.half_closed()
+        answer = responses.half_closed_answer()
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
     # The end
