--- a/gaproute/fronts/jsonrpc/cancellation.py
+++ b/gaproute/fronts/jsonrpc/cancellation.py
@@ -7,80 +7,83 @@
 
 from gaproute.fronts.jsonrpc.errors import FramingError, ProtocolError
 from gaproute.fronts.jsonrpc.framing import MessageReader
-from gaproute.fronts.jsonrpc.requests import UNDECODABLE, decode_any, decode_message
+from gaproute.fronts.jsonrpc.requests import DECODE_ERRORS, decode_json, decode_message
 
-METHOD = "abort"
-METHOD_BYTES = METHOD.encode()  # a body without these bytes is no cancellation and need not be decoded for it
+CANCEL_METHOD = "abort"
+# A body without these bytes is no cancellation and need not be decoded to find one
+CANCEL_METHOD_BYTES = CANCEL_METHOD.encode()
 PING_METHOD = "ping"
 
-RequestName = int | str  # the number of a request, or the client's id of it
+RequestReference = int | str  # the number of a request, or the client's id of it
 
 
-class _Pending(NamedTuple):
+class _PendingMessage(NamedTuple):
     """A message that has not been cancelled so far, and the names by which a cancellation may refer to it."""
 
     body: bytes
-    names: tuple[RequestName | None, ...]
+    references: tuple[RequestReference | None, ...]
 
 
-def cancelled_request(params: msgspec.Raw | bytes) -> RequestName | None:
+def decode_cancellation_params(params: msgspec.Raw | bytes) -> RequestReference | None:
     """The request that the parameters of a cancellation name; None where they name none."""
     try:
-        fields = decode_any(params)
-    except UNDECODABLE:
+        fields = decode_json(params)
+    except DECODE_ERRORS:
         return None
     if not isinstance(fields, dict):
         return None
-    name = fields.get("id", fields.get("i"))
-    return name if isinstance(name, (int, str)) and not isinstance(name, bool) else None
+    reference = fields.get("id", fields.get("i"))
+    return reference if isinstance(reference, (int, str)) and not isinstance(reference, bool) else None
 
 
-def cancelled_in(reader: MessageReader, data: bytes) -> list[RequestName]:
+def find_cancelled_requests(reader: MessageReader, data: bytes) -> list[RequestReference]:
     """The requests that the cancellations in these bytes name. `reader`: a copy, which is changed."""
-    if METHOD_BYTES not in reader.buffer + data:
+    if CANCEL_METHOD_BYTES not in reader.buffer + data:
         return []
     try:
         bodies = reader.feed(data)
     except FramingError as error:
         bodies = error.bodies
-    names = [_cancelled_by(body) for body in bodies if METHOD_BYTES in body]
-    return [name for name in names if name is not None]
+    references = [_decode_cancellation(body) for body in bodies if CANCEL_METHOD_BYTES in body]
+    return [reference for reference in references if reference is not None]
 
 
-def _cancelled_by(body: bytes) -> RequestName | None:
+def _decode_cancellation(body: bytes) -> RequestReference | None:
     """The request that the body names if it is a cancellation; else None."""
     try:
         message = decode_message(body)
     except ProtocolError:
         return None
-    return cancelled_request(message.params) if message.method == METHOD else None
+    return decode_cancellation_params(message.params) if message.method == CANCEL_METHOD else None
 
 
-def drop_cancelled(bodies: list[bytes], *open_requests: Container[RequestName]) -> list[bytes]:
+def drop_cancelled_requests(bodies: list[bytes], *open_requests: Container[RequestReference]) -> list[bytes]:
     """Drops requests that a later cancellation in the same bytes names, and those cancellations.
 
     So no attempt begins for such a request. A cancellation that names one of `open_requests` stays.
     """
-    if not any([METHOD_BYTES in body for body in bodies[1:]]):
+    if not any([CANCEL_METHOD_BYTES in body for body in bodies[1:]]):
         return bodies
-    pending: list[_Pending] = []
+    pending: list[_PendingMessage] = []
     for body in bodies:
-        cancelled = _cancelled_by(body)
+        cancelled = _decode_cancellation(body)
         if cancelled is not None and not any([cancelled in each for each in open_requests]):
-            place = next((place for place, each in enumerate(pending) if cancelled in each.names), None)
-            if place is not None:
-                del pending[place]
+            position = next(
+                (position for position, each in enumerate(pending) if cancelled in each.references), None
+            )
+            if position is not None:
+                del pending[position]
                 continue
-        pending.append(_Pending(body, _request_names(body)))
+        pending.append(_PendingMessage(body, _request_references(body)))
     return [each.body for each in pending]
 
 
-def _request_names(body: bytes) -> tuple[RequestName | None, ...]:
+def _request_references(body: bytes) -> tuple[RequestReference | None, ...]:
     """The number and the client's id of the request in the body; empty for any other message."""
     try:
         message = decode_message(body)
     except ProtocolError:
         return ()
-    if message.method in (METHOD, PING_METHOD) or message.number is None:
+    if message.method in (CANCEL_METHOD, PING_METHOD) or message.number is None:
         return ()
-    return message.number, cancelled_request(message.params)
+    return message.number, decode_cancellation_params(message.params)
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -5,7 +5,7 @@
 import socket
 
 from gaproute.fronts.jsonrpc import responses
-from gaproute.fronts.jsonrpc.cancellation import RequestName, drop_cancelled
+from gaproute.fronts.jsonrpc.cancellation import RequestReference, drop_cancelled_requests
 from gaproute.fronts.jsonrpc.connection_owner import OpenRequest, RpcConnectionOwner
 from gaproute.fronts.jsonrpc.errors import ErrorCode, FramingError, ProtocolError
 from gaproute.fronts.jsonrpc.framing import MessageReader
@@ -21,16 +21,16 @@
 IDLE_TIMEOUT = 30 * SECOND  # between requests: clients close theirs after 4 s
 # Unsent bytes of answers above which nothing more is read from a client: a few answers of the greatest size,
 # or a thousand of the usual size.
-MAX_UNTAKEN = 64 * 1024
+MAX_UNSENT_BYTES = 64 * 1024
 MAX_PROTOCOL_ERRORS = 64  # of one connection, after which it is closed: each error costs CPU time
 
 
-class ClientConnection:
+class RpcConnection:
     """A connection that is in use, from its first byte until it has been quiet for a while and is parked.
 
     `reading_ended`: nothing more is read, and the connection closes once its open requests are answered.
-    `closing`: all requests are answered, and the connection is being closed. `owes_until`: when the last of
-    its requests needs no answer any more, ns.
+    `closing`: all requests are answered, and the connection is being closed. `answers_owed_until`: when none
+    of its requests needs an answer any more, ns.
     """
 
     __slots__ = (
@@ -40,12 +40,12 @@
         "address_id",
         "request_count",
         "open_requests",
-        "message_started",
+        "message_started_at",
         "last_activity",
         "error_count",
         "reading_ended",
         "closing",
-        "owes_until",
+        "answers_owed_until",
         "client_closed",
         "presence",
         "read_delay",
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        front: RpcConnectionOwner[ClientConnection],
+        front: RpcConnectionOwner[RpcConnection],
         sock: socket.socket,
         address_id: int,
         request_count: int,
@@ -61,14 +61,14 @@
         self.front, self.address_id, self.request_count = front, address_id, request_count
         self.reader = MessageReader()
         self.open_requests: dict[int, OpenRequest] = {}  # by the client's number
-        self.message_started = front.loop.now()  # when the first byte of the incomplete message came
-        self.last_activity = self.message_started  # when bytes last came, were written or were sent
-        self.error_count, self.reading_ended, self.closing, self.owes_until = 0, False, False, 0
+        self.message_started_at = front.loop.now()  # when the first byte of the incomplete message came
+        self.last_activity = self.message_started_at  # when bytes last came, were written or were sent
+        self.error_count, self.reading_ended, self.closing, self.answers_owed_until = 0, False, False, 0
         self.client_closed = False  # the client has closed after the bytes that were read last
         self.presence = ClientPresence(self)
         self.read_delay = 0  # how long what was read last may have lain unread, ns
         self.stream = Stream(front.loop, sock, self.receive, self._on_closed, hangup_first=True)
-        self.stream.on_writable = self._on_taken
+        self.stream.on_writable = self._on_all_sent
 
     # Reading
 
@@ -78,31 +78,31 @@
             return
         now = self.front.loop.now()
         if not self.reader.mid_message:
-            self.message_started = now
+            self.message_started_at = now
         self.last_activity = now
         error: FramingError | None = None
         try:
             bodies = self.reader.feed(data)
         except FramingError as framing_error:
             error, bodies = framing_error, framing_error.bodies
-        if bodies and not self._note_read(now, len(data)):
+        if bodies and not self._note_messages_read(now, len(data)):
             return
-        for body in drop_cancelled(bodies, self.open_requests, self.front.open_request_ids):
+        for body in drop_cancelled_requests(bodies, self.open_requests, self.front.open_request_ids):
             self._handle_message(body)
             if not self.stream.open:
                 return
         if error is not None:
             self.report_error(error)
-        elif self.stream.bytes_unsent >= MAX_UNTAKEN:
+        elif self.stream.bytes_unsent >= MAX_UNSENT_BYTES:
             self.stream.pause()
         self.close_if_finished()
 
-    def _note_read(self, now: int, size: int) -> bool:
+    def _note_messages_read(self, now: int, size: int) -> bool:
         """Notes that complete messages have been read; returns whether their client is still connected.
 
         The client may have closed after them, while they waited to be read: then none of them is begun.
         """
-        self.message_started = now
+        self.message_started_at = now
         self.client_closed = self.stream.hung_up()
         if self.client_closed:
             return False
@@ -151,7 +151,7 @@
     def _write_error(self, error: ProtocolError) -> None:
         self.write(responses.encode_error(error.request_number, error.code, error.text))
 
-    def _on_taken(self) -> None:
+    def _on_all_sent(self) -> None:
         """Called when all that was written has been sent: reads again if unsent answers had stopped it."""
         self.last_activity = self.front.loop.now()
         if not self.stream.reading and not self.reading_ended and not self.closing:
@@ -159,17 +159,17 @@
 
     # The client's presence
 
-    def cancel_request(self, name: RequestName | None) -> None:
+    def cancel_request(self, reference: RequestReference | None) -> None:
         """Ends a request, named by its number or its id, that the client has cancelled."""
         for number, request in self.open_requests.items():
-            if name in (number, request.request_id):
+            if reference in (number, request.request_id):
                 del self.open_requests[number]
-                self.front.client_left(request)
+                self.front.abandon_request(request)
                 return
 
     def owes_answer(self, now: int) -> bool:
         """Whether a request of this connection still needs an answer, as its client may wait."""
-        return now <= self.owes_until
+        return now <= self.answers_owed_until
 
     # Limits
 
@@ -183,7 +183,7 @@
             and now - self.last_activity > PROGRESS_TIMEOUT
             and not self.owes_answer(now)
         ):
-            self.front.unresponsive += 1
+            self.front.unresponsive_clients += 1
             self.abort()
         elif self.reading_ended or self.closing:
             return
@@ -199,7 +199,7 @@
 
     def _message_overdue(self, now: int) -> bool:
         """Whether a message has been incomplete for too long."""
-        return self.reader.mid_message and now - self.message_started > PROGRESS_TIMEOUT
+        return self.reader.mid_message and now - self.message_started_at > PROGRESS_TIMEOUT
 
     def _is_quiet(self, now: int) -> bool:
         """Whether the connection has had no request, incomplete message or unsent answer for a while."""
@@ -248,6 +248,6 @@
         """Called when the socket is closed: ends the client's requests and forgets the connection."""
         abandoned, self.open_requests = self.open_requests, {}
         for request in abandoned.values():
-            self.front.client_left(request)
+            self.front.abandon_request(request)
         if self in self.front.active_connections:
             self.front.unregister(self)
--- a/gaproute/fronts/jsonrpc/connection_owner.py
+++ b/gaproute/fronts/jsonrpc/connection_owner.py
@@ -15,7 +15,7 @@
 class OpenRequest(NamedTuple):
     """A request without its final answer."""
 
-    key: str  # the gateway's id of the request
+    gateway_request_id: str  # the gateway's id of the request
     request_id: str  # the client's id of it
 
 
@@ -25,7 +25,7 @@
     loop: Loop
     connections: AcceptedConnections
     stopping: bool
-    unresponsive: int
+    unresponsive_clients: int
     protocol_errors: int
     on_protocol_error: Callable[[ErrorCode, str], None]
 
@@ -40,7 +40,7 @@
     def handle_message(self, connection: Connection, body: bytes) -> None:
         """Handles a message of a client. Errors: ProtocolError, for the client."""
 
-    def client_left(self, request: OpenRequest) -> None:
+    def abandon_request(self, request: OpenRequest) -> None:
         """Notes that the client of a request does not wait any more."""
 
     def park(self, connection: Connection, due: int) -> None:
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -20,7 +20,7 @@
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
 from gaproute.fronts.jsonrpc import cancellation, responses
-from gaproute.fronts.jsonrpc.connection import ClientConnection
+from gaproute.fronts.jsonrpc.connection import RpcConnection
 from gaproute.fronts.jsonrpc.connection_owner import OpenRequest
 from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
 from gaproute.fronts.jsonrpc.memory_limit import connections_over_limit
@@ -35,20 +35,20 @@
 MAX_OPEN_REQUESTS = 32  # of one connection at a time, by the protocol
 SWEEP_INTERVAL = 100 * MILLI  # between checks for quiet and slow clients: one timer for all of them
 FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection: an unused one is to be closed within 3 s
-LATE_ANSWER_TIME = 500 * MILLI  # after a client's deadline, in which it may still accept an answer
+LATE_ANSWER_TOLERANCE = 500 * MILLI  # after a client's deadline, in which it may still accept an answer
 # Bytes of unsent answers and incomplete messages of all clients together, an eighth of the memory of a usual
 # gateway. Above it the connections that use the most are ended.
-MAX_BUFFERED = 24 << 20
+MAX_BUFFERED_BYTES = 24 << 20
 
 
 class ClassLimit(NamedTuple):
     """What the front needs to know of a request class."""
 
     class_index: int  # in the terms' order
-    deadline: int  # how long a client waits at most, ns
+    time_limit: int  # how long a client waits at most, ns
 
 
-class JsonRpcFront(Acceptor[ClientConnection]):
+class JsonRpcFront(Acceptor[RpcConnection]):
     """One listening address for clients. `core` takes the requests."""
 
     def __init__(
@@ -59,29 +59,29 @@
         class_names: Sequence[str],
         request_classes: Sequence[RequestClass],
         is_ready: Callable[[], bool],
-        return_time: int,
+        answer_transit_time: int,
     ) -> None:
         """Listens at the address. Errors: OSError.
 
         `class_names`: the names of `request_classes`, in the same order; `is_ready()`: whether requests can
-        be served; `return_time`: how long an answer takes to reach its client, ns.
+        be served; `answer_transit_time`: how long an answer takes to reach its client, ns.
         """
         super().__init__(loop, address, counted=True)
-        self.core, self.is_ready, self.return_time = core, is_ready, return_time
+        self.core, self.is_ready, self.answer_transit_time = core, is_ready, answer_transit_time
         self.class_limits = {
             name: ClassLimit(index, request_class.hard_limit)
             for index, (name, request_class) in enumerate(zip(class_names, request_classes, strict=True))
         }
-        self.open_request_ids: dict[str, ClientConnection] = {}  # by the client's id of an open request
-        self.unresponsive = 0  # connections that were ended as their clients received no answers
+        self.open_request_ids: dict[str, RpcConnection] = {}  # by the client's id of an open request
+        self.unresponsive_clients = 0  # connections that were ended as their clients received no answers
         self.on_protocol_error: Callable[[ErrorCode, str], None] = _ignore_error
         self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _first_request_due(self) -> int:
         return self.loop.now() + FIRST_MESSAGE_TIMEOUT
 
-    def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> ClientConnection:
-        return ClientConnection(self, sock, address_id, request_count)
+    def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> RpcConnection:
+        return RpcConnection(self, sock, address_id, request_count)
 
     # Limits
 
@@ -98,47 +98,51 @@
         Connections that are owed no answer are ended first. This guards against thousands of clients that
         send slowly or receive no answers, each within the limits of one connection.
         """
-        for connection in connections_over_limit(self.active_connections, MAX_BUFFERED, self.loop.now()):
-            self.unresponsive += 1
+        for connection in connections_over_limit(
+            self.active_connections, MAX_BUFFERED_BYTES, self.loop.now()
+        ):
+            self.unresponsive_clients += 1
             connection.abort()
 
     # Requests
 
-    def handle_message(self, connection: ClientConnection, body: bytes) -> None:
+    def handle_message(self, connection: RpcConnection, body: bytes) -> None:
         """Handles a message of a client. Errors: ProtocolError, for the client."""
         message = decode_message(body)
         if message.method == cancellation.PING_METHOD:
             if message.number is not None:
                 connection.write(responses.encode_pong(message.number, ready=self.is_ready()))
-        elif message.method == cancellation.METHOD:
-            connection.cancel_request(cancellation.cancelled_request(message.params))
+        elif message.method == cancellation.CANCEL_METHOD:
+            connection.cancel_request(cancellation.decode_cancellation_params(message.params))
         else:
             self.start_request(connection, message)
 
-    def start_request(self, connection: ClientConnection, message: Message) -> None:
+    def start_request(self, connection: RpcConnection, message: Message) -> None:
         """Decodes a request and submits it to the core. Errors: ProtocolError."""
         number = self._check_number(connection, message)
         limit = self.class_limits[message.method]
-        request = decode_request(number, message.method, message.params, limit.deadline)
+        request = decode_request(number, message.method, message.params, limit.time_limit)
         self._check_capacity(connection, request)
         self.open_request_ids[request.request_id] = connection
         arrived_at = self.loop.now() - connection.read_delay
-        time_left = min(request.max_wait, limit.deadline)
+        time_left = min(request.max_wait, limit.time_limit)
         connection.request_count += 1
-        connection.owes_until = max(connection.owes_until, arrived_at + time_left + LATE_ANSWER_TIME)
+        connection.answers_owed_until = max(
+            connection.answers_owed_until, arrived_at + time_left + LATE_ANSWER_TOLERANCE
+        )
         key = self.core.submit(
-            self._call(connection, request),
+            self._build_call(connection, request),
             limit.class_index,
             0,
             request.concurrency,
             request.load_time,
             arrived_at,
-            time_left - self.return_time,
+            time_left - self.answer_transit_time,
             lambda final: self.finish_request(connection, request, final),
         )
         connection.open_requests[number] = OpenRequest(key, request.request_id)
 
-    def _check_number(self, connection: ClientConnection, message: Message) -> int:
+    def _check_number(self, connection: RpcConnection, message: Message) -> int:
         """The number of a request of a known class. Errors: ProtocolError."""
         number = message.number
         if number is None:
@@ -150,7 +154,7 @@
             raise ProtocolError(ErrorCode.INVALID_REQUEST, "a request with this id is open")
         return number
 
-    def _check_capacity(self, connection: ClientConnection, request: Request) -> None:
+    def _check_capacity(self, connection: RpcConnection, request: Request) -> None:
         """Checks that the request can be begun in addition to the open ones. Errors: ProtocolError."""
         if request.request_id in self.open_request_ids:
             raise ProtocolError(ErrorCode.INVALID_PARAMS, "a request with this i is open", request.number)
@@ -160,7 +164,7 @@
         if self.stopping:
             raise ProtocolError(ErrorCode.REJECTED, "the gateway stops", request.number)
 
-    def _call(self, connection: ClientConnection, request: Request) -> Call:
+    def _build_call(self, connection: RpcConnection, request: Request) -> Call:
         """The call for the core; its `client_present` asks the connection whether the client still waits."""
         return Call(
             request.function,
@@ -173,11 +177,11 @@
             client_present=lambda: connection.presence.is_waiting_for(request.number, request.request_id),
         )
 
-    def finish_request(self, connection: ClientConnection, request: Request, final: Final) -> None:
+    def finish_request(self, connection: RpcConnection, request: Request, final: Final) -> None:
         """Sends the final answer of a request, unless the client has cancelled it meanwhile."""
         number = request.number
         open_request = connection.open_requests.get(number)
-        if open_request is None or open_request.key != final.request:
+        if open_request is None or open_request.gateway_request_id != final.request:
             return  # the request was cancelled; a new one may have its number by now
         del connection.open_requests[number], self.open_request_ids[request.request_id]
         if final.answer is not None and final.ending is Ending.DELIVERED:
@@ -189,10 +193,10 @@
             connection.write(responses.encode_error(number, ErrorCode.FAILED, final.reason))
         connection.close_if_finished()
 
-    def client_left(self, request: OpenRequest) -> None:
+    def abandon_request(self, request: OpenRequest) -> None:
         """Notes that the client of a request does not wait any more."""
         self.open_request_ids.pop(request.request_id, None)
-        self.core.client_left(request.key)
+        self.core.client_left(request.gateway_request_id)
 
     # Stop
 
--- a/gaproute/fronts/jsonrpc/memory_limit.py
+++ b/gaproute/fronts/jsonrpc/memory_limit.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Iterator, Reversible
 
-from gaproute.fronts.jsonrpc.connection import ClientConnection
+from gaproute.fronts.jsonrpc.connection import RpcConnection
 
 
 def connections_over_limit(
-    connections: Reversible[ClientConnection], max_bytes: int, now: int
-) -> Iterator[ClientConnection]:
+    connections: Reversible[RpcConnection], max_bytes: int, now: int
+) -> Iterator[RpcConnection]:
     """The connections to end, one after the other, until the others use no more than `max_bytes`.
 
     Connections that are owed no answer at the time `now` (ns) come first, and among these those that use the
--- a/gaproute/fronts/jsonrpc/presence.py
+++ b/gaproute/fronts/jsonrpc/presence.py
@@ -5,20 +5,20 @@
 from collections.abc import Collection
 from typing import Protocol
 
-from gaproute.fronts.jsonrpc.cancellation import RequestName, cancelled_in
+from gaproute.fronts.jsonrpc.cancellation import RequestReference, find_cancelled_requests
 from gaproute.fronts.jsonrpc.framing import MessageReader
 from gaproute.loop import Stream
 from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, READ_SIZE
 
 
 class WatchedConnection(Protocol):
-    """The part of `ClientConnection` that shows whether its client still waits."""
+    """The part of `RpcConnection` that shows whether its client still waits."""
 
     stream: Stream
     reader: MessageReader
     closing: bool
 
-    def cancel_request(self, name: RequestName | None) -> None:
+    def cancel_request(self, reference: RequestReference | None) -> None:
         """Ends a request, named by its number or its id, that the client has cancelled."""
 
 
@@ -34,7 +34,8 @@
     def __init__(self, connection: WatchedConnection) -> None:
         self.connection = connection
         self.checked_at = 0  # when the kernel was last asked, ns
-        self.unread_cancellations: Collection[RequestName] = ()  # requests that unread cancellations name
+        # The requests that unread cancellations name
+        self.unread_cancellations: Collection[RequestReference] = ()
 
     def note_read(self, now: int, size: int) -> None:
         """Notes that `size` bytes have been read and the client had not closed after them."""
@@ -48,7 +49,7 @@
         if connection.closing or not connection.stream.open:
             return False
         now = loop.now()
-        if now - self.checked_at >= HANGUP_CHECK_INTERVAL and not self._check(now):
+        if now - self.checked_at >= HANGUP_CHECK_INTERVAL and not self._check_socket(now):
             loop.soon(connection.stream.read_to_end)
             return False
         if number in self.unread_cancellations or request_id in self.unread_cancellations:
@@ -56,7 +57,7 @@
             return False
         return True
 
-    def _check(self, now: int) -> bool:
+    def _check_socket(self, now: int) -> bool:
         """Asks the kernel whether the client is connected, and reads which cancellations lie unread."""
         connection = self.connection
         pending = connection.stream.pending()
@@ -64,6 +65,8 @@
             return False
         self.checked_at = now
         self.unread_cancellations = (
-            cancelled_in(connection.reader.copy(), connection.stream.peek()) if pending.unread else ()
+            find_cancelled_requests(connection.reader.copy(), connection.stream.peek())
+            if pending.unread
+            else ()
         )
         return True
--- a/gaproute/fronts/jsonrpc/requests.py
+++ b/gaproute/fronts/jsonrpc/requests.py
@@ -12,7 +12,7 @@
 NS_PER_MS = 1_000_000
 
 MAX_ARGUMENT_BYTES = 16 * 1024  # of a request's `arg`, decoded
-MAX_KEY_LENGTH = 256  # characters of an idempotency key; usual keys have 32
+MAX_IDEMPOTENCY_KEY_LENGTH = 256  # characters of an idempotency key; usual keys have 32
 MAX_REQUEST_NUMBER_DIGITS = 18
 # Limits of figures; a greater one is a mistake.
 MAX_MEMORY_MB = 1e9
@@ -23,9 +23,9 @@
 MAX_WAIT_FACTOR = 2
 
 JSONRPC_VERSION = "2.0"
-NO_HINTS: dict[str, float] = {}
+NO_EXTRAS: dict[str, float] = {}
 
-UNDECODABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
 
 _match_id = re.compile("[0-9a-f]{16}").fullmatch
 
@@ -74,14 +74,14 @@
 
 _decode_envelope = msgspec.json.Decoder(Envelope).decode
 _decode_params = msgspec.json.Decoder(Params).decode
-decode_any = msgspec.json.Decoder().decode
+decode_json = msgspec.json.Decoder().decode
 
 
 def decode_message(body: bytes) -> Message:
     """The message in a body. Errors: ProtocolError."""
     try:
         envelope = _decode_envelope(body)
-    except UNDECODABLE as error:
+    except DECODE_ERRORS as error:
         _raise_undecodable(body, error)
     number = _decode_number(bytes(envelope.id))
     if envelope.jsonrpc != JSONRPC_VERSION:
@@ -92,8 +92,8 @@
 def _raise_undecodable(body: bytes, error: Exception) -> NoReturn:
     """Raises the error for bytes that are no JSON, or for JSON that is no request."""
     try:
-        decode_any(body)
-    except UNDECODABLE:
+        decode_json(body)
+    except DECODE_ERRORS:
         raise ProtocolError(ErrorCode.PARSE_ERROR, "the message is no JSON") from None
     raise ProtocolError(ErrorCode.INVALID_REQUEST, f"the message is no request: {error}") from None
 
@@ -115,20 +115,20 @@
         return error.request_number
 
 
-def decode_request(number: int, method: str, params: msgspec.Raw | bytes, class_deadline: int) -> Request:
-    """Decodes and checks a request. `class_deadline`: how long clients of its class wait at most, ns.
+def decode_request(number: int, method: str, params: msgspec.Raw | bytes, class_time_limit: int) -> Request:
+    """Decodes and checks a request. `class_time_limit`: how long clients of its class wait at most, ns.
 
     Errors: ProtocolError.
     """
     try:
         fields = _decode_params(params)
-    except UNDECODABLE as error:
+    except DECODE_ERRORS as error:
         raise ProtocolError(ErrorCode.INVALID_PARAMS, f"params: {error}", number) from None
     _check_identity(fields, number)
-    max_wait = MAX_WAIT_FACTOR * class_deadline
+    max_wait = MAX_WAIT_FACTOR * class_time_limit
     if not 0 < fields.d * NS_PER_MS <= max_wait:  # an int of any size, or a finite float
         raise ProtocolError(ErrorCode.INVALID_PARAMS, f"d is 1 to {max_wait // NS_PER_MS} ms", number)
-    concurrency, load_time = _decode_hints(fields.extras, number)
+    concurrency, load_time = _decode_extras(fields.extras, number)
     return Request(
         number,
         method,
@@ -148,20 +148,20 @@
         raise ProtocolError(ErrorCode.INVALID_PARAMS, "i is 16 hex digits", number)
     if not _match_id(fields.o):
         raise ProtocolError(ErrorCode.INVALID_PARAMS, "o is 16 hex digits", number)
-    if len(fields.k) > MAX_KEY_LENGTH or not fields.k.isprintable():
-        text = f"k is text of at most {MAX_KEY_LENGTH} characters"
+    if len(fields.k) > MAX_IDEMPOTENCY_KEY_LENGTH or not fields.k.isprintable():
+        text = f"k is text of at most {MAX_IDEMPOTENCY_KEY_LENGTH} characters"
         raise ProtocolError(ErrorCode.INVALID_PARAMS, text, number)
 
 
-def _decode_hints(text: str, number: int) -> tuple[int, int | None]:
+def _decode_extras(text: str, number: int) -> tuple[int, int | None]:
     """(Concurrency of one instance, usual time of a load in ns or None) from the `extras` of a request.
 
     Errors: ProtocolError.
     """
-    hints = _parse_hints(text)
-    if hints is None:
+    extras = _parse_extras(text)
+    if extras is None:
         raise ProtocolError(ErrorCode.INVALID_PARAMS, "extras is NAME:FIGURE;NAME:FIGURE", number)
-    concurrency, load_ms, memory = hints.get("lanes", 1), hints.get("load_ms"), hints.get("memory_mb", 1)
+    concurrency, load_ms, memory = extras.get("lanes", 1), extras.get("load_ms"), extras.get("memory_mb", 1)
     if concurrency != int(concurrency) or not 1 <= concurrency <= MAX_CONCURRENCY:
         text = f"lanes is a whole number from 1 to {MAX_CONCURRENCY}"
         raise ProtocolError(ErrorCode.INVALID_PARAMS, text, number)
@@ -172,11 +172,11 @@
     return int(concurrency), None if load_ms is None else int(load_ms * NS_PER_MS)
 
 
-def _parse_hints(text: str) -> dict[str, float] | None:
+def _parse_extras(text: str) -> dict[str, float] | None:
     """The figures of `extras` by name; None where they cannot be decoded."""
     if not text:
-        return NO_HINTS
-    hints = {}
+        return NO_EXTRAS
+    extras = {}
     for pair in text.split(";"):
         name, colon, figure = pair.partition(":")
         try:
@@ -185,8 +185,8 @@
             return None
         if not colon or not math.isfinite(value):
             return None
-        hints[name] = value
-    return hints
+        extras[name] = value
+    return extras
 
 
 def _check_argument(argument: str, number: int) -> bytes:
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -78,7 +78,7 @@
             "parked_connections": front.parked,
             "protocol_errors": front.protocol_errors,
             "rejected_connections": front.rejected_connections,
-            "unresponsive_clients": front.unresponsive,
+            "unresponsive_clients": front.unresponsive_clients,
             "evicted_idle": connections.evicted,
         }
 
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -151,7 +151,7 @@
 
 
 def request_of_a_broken_connection_retained(patch):
-    patch.setattr(JsonRpcFront, "client_left", lambda front, key, mark: None)
+    patch.setattr(JsonRpcFront, "abandon_request", lambda front, key, mark: None)
 
 
 def final_answer_sent_late(patch):
--- a/tests/fronts/test_client_limits.py
+++ b/tests/fronts/test_client_limits.py
@@ -46,21 +46,21 @@
     made.until(lambda: served.answers)
     front = made.process.front
     assert "result" in served.answers[0]
-    assert heaviest < 3 * connections.MAX_UNTAKEN
+    assert heaviest < 3 * connections.MAX_UNSENT_BYTES
     assert front.protocol_errors == connections.MAX_PROTOCOL_ERRORS
     made.passes(
         fronts.FIRST_MESSAGE_TIMEOUT + 100 * MILLI
     )  # who said nothing, and who takes nothing, is gone
     made.passes(fronts.SWEEP_INTERVAL)
     assert all(client.ended for client in silent)
-    assert front.unresponsive == 1
+    assert front.unresponsive_clients == 1
     assert front.connection_count <= 1
     pings.close()
     bad.close()
 
 
 def test_what_all_clients_together_may_hold_is_bounded_and_the_heaviest_goes_first(gate, monkeypatch):
-    monkeypatch.setattr(fronts, "MAX_BUFFERED", 60_000)
+    monkeypatch.setattr(fronts, "MAX_BUFFERED_BYTES", 60_000)
     made = gate(clock=Handed())
     clients = [made.client() for _ in range(3)]
     for client, size in zip(clients, (10_000, 40_000, 20_000), strict=True):
@@ -78,10 +78,10 @@
     made.until(lambda: len(made.process.front.active_connections) == 2)
     first, look = (
         next(iter(made.process.front.active_connections)),
-        connections.ClientConnection.check_progress,
+        connections.RpcConnection.check_progress,
     )
     monkeypatch.setattr(
-        connections.ClientConnection,
+        connections.RpcConnection,
         "check_progress",
         lambda link, now: 1 / 0 if link is first else look(link, now),
     )
--- a/tests/fronts/test_messages.py
+++ b/tests/fronts/test_messages.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.fronts.jsonrpc.cancellation import cancelled_request
+from gaproute.fronts.jsonrpc.cancellation import decode_cancellation_params
 from gaproute.fronts.jsonrpc.errors import ErrorCode, FramingError, ProtocolError
 from gaproute.fronts.jsonrpc.framing import MAX_BODY_BYTES, MAX_HEAD_BYTES, MessageReader, frame
 from gaproute.fronts.jsonrpc.requests import decode_message, decode_request
@@ -125,11 +125,11 @@
 
 
 def test_an_abort_names_a_number_or_a_mark():
-    assert cancelled_request(b'{"id":7}') == 7
-    assert cancelled_request(b'{"i":"ab"}') == "ab"
-    assert cancelled_request(b"[7]") is None
-    assert cancelled_request(b'{"id":true}') is None
-    assert cancelled_request(b"") is None
+    assert decode_cancellation_params(b'{"id":7}') == 7
+    assert decode_cancellation_params(b'{"i":"ab"}') == "ab"
+    assert decode_cancellation_params(b"[7]") is None
+    assert decode_cancellation_params(b'{"id":true}') is None
+    assert decode_cancellation_params(b"") is None
 
 
 def test_a_rejection_says_when_to_retry():
@@ -155,4 +155,4 @@
     for read in (decode_message, lambda data: decode_request(1, "m", data, 10**9)):
         with contextlib.suppress(ProtocolError):
             read(body)
-    cancelled_request(body)
+    decode_cancellation_params(body)
--- a/tests/fronts/test_shutdown.py
+++ b/tests/fronts/test_shutdown.py
@@ -70,7 +70,7 @@
 
 def test_what_only_waits_to_be_taken_gets_no_more_time_than_is_granted(gate, monkeypatch):
     monkeypatch.setattr(
-        connections.ClientConnection, "check_progress", lambda link, now: None
+        connections.RpcConnection, "check_progress", lambda link, now: None
     )  # no deaf client's end before
     made = gate(clock=Handed())
     client = made.client()
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -200,11 +200,11 @@
     made.passes(connections.PROGRESS_TIMEOUT + MILLI)
     made.passes(fronts.SWEEP_INTERVAL)
     assert client.ended
-    assert made.process.front.unresponsive == 1
+    assert made.process.front.unresponsive_clients == 1
 
 
 def test_of_clients_that_hold_too_much_together_those_who_are_owed_nothing_go_first(gate, monkeypatch):
-    monkeypatch.setattr(fronts, "MAX_BUFFERED", 60_000)
+    monkeypatch.setattr(fronts, "MAX_BUFFERED_BYTES", 60_000)
     made, held = holding(gate)
     clients = [made.client() for _ in range(2)]
     clients[0].ask(1)
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -56,7 +56,7 @@
 
 def test_a_request_that_lay_unread_as_its_client_takes_no_answers(gate, monkeypatch):
     """How old the bytes are that come in a pause is not known: they count from its begin."""
-    monkeypatch.setattr(connections, "MAX_UNTAKEN", 10)
+    monkeypatch.setattr(connections, "MAX_UNSENT_BYTES", 10)
     made = gate(clock=Handed())
     client = made.client()
     client.ask(1)
