--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -43,7 +43,7 @@
 # gateway of a large fleet may have a connection to each member.
 LEASE_PEER_LIMITS = Limits(
     max_body_bytes=MAX_BATCH_BYTES,
-    max_pipelined_requests=1,
+    max_pipelined=1,
     max_connections=4096,
     max_buffered_bytes=4 * MAX_BATCH_BYTES,
 )
@@ -250,6 +250,6 @@
     return limits._replace(
         max_head_bytes=clients.head + FORWARDED_HEADER_BYTES,
         max_body_bytes=max(limits.max_body_bytes, clients.body),
-        max_pipelined_requests=max(limits.max_pipelined_requests, clients.pipelined),
+        max_pipelined=max(limits.max_pipelined, clients.pipelined),
         max_connections=max(limits.max_connections, clients.connections),
     )
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -44,7 +44,7 @@
     return Limits(
         max_head_bytes=clients.head,
         max_body_bytes=clients.body,
-        max_pipelined_requests=clients.pipelined,
+        max_pipelined=clients.pipelined,
         read_timeout=clients.read,
         idle_timeout=clients.idle,
         max_connections=clients.connections,
--- a/gaproute/http1/__init__.py
+++ b/gaproute/http1/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 (RFC 9110, 9112): sans-I/O messages on httptools, a server side and a client side on streams."""
+"""HTTP/1.1 (RFC 9110, 9112): a sans-I/O decoder on httptools, and a server and a client on streams."""
 
 from gaproute.http1.client import ClientConnection
 from gaproute.http1.errors import HttpError, NoResponseError
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -1,4 +1,4 @@
-"""A client's connection that carries one exchange after the other, and what its failures prove."""
+"""The client's side of a connection, which carries one exchange after the other."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from gaproute.units import SECOND
 
 NO_CONTENT = 204
-MIN_FINAL_STATUS = 200  # lower ones are of interim responses
+MIN_FINAL_STATUS = 200  # interim responses have a lower status
 
 
 class PendingExchange(Protocol):
-    """The part of `Exchange` that its connection uses."""
+    """The part of `Exchange` that its connection calls."""
 
     def finish(self, response: Response | None, failure: NoResponseError | None) -> None:
         """Ends the exchange with a response or a failure."""
@@ -34,25 +34,25 @@
         "bytes_sent_before",
         "last_used",
         "on_idle_end",
-        "responses",
+        "response_count",
         "keep_alive_timeout",
         "unrequested_response",
     )
 
     def __init__(self, loop: Loop, sock: socket.socket, head_limit: int, body_limit: int) -> None:
-        """`head_limit`, `body_limit`: of a response, bytes."""
+        """`head_limit`, `body_limit`: the greatest size of a response's head and body, bytes."""
         self.loop = loop
         self.reader = ResponseReader(head_limit, body_limit)
         self.stream = Stream(loop, sock, self._receive, self._on_closed)
-        self.exchange: PendingExchange | None = None  # the exchange that waits for its response
-        self.bytes_sent_before = 0  # bytes sent before the request of the exchange
+        self.exchange: PendingExchange | None = None  # the one that waits for its response
+        self.bytes_sent_before = 0  # bytes sent on the connection before the current request
         self.last_used: int = loop.now()
-        # Called when the connection ends while idle
+        # Called when the connection ends while no exchange uses it
         self.on_idle_end: Callable[[ClientConnection], object] | None = None
-        self.responses = 0
-        # For how long the server keeps an idle connection, as its last response said, ns
+        self.response_count = 0
+        # How long the server keeps an idle connection open by its last response, ns
         self.keep_alive_timeout: int | None = None
-        self.unrequested_response = False  # whether a response came without a request
+        self.unrequested_response = False  # whether the server sent a response to no request
 
     @property
     def open(self) -> bool:
@@ -61,40 +61,41 @@
 
     @property
     def any_byte_sent(self) -> bool:
-        """Whether the kernel has taken any byte of the present request."""
+        """Whether the kernel has taken any byte of the current request."""
         return self.stream.bytes_sent > self.bytes_sent_before
 
     def send(self, exchange: PendingExchange, data: bytes) -> None:
-        """Sends the request, if the connection takes any byte of it.
+        """Sends the request `data` of an exchange.
 
-        If it takes none, the exchange fails soon, as one whose request never ran.
+        If the connection takes no byte of it, a later call of the loop fails the exchange; the request never
+        ran.
         """
         self.exchange, self.bytes_sent_before = exchange, self.stream.bytes_sent
         if not self.stream.try_begin(data):
-            self.loop.soon(self._fail, "the connection takes no bytes")
+            self.loop.soon(self._fail, "sending the request failed: the connection takes no bytes")
 
     def _receive(self, data: bytes) -> None:
         try:
             responses = self.reader.feed(data)
         except HttpError as error:
-            self._fail(f"the answer breaks the protocol: {error.text}")
+            self._fail(f"decoding the response failed: {error.text}")
             return
         for response in responses:
             if response.status >= MIN_FINAL_STATUS and not self._take_response(response):
                 return
 
     def _take_response(self, response: Response) -> bool:
-        """Ends the exchange with its response; returns whether the connection can be used again."""
+        """Ends the exchange with its response; returns whether further responses may be taken."""
         if not _declares_body_length(response):
-            self._fail("an answer without a length")
+            self._fail("the response has neither Content-Length nor Transfer-Encoding")
             return False
         exchange, self.exchange = self.exchange, None
         if exchange is None:
             self.unrequested_response = True
-            self._fail("an answer that nobody asked for")
+            self._fail("the server sent a response although no request was open")
             return False
         self.last_used = self.loop.now()
-        self.responses += 1
+        self.response_count += 1
         self.keep_alive_timeout = _keep_alive_timeout(response.headers.get(b"keep-alive"))
         if not response.keep_alive or self.reader.mid_message or self.stream.bytes_unsent:
             self.stream.close()
@@ -102,7 +103,7 @@
         return True
 
     def _on_closed(self, error: OSError | None) -> None:
-        self._fail(f"the connection ended: {error or 'closed by the server'}", error)
+        self._fail(f"the connection ended before the response: {error or 'closed by the server'}", error)
 
     def _fail(self, text: str, error: OSError | None = None) -> None:
         """Closes the connection and ends its exchange with a failure."""
@@ -122,13 +123,13 @@
 
 
 def _declares_body_length(response: Response) -> bool:
-    """Whether the head of the response gave the length of the body."""
+    """Whether the head of a response says where its body ends."""
     headers = response.headers
     return response.status == NO_CONTENT or CONTENT_LENGTH in headers or TRANSFER_ENCODING in headers
 
 
 def _keep_alive_timeout(value: bytes | None) -> int | None:
-    """The timeout of a header such as `Keep-Alive: timeout=5` in ns, or None."""
+    """The timeout in the value of a `Keep-Alive` header, such as `timeout=5`, in ns; None without one."""
     for parameter in (value or b"").split(b","):
         name, _, seconds = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and seconds.strip().isdigit():
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -1,9 +1,9 @@
 """A server's connection that is in use: reads requests, and writes their answers in the same order.
 
-A client that closes its side counts as gone. A server cannot distinguish it from one that has only closed its
-sending side until bytes are written to it, and a request for which nobody waits must end at once. Answers are
-still written then. The handler of a request whose client has closed after it (`client_closed`) answers it
-and begins no attempt.
+A client that closes its side of the connection counts as gone, although it may have closed only its sending
+side: the server cannot tell these apart before it writes to the client, and a request for which nobody waits
+must end at once. Answers are still written. The handler of a request behind which the client has closed
+(`client_closed`) answers it and begins no attempt.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
         self.timer, self.deadline = None, None
         self.idle_deadline = 0
         self.in_quiet_queue = False
-        self.presence_checked_at = 0  # when the client was last known not to have closed, ns
-        self.buffered_bytes = 0  # bytes of an incomplete request
-        self.read_delay = 0  # how long the bytes that are being read may have lain unread, ns
+        self.presence_checked_at = 0  # when the client was last known to be connected, ns
+        self.buffered_bytes = 0  # bytes of the incomplete request
+        self.read_delay = 0  # for how long the bytes that are being decoded may have been unread, ns
         limits = server.limits
         self.reader = RequestReader(self._arrival_time, limits.max_head_bytes, limits.max_body_bytes)
         self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
@@ -61,7 +61,7 @@
         self.stream.on_writable = self._resume_reading
 
     def _arrival_time(self) -> int:
-        """When the bytes that are being read arrived, ns: the time of their requests counts from then on."""
+        """When the bytes that are being decoded arrived, ns; the time limits of their requests begin then."""
         return self.server.loop.now() - self.read_delay
 
     # Reading
@@ -80,7 +80,7 @@
         self._update_buffered_bytes(self.reader.section_bytes if self.reader.mid_message else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
-            if not self.pending_answers:  # otherwise the request has to wait for the answers before its own
+            if not self.pending_answers:  # else the answers to earlier requests go first
                 self.stream.write(CONTINUE)
         if self.stream.open:
             self._set_deadline()
@@ -104,7 +104,7 @@
         if self.closing:
             return
         if request.client_closed and server.loop.read_delay and not server.counted:
-            return  # the client gave up while this process stood still, so the request is dropped
+            return  # the client left while this process did not run: the request is dropped
         self.request_count += 1
         if not request.keep_alive or server.announces_close():
             self.closing = True
@@ -112,7 +112,7 @@
         server.handle(request)
 
     def client_present(self) -> bool:
-        """Whether the client is still connected, by asking the kernel; called when an attempt begins."""
+        """Whether the client is still connected, which the kernel is asked; called before an attempt."""
         if self.client_closed or not self.stream.open:
             return False
         now = self.server.loop.now()
@@ -124,7 +124,7 @@
         return True
 
     def _update_buffered_bytes(self, size: int) -> None:
-        """Updates the account of the memory of incomplete requests; `size`: of this connection's, bytes."""
+        """Updates the server's total of incomplete requests; `size`: bytes of this connection's request."""
         server = self.server
         server.buffered_bytes += size - self.buffered_bytes
         self.buffered_bytes = size
@@ -132,14 +132,14 @@
             server.enforce_memory_limit()
 
     def _is_saturated(self) -> bool:
-        """Whether reading stops: enough requests are open, or the client does not read its answers."""
+        """Whether reading must stop: too many requests are open, or the client receives no answers."""
         return (
-            len(self.pending_answers) >= self.server.limits.max_pipelined_requests
+            len(self.pending_answers) >= self.server.limits.max_pipelined
             or self.stream.bytes_unsent >= WRITE_HIGH_WATER
         )
 
     def _reject(self, error: HttpError) -> None:
-        """Answers an invalid request and closes; complete requests before it are answered first."""
+        """Rejects an invalid request and closes the connection after the answers to earlier requests."""
         self.server.protocol_errors += 1
         self._dispatch_all(self.reader.take_completed())
         headers, body = self.server.render_error(error)
@@ -148,15 +148,16 @@
         self._write_answers()
 
     def reject_incomplete(self) -> None:
-        """Rejects the incomplete request, to free its memory."""
+        """Rejects the incomplete request of this connection to free its memory."""
         self._update_buffered_bytes(0)
         self._reject(HttpError(408, "too much is coming in, and this request takes longest"))
 
     # Writing
 
     def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Writes the answer to a request, in order. Errors: RuntimeError for a second answer to one
-        request.
+        """Writes the answer to a request when it is next in order.
+
+        Errors: RuntimeError for a second answer to a request.
         """
         position = next(
             (index for index, each in enumerate(self.pending_answers) if each.request is request), None
@@ -165,7 +166,7 @@
             return
         pending = self.pending_answers[position]
         if pending.encoded is not None:
-            raise RuntimeError("a second answer to one request")
+            raise RuntimeError("the request has an answer already, and each request has one answer")
         request.on_client_left = None
         is_last = position == len(self.pending_answers) - 1 and (self.closing or self.server.stopping)
         close = is_last or self.client_closed
@@ -175,7 +176,7 @@
         self._write_answers()
 
     def _write_answers(self) -> None:
-        """Writes the answers that are next in order; closes after the last if the connection is to close."""
+        """Writes the answers that are next in order; closes after the last if the connection must close."""
         wrote = False
         while self.pending_answers and (data := self.pending_answers[0].encoded) is not None:
             wrote = True
@@ -187,15 +188,15 @@
             self._resume_reading()
 
     def _resume_reading(self) -> None:
-        """Reads on after the client has received answers, unless reading must still stop."""
+        """Resumes reading after answers were sent, unless reading must still stop."""
         if not self.stream.reading and not self._is_saturated() and not self.client_closed:
             self.stream.resume()
         self._set_deadline()
 
-    # The end
+    # Closing
 
     def park(self) -> None:
-        """Parks the connection, or closes it if its idle time is over; answers an unread request before."""
+        """Parks the connection or, if its idle time is over, closes it unless a request is unread."""
         server = self.server
         if server.loop.now() < self.idle_deadline and self.stream.open and not server.stopping:
             self._clear_deadline()
@@ -206,10 +207,10 @@
             self.close_gracefully()
 
     def stop(self) -> None:
-        """Closes a quiet connection; one with an unread or incomplete request is closed after its answer.
+        """Closes a quiet connection; one with an unread or incomplete request closes after its answer.
 
-        After a stop with grace, a quiet one is closed only when it would be parked, so that the next request
-        of a busy client is still answered.
+        After a stop with grace, a quiet connection is closed only when it would be parked, so that the next
+        request of a busy client is still answered.
         """
         if self.reader.mid_message:
             self._set_deadline()
@@ -221,7 +222,7 @@
             self.close_gracefully()
 
     def _on_client_closed(self) -> None:
-        """Abandons the requests of a client that has closed its side; answers owed to it are still sent."""
+        """Abandons the requests of a client that has closed its side; answers to it are still sent."""
         self._abandon_requests()
         if not self.pending_answers:
             self.close_gracefully()
@@ -231,7 +232,7 @@
         self.unregister()
 
     def _abandon_requests(self) -> None:
-        """Notifies the handlers of open requests that nobody waits for their answers."""
+        """Notifies the handlers of open requests that the client has left."""
         self.client_closed = True
         self._clear_deadline()
         for pending in list(self.pending_answers):
@@ -241,15 +242,15 @@
                 on_client_left()
 
     def close_gracefully(self) -> None:
-        """Closes after all that was written is sent; the connection counts until its descriptor is free."""
+        """Closes once all written bytes are sent; the connection is counted until its descriptor is free."""
         self._clear_deadline()
         self.closing = True
         self.stream.close(lambda error: self.unregister())
 
     def close_at_once(self) -> None:
-        """Ends the connection without waiting for answers that are still owed."""
+        """Ends the connection without waiting for the answers that are still owed."""
         if self.stream.closing:
-            self.stream.finish_close()  # all bytes were given to the kernel
+            self.stream.finish_close()  # the kernel has all written bytes
             self.unregister()
         else:
             self.abort()
@@ -260,7 +261,7 @@
         self.unregister()
 
     def unregister(self) -> None:
-        """Cancels the timer and removes the connection, whose socket is closed, from the server."""
+        """Removes the connection, whose socket is closed, from the server."""
         self._clear_deadline()
         if self in self.server.active_connections:
             self._update_buffered_bytes(0)
--- a/gaproute/http1/connection_owner.py
+++ b/gaproute/http1/connection_owner.py
@@ -1,4 +1,4 @@
-"""The interface of a server for its connections."""
+"""The interface by which connections use their server."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 class ServerConnectionOwner(DeadlineOwner, Protocol[Connection]):
     """The part of `Server` that its connections use.
 
-    `handle`: called with each complete request; `render_error`: makes the answer for an error. `counted`:
-    whether its connections count as those of clients. `buffered_bytes`: of all incomplete requests;
-    `protocol_errors`: of all connections.
+    `handle`: called with each complete request; `render_error`: makes the answer to an invalid message.
+    `counted`: whether the connections count as connections of clients. `buffered_bytes`: bytes of the
+    incomplete requests of all connections; `protocol_errors`: number of errors on all connections.
     """
 
     counted: bool
@@ -36,10 +36,10 @@
         """Whether answers announce that the connection closes."""
 
     def enforce_memory_limit(self) -> None:
-        """Ends an incomplete request if all together use too much memory."""
+        """Ends an incomplete request if all incomplete requests together use too much memory."""
 
     def park(self, connection: Connection, due: int) -> None:
-        """Parks a quiet connection, which is closed at `due` (ns) if it sends nothing until then."""
+        """Parks a quiet connection, which is closed at `due` (ns) if the client sends nothing until then."""
 
     def unregister(self, connection: Connection) -> None:
-        """Forgets a connection in use that was closed."""
+        """Removes a closed connection from the connections in use."""
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline of a connection in use: for a request to arrive, for its client to read, or for parking."""
+"""The deadline of a connection in use: to receive a request, to send answers, or to be parked."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 from gaproute.loop.timers import Timer
 from gaproute.units import SECOND
 
-QUIET_TIME = SECOND  # after its last answer until a connection is parked
-SWEEP_INTERVAL = SECOND // 4  # between checks for quiet connections: one timer for all of them
+QUIET_TIME = SECOND  # without a request, after which a connection is parked
+SWEEP_INTERVAL = SECOND // 4  # between checks for quiet connections, by one timer for all of them
 
 
 class DeadlineOwner(Protocol):
-    """The part of `Server` that the deadlines of its connections need."""
+    """The part of `Server` that the deadlines of its connections use."""
 
     loop: Loop
     limits: Limits
-    # After a stop with grace: when the last request must be complete, ns
+    # After a stop with grace: until when requests may arrive, ns
     request_arrival_deadline: int | None
 
     def idle_deadline(self, now: int) -> int:
         """When a connection that is idle from `now` on is closed, ns."""
 
     def enqueue_quiet(self, connection: DeadlineConnection, due: int) -> None:
-        """Queues a quiet connection for parking."""
+        """Queues a quiet connection, to be parked at `due` (ns)."""
 
 
 class DeadlineConnection:
-    """The base of a server's connection: its one timer, and what happens when the timer fires.
+    """The base class of a server's connection, with its one timer and what the timer does.
 
-    A subclass sets all fields, and implements `park`, `_reject` and `_on_closed`.
+    A subclass sets all fields and implements `park`, `_reject` and `_on_closed`.
     """
 
     __slots__ = (
@@ -52,13 +52,13 @@
     server: DeadlineOwner
     stream: Stream
     reader: RequestReader
-    pending_answers: list[PendingAnswer]  # in the order of the requests
-    # Whether no further request is taken and the connection closes after the answers that are owed
+    pending_answers: list[PendingAnswer]  # one for each open request, in the order of the requests
+    # Whether no further request is taken and the connection closes after the answers to open requests
     closing: bool
     timer: Timer | None
-    deadline: int | None  # of the timer, or of the queue of quiet connections; ns of the loop's clock
-    idle_deadline: int  # when the connection is closed if no further request comes
-    # Whether the server's queue has the connection, to park it at its deadline if it is still quiet then
+    deadline: int | None  # when the timer acts, or the queue of quiet connections; ns
+    idle_deadline: int  # when the connection closes if no further request comes, ns
+    # Whether the server's queue of quiet connections has this one, to park it at its deadline
     in_quiet_queue: bool
 
     def park(self) -> None:
@@ -72,10 +72,10 @@
         raise NotImplementedError
 
     def _set_deadline(self) -> None:
-        """Sets the deadline for an incomplete request, for the client to read, or for parking.
+        """Sets the deadline: to receive the rest of a request, to send answers, or to be parked.
 
-        There is none while an answer is owed. The timer is moved only when it fires, as most deadlines move
-        before that.
+        While an answer is not ready yet there is no deadline. A later deadline moves the timer only when the
+        timer fires, as most deadlines change before they pass.
         """
         server = self.server
         read_time = server.limits.read_timeout
@@ -95,9 +95,9 @@
             self._start_timer(self.deadline)
 
     def _schedule_parking(self) -> bool:
-        """Arranges for a quiet connection to be parked.
+        """Sets when a quiet connection is parked.
 
-        Returns whether the server's queue of quiet connections sees to that, so that no timer is needed.
+        Returns whether the server's queue of quiet connections parks it, so that it needs no timer.
         """
         server = self.server
         now = server.loop.now()
@@ -132,12 +132,12 @@
         elif self._read_overdue_rest():
             return
         elif self.pending_answers:
-            self.closing = True  # answers that are owed are sent first
+            self.closing = True  # the connection closes after the answers to earlier requests
         else:
             self._reject(HttpError(408, "the request did not come in whole in time"))
 
     def _read_overdue_rest(self) -> bool:
-        """Reads now; returns whether the rest of the overdue request had already arrived."""
+        """Reads what has arrived; returns whether this ends the wait for the rest of an overdue request."""
         self.stream.read_now()
         return not self.stream.open or not self.reader.mid_message
 
--- a/gaproute/http1/errors.py
+++ b/gaproute/http1/errors.py
@@ -1,10 +1,10 @@
-"""Errors of an exchange: an invalid message, or no response."""
+"""Errors of HTTP exchanges: an invalid message, or no response."""
 
 from gaproute.errors import GaprouteError
 
 
 class HttpError(GaprouteError):
-    """A message breaks the protocol or a limit; `status` and `text` are those of the answer."""
+    """A message breaks the protocol or a limit; `status` and `text` are those of the answer to it."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -12,11 +12,12 @@
 
 
 class NoResponseError(GaprouteError):
-    """No complete response came.
+    """An exchange ended without a complete response.
 
-    `any_byte_sent`: whether the kernel took any byte of the request; if not, it never ran. `connected`:
-    whether there was a connection. `error`: how dialing or the connection ended, if with an error. `expired`:
-    the request was not allowed to begin any more, which is no fault of the server.
+    `any_byte_sent`: whether the kernel took any byte of the request; if not, the request never ran.
+    `connected`: whether there was a connection. `error`: the error by which connecting or the connection
+    ended, if any. `expired`: whether the request was not sent because it was too late or its client had left,
+    which is no fault of the server.
     """
 
     def __init__(
@@ -38,5 +39,5 @@
 
     @property
     def reset(self) -> bool:
-        """Whether the connection was reset, as by a server that closes it while bytes lie unread."""
+        """Whether the connection was reset, as when a server closes it with unread bytes."""
         return isinstance(self.error, (ConnectionResetError, BrokenPipeError))
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and its response, on an open connection or on a new one."""
+"""One request and its response, on an open connection or on a new one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 
 class Exchange:
-    """One request. `on_done(response, failure)`, one of which is None, is called once and never at once."""
+    """One request and its response.
+
+    `on_done(response, failure)`, of which one is None, is called once, after the call that starts the
+    exchange has returned.
+    """
 
     __slots__ = (
         "loop",
@@ -39,14 +43,14 @@
         start_deadline: int | None = None,
         still_wanted: Callable[[], bool] | None = None,
     ) -> None:
-        """`request`: its bytes, or a function of the time `now` (ns) that makes them when they are sent.
+        """`request`: the bytes to send, or a function of the time `now` (ns) that makes them at sending.
 
-        `start_deadline`: when the request may begin at the latest, ns; `still_wanted()`: whether it may still
-        begin. If it may not, the exchange fails as `expired`.
+        `start_deadline`: the latest time to send the request on a new connection, ns; `still_wanted()`:
+        whether its client still waits. Otherwise the exchange fails as `expired`.
         """
         self.loop, self.request, self.on_done = loop, request, on_done
         self.start_deadline, self.still_wanted = start_deadline, still_wanted
-        self.connection: ClientConnection | None = None  # set once the request has begun
+        self.connection: ClientConnection | None = None  # set when the request is sent
         self.started_at: int = loop.now()
         self.finished = False
         self._cancel_connect: Callable[[], object] | None = None  # set while a connection is being opened
@@ -66,8 +70,9 @@
         body_limit: int,
         on_connection: OnConnection | None = None,
     ) -> Exchange:
-        """Opens a connection, calls `on_connection(connection)`, and sends; limits as of
-        `ClientConnection`.
+        """Opens a connection, calls `on_connection(connection)` and sends the request.
+
+        `head_limit`, `body_limit`: as of `ClientConnection`.
         """
         connected = partial(self._connected, head_limit, body_limit, on_connection)
         self._cancel_connect = connect(self.loop, address, timeout, connected)
@@ -83,11 +88,11 @@
     ) -> None:
         self._cancel_connect = None
         if error is not None:
-            self._fail_unsent(f"no connection: {error}", error)
+            self._fail_unsent(f"connecting to the server failed: {error}", error)
             return
         if self.expired:
             sock.close()
-            self._fail_unsent("the connection came up too late", expired=True)
+            self._fail_unsent("the connection was opened too late for the request to be sent", expired=True)
             return
         connection = ClientConnection(self.loop, sock, head_limit, body_limit)
         if on_connection is not None:
@@ -96,7 +101,7 @@
 
     @property
     def expired(self) -> bool:
-        """Whether the request is not allowed to begin any more."""
+        """Whether the request must not be sent any more."""
         if self.start_deadline is not None and self.loop.now() >= self.start_deadline:
             return True
         return self.still_wanted is not None and not self.still_wanted()
@@ -108,16 +113,16 @@
 
     @property
     def all_bytes_sent(self) -> bool:
-        """Whether the kernel has taken all of the request."""
+        """Whether the kernel has taken all bytes of the request."""
         return self.connection is not None and not self.connection.stream.bytes_unsent
 
-    # Ends
+    # The end of the exchange
 
     def finish(self, response: Response | None, failure: NoResponseError | None) -> None:
         """Ends the exchange with a response or a failure; does nothing if it has ended already."""
         if not self.finished:
             self.finished = True
-            # The closure often refers to this exchange, so it is dropped to break the reference cycle
+            # `on_done` often refers to this exchange: dropping it breaks the reference cycle
             on_done, self.on_done = self.on_done, _ignore_result
             on_done(response, failure)
 
@@ -126,7 +131,7 @@
         self.finish(None, failure)
 
     def fail_if_unsent(self, text: str) -> None:
-        """Fails the exchange if it still waits for its connection; its request never ran."""
+        """Fails the exchange if its connection is still being opened; the request never ran."""
         if self._stop_connecting():
             self.loop.soon(self._fail_unsent, text)
 
@@ -141,7 +146,7 @@
         return any_byte_sent
 
     def _stop_connecting(self) -> bool:
-        """Stops opening a connection; returns whether one was being opened."""
+        """Stops connecting to the server; returns whether that was under way."""
         if self._cancel_connect is None:
             return False
         self._cancel_connect()
@@ -150,4 +155,4 @@
 
 
 def _ignore_result(response: Response | None, failure: NoResponseError | None) -> None:
-    """Replaces `on_done` after the end."""
+    """Replaces `on_done` once the exchange has ended."""
--- a/gaproute/http1/limits.py
+++ b/gaproute/http1/limits.py
@@ -1,4 +1,4 @@
-"""The limits on what one client, and all clients together, may use of an HTTP/1.1 server."""
+"""Limits on what one client, or all clients together, may use of an HTTP/1.1 server."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,16 @@
 
 
 class Limits(NamedTuple):
-    """Limits in bytes, ns and numbers; they are for one client unless the comment says otherwise."""
+    """Limits for one connection, unless a comment says otherwise. Times are in ns."""
 
     max_head_bytes: int = 32768
     max_body_bytes: int = 16 << 20
-    max_pipelined_requests: int = 16  # open requests of one connection; further ones are not read yet
-    read_timeout: int = 20 * SECOND  # for one request to arrive completely, or for answers to be received
-    idle_timeout: int = 75 * SECOND  # between requests
+    max_pipelined: int = 16  # open requests; further ones are not read until one is answered
+    read_timeout: int = 20 * SECOND  # to receive a complete request, or for the client to receive answers
+    idle_timeout: int = 75 * SECOND  # without a request, after which the connection is closed
     max_connections: int = 10_000  # of all clients
-    idle_jitter: float = 0.0  # share of the idle time that is added at random
-    max_buffered_bytes: int = 256 << 20  # bytes of incomplete requests of all clients together
+    idle_jitter: float = 0.0  # greatest random addition to the idle time, as a share of it
+    max_buffered_bytes: int = 256 << 20  # of incomplete requests of all clients together
 
 
 LIMITS = Limits()
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -1,6 +1,6 @@
-"""Decodes bytes to messages; does no I/O. The parser is httptools (llhttp, strict mode).
+"""Decodes HTTP/1.1 messages; does no I/O. The parser is httptools (llhttp in strict mode).
 
-httptools was chosen over h11 by `benchmarks/parsers.py`: it needs 6 us for a typical request, h11 about 100.
+By `benchmarks/parsers.py`, httptools needs 6 us for a typical request and h11 about 100 us.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from gaproute.http1.errors import HttpError
 from gaproute.http1.message import Request, Response
 
-MAX_TARGET_BYTES = 8192  # longer ones cannot name a model
-HEADER_OVERHEAD_BYTES = 4  # bytes of a header line beside its name and its value
+MAX_TARGET_BYTES = 8192  # no path of a model is longer
+HEADER_OVERHEAD_BYTES = 4  # of a header line in addition to its name and value
 
 CONTENT_LENGTH, TRANSFER_ENCODING = b"content-length", b"transfer-encoding"
 
@@ -23,39 +23,39 @@
 
 
 class MessageReader(Generic[MessageType]):
-    """Reads the messages of one connection within limits of head and body, in bytes.
+    """Decodes the messages of one connection; the head and body limits are in bytes.
 
-    The methods whose names begin with `on_` are called by the parser.
+    The parser calls the methods whose names begin with `on_`.
     """
 
-    UNSUPPORTED_CODING_STATUS: int  # status for a transfer coding other than chunked
+    UNSUPPORTED_CODING_STATUS: int  # of the error for a transfer coding other than chunked
 
     def __init__(self, parser: Parser, head_limit: int, body_limit: int) -> None:
         self.parser: Parser = parser
         self.head_limit, self.body_limit = head_limit, body_limit
-        self.message: MessageType | None = None  # the one being read
-        self.headers: dict[bytes, bytes] = {}  # of `message`
+        self.message: MessageType | None = None  # the message that is being decoded
+        self.headers: dict[bytes, bytes] = {}  # of `message`, by lower-case name
         self.in_head = False
-        self.head_bytes = 0  # bytes received while a head was incomplete
-        self.section_bytes = 0  # bytes of the head's fields, then of the body
-        self.length_field_count = 0  # fields of the head that give the length of the body
-        self.body_parts: list[bytes] = []  # of the body
+        self.head_bytes = 0  # received since the head began, possibly with bytes behind it
+        self.section_bytes = 0  # size of the fields decoded so far; of the body once the head is complete
+        self.length_field_count = 0  # number of Content-Length fields in the head
+        self.body_parts: list[bytes] = []  # of the current message
         self.completed: list[MessageType] = []
-        # Whether the head of a request asks for a response 100 before its body is sent
+        # Whether the client waits for a response 100 before it sends the body
         self.wants_continue = False
-        # Set in a callback, as the parser replaces errors that are raised there
+        # The error raised in a callback: the parser replaces errors that callbacks raise
         self.error: HttpError | None = None
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has arrived in part."""
+        """Whether only a part of a message has arrived."""
         return self.message is not None
 
     def feed(self, data: bytes) -> list[MessageType]:
-        """The messages that these bytes complete.
+        """Decodes received bytes; returns the messages that they complete.
 
-        Errors: HttpError, after which no further bytes may be fed; complete messages before it are in
-        `completed`.
+        Errors: HttpError, after which nothing may be fed any more; `completed` holds the messages that were
+        complete before it.
         """
         if self.in_head or self.message is None:
             self.head_bytes += len(data)
@@ -73,7 +73,7 @@
         return completed
 
     def take_completed(self) -> list[MessageType]:
-        """The messages that were complete before an error."""
+        """Removes and returns the messages that were complete before an error."""
         completed, self.completed = self.completed, []
         return completed
 
@@ -87,7 +87,7 @@
         self.wants_continue = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called for a field of the head or of the trailer."""
+        """Called for a field of the head or of the trailer section."""
         name = name.lower()
         self.section_bytes += len(name) + len(value) + HEADER_OVERHEAD_BYTES
         if self.section_bytes > self.head_limit:
@@ -130,7 +130,7 @@
 
 
 class RequestReader(MessageReader[Request]):
-    """Reads requests. `arrival_time()`: when the bytes that are being read arrived, ns."""
+    """Decodes requests. `arrival_time()`: when the bytes that are being decoded arrived, ns."""
 
     UNSUPPORTED_CODING_STATUS = 501
     parser: httptools.HttpRequestParser
@@ -152,7 +152,7 @@
             self._fail(414, f"the target is over {MAX_TARGET_BYTES} bytes")
 
     def on_headers_complete(self) -> None:
-        """Called when the head is complete; checks what a request must and must not have."""
+        """Called when the head is complete; checks its fields against the rules for requests."""
         super().on_headers_complete()
         request = self.message
         assert request is not None
@@ -166,7 +166,7 @@
 
 
 class ResponseReader(MessageReader[Response]):
-    """Reads responses."""
+    """Decodes responses."""
 
     UNSUPPORTED_CODING_STATUS = 502
     parser: httptools.HttpResponseParser
--- a/gaproute/http1/rendering.py
+++ b/gaproute/http1/rendering.py
@@ -7,7 +7,7 @@
 
 
 class ErrorAnswer(NamedTuple):
-    """The headers and the body of the answer for an error."""
+    """The headers and the body of the answer to an invalid message or a rejected connection."""
 
     headers: tuple[Header, ...]
     body: bytes
@@ -36,7 +36,7 @@
 
 
 def render(status: int, headers: Iterable[Header], body: bytes, *, close: bool) -> bytes:
-    """Encodes a response; `close`: whether it announces that the connection closes."""
+    """Encodes a response; `close`: whether it says that the connection closes."""
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, DEFAULT_REASON_PHRASE).encode())]
     lines += [b"%s: %s\r\n" % header for header in headers]
     lines.append(b"Content-Length: %d\r\n%s\r\n" % (len(body), b"Connection: close\r\n" if close else b""))
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server: listens, resumes and parks connections, and hands complete requests to a handler."""
+"""An HTTP/1.1 server: accepts, parks and resumes connections, and passes requests to a handler."""
 
 from __future__ import annotations
 
@@ -22,20 +22,21 @@
 
 
 class QuietConnection(NamedTuple):
-    """A connection that is parked at `due` if that is still its deadline."""
+    """A connection to park at `due` (ns) if that is its deadline then."""
 
     due: int
     connection: DeadlineConnection
 
 
 def render_plain_error(error: HttpError) -> ErrorAnswer:
-    """The answer for an error as a line of text."""
+    """The answer to an error: its text as one line."""
     return ErrorAnswer((), error.text.encode() + b"\n")
 
 
 class Server(Acceptor[ServerConnection]):
-    """Listens on one address. `handle(request)` is called for each complete request and answers it once by
-    `answer`.
+    """An HTTP/1.1 server on one address.
+
+    `handle(request)` is called with each complete request, which it answers once by `answer`.
     """
 
     def __init__(
@@ -51,15 +52,15 @@
     ) -> None:
         """Listens at the address. Errors: OSError.
 
-        `render_error(error)`: the answer to a client that breaks the protocol or a limit; `counted` and
-        `inherited` as of `Acceptor`.
+        `render_error(error)`: makes the answer to a client that breaks the protocol or a limit; `counted`,
+        `inherited`: as of `Acceptor`.
         """
         super().__init__(loop, address, counted=counted, inherited=inherited)
         self.handle, self.limits, self.render_error = handle, limits, render_error
-        self.buffered_bytes = 0  # bytes of incomplete requests of all connections
+        self.buffered_bytes = 0  # of the incomplete requests of all connections
         self.quiet_connections: deque[QuietConnection] = deque()
         self.sweep_timer: Timer | None = None
-        # After a stop with grace: when the last request must be complete, ns
+        # After a stop with grace: until when requests may arrive, ns
         self.request_arrival_deadline: int | None = None
 
     # Accepting
@@ -74,12 +75,13 @@
         return ServerConnection(self, sock, address_id, request_count)
 
     def _reject(self, sock: socket.socket) -> None:
-        """Answers the request of a connection for which there is no capacity, and closes the connection.
+        """Rejects a connection for lack of capacity by an answer, and closes it.
 
-        Unread bytes are read first: closing a socket with unread bytes resets it, which can lose the answer.
+        Received bytes are read before: closing a socket with unread bytes resets the connection, and the
+        client may lose the answer.
         """
         answer = self.render_error(HttpError(503, "there is no room for one more connection"))
-        with contextlib.suppress(OSError):  # there is nothing to read, or the client has left
+        with contextlib.suppress(OSError):  # nothing has been received, or the client has left
             sock.send(render(503, answer.headers, answer.body, close=True))
             sock.shutdown(socket.SHUT_WR)
             sock.recv(READ_SIZE)
@@ -92,19 +94,19 @@
         )
 
     def announces_close(self) -> bool:
-        """Whether answers announce that the connection closes, as there are too many connections."""
+        """Whether answers say that the connection closes, as there are nearly too many connections."""
         return self.counted and self.connections.admission.announces_close(self.connections.client_count)
 
     # Limits
 
     def enqueue_quiet(self, connection: DeadlineConnection, due: int) -> None:
-        """Queues a quiet connection for parking."""
+        """Queues a quiet connection, to be parked at `due` (ns)."""
         self.quiet_connections.append(QuietConnection(due, connection))
         if self.sweep_timer is None:
             self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
-        """Parks the connections that have been quiet since they were queued."""
+        """Parks the queued connections that are due and have been quiet since they were queued."""
         now = self.loop.now()
         while self.quiet_connections and self.quiet_connections[0].due <= now:
             due, connection = self.quiet_connections.popleft()
@@ -113,9 +115,10 @@
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep) if self.quiet_connections else None
 
     def enforce_memory_limit(self) -> None:
-        """Ends the incomplete request that has been arriving longest, if all together use too much memory.
+        """Rejects the oldest incomplete request; called when all of them use too much memory.
 
-        This guards against thousands of clients that send slowly; an honest slow client may be ended early.
+        This guards against thousands of clients that send slowly. It may reject the request of a legitimate
+        slow client.
         """
         slowest, arrived_at = None, 0
         for connection in self.active_connections:
@@ -130,18 +133,17 @@
     # Answers
 
     def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Answers a request, once; the answer is dropped if the client has left."""
+        """Answers a request; the answer is dropped if the client has left. Each request has one answer."""
         request.connection.answer(request, status, headers, body)
 
-    # Stop
+    # Stopping
 
     def stop(self, grace: int | None = None) -> None:
-        """Stops accepting; open connections close after the answers that are owed.
+        """Stops accepting connections; open ones close after the answers that are owed.
 
-        Requests that were sent already are answered before their connection closes. `grace` (ns): for that
-        long, a connection that has brought no request yet may bring one, as no other process can take it
-        over, and a request may arrive completely. A connection with a recent answer stays until it has been
-        quiet for a while.
+        Requests that were sent already are answered first. `grace` (ns): how long a first request on a new
+        connection and the rest of an incomplete request may still arrive, as no other process can take these
+        connections over. A connection with a recent answer stays open until it is quiet.
         """
         if self.stopping:
             return
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -23,7 +23,7 @@
 PROTOBUF = (b"Content-Type", b"application/x-protobuf")
 RETRY_AFTER_HEADER = b"Gaproute-Retry-After-Ms"
 # Connections for observations: after a restart of all gateways, hundreds ask at the same time.
-LIMITS = Limits(max_body_bytes=4096, max_pipelined_requests=1, max_connections=1024)
+LIMITS = Limits(max_body_bytes=4096, max_pipelined=1, max_connections=1024)
 
 Route = Callable[[Server, Request], None]  # answers the request at the server
 
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -113,7 +113,7 @@
         """Listens at an address of its own, which is returned as text. Errors: OSError."""
         limits = Limits(
             max_body_bytes=wire.MAX_BATCH_BYTES,
-            max_pipelined_requests=1,
+            max_pipelined=1,
             max_connections=MAX_CONNECTIONS,
             max_buffered_bytes=4 * wire.MAX_BATCH_BYTES,
         )
--- a/gaproute/standins/kserve/host.py
+++ b/gaproute/standins/kserve/host.py
@@ -40,7 +40,7 @@
     def __init__(self, loop: Loop, where: Address, setup: HostSetup, tap: EventRecorder) -> None:
         self.loop, self.profile, self.models, self.tap = loop, setup.profile, setup.models, tap
         self.model_server = ModelServer(loop, setup, StoreClient(loop, setup.store).fetch, tap)
-        limits = Limits(max_pipelined_requests=MAX_PIPELINED, idle_timeout=setup.profile.idle_close)
+        limits = Limits(max_pipelined=MAX_PIPELINED, idle_timeout=setup.profile.idle_close)
         self.server = Server(loop, where, self._handle, limits)
         self.address = self.server.address
         self.model_server.on_overload = self.server.close
--- a/gaproute/standins/model_store.py
+++ b/gaproute/standins/model_store.py
@@ -37,7 +37,7 @@
         self._fetches: dict[Request, float] = {}  # the share of each that is still to be served
         self._advanced_at = loop.now()
         self._timer: Timer | None = None
-        self.server = Server(loop, where, self._handle, Limits(max_pipelined_requests=1))
+        self.server = Server(loop, where, self._handle, Limits(max_pipelined=1))
         self.address = self.server.address
 
     def command(self, command: JsonObject) -> None:
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -75,7 +75,7 @@
 def served():
     """A server that reads no more than two requests of a connection, with a clock of the test's own."""
     loop, held = Loop(), []
-    server = Server(loop, address("127.0.0.1:0"), held.append, Limits(max_pipelined_requests=2))
+    server = Server(loop, address("127.0.0.1:0"), held.append, Limits(max_pipelined=2))
     client = socket.create_connection(address(server.address)[1])
     yield loop, server, held, client
     client.close()
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -95,7 +95,7 @@
         loop,
         address("127.0.0.1:0"),
         held.append,
-        Limits(read_timeout=SECOND // 20, idle_timeout=SECOND // 10, max_pipelined_requests=2),
+        Limits(read_timeout=SECOND // 20, idle_timeout=SECOND // 10, max_pipelined=2),
     )
     family, where = address(server.address)
     client = socket.create_connection(where)
