--- a/gaproute/fronts/__init__.py
+++ b/gaproute/fronts/__init__.py
@@ -1,2 +1,4 @@
-"""What clients speak to: one package for each protocol. Bytes become calls and finals become bytes; no
-choices."""
+"""The fronts that serve clients, one package for each protocol.
+
+A front decodes requests to calls and encodes final answers; it makes no decisions.
+"""
--- a/gaproute/fronts/jsonrpc/__init__.py
+++ b/gaproute/fronts/jsonrpc/__init__.py
@@ -1,1 +1,1 @@
-"""The server for clients that call by JSON-RPC 2.0 over TCP; a header before each message has its length."""
+"""The front for JSON-RPC 2.0 over TCP, where a header with its length goes before each message."""
--- a/gaproute/fronts/jsonrpc/cancellation.py
+++ b/gaproute/fronts/jsonrpc/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellations: the notification `abort`, which names a request by its number or by the client's id."""
+"""Cancellations: the notification `abort`, which refers to a request by its number or by the client's id."""
 
 from collections.abc import Container
 from typing import NamedTuple
@@ -10,22 +10,22 @@
 from gaproute.fronts.jsonrpc.requests import DECODE_ERRORS, decode_json, decode_message
 
 CANCEL_METHOD = "abort"
-# A body without these bytes is no cancellation and need not be decoded to find one
+# Only a body with these bytes can be a cancellation and needs decoding
 CANCEL_METHOD_BYTES = CANCEL_METHOD.encode()
 PING_METHOD = "ping"
 
-RequestReference = int | str  # the number of a request, or the client's id of it
+RequestReference = int | str  # a request's number, or the client's id of the request
 
 
 class _PendingMessage(NamedTuple):
-    """A message that has not been cancelled so far, and the names by which a cancellation may refer to it."""
+    """A message that is not cancelled so far, and how a later cancellation may refer to it."""
 
     body: bytes
     references: tuple[RequestReference | None, ...]
 
 
 def decode_cancellation_params(params: msgspec.Raw | bytes) -> RequestReference | None:
-    """The request that the parameters of a cancellation name; None where they name none."""
+    """Decodes the parameters of a cancellation to the request they refer to; None if they are invalid."""
     try:
         fields = decode_json(params)
     except DECODE_ERRORS:
@@ -37,7 +37,7 @@
 
 
 def find_cancelled_requests(reader: MessageReader, data: bytes) -> list[RequestReference]:
-    """The requests that the cancellations in these bytes name. `reader`: a copy, which is changed."""
+    """The requests that cancellations in these bytes refer to. `reader` is changed: pass a copy."""
     if CANCEL_METHOD_BYTES not in reader.buffer + data:
         return []
     try:
@@ -49,7 +49,7 @@
 
 
 def _decode_cancellation(body: bytes) -> RequestReference | None:
-    """The request that the body names if it is a cancellation; else None."""
+    """The request that the body cancels; None if the body is no valid cancellation."""
     try:
         message = decode_message(body)
     except ProtocolError:
@@ -58,9 +58,9 @@
 
 
 def drop_cancelled_requests(bodies: list[bytes], *open_requests: Container[RequestReference]) -> list[bytes]:
-    """Drops requests that a later cancellation in the same bytes names, and those cancellations.
+    """Drops each request that a later message of the same read cancels, and the cancellation.
 
-    So no attempt begins for such a request. A cancellation that names one of `open_requests` stays.
+    So no attempt begins for such a request. A cancellation of one of the `open_requests` is kept.
     """
     if not any([CANCEL_METHOD_BYTES in body for body in bodies[1:]]):
         return bodies
@@ -79,7 +79,7 @@
 
 
 def _request_references(body: bytes) -> tuple[RequestReference | None, ...]:
-    """The number and the client's id of the request in the body; empty for any other message."""
+    """The number and the client's id of the request in a body; empty for any other message."""
     try:
         message = decode_message(body)
     except ProtocolError:
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection that speaks JSON-RPC: it reads messages, sends responses, is parked and closed."""
+"""A connection of a JSON-RPC client that is in use: reads messages, writes responses, is parked or closed."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from gaproute.units import MILLI, SECOND
 
 # Time without a request after which a connection is parked. Only a parked connection can be closed to free
-# capacity, and hundreds arrive in a second where clients open one for each request.
+# capacity, and hundreds of connections arrive per second if clients open one for each request.
 QUIET_TIME = 100 * MILLI
-PROGRESS_TIMEOUT = 2 * SECOND  # for a message to arrive completely, or for a client to receive an answer
-IDLE_TIMEOUT = 30 * SECOND  # between requests: clients close theirs after 4 s
-# Unsent bytes of answers above which nothing more is read from a client: a few answers of the greatest size,
-# or a thousand of the usual size.
+PROGRESS_TIMEOUT = 2 * SECOND  # to receive a complete message, or for a client to receive an answer
+IDLE_TIMEOUT = 30 * SECOND  # between requests; clients close their idle connections after 4 s
+# Unsent bytes of answers from which on nothing more is read from a client: a few answers of the greatest
+# size, or a thousand of the usual size.
 MAX_UNSENT_BYTES = 64 * 1024
-MAX_PROTOCOL_ERRORS = 64  # of one connection, after which it is closed: each error costs CPU time
+MAX_PROTOCOL_ERRORS = 64  # after which a connection is closed, as each error costs CPU time
 
 
 class RpcConnection:
-    """A connection that is in use, from its first byte until it has been quiet for a while and is parked.
+    """A connection in use, from its first byte until it has been quiet for a while and is parked.
 
     `reading_ended`: nothing more is read, and the connection closes once its open requests are answered.
-    `closing`: all requests are answered, and the connection is being closed. `answers_owed_until`: when none
-    of its requests needs an answer any more, ns.
+    `closing`: all requests are answered, and the connection is being closed. `answers_owed_until`: the time
+    after which no client of its requests waits for an answer, ns.
     """
 
     __slots__ = (
@@ -60,20 +60,20 @@
     ) -> None:
         self.front, self.address_id, self.request_count = front, address_id, request_count
         self.reader = MessageReader()
-        self.open_requests: dict[int, OpenRequest] = {}  # by the client's number
-        self.message_started_at = front.loop.now()  # when the first byte of the incomplete message came
-        self.last_activity = self.message_started_at  # when bytes last came, were written or were sent
+        self.open_requests: dict[int, OpenRequest] = {}  # by the number that the client gave
+        self.message_started_at = front.loop.now()  # when the incomplete message began, ns
+        self.last_activity = self.message_started_at  # when bytes were last received, written or sent
         self.error_count, self.reading_ended, self.closing, self.answers_owed_until = 0, False, False, 0
-        self.client_closed = False  # the client has closed after the bytes that were read last
+        self.client_closed = False  # the client closed after the bytes that were read last
         self.presence = ClientPresence(self)
-        self.read_delay = 0  # how long what was read last may have lain unread, ns
+        self.read_delay = 0  # for how long the bytes read last may have been unread, ns
         self.stream = Stream(front.loop, sock, self.receive, self._on_closed, hangup_first=True)
         self.stream.on_writable = self._on_all_sent
 
     # Reading
 
     def receive(self, data: bytes) -> None:
-        """Takes received bytes and handles the messages that they complete."""
+        """Decodes received bytes and handles the messages that they complete."""
         if self.reading_ended or self.closing or self.client_closed:
             return
         now = self.front.loop.now()
@@ -98,9 +98,9 @@
         self.close_if_finished()
 
     def _note_messages_read(self, now: int, size: int) -> bool:
-        """Notes that complete messages have been read; returns whether their client is still connected.
+        """Records that complete messages were read; returns whether their client is still connected.
 
-        The client may have closed after them, while they waited to be read: then none of them is begun.
+        If the client closed while they were unread, no request among them begins.
         """
         self.message_started_at = now
         self.client_closed = self.stream.hung_up()
@@ -111,12 +111,12 @@
         return True
 
     def _handle_message(self, body: bytes) -> None:
-        """Handles one message. An error is reported to the client and does not affect other messages."""
+        """Handles a message. An error is reported to the client and does not affect other messages."""
         try:
             self.front.handle_message(self, body)
         except ProtocolError as error:
             self.report_error(error)
-        except Exception as error:  # noqa: BLE001 - whatever it is, other messages are served
+        except Exception as error:  # noqa: BLE001 - no error may affect other messages
             self.front.loop.failed(error)
             failed = ProtocolError(ErrorCode.FAILED, "an error in the gateway", request_number(body))
             self.report_error(failed)
@@ -125,13 +125,13 @@
         """Sends an error to the client.
 
         After a message that cannot be decoded, or after too many errors, nothing more is read. Requests that
-        were read already still get their answers.
+        were read before are still answered.
         """
-        if error.code == ErrorCode.REJECTED:  # a final answer, and no mistake of the client
+        if error.code == ErrorCode.REJECTED:  # the final answer to a valid request
             self._write_error(error)
             return
         if self.reading_ended:
-            return  # the error that ended the reading has been sent already
+            return  # the client has been sent the error that ended the reading
         self.front.protocol_errors += 1
         self.error_count += 1
         self.front.on_protocol_error(error.code, error.text)
@@ -144,7 +144,7 @@
     # Writing
 
     def write(self, data: bytes) -> None:
-        """Sends a message."""
+        """Sends an encoded message."""
         self.last_activity = self.front.loop.now()
         self.stream.write(data)
 
@@ -152,7 +152,7 @@
         self.write(responses.encode_error(error.request_number, error.code, error.text))
 
     def _on_all_sent(self) -> None:
-        """Called when all that was written has been sent: reads again if unsent answers had stopped it."""
+        """Called when all written bytes are sent; resumes reading if unsent answers had paused it."""
         self.last_activity = self.front.loop.now()
         if not self.stream.reading and not self.reading_ended and not self.closing:
             self.stream.resume()
@@ -160,7 +160,7 @@
     # The client's presence
 
     def cancel_request(self, reference: RequestReference | None) -> None:
-        """Ends a request, named by its number or its id, that the client has cancelled."""
+        """Ends a request that the client has cancelled by its number or its id."""
         for number, request in self.open_requests.items():
             if reference in (number, request.request_id):
                 del self.open_requests[number]
@@ -168,13 +168,13 @@
                 return
 
     def owes_answer(self, now: int) -> bool:
-        """Whether a request of this connection still needs an answer, as its client may wait."""
+        """Whether the client may still wait for the answer to a request on this connection."""
         return now <= self.answers_owed_until
 
     # Limits
 
     def check_progress(self, now: int) -> None:
-        """Ends a connection that receives no answers or sends too slowly, and parks a quiet one.
+        """Ends the connection if its client receives no answers or sends too slowly; parks it if quiet.
 
         The front calls it about every 100 ms.
         """
@@ -188,34 +188,34 @@
         elif self.reading_ended or self.closing:
             return
         elif self._message_overdue(now):
-            self.stream.read_now()  # the rest may have come since the loop last polled
+            self.stream.read_now()  # the rest may have arrived since the loop last polled
             if self.stream.open and not self.reading_ended and self._message_overdue(now):
                 text = "the message did not come in whole in time"
                 self.report_error(ProtocolError(ErrorCode.PARSE_ERROR, text))
         elif self.front.stopping:
-            self.close_if_finished()  # an earlier call may not have known whether bytes lie unread
+            self.close_if_finished()  # it may have had unread bytes at an earlier call
         elif self._is_quiet(now):
             self.front.park(self, self.front.connections.admission.idle_deadline(now, IDLE_TIMEOUT))
 
     def _message_overdue(self, now: int) -> bool:
-        """Whether a message has been incomplete for too long."""
+        """Whether the incomplete message takes too long to arrive."""
         return self.reader.mid_message and now - self.message_started_at > PROGRESS_TIMEOUT
 
     def _is_quiet(self, now: int) -> bool:
-        """Whether the connection has had no request, incomplete message or unsent answer for a while."""
-        at_work = self.open_requests or self.stream.bytes_unsent or self.reader.mid_message
-        return not at_work and now - self.last_activity > QUIET_TIME
+        """Whether the connection has had no open request, incomplete message or unsent bytes for a while."""
+        busy = self.open_requests or self.stream.bytes_unsent or self.reader.mid_message
+        return not busy and now - self.last_activity > QUIET_TIME
 
     def buffered_bytes(self) -> int:
-        """The memory that the connection uses, in bytes: unsent answers and an incomplete message."""
+        """Bytes of memory that unsent answers and an incomplete message use."""
         return self.stream.bytes_unsent + len(self.reader.buffer)
 
-    # The end
+    # Closing
 
     def close_if_finished(self) -> None:
-        """Closes the connection after its last answer, if its reading has ended or the gateway stops.
+        """Closes the connection after its last answer if its reading has ended or the gateway stops.
 
-        At a stop, everything that lies unread is read and answered first.
+        At a stop, unread messages are read and answered first.
         """
         if self.open_requests or self.closing:
             return
@@ -228,14 +228,14 @@
             self._close()
 
     def _close(self) -> None:
-        """Closes once all that was written is sent. The connection counts until its descriptor is free."""
+        """Closes once all written bytes are sent; the connection is counted until its descriptor is free."""
         self.closing = True
         self.stream.close(self._on_closed)
 
     def close_at_once(self) -> None:
-        """Ends the connection without waiting for answers still owed."""
+        """Ends the connection without waiting for the answers that are still owed."""
         if self.closing:
-            self.stream.finish_close()  # its last bytes are with the kernel
+            self.stream.finish_close()  # the kernel has all written bytes
         else:
             self.abort()
 
@@ -245,7 +245,7 @@
         self._on_closed(None)
 
     def _on_closed(self, error: OSError | None) -> None:
-        """Called when the socket is closed: ends the client's requests and forgets the connection."""
+        """Called when the socket is closed: ends the client's requests and removes the connection."""
         abandoned, self.open_requests = self.open_requests, {}
         for request in abandoned.values():
             self.front.abandon_request(request)
--- a/gaproute/fronts/jsonrpc/connection_owner.py
+++ b/gaproute/fronts/jsonrpc/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of the front that it belongs to."""
+"""The interface by which a client's connection uses its front."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class OpenRequest(NamedTuple):
-    """A request without its final answer."""
+    """A request that has no final answer yet."""
 
-    gateway_request_id: str  # the gateway's id of the request
-    request_id: str  # the client's id of it
+    gateway_request_id: str  # the id that the gateway gave it
+    request_id: str  # the id that the client gave it
 
 
 class RpcConnectionOwner(Protocol[Connection]):
@@ -38,13 +38,13 @@
         """The clients' ids of open requests."""
 
     def handle_message(self, connection: Connection, body: bytes) -> None:
-        """Handles a message of a client. Errors: ProtocolError, for the client."""
+        """Handles a message of a client. Errors: ProtocolError, to be sent to the client."""
 
     def abandon_request(self, request: OpenRequest) -> None:
-        """Notes that the client of a request does not wait any more."""
+        """Ends a request whose client does not wait any more."""
 
     def park(self, connection: Connection, due: int) -> None:
-        """Parks a quiet connection until its client sends something or `due` (ns) comes."""
+        """Parks a quiet connection, which is closed at `due` (ns) if the client sends nothing until then."""
 
     def unregister(self, connection: Connection) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a closed connection from the connections in use."""
--- a/gaproute/fronts/jsonrpc/framing.py
+++ b/gaproute/fronts/jsonrpc/framing.py
@@ -1,11 +1,11 @@
-"""Frames of messages: a header with `Content-Length`, an empty line, a body. Decodes bytes to bodies."""
+"""Frames messages: a header with `Content-Length`, an empty line and a body."""
 
 import re
 
 from gaproute.fronts.jsonrpc.errors import FramingError
 
-MAX_HEAD_BYTES = 512  # the one field of a header takes 30
-MAX_BODY_BYTES = 48 * 1024  # a request's body of 16 KiB in base64 takes 22 KiB, and the rest little
+MAX_HEAD_BYTES = 512  # the one field that a header needs takes 30 bytes
+MAX_BODY_BYTES = 48 * 1024  # in base64, an argument of 16 KiB takes 22 KiB; the other fields are small
 
 HEAD_END = b"\r\n\r\n"
 LENGTH_FIELD = b"content-length:"
@@ -15,32 +15,35 @@
 
 
 def frame(body: bytes) -> bytes:
-    """The message with that body."""
+    """Makes the message with this body."""
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 class MessageReader:
-    """Reads the messages of one connection; buffers at most one incomplete message."""
+    """Decodes the messages of one connection; buffers at most one incomplete message."""
 
     __slots__ = ("buffer", "body_length")
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.body_length: int | None = None  # of the message whose head has been read
+        self.body_length: int | None = None  # of the message whose header has been decoded
 
     @property
     def mid_message(self) -> bool:
-        """Whether a part of a message has come."""
+        """Whether only a part of a message has arrived."""
         return bool(self.buffer) or self.body_length is not None
 
     def copy(self) -> "MessageReader":
-        """A reader in the same state, for decoding bytes that are not consumed yet."""
-        ahead = MessageReader()
-        ahead.buffer, ahead.body_length = bytearray(self.buffer), self.body_length
-        return ahead
+        """A reader in the same state, to decode bytes that the connection has not consumed yet."""
+        reader = MessageReader()
+        reader.buffer, reader.body_length = bytearray(self.buffer), self.body_length
+        return reader
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The bodies that these bytes complete. Errors: FramingError, with the bodies before it."""
+        """Decodes received bytes; returns the bodies that they complete.
+
+        Errors: FramingError, with the bodies that were complete before it.
+        """
         self.buffer += data
         bodies: list[bytes] = []
         try:
@@ -52,7 +55,7 @@
         return bodies
 
     def _read_next(self, bodies: list[bytes]) -> bool:
-        """Reads the next message if it is complete; returns whether there may be another one."""
+        """Decodes the next message if it is complete; returns whether another one may be complete."""
         if self.body_length is None:
             self.body_length = self._read_head()
         if self.body_length is None or len(self.buffer) < self.body_length:
@@ -63,7 +66,7 @@
         return bool(self.buffer)
 
     def _read_head(self) -> int | None:
-        """Takes the header out of the buffer; returns the length of the body, None while it is incomplete."""
+        """Removes the header from the buffer; returns the body's length, or None if it is incomplete."""
         end = self.buffer.find(HEAD_END, 0, MAX_HEAD_BYTES + len(HEAD_END))
         if end < 0:
             if len(self.buffer) > MAX_HEAD_BYTES:
@@ -75,7 +78,7 @@
 
 
 def _decode_length(head: bytes) -> int:
-    """The length of the body by the header. Errors: FramingError."""
+    """Decodes the length of the body from the header. Errors: FramingError."""
     lengths = []
     for line in head.split(b"\r\n"):
         if not _match_field(line):
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -1,13 +1,13 @@
-"""Serves clients that call by JSON-RPC: requests go to the core, final answers back; bodies are not changed.
+"""Serves JSON-RPC clients: passes requests to the core and sends final answers; bodies are not changed.
 
-| final answer | what the client reads |
+| final answer | response to the client |
 | --- | --- |
 | delivered | a result with the host's body |
-| rejected | an error with the code for 'a retry is safe', and how long to wait before it |
+| rejected | an error with the code for a safe retry, and how long to wait before it |
 | failed | any other error |
 
 A message that cannot be decoded is answered with an error, and its connection is closed. A message that is no
-request, or an invalid request, is answered with an error, and the connection goes on.
+request, or an invalid request, is answered with an error, and its connection stays open.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from gaproute.fronts.jsonrpc.connection import RpcConnection
 from gaproute.fronts.jsonrpc.connection_owner import OpenRequest
 from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
-from gaproute.fronts.jsonrpc.memory_limit import connections_over_limit
+from gaproute.fronts.jsonrpc.memory_limit import connections_to_end
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
 from gaproute.interface.call import Call, Ending, Final
@@ -32,24 +32,24 @@
 from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
 from gaproute.units import MILLI, SECOND
 
-MAX_OPEN_REQUESTS = 32  # of one connection at a time, by the protocol
-SWEEP_INTERVAL = 100 * MILLI  # between checks for quiet and slow clients: one timer for all of them
-FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection: an unused one is to be closed within 3 s
-LATE_ANSWER_TOLERANCE = 500 * MILLI  # after a client's deadline, in which it may still accept an answer
-# Bytes of unsent answers and incomplete messages of all clients together, an eighth of the memory of a usual
-# gateway. Above it the connections that use the most are ended.
+MAX_OPEN_REQUESTS = 32  # of one connection at a time, as the protocol allows
+SWEEP_INTERVAL = 100 * MILLI  # between checks of all connections, by one timer
+FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection, as unused ones must be closed within 3 s
+LATE_ANSWER_TOLERANCE = 500 * MILLI  # after its deadline, a client may still accept an answer
+# Unsent answers and incomplete messages of all clients together, above which the connections that use the
+# most memory are ended: an eighth of the memory that a gateway usually has.
 MAX_BUFFERED_BYTES = 24 << 20
 
 
 class ClassLimit(NamedTuple):
-    """What the front needs to know of a request class."""
+    """The limits of a request class."""
 
-    class_index: int  # in the terms' order
+    class_index: int  # in the order of the core's request classes
     time_limit: int  # how long a client waits at most, ns
 
 
 class JsonRpcFront(Acceptor[RpcConnection]):
-    """One listening address for clients. `core` takes the requests."""
+    """Serves clients on one listening address; `core` runs the requests."""
 
     def __init__(
         self,
@@ -63,8 +63,8 @@
     ) -> None:
         """Listens at the address. Errors: OSError.
 
-        `class_names`: the names of `request_classes`, in the same order; `is_ready()`: whether requests can
-        be served; `answer_transit_time`: how long an answer takes to reach its client, ns.
+        `class_names`: of `request_classes`, in the same order; `is_ready()`: whether the gateway can serve
+        requests; `answer_transit_time`: how long an answer takes to reach its client, ns.
         """
         super().__init__(loop, address, counted=True)
         self.core, self.is_ready, self.answer_transit_time = core, is_ready, answer_transit_time
@@ -72,8 +72,8 @@
             name: ClassLimit(index, request_class.hard_limit)
             for index, (name, request_class) in enumerate(zip(class_names, request_classes, strict=True))
         }
-        self.open_request_ids: dict[str, RpcConnection] = {}  # by the client's id of an open request
-        self.unresponsive_clients = 0  # connections that were ended as their clients received no answers
+        self.open_request_ids: dict[str, RpcConnection] = {}  # by the client's id of the request
+        self.unresponsive_clients = 0  # number of connections ended as their clients received no answers
         self.on_protocol_error: Callable[[ErrorCode, str], None] = _ignore_error
         self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
 
@@ -86,28 +86,28 @@
     # Limits
 
     def _sweep(self) -> None:
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)  # first: an error must not end it
+        self.sweep_timer = self.loop.after(
+            SWEEP_INTERVAL, self._sweep
+        )  # first, as an error must not end the sweeps
         now = self.loop.now()
         for connection in list(self.active_connections):
             self.loop.guard(connection.check_progress, now)
         self.enforce_memory_limit()
 
     def enforce_memory_limit(self) -> None:
-        """Ends the connections that use the most memory while all together use too much.
+        """Ends connections while all connections together use too much memory.
 
-        Connections that are owed no answer are ended first. This guards against thousands of clients that
-        send slowly or receive no answers, each within the limits of one connection.
+        Connections that are owed no answer go first, then those that use the most memory. This guards against
+        thousands of clients that send slowly or receive no answers, each within the limits of one connection.
         """
-        for connection in connections_over_limit(
-            self.active_connections, MAX_BUFFERED_BYTES, self.loop.now()
-        ):
+        for connection in connections_to_end(self.active_connections, MAX_BUFFERED_BYTES, self.loop.now()):
             self.unresponsive_clients += 1
             connection.abort()
 
     # Requests
 
     def handle_message(self, connection: RpcConnection, body: bytes) -> None:
-        """Handles a message of a client. Errors: ProtocolError, for the client."""
+        """Handles a message of a client. Errors: ProtocolError, to be sent to the client."""
         message = decode_message(body)
         if message.method == cancellation.PING_METHOD:
             if message.number is not None:
@@ -143,7 +143,7 @@
         connection.open_requests[number] = OpenRequest(key, request.request_id)
 
     def _check_number(self, connection: RpcConnection, message: Message) -> int:
-        """The number of a request of a known class. Errors: ProtocolError."""
+        """Checks the class and the number of a request; returns the number. Errors: ProtocolError."""
         number = message.number
         if number is None:
             raise ProtocolError(ErrorCode.INVALID_REQUEST, "a request needs an id")
@@ -155,7 +155,7 @@
         return number
 
     def _check_capacity(self, connection: RpcConnection, request: Request) -> None:
-        """Checks that the request can be begun in addition to the open ones. Errors: ProtocolError."""
+        """Checks that the request may begin beside the open requests. Errors: ProtocolError."""
         if request.request_id in self.open_request_ids:
             raise ProtocolError(ErrorCode.INVALID_PARAMS, "a request with this i is open", request.number)
         if len(connection.open_requests) >= MAX_OPEN_REQUESTS:
@@ -165,7 +165,7 @@
             raise ProtocolError(ErrorCode.REJECTED, "the gateway stops", request.number)
 
     def _build_call(self, connection: RpcConnection, request: Request) -> Call:
-        """The call for the core; its `client_present` asks the connection whether the client still waits."""
+        """Makes the call for the core; its `client_present` asks whether the client still waits."""
         return Call(
             request.function,
             "",
@@ -178,11 +178,11 @@
         )
 
     def finish_request(self, connection: RpcConnection, request: Request, final: Final) -> None:
-        """Sends the final answer of a request, unless the client has cancelled it meanwhile."""
+        """Sends the final answer to a request, unless the client has cancelled the request meanwhile."""
         number = request.number
         open_request = connection.open_requests.get(number)
         if open_request is None or open_request.gateway_request_id != final.request:
-            return  # the request was cancelled; a new one may have its number by now
+            return  # the request was cancelled; a new request may have its number
         del connection.open_requests[number], self.open_request_ids[request.request_id]
         if final.answer is not None and final.ending is Ending.DELIVERED:
             connection.write(responses.encode_result(number, final.answer.body))
@@ -194,17 +194,17 @@
         connection.close_if_finished()
 
     def abandon_request(self, request: OpenRequest) -> None:
-        """Notes that the client of a request does not wait any more."""
+        """Ends a request whose client does not wait any more."""
         self.open_request_ids.pop(request.request_id, None)
         self.core.client_left(request.gateway_request_id)
 
-    # Stop
+    # Stopping
 
     def stop_accepting(self) -> None:
         """Stops accepting connections.
 
-        Those that wait in the kernel's queue are accepted first, as they would be reset; idle connections are
-        closed to free capacity for them. While there is none, or accepting fails, a timer tries again.
+        Connections in the kernel's queue are accepted first, as they would be reset; idle connections are
+        closed to free capacity for them. While there is no capacity or accepting fails, a timer retries.
         """
         self.drain_timer = None
         while (has_capacity := self.connections.has_capacity()) and (
@@ -222,7 +222,7 @@
     def stop(self) -> None:
         """Closes every connection once it has no open request and no incomplete message.
 
-        Messages that arrive until then are answered; requests among them are rejected.
+        Messages that arrive before are answered; requests among them are rejected.
         """
         if self.stopping:
             return
@@ -247,4 +247,4 @@
 
 
 def _ignore_error(code: ErrorCode, text: str) -> None:
-    """The default of `on_protocol_error`: does nothing."""
+    """The default of `on_protocol_error`."""
--- a/gaproute/fronts/jsonrpc/memory_limit.py
+++ b/gaproute/fronts/jsonrpc/memory_limit.py
@@ -1,17 +1,17 @@
-"""Chooses the connections to end while the connections of all clients together use too much memory."""
+"""Chooses the connections to end while all connections together use too much memory."""
 
 from collections.abc import Iterator, Reversible
 
 from gaproute.fronts.jsonrpc.connection import RpcConnection
 
 
-def connections_over_limit(
+def connections_to_end(
     connections: Reversible[RpcConnection], max_bytes: int, now: int
 ) -> Iterator[RpcConnection]:
-    """The connections to end, one after the other, until the others use no more than `max_bytes`.
+    """The connections to end so that the others use at most `max_bytes`, in the order in which to end them.
 
-    Connections that are owed no answer at the time `now` (ns) come first, and among these those that use the
-    most memory.
+    Connections that are owed no answer at the time `now` (ns) come before those that are; among each of
+    these, those that use the most memory come first.
     """
     excess = sum([connection.buffered_bytes() for connection in connections]) - max_bytes
     if excess <= 0:
--- a/gaproute/fronts/jsonrpc/presence.py
+++ b/gaproute/fronts/jsonrpc/presence.py
@@ -1,4 +1,4 @@
-"""Finds out whether a client still waits for its request, when an attempt of the request begins."""
+"""Checks whether the client of a request still waits, before an attempt of the request begins."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 
 
 class WatchedConnection(Protocol):
-    """The part of `RpcConnection` that shows whether its client still waits."""
+    """The part of `RpcConnection` that `ClientPresence` uses."""
 
     stream: Stream
     reader: MessageReader
     closing: bool
 
     def cancel_request(self, reference: RequestReference | None) -> None:
-        """Ends a request, named by its number or its id, that the client has cancelled."""
+        """Ends a request that the client has cancelled by its number or its id."""
 
 
 class ClientPresence:
-    """Whether the client of a connection waits, by asking the kernel for what is not read yet.
+    """Tells whether the client of a connection still waits, by what the kernel has received from it.
 
-    The loop may be busy for long before it reads a connection. A close or a cancellation that lies unread in
-    the meantime counts already.
+    The loop may be busy for a long time before it reads the connection. Until then, a close or a cancellation
+    that is received but unread counts already.
     """
 
     __slots__ = ("connection", "checked_at", "unread_cancellations")
 
     def __init__(self, connection: WatchedConnection) -> None:
         self.connection = connection
-        self.checked_at = 0  # when the kernel was last asked, ns
-        # The requests that unread cancellations name
+        self.checked_at = 0  # when the kernel last said that the client is connected, ns
+        # The requests that unread cancellations refer to
         self.unread_cancellations: Collection[RequestReference] = ()
 
     def note_read(self, now: int, size: int) -> None:
-        """Notes that `size` bytes have been read and the client had not closed after them."""
+        """Records that `size` bytes were read, behind which the client had not closed."""
         self.checked_at = now if size < READ_SIZE else 0
         self.unread_cancellations = ()
 
     def is_waiting_for(self, number: int, request_id: str) -> bool:
-        """Whether the client still waits for the request of this number and id."""
+        """Whether the client still waits for the request with this number and id."""
         connection = self.connection
         loop = connection.stream.loop
         if connection.closing or not connection.stream.open:
@@ -58,7 +58,7 @@
         return True
 
     def _check_socket(self, now: int) -> bool:
-        """Asks the kernel whether the client is connected, and reads which cancellations lie unread."""
+        """Asks the kernel whether the client is connected, and looks for unread cancellations."""
         connection = self.connection
         pending = connection.stream.pending()
         if pending.hung_up:
--- a/gaproute/fronts/jsonrpc/requests.py
+++ b/gaproute/fronts/jsonrpc/requests.py
@@ -11,15 +11,15 @@
 
 NS_PER_MS = 1_000_000
 
-MAX_ARGUMENT_BYTES = 16 * 1024  # of a request's `arg`, decoded
-MAX_IDEMPOTENCY_KEY_LENGTH = 256  # characters of an idempotency key; usual keys have 32
+MAX_ARGUMENT_BYTES = 16 * 1024  # of a request's `arg` after decoding
+MAX_IDEMPOTENCY_KEY_LENGTH = 256  # in characters; usual keys have 32
 MAX_REQUEST_NUMBER_DIGITS = 18
-# Limits of figures; a greater one is a mistake.
+# Greatest valid figures of `extras`
 MAX_MEMORY_MB = 1e9
 MAX_LOAD_TIME_MS = 1e9
 MAX_CONCURRENCY = 1024
-# Factor by which the time `d` of a request may exceed the deadline of its class, as clients' clocks differ by
-# some ms. A time above the deadline counts as the deadline; one above this factor is invalid.
+# Factor by which the time `d` of a request may exceed the time limit of its class, as clients' clocks differ
+# by some ms. A time above the limit counts as the limit; above this factor it is invalid.
 MAX_WAIT_FACTOR = 2
 
 JSONRPC_VERSION = "2.0"
@@ -31,7 +31,7 @@
 
 
 class Envelope(msgspec.Struct):
-    """What all messages have in common, as on the wire."""
+    """The fields that all messages have, as on the wire."""
 
     method: str
     id: msgspec.Raw = msgspec.Raw()
@@ -42,7 +42,7 @@
 class Params(msgspec.Struct):
     """The parameters of a request, as on the wire."""
 
-    i: str  # the client's id of the request
+    i: str  # the id that the client gave the request
     d: int | float  # how long the client waits, ms
     o: str  # the function
     arg: str = ""  # the body in base64
@@ -51,7 +51,7 @@
 
 
 class Message(NamedTuple):
-    """A message whose envelope has been checked."""
+    """A message whose envelope is valid."""
 
     number: int | None  # of the request; None for a notification
     method: str
@@ -59,17 +59,17 @@
 
 
 class Request(msgspec.Struct):
-    """A request to run a function, checked."""
+    """A valid request to run a function."""
 
     number: int
     method: str  # the name of its request class
-    request_id: str  # the client's own
+    request_id: str  # the id that the client gave it
     max_wait: int  # how long the client waits, ns
     function: str
-    concurrency: int  # requests that one warm instance runs at a time
-    load_time: int | None  # usual time of a load, ns, where the client gives it
+    concurrency: int  # how many requests one warm instance runs at a time
+    load_time: int | None  # usual time to load the function, ns, if the client gives it
     body: bytes  # still in base64
-    idempotency_key: str  # "" where the class has none
+    idempotency_key: str  # "" if the request class has none
 
 
 _decode_envelope = msgspec.json.Decoder(Envelope).decode
@@ -78,7 +78,7 @@
 
 
 def decode_message(body: bytes) -> Message:
-    """The message in a body. Errors: ProtocolError."""
+    """Decodes a message. Errors: ProtocolError."""
     try:
         envelope = _decode_envelope(body)
     except DECODE_ERRORS as error:
@@ -90,7 +90,7 @@
 
 
 def _raise_undecodable(body: bytes, error: Exception) -> NoReturn:
-    """Raises the error for bytes that are no JSON, or for JSON that is no request."""
+    """Raises the ProtocolError for a body that is no JSON, or for JSON that is no request."""
     try:
         decode_json(body)
     except DECODE_ERRORS:
@@ -99,7 +99,7 @@
 
 
 def _decode_number(text: bytes) -> int | None:
-    """The number in the JSON text of an `id`; None where the message has none. Errors: ProtocolError."""
+    """Decodes an `id` from its JSON text; None if the message has none. Errors: ProtocolError."""
     if not text or text == b"null":
         return None
     if not text.isdigit() or len(text) > MAX_REQUEST_NUMBER_DIGITS or int(text) < 1:
@@ -108,7 +108,7 @@
 
 
 def request_number(body: bytes) -> int | None:
-    """The number of the request in a body; None where it has none or cannot be decoded."""
+    """The number of the request in a body; None if it has none or cannot be decoded."""
     try:
         return decode_message(body).number
     except ProtocolError as error:
@@ -126,7 +126,7 @@
         raise ProtocolError(ErrorCode.INVALID_PARAMS, f"params: {error}", number) from None
     _check_identity(fields, number)
     max_wait = MAX_WAIT_FACTOR * class_time_limit
-    if not 0 < fields.d * NS_PER_MS <= max_wait:  # an int of any size, or a finite float
+    if not 0 < fields.d * NS_PER_MS <= max_wait:  # `d` is an int of any size or a finite float
         raise ProtocolError(ErrorCode.INVALID_PARAMS, f"d is 1 to {max_wait // NS_PER_MS} ms", number)
     concurrency, load_time = _decode_extras(fields.extras, number)
     return Request(
@@ -154,7 +154,7 @@
 
 
 def _decode_extras(text: str, number: int) -> tuple[int, int | None]:
-    """(Concurrency of one instance, usual time of a load in ns or None) from the `extras` of a request.
+    """Decodes `extras` to the concurrency of one instance and the usual load time, ns or None.
 
     Errors: ProtocolError.
     """
@@ -173,7 +173,7 @@
 
 
 def _parse_extras(text: str) -> dict[str, float] | None:
-    """The figures of `extras` by name; None where they cannot be decoded."""
+    """The figures of `extras` by name; None if they cannot be decoded."""
     if not text:
         return NO_EXTRAS
     extras = {}
--- a/gaproute/fronts/jsonrpc/responses.py
+++ b/gaproute/fronts/jsonrpc/responses.py
@@ -1,4 +1,4 @@
-"""Responses to clients, encoded as whole messages."""
+"""Encodes responses to clients as framed messages."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 def encode_result(number: int, body: bytes) -> bytes:
-    """The result of a request; `body`: base64, as the host sent it."""
+    """The result of a request; `body`: in base64, as the host sent it."""
     return frame(b'{"jsonrpc":"2.0","id":%d,"result":{"arg":"%b"}}' % (number, body))
 
 
@@ -19,7 +19,7 @@
 
 
 def encode_error(number: int | None, code: ErrorCode, text: str, retry_after: int = 0) -> bytes:
-    """An error response. `retry_after`: how long the client should wait, ns; 0: not sent."""
+    """An error response; `retry_after`: how long the client should wait, ns, or 0 to send no time."""
     error: dict[str, object] = {"code": code, "message": text}
     if retry_after:
         error["data"] = {"w": -(-retry_after // NS_PER_MS)}
--- a/gaproute/fronts/kserve/__init__.py
+++ b/gaproute/fronts/kserve/__init__.py
@@ -1,4 +1,4 @@
-"""KServe v2, the Open Inference Protocol, in its REST form."""
+"""The fronts for the REST form of KServe v2, the Open Inference Protocol."""
 
 from gaproute.fronts.kserve.front import KServeFront
 
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -1,9 +1,9 @@
-"""The front at which other gateways forward calls to this one: the clients' form at the address of its peers.
+"""The front for calls that other gateways forward to this one, in the clients' form at the peer address.
 
-It answers them as a client's, but that it adds the cell's load and what the call found at the host, and that
-a rejected call that provably never ran is answered 404 where this gateway does not know the cell, else 429,
-in place of 503: by the results of the hosts (`gaproute.hosts.results`) these two alone prove that. Any other
-rejected call stays 503 and a failed one stays 504, which prove nothing.
+It answers forwarded calls as those of clients, with two differences. It adds the cell's load and what the
+call found at the host. And a rejected call that provably never ran is answered 404 if this gateway does not
+know the cell, else 429, in place of 503: only these statuses prove that a call never ran
+(`gaproute.hosts.results`). Any other rejected call is answered 503 and a failed one 504, which prove nothing.
 """
 
 from collections.abc import Callable
@@ -19,11 +19,11 @@
 from gaproute.interface import Found, Report
 from gaproute.interface.call import Answer, Call, Final
 
-NEVER_RAN_STATUS, CELL_UNKNOWN_STATUS = 429, 404  # status codes
+NEVER_RAN_STATUS, CELL_UNKNOWN_STATUS = 429, 404
 
 
 class EntryFront(RestFront):
-    """Serves other gateways on a server that hands over by `handle` what is for this front."""
+    """Serves other gateways; `server` passes the requests for this front to `handle`."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         is_ready: Callable[[], bool],
         load_report: Callable[[str], Report | None],
     ) -> None:
-        """`load_report(cell)`: the cell's load as it is sent to other gateways, where it is known."""
+        """`load_report(cell)`: the cell's load as it is sent to other gateways; None if unknown."""
         super().__init__(server, core, configuration, is_ready)
         self.load_report = load_report
 
@@ -57,7 +57,7 @@
         return CELL_UNKNOWN_STATUS if final.cell_unknown else NEVER_RAN_STATUS
 
     def _metrics_headers(self, cell: str, found: Found) -> tuple[Header, ...]:
-        """The header with the cell's load and what the call found, as far as they are known."""
+        """The header with the cell's load and what the call found at the host; none if neither is known."""
         report = self.load_report(cell)
         metrics: dict[str, float] = {}
         if report is not None and report.in_hand is not None:
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -1,4 +1,4 @@
-"""The front for clients: an address of its own."""
+"""The front for clients, which has a server of its own."""
 
 import socket
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class KServeFront(RestFront):
-    """One listening address."""
+    """Serves clients on one listening address."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         is_ready: Callable[[], bool],
         inherited: socket.socket | None = None,
     ) -> None:
-        """`inherited`: a listening socket that other processes accept from as well. Errors: OSError."""
+        """`inherited`: a listening socket from which other processes accept as well. Errors: OSError."""
         server = Server(
             loop,
             address,
--- a/gaproute/fronts/kserve/inference.py
+++ b/gaproute/fronts/kserve/inference.py
@@ -1,7 +1,7 @@
-"""Inference requests: what their headers say, checked, and the call that is made of them.
+"""Inference requests: checks their headers and makes the call for the core.
 
-A client may shorten the time limit of its request class by `Gaproute-Limit-Ms`, counted from its first byte,
-never lengthen it. `Gaproute-Tenant` names a tenant of the configuration.
+By `Gaproute-Limit-Ms` a client may shorten the time limit of its request class, which begins with the first
+byte of the request, but not lengthen it. `Gaproute-Tenant` names a tenant of the configuration.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from gaproute.http1 import Request
 from gaproute.interface.call import Call, Final
 
-MAX_HEADER_NUMBER_DIGITS = 12  # of a number in a header
+MAX_HEADER_NUMBER_DIGITS = 12
 
 TIME_LIMIT_HEADER, TENANT_HEADER = b"gaproute-limit-ms", b"gaproute-tenant"
 JSON_LENGTH_HEADER = b"inference-header-content-length"
@@ -36,36 +36,36 @@
     core: Core
 
     def finish_request(self, request: Request, final: Final) -> None:
-        """Answers a request by its final answer."""
+        """Sends the final answer to a request."""
 
     def answer_half_closed(self, request: Request) -> None:
-        """Answers a request whose client has closed its side."""
+        """Answers a request whose client has closed its side and may still read."""
 
 
 class PendingInference:
-    """An inference that the core has, until its final answer or until its client has left."""
+    """A submitted inference request, until its final answer or until its client leaves."""
 
     __slots__ = ("front", "request", "gateway_request_id", "abandoned")
 
     def __init__(self, front: InferenceFront, request: Request) -> None:
         self.front, self.request = front, request
-        self.gateway_request_id = ""  # the gateway's id of the request
+        self.gateway_request_id = ""  # the id that the gateway gave it
         self.abandoned = False
 
     def finish(self, final: Final) -> None:
-        """Sends the final answer, where the client still waits."""
+        """Sends the final answer if the client still waits."""
         if not self.abandoned:
             self.front.finish_request(self.request, final)
 
     def abandon(self) -> None:
-        """The client has closed its side: the request ends."""
+        """Ends the request because its client has closed its side."""
         self.abandoned = True
         self.front.core.client_left(self.gateway_request_id)
         self.front.answer_half_closed(self.request)
 
 
 def time_limit(headers: Mapping[bytes, bytes], class_limit: int) -> int:
-    """How long the request may take, ns, where its class has that limit. Errors: RequestError."""
+    """How long a request may take by its headers and its class, ns. Errors: RequestError."""
     value = headers.get(TIME_LIMIT_HEADER)
     if value is None:
         return class_limit
@@ -75,7 +75,7 @@
 
 
 def check_json_length(request: Request) -> None:
-    """Checks the length of the JSON before binary tensors. Errors: RequestError."""
+    """Checks the stated length of the JSON that precedes binary tensors. Errors: RequestError."""
     value = request.headers.get(JSON_LENGTH_HEADER)
     if value is None:
         return
@@ -84,7 +84,7 @@
 
 
 def tenant_index(headers: Mapping[bytes, bytes], tenants: Mapping[str, int]) -> int:
-    """The index of the request's tenant; one above all of them where it names none. Errors: RequestError."""
+    """The index of the request's tenant; the number of tenants if it has none. Errors: RequestError."""
     value = headers.get(TENANT_HEADER)
     if value is None or not tenants:
         return len(tenants)
@@ -95,7 +95,7 @@
 
 
 def build_call(request: Request, model: str, version: str) -> Call:
-    """The call of an inference request; it asks its connection whether the client still waits."""
+    """Makes the call of an inference request; `client_present` asks the connection of the request."""
     headers = request.headers
     return Call(
         model,
--- a/gaproute/fronts/kserve/responses.py
+++ b/gaproute/fronts/kserve/responses.py
@@ -1,12 +1,13 @@
-"""Responses to clients, with what they hold beside the published form.
+"""Responses to clients, and what these have in addition to the published form.
 
-| final answer | status | beside the published form |
+| final answer | status | in addition to the published form |
 | --- | --- | --- |
 | delivered | the host's | `Gaproute-Outcome: delivered` |
-| rejected | 503 | `Gaproute-Outcome: declined`, `Retry-After` in whole s, `Gaproute-Retry-After-Ms` exactly |
+| rejected | 503 | `Gaproute-Outcome: declined`, `Retry-After` in s, `Gaproute-Retry-After-Ms` in ms |
 | failed | 504 | `Gaproute-Outcome: scrapped` |
 
-Both of the latter carry the published error object, whose text names the outcome, and `Gaproute-Task`.
+The body of a rejected or failed answer is the published error object, with the reason as its text. All three
+have `Gaproute-Task`, and the delivered and the failed one `Gaproute-Relays`, the number of attempts.
 """
 
 import msgspec
@@ -27,7 +28,7 @@
 
 
 class RequestError(GaprouteError):
-    """A request that is answered with an error at once: its status, and a text for a person."""
+    """A request that is answered with an error at once; `status` and `text` are those of the answer."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -35,18 +36,18 @@
 
 
 def encode_error(text: str) -> bytes:
-    """The published error object."""
+    """Encodes the published error object."""
     return msgspec.json.encode({"error": text})
 
 
 def delivered_answer(final: Final, answer: Answer) -> Answer:
-    """The host's answer."""
+    """The host's answer with the headers of the gateway."""
     fields = (*answer.fields, OUTCOME_DELIVERED, _request_id_header(final), _attempts_header(final))
     return Answer(answer.status, fields, answer.body)
 
 
 def rejected_answer(final: Final, status: int) -> Answer:
-    """The answer to a request that provably did not run, or may run again."""
+    """The answer to a request that provably did not run or may run again."""
     fields = (
         JSON_TYPE,
         OUTCOME_REJECTED,
@@ -64,7 +65,7 @@
 
 
 def half_closed_answer() -> Answer:
-    """The answer for a client that has closed its side and may still read."""
+    """The answer to a client that has closed its side and may still read."""
     text = "scrapped: the client closed its side before the answer"
     return Answer(TIMEOUT, (JSON_TYPE, OUTCOME_FAILED), encode_error(text))
 
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -1,5 +1,7 @@
-"""The REST form of KServe v2 on a server that listens: requests become calls, finals become responses, bodies
-pass untouched."""
+"""Serves the REST form of KServe v2: requests become calls for the core, and final answers become responses.
+
+Bodies are not changed.
+"""
 
 from __future__ import annotations
 
@@ -34,34 +36,37 @@
 
 
 class ClassLimit(NamedTuple):
-    """A request class as this front needs it."""
+    """The time limit of a request class."""
 
-    class_index: int  # in the terms' order
-    time_limit: int  # ns that a request may take at most
+    class_index: int  # in the order of the core's request classes
+    time_limit: int  # how long a request may take at most, ns
 
 
 class RestFront:
-    """Serves clients on `server`. `core` takes the requests; models, tenants and request classes are the
-    configuration's."""
+    """Serves clients on `server`; `core` runs the requests.
+
+    Models, tenants and request classes are those of the configuration.
+    """
 
     def __init__(
         self, server: Server, core: Core, configuration: Configuration, is_ready: Callable[[], bool]
     ) -> None:
-        """`is_ready()`: whether requests can be served."""
+        """`is_ready()`: whether the gateway can serve requests."""
         self.server, self.core, self.is_ready = server, core, is_ready
-        self.address: str = server.address  # as text, with the port that the kernel picked
+        self.address: str = server.address  # as text, with the port that the kernel chose
         self.name = configuration.name
         self.models, self.tenants = configuration.models, configuration.tenants
         self.class_limits = {
             line.name: ClassLimit(index, line.limit)
             for index, line in enumerate(configuration.request_classes)
         }
-        self.answer_transit_time: int = configuration.client_limits.way_back  # of an answer to its client, ns
+        # How long an answer takes to reach its client, ns
+        self.answer_transit_time: int = configuration.client_limits.way_back
 
     # Requests
 
     def handle(self, request: Request) -> None:
-        """Takes a request; it is answered at once, or when it has its final answer."""
+        """Handles a request, which is answered at once or when its final answer is known."""
         try:
             self._route(request)
         except RequestError as error:
@@ -135,7 +140,7 @@
         request.on_client_left = pending.abandon
 
     def _build_call(self, request: Request, model: str, version: str) -> Call:
-        """A request as a call."""
+        """Makes the call of an inference request."""
         return inference.build_call(request, model, version)
 
     # Answers
@@ -155,33 +160,33 @@
         return UNAVAILABLE
 
     def _send_answer(self, request: Request, final: Final, answer: Answer) -> None:
-        """Sends the one answer to a request."""
+        """Sends the answer to a submitted request."""
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
     def answer_half_closed(self, request: Request) -> None:
-        """Answers one that has closed its side and may still read."""
+        """Answers a request whose client has closed its side and may still read."""
         answer = responses.half_closed_answer()
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
-    # The end
+    # Stopping
 
     @property
     def connection_count(self) -> int:
-        """Connections of clients, at work and parked."""
+        """The number of client connections, in use and parked."""
         return self.server.connection_count
 
     def end_queue_sharing(self) -> None:
-        """No other process accepts from the same queue any more: what waits there at the stop is taken in."""
+        """Records that no other process accepts from the listening socket, so a stop empties its queue."""
         self.server.shares_queue = False
 
     def notify_when_emptied(self, callback: Callable[[], None]) -> None:
-        """`callback()` when the last connection is closed after a stop."""
+        """Calls `callback()` when the last connection is closed after a stop."""
         self.server.on_emptied = callback
 
     def stop(self, grace: int) -> None:
-        """Accepts no more; `grace` as of `Server.stop`."""
+        """Stops accepting connections; `grace` as of `Server.stop`."""
         self.server.stop(grace)
 
     def close(self) -> None:
-        """Ends every connection."""
+        """Ends every connection at once."""
         self.server.close()
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -1,6 +1,6 @@
 """Decodes HTTP/1.1 messages; does no I/O. The parser is httptools (llhttp in strict mode).
 
-By `benchmarks/parsers.py`, httptools needs 6 us for a typical request and h11 about 100 us.
+It was chosen over h11: it takes 6 us for a typical request and h11 about 100 us (`benchmarks/parsers.py`).
 """
 
 from __future__ import annotations
