--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -12,7 +12,7 @@
 from gaproute.loop.timers import Timer
 from gaproute.units import SECOND
 
-QUIET_TIME = SECOND  # without a request, after which a connection is parked
+QUIET_TIME = SECOND  # after the last answer, before a connection is parked
 SWEEP_INTERVAL = SECOND // 4  # between checks for quiet connections, by one timer for all of them
 
 
@@ -78,13 +78,13 @@
         timer fires, as most deadlines change before they pass.
         """
         server = self.server
-        read_time = server.limits.read_timeout
+        read_timeout = server.limits.read_timeout
         if self.reader.message is not None:
-            self.deadline = self.reader.message.arrived_at + read_time
+            self.deadline = self.reader.message.arrived_at + read_timeout
             if server.request_arrival_deadline is not None:
                 self.deadline = min(self.deadline, server.request_arrival_deadline)
         elif self.stream.bytes_unsent:
-            self.deadline = server.loop.now() + read_time
+            self.deadline = server.loop.now() + read_timeout
         elif not self.pending_answers and not self.closing:
             if self._schedule_parking():
                 return
--- a/tests/fronts/test_client_limits.py
+++ b/tests/fronts/test_client_limits.py
@@ -1,4 +1,4 @@
-"""What clients may take: floods, memory, and errors over one connection."""
+"""Limits on clients: floods of messages, memory, and an error at one connection."""
 
 import socket
 
@@ -10,89 +10,100 @@
 from gaproute.platform.shutdown import ACCEPT_TIME
 
 
-def raw(made, data):
-    """A client that sends until the socket takes no more, and reads nothing."""
-    made_one = socket.create_connection(address(made.where)[1])
-    made_one.setblocking(False)
-    made_one.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
-    made.turns(3)
+def flooding_client(gateway, data):
+    """A socket that reads nothing, and a function that sends `data` on it until it takes no more."""
+    sock = socket.create_connection(address(gateway.where)[1])
+    sock.setblocking(False)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
+    gateway.turns(3)
 
-    left = [data]
+    unsent = [data]
 
-    def push():
+    def send():
         try:
             while True:
-                left[0] = left[0][made_one.send(left[0]) :] or data
+                unsent[0] = unsent[0][sock.send(unsent[0]) :] or data
         except (BlockingIOError, ConnectionError):
             pass
 
-    return made_one, push
+    return sock, send
 
 
-def test_floods_of_pings_and_of_bad_messages_and_silent_ones_are_bounded_and_others_are_served(gate):
-    made = gate(clock=Handed())
-    silent = [made.client() for _ in range(60)]
+def test_floods_and_silent_clients_use_bounded_memory_while_other_clients_are_served(gate):
+    gateway = gate(clock=Handed())
+    silent = [gateway.client() for _ in range(60)]
     ping = b'{"jsonrpc":"2.0","id":1,"method":"ping"}'
-    pings, flood = raw(made, b"Content-Length: %d\r\n\r\n%b" % (len(ping), ping) * 2000)
-    bad, spoil = raw(made, b"Content-Length: 2\r\n\r\n[]" * 200)
-    heaviest = 0
+    ping_sock, send_pings = flooding_client(
+        gateway, b"Content-Length: %d\r\n\r\n%b" % (len(ping), ping) * 2000
+    )
+    invalid_sock, send_invalid = flooding_client(gateway, b"Content-Length: 2\r\n\r\n[]" * 200)
+    most_buffered = 0
     for _ in range(300):
-        flood()
-        spoil()
-        made.turns(2)
-        heaviest = max([heaviest, *[link.buffered_bytes() for link in made.process.front.active_connections]])
-    served = made.client()
+        send_pings()
+        send_invalid()
+        gateway.turns(2)
+        most_buffered = max(
+            [
+                most_buffered,
+                *[connection.buffered_bytes() for connection in gateway.process.front.active_connections],
+            ]
+        )
+    served = gateway.client()
     served.ask(1)
-    made.until(lambda: served.answers)
-    front = made.process.front
+    gateway.until(lambda: served.answers)
+    front = gateway.process.front
     assert "result" in served.answers[0]
-    assert heaviest < 3 * connections.MAX_UNSENT_BYTES
+    assert most_buffered < 3 * connections.MAX_UNSENT_BYTES
     assert front.protocol_errors == connections.MAX_PROTOCOL_ERRORS
-    made.passes(
-        fronts.FIRST_MESSAGE_TIMEOUT + 100 * MILLI
-    )  # who said nothing, and who takes nothing, is gone
-    made.passes(fronts.SWEEP_INTERVAL)
+    # Clients that send nothing or receive nothing are disconnected
+    gateway.passes(fronts.FIRST_MESSAGE_TIMEOUT + 100 * MILLI)
+    gateway.passes(fronts.SWEEP_INTERVAL)
     assert all(client.ended for client in silent)
     assert front.unresponsive_clients == 1
     assert front.connection_count <= 1
-    pings.close()
-    bad.close()
+    ping_sock.close()
+    invalid_sock.close()
 
 
-def test_what_all_clients_together_may_hold_is_bounded_and_the_heaviest_goes_first(gate, monkeypatch):
+def test_memory_of_all_clients_is_bounded_and_the_connection_that_uses_the_most_ends_first(gate, monkeypatch):
     monkeypatch.setattr(fronts, "MAX_BUFFERED_BYTES", 60_000)
-    made = gate(clock=Handed())
-    clients = [made.client() for _ in range(3)]
+    gateway = gate(clock=Handed())
+    clients = [gateway.client() for _ in range(3)]
     for client, size in zip(clients, (10_000, 40_000, 20_000), strict=True):
         client.send(b"Content-Length: 45000\r\n\r\n" + b"x" * size)
-    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.active_connections) == 70_000)
-    made.passes(fronts.SWEEP_INTERVAL)
+    gateway.until(
+        lambda: (
+            sum(connection.buffered_bytes() for connection in gateway.process.front.active_connections)
+            == 70_000
+        )
+    )
+    gateway.passes(fronts.SWEEP_INTERVAL)
     assert [client.ended for client in clients] == [False, True, False]
 
 
-def test_an_error_over_one_connection_ends_neither_the_looks_nor_the_stop(gate, monkeypatch):
-    made = gate(clock=Handed())
-    spoilt, half = made.client(), made.client()
-    for client in (spoilt, half):
+def test_an_error_at_one_connection_stops_neither_the_sweep_nor_the_shutdown(gate, monkeypatch):
+    gateway = gate(clock=Handed())
+    one_client, other_client = gateway.client(), gateway.client()
+    for client in (one_client, other_client):
         client.send(b"Content-Length: 50\r\n\r\nhalf")
-    made.until(lambda: len(made.process.front.active_connections) == 2)
-    first, look = (
-        next(iter(made.process.front.active_connections)),
+    gateway.until(lambda: len(gateway.process.front.active_connections) == 2)
+    first, check_progress = (
+        next(iter(gateway.process.front.active_connections)),
         connections.RpcConnection.check_progress,
     )
     monkeypatch.setattr(
         connections.RpcConnection,
         "check_progress",
-        lambda link, now: 1 / 0 if link is first else look(link, now),
+        lambda connection, now: 1 / 0 if connection is first else check_progress(connection, now),
     )
-    made.passes(connections.PROGRESS_TIMEOUT)
-    made.passes(fronts.SWEEP_INTERVAL)
-    assert spoilt.ended + half.ended == 1
-    assert made.process.front.connection_count == 1
-    made.loop.running = True
-    monkeypatch.setattr(made.process.front, "stop", lambda: 1 / 0)
-    made.process.stop()
-    made.passes(ACCEPT_TIME)
-    made.passes(made.process.shutdown.times.exit_at - made.loop.now())
-    assert not made.loop.running
-    assert dict(made.lines)["unhandled_exception"]
+    gateway.passes(connections.PROGRESS_TIMEOUT)
+    gateway.passes(fronts.SWEEP_INTERVAL)
+    assert one_client.ended + other_client.ended == 1
+    assert gateway.process.front.connection_count == 1
+    gateway.loop.running = True
+    monkeypatch.setattr(gateway.process.front, "stop", lambda: 1 / 0)
+    gateway.process.stop()
+    gateway.passes(ACCEPT_TIME)
+    gateway.passes(gateway.process.shutdown.times.exit_at - gateway.loop.now())
+    assert not gateway.loop.running
+    assert dict(gateway.lines)["unhandled_exception"]
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -1,6 +1,7 @@
-"""No attempt begins more than 0.1 s after its client closed or cancelled, however late the loop hears of it.
+"""No attempt begins more than 0.1 s after its client closed or cancelled, however late the loop notices it.
 
-In each test the client leaves while the loop is in a long turn, and what makes an attempt begin comes first.
+In each test the client leaves during a long turn of the loop, and the event that makes an attempt begin is
+handled before the departure.
 """
 
 import json
@@ -29,224 +30,226 @@
 from gaproute.loop.streams import READ_SIZE
 from gaproute.standins.platform import arg
 
-LONG = 300 * MILLI  # a turn in which the client leaves and nothing of it is heard
-LEAVES = {
+LONG_TURN = 300 * MILLI  # a turn of the loop in which the client leaves unnoticed
+DEPARTURES = {
     "fin": lambda client: client.stream.close(),
     "reset": lambda client: client.stream.abort(),
-    "half a close": lambda client: half_close(client.stream),
+    "half-close": lambda client: half_close(client.stream),
     "abort by number": lambda client: client.message(abort(id=1)),
-    "abort by mark": lambda client: client.message(abort(i=f"{1:016x}")),
+    "abort by id": lambda client: client.message(abort(i=f"{1:016x}")),
     "stays": lambda client: None,
 }
-leaves = pytest.mark.parametrize("leave", LEAVES.values(), ids=LEAVES)
-only_ends = pytest.mark.parametrize("way", ENDS)
+for_each_departure = pytest.mark.parametrize("leave", DEPARTURES.values(), ids=DEPARTURES)
+for_each_ending = pytest.mark.parametrize("ending", ENDS)
 
 
-def abort(**named):
-    return {"jsonrpc": "2.0", "method": "abort", "params": named}
+def abort(**reference):
+    return {"jsonrpc": "2.0", "method": "abort", "params": reference}
 
 
-def dialled(where):
-    """A connection that has come up, as `connect` passes it on."""
+def connected_socket(where):
+    """A connected socket, as `connect` passes it on."""
     sock = socket.create_connection(address(where)[1])
     sock.setblocking(False)
     return sock
 
 
-def silent_at_requests(stream, command):
-    """A host that answers probes alone."""
+def answer_probes_only(stream, command):
+    """The answers of a host that answers probes but no requests."""
     if command["type"] != "go":
         reply = {"type": "green", "req": command["req"], "meta": {"meter": "util:0.25;x0:0.5"}}
         stream.write(json.dumps(reply).encode() + b"\n")
 
 
-@leaves
-def test_a_dial_that_comes_up_in_the_long_turn_in_which_its_client_leaves(gate, monkeypatch, leave):
+@for_each_departure
+def test_no_attempt_begins_on_a_connection_opened_in_the_turn_in_which_its_client_leaves(
+    gate, monkeypatch, leave
+):
     monkeypatch.setattr(connections, "connect", dials := HeldDials())
-    made = gate(clock=Handed(), settings=with_limits(probes=False, connect_timeout=1000.0))
-    client = made.client()
+    gateway = gate(clock=Handed(), settings=with_limits(probes=False, connect_timeout=1000.0))
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: dials.waiting)
+    gateway.until(lambda: dials.waiting)
     leave(client)
-    made.clock.now += LONG
+    gateway.clock.now += LONG_TURN
     dials.held[0][4] = False
-    dials.held[0][3](dialled(made.hosts[0].address), None)
-    made.turns()
-    stays = leave is LEAVES["stays"]
-    assert made.came() == stays == len(client.answers)
-    assert not made.process.core.in_flight
-    assert not made.process.core.gateway.hosts_by_id["s-0"].bad_results
+    dials.held[0][3](connected_socket(gateway.hosts[0].address), None)
+    gateway.turns()
+    stays = leave is DEPARTURES["stays"]
+    assert gateway.came() == stays == len(client.answers)
+    assert not gateway.process.core.in_flight
+    assert not gateway.process.core.gateway.hosts_by_id["s-0"].bad_results
 
 
 @pytest.mark.parametrize("stopping", [False, True])
-@leaves
-def test_a_retry_whose_cause_is_read_before_its_client_has_left(gate, leave, stopping):
-    """Also after SIGTERM. The host's answer lay there first; both are read after a long turn."""
-    made, client, held = first_request_held(gate)
+@for_each_departure
+def test_no_retry_begins_if_its_cause_is_read_before_its_client_is_noticed_to_leave(gate, leave, stopping):
+    """The host's answer arrives first; both are read after a long turn. Also after SIGTERM."""
+    gateway, client, held = first_request_held(gate)
     if stopping:
-        made.process.stop()
-    made.hosts[0].reply(*held[0], "overload")
+        gateway.process.stop()
+    gateway.hosts[0].reply(*held[0], "overload")
     leave(client)
-    made.clock.now += LONG
-    made.turns()
-    stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays
+    gateway.clock.now += LONG_TURN
+    gateway.turns()
+    stays = leave is DEPARTURES["stays"]
+    assert gateway.came() == 1 + stays
     assert len(client.answers) == stays
-    assert not made.process.core.in_flight
+    assert not gateway.process.core.in_flight
 
 
-@leaves
-def test_an_attempt_whose_timer_is_due_in_the_turn_in_which_its_client_leaves(gate, leave):
-    """The host had no copy: the attempt goes again once the order for one has had its round trip."""
+@for_each_departure
+def test_no_attempt_begins_by_a_timer_that_is_due_in_the_turn_in_which_its_client_leaves(gate, leave):
+    """The host has no instance: the attempt is repeated after the round trip of the load order."""
     held = []
 
     def answer(stream, command):
         if command["type"] == "go" and not held:
             held.append((stream, command))
         elif command["type"] != "stage":
-            made.hosts[0].serve(stream, command)
+            gateway.hosts[0].serve(stream, command)
 
-    made = gate(answer, clock=Handed())
-    connect_hosts(made)
-    client = made.client()
+    gateway = gate(answer, clock=Handed())
+    connect_hosts(gateway)
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: held)
-    made.clock.now += 50 * MILLI
-    made.hosts[0].reply(*held[0], "not_here")
-    made.until(lambda: made.hosts[0].seen("stage"))
-    assert made.came() == 1
+    gateway.until(lambda: held)
+    gateway.clock.now += 50 * MILLI
+    gateway.hosts[0].reply(*held[0], "not_here")
+    gateway.until(lambda: gateway.hosts[0].seen("stage"))
+    assert gateway.came() == 1
     assert not client.answers
 
     def long_turn():
         leave(client)
-        made.clock.now += LONG
+        gateway.clock.now += LONG_TURN
 
-    made.loop.at(made.loop.now(), long_turn)  # both are due in the same turn, this first
-    made.clock.now += 100 * MILLI
-    made.turns()
-    stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays
+    gateway.loop.at(gateway.loop.now(), long_turn)  # before the timer of the attempt, in the same turn
+    gateway.clock.now += 100 * MILLI
+    gateway.turns()
+    stays = leave is DEPARTURES["stays"]
+    assert gateway.came() == 1 + stays
     assert len(client.answers) == stays
-    assert not made.process.core.in_flight
+    assert not gateway.process.core.in_flight
 
 
-def test_a_request_is_not_begun_whose_abort_lies_behind_more_than_one_read(gate):
-    made = gate(clock=Handed())
-    made.process.front.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-    client = made.client()
+def test_a_request_does_not_begin_if_its_abort_is_further_behind_it_than_one_read_takes(gate):
+    gateway = gate(clock=Handed())
+    gateway.process.front.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
+    client = gateway.client()
     for number in range(1, 11):
         client.ask(number, arg=arg(b"x" * 10_000))
     for number in range(1, 10):
         client.message(abort(id=number))
     data = b"".join(client.waiting)
     assert len(data) > 2 * READ_SIZE
-    sock = socket.create_connection(address(made.where)[1])
+    sock = socket.create_connection(address(gateway.where)[1])
     sock.sendall(data)
     client.waiting = []
-    made.until(lambda: not made.process.core.in_flight and made.process.core.submitted)
-    made.turns()
-    assert [command["req"] for command in made.hosts[0].seen("go")] == [f"{10:016x}"]
+    gateway.until(lambda: not gateway.process.core.in_flight and gateway.process.core.submitted)
+    gateway.turns()
+    assert [command["req"] for command in gateway.hosts[0].seen("go")] == [f"{10:016x}"]
     sock.close()
 
 
-def test_an_abort_that_lies_unread_on_a_connection_that_is_not_read_ends_its_request(gate):
-    """Its client takes no answers. The next attempt asks; the request that follows is not touched by it."""
-    made, client, held = first_request_held(gate)
-    (link,) = made.process.front.active_connections
-    link.stream.pause()
+def test_an_unread_abort_on_a_connection_with_paused_reading_ends_its_request(gate):
+    """Reading is paused as for a client that receives no answers. A later request is not affected."""
+    gateway, client, held = first_request_held(gate)
+    (connection,) = gateway.process.front.active_connections
+    connection.stream.pause()
     client.message(abort(id=1))
-    made.turns()
-    made.clock.now += LONG
-    made.hosts[0].reply(*held[0], "overload")
-    made.turns()
-    assert made.came() == 1
-    assert not made.process.core.in_flight
-    assert not link.open_requests
+    gateway.turns()
+    gateway.clock.now += LONG_TURN
+    gateway.hosts[0].reply(*held[0], "overload")
+    gateway.turns()
+    assert gateway.came() == 1
+    assert not gateway.process.core.in_flight
+    assert not connection.open_requests
     client.ask(2)
-    link.stream.resume()
-    made.until(lambda: client.answers)
+    connection.stream.resume()
+    gateway.until(lambda: client.answers)
     assert client.answers[0]["id"] == 2
-    assert made.came() == 2
-    assert made.process.front.protocol_errors == 0
+    assert gateway.came() == 2
+    assert gateway.process.front.protocol_errors == 0
 
 
-# What has begun to be written and has not come whole
+# Requests that are partly written to the host
 
 
-def reads_on(made):
-    """The connection takes all there is; whether the host got the request."""
-    made.clog.emptied()
-    made.turns()
-    return bool(made.came())
+def host_receives_request(gateway):
+    """Lets the connection to the host take all bytes; returns whether the host received the request."""
+    gateway.clog.emptied()
+    gateway.turns()
+    return bool(gateway.came())
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-@leaves
-def test_a_request_written_in_part_never_comes_whole_once_its_client_has_left(gate, cancel, leave):
-    made, client = written_in_part(gate, cancel=cancel)
+@for_each_departure
+def test_the_rest_of_a_partly_written_request_is_not_sent_once_its_client_has_left(gate, cancel, leave):
+    gateway, client = written_in_part(gate, cancel=cancel)
     leave(client)
-    made.turns()
-    stays = leave is LEAVES["stays"]
-    assert reads_on(made) is stays
+    gateway.turns()
+    stays = leave is DEPARTURES["stays"]
+    assert host_receives_request(gateway) is stays
     assert len(client.answers) == stays
-    assert not made.process.core.in_flight
+    assert not gateway.process.core.in_flight
 
 
-def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
-    """The connection ends: its host gives up what is open on it."""
-    made, link = one_connection(gate, silent_at_requests)
-    other, client = made.client(), made.client()
+def test_another_request_on_that_connection_counts_as_one_that_may_have_run_and_leaves_no_state(gate):
+    """The connection is closed, so its host abandons the other request."""
+    gateway, connection = one_connection(gate, answer_probes_only)
+    other, client = gateway.client(), gateway.client()
     other.ask(1, "repair-order", i="f" * 16)
-    made.until(made.came)
-    fill_after(link, 500)
+    gateway.until(gateway.came)
+    fill_after(connection, 500)
     client.ask(1, arg=arg(b"x" * 1000))
-    made.until(lambda: link.stream.bytes_unsent)
+    gateway.until(lambda: connection.stream.bytes_unsent)
     client.stream.abort()
-    made.until(lambda: other.answers)
-    made.turns()
+    gateway.until(lambda: other.answers)
+    gateway.turns()
     assert other.answers[0]["error"]["code"] == ErrorCode.FAILED
-    assert made.came() == 1
-    assert not made.process.core.in_flight
-    assert not link.pending
-    assert not link.stream.open
+    assert gateway.came() == 1
+    assert not gateway.process.core.in_flight
+    assert not connection.pending
+    assert not connection.stream.open
 
 
 # Over HTTP
 
 
-@only_ends
-def test_over_http_a_dial_that_comes_up_when_its_client_has_left_begins_nothing(rig, monkeypatch, way):
-    made = rig(hosts=1)
+@for_each_ending
+def test_over_http_a_connection_opened_after_its_client_left_carries_no_request(rig, monkeypatch, ending):
+    testbed = rig(hosts=1)
     monkeypatch.setattr(exchanges, "connect", dials := HeldDials())
-    sock = socket.create_connection(made.at[1])
+    sock = socket.create_connection(testbed.at[1])
     sock.sendall(b"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n{}")
-    made.until(lambda: made.gate.core.in_flight)
+    testbed.until(lambda: testbed.gate.core.in_flight)
     (entry,) = [each for each in dials.held if each[4]][-1:]
     with socket.create_server(("127.0.0.1", 0)) as host:
-        end(sock, way)
-        time.sleep(0.15)  # a long turn
+        end(sock, ending)
+        time.sleep(0.15)  # a long turn of the loop
         entry[4] = False
-        entry[3](dialled("{}:{}".format(*host.getsockname())), None)
-        made.rest(50 * MILLI)
-        came, _ = host.accept()
-        with came:
-            assert came.recv(1) == b""
-    assert not made.gate.core.in_flight
-    assert not made.gate.core.gateway.hosts_by_id["h0"].bad_results
+        entry[3](connected_socket("{}:{}".format(*host.getsockname())), None)
+        testbed.rest(50 * MILLI)
+        accepted, _ = host.accept()
+        with accepted:
+            assert accepted.recv(1) == b""
+    assert not testbed.gate.core.in_flight
+    assert not testbed.gate.core.gateway.hosts_by_id["h0"].bad_results
     sock.close()
 
 
-def test_over_http_what_may_not_begin_on_a_connection_that_came_up_has_lapsed():
+def test_over_http_an_exchange_that_is_not_wanted_once_connected_fails_as_expired():
     loop, results = Loop(), []
     with socket.create_server(("127.0.0.1", 0)) as server:
-        exchange = Exchange(loop, b"x", lambda *each: results.append(each), still_wanted=lambda: False)
+        exchange = Exchange(loop, b"x", lambda *result: results.append(result), still_wanted=lambda: False)
         exchange.connect((socket.AF_INET, server.getsockname()), SECOND, 1024, 1024)
         while not results:
             loop.after(MILLI, lambda: None)
             loop.turn()
-        came, _ = server.accept()
-        assert came.recv(1) == b""
-        came.close()
+        accepted, _ = server.accept()
+        assert accepted.recv(1) == b""
+        accepted.close()
     assert results[0][0] is None
     assert results[0][1].expired
     assert not results[0][1].any_byte_sent
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -1,4 +1,4 @@
-"""A client's end is heard although bytes lie unread before it: as FIN, as a reset, as half a close."""
+"""The end of a client's connection, by FIN, reset or half-close, is noticed behind unread bytes."""
 
 import socket
 
@@ -12,100 +12,100 @@
 from gaproute.loop.streams import READ_SIZE
 
 
-@pytest.mark.parametrize("way", ENDS)
-def test_nothing_begins_for_requests_whose_client_had_closed_behind_more_than_one_read(gate, way):
-    made = gate(clock=Handed())
-    buffers_much(made.process.front.listener)
-    data = requests(made, 10, 10_000)
+@pytest.mark.parametrize("ending", ENDS)
+def test_no_request_begins_if_its_client_closed_behind_more_bytes_than_one_read_takes(gate, ending):
+    gateway = gate(clock=Handed())
+    buffers_much(gateway.process.front.listener)
+    data = requests(gateway, 10, 10_000)
     assert len(data) > 2 * READ_SIZE
-    sock = connected(made.where)
+    sock = connected(gateway.where)
     sock.sendall(data)
-    end(sock, way)
-    made.until(lambda: not made.process.front.connection_count)
-    made.turns()
-    assert made.came() == 0
-    assert made.process.core.submitted == 0
-    assert not made.process.front.open_request_ids
+    end(sock, ending)
+    gateway.until(lambda: not gateway.process.front.connection_count)
+    gateway.turns()
+    assert gateway.came() == 0
+    assert gateway.process.core.submitted == 0
+    assert not gateway.process.front.open_request_ids
     sock.close()
 
 
-@pytest.mark.parametrize("way", ENDS)
-def test_an_end_behind_many_unread_bytes_is_heard_in_the_turn_in_which_it_comes(gate, way):
-    made = gate(nothing, clock=Handed())
-    buffers_much(made.process.front.listener)
-    sock = connected(made.where)
-    sock.sendall(requests(made, 1, 10))
-    made.until(made.came)
-    sock.sendall(requests(made, 11, 10_000, 2))
-    end(sock, way)
-    made.loop.turn()
-    assert not made.process.core.in_flight or not any(
-        request.on_final is not None for request in made.process.core.in_flight.values()
+@pytest.mark.parametrize("ending", ENDS)
+def test_an_end_behind_many_unread_bytes_is_noticed_in_the_turn_in_which_it_arrives(gate, ending):
+    gateway = gate(nothing, clock=Handed())
+    buffers_much(gateway.process.front.listener)
+    sock = connected(gateway.where)
+    sock.sendall(requests(gateway, 1, 10))
+    gateway.until(gateway.came)
+    sock.sendall(requests(gateway, 11, 10_000, 2))
+    end(sock, ending)
+    gateway.loop.turn()
+    assert not gateway.process.core.in_flight or not any(
+        request.on_final is not None for request in gateway.process.core.in_flight.values()
     )
-    made.turns()
-    assert made.came() == 1
-    assert not made.process.front.active_connections
+    gateway.turns()
+    assert gateway.came() == 1
+    assert not gateway.process.front.active_connections
     sock.close()
 
 
-def read_to_end(made, sock):
-    """All that a client reads until the gateway closes."""
-    came, ended = [], []
+def read_to_end(gateway, sock):
+    """All bytes that a client receives until the gateway closes the connection."""
+    received, ended = [], []
 
     def read():
         try:
             data = sock.recv(65536, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
-        (came if data else ended).append(data)
+        (received if data else ended).append(data)
         return bool(ended)
 
-    made.until(read)
+    gateway.until(read)
     sock.close()
-    return b"".join(came)
+    return b"".join(received)
 
 
 HEAD = b"POST /v2/models/%b/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n{}"
 
 
-@pytest.mark.parametrize("way", ENDS)
-def test_over_http_nothing_begins_for_a_request_that_was_read_when_its_client_had_closed(rig, way):
-    """One that closed half reads a clear answer."""
-    made = rig()
-    sock = socket.create_connection(made.at[1])
+@pytest.mark.parametrize("ending", ENDS)
+def test_over_http_no_request_begins_if_it_is_read_after_its_client_closed(rig, ending):
+    """A client that closed only its sending side receives an answer that says so."""
+    testbed = rig()
+    sock = socket.create_connection(testbed.at[1])
     sock.sendall(HEAD % b"lamp" * 3)
-    end(sock, way)
-    if way == "half":
-        answers = read_to_end(made, sock)
+    end(sock, ending)
+    if ending == "half":
+        answers = read_to_end(testbed, sock)
         assert answers.count(b"HTTP/1.1 504") == 3
         assert answers.count(b"closed its side") == 3
-    made.rest(50 * MILLI)
-    assert made.gate.core.submitted == 0
-    assert not made.gate.fronts[0].connection_count
+    testbed.rest(50 * MILLI)
+    assert testbed.gate.core.submitted == 0
+    assert not testbed.gate.fronts[0].connection_count
 
 
-def test_over_http_what_is_asked_of_the_gateway_itself_is_answered_to_one_that_closed_half(rig):
-    made = rig()
-    sock = socket.create_connection(made.at[1])
+def test_over_http_a_health_check_of_a_half_closed_client_is_answered(rig):
+    testbed = rig()
+    sock = socket.create_connection(testbed.at[1])
     sock.sendall(b"GET /v2/health/live HTTP/1.1\r\nHost: g\r\n\r\n")
     end(sock, "half")
-    assert read_to_end(made, sock).startswith(b"HTTP/1.1 200")
+    assert read_to_end(testbed, sock).startswith(b"HTTP/1.1 200")
 
 
-def test_over_http_half_a_close_behind_a_long_body_still_gets_its_answer():
-    """The end is heard in the turn in which the first bytes are read, and the request is read whole."""
-    loop, came = Loop(), []
-    server = Server(loop, address("127.0.0.1:0"), came.append, Limits())
+def test_over_http_a_request_with_a_long_body_before_a_half_close_is_answered():
+    """The end is noticed when the first bytes are read, and the request is still read completely."""
+    loop, requests_read = Loop(), []
+    server = Server(loop, address("127.0.0.1:0"), requests_read.append, Limits())
     buffers_much(server.listener)
     sock = connected(server.address)
     sock.sendall(b"POST /a HTTP/1.1\r\nHost: g\r\nContent-Length: 150000\r\n\r\n" + b"x" * 150_000)
     sock.shutdown(socket.SHUT_WR)
-    while not came:
+    while not requests_read:
         loop.after(MILLI, lambda: None)
         loop.turn()
-    assert came[0].client_closed
-    assert len(came[0].body) == 150_000
-    server.answer(came[0], 504, (), b"late")
+    assert requests_read[0].client_closed
+    assert len(requests_read[0].body) == 150_000
+    server.answer(requests_read[0], 504, (), b"late")
     assert sock.recv(65536).startswith(b"HTTP/1.1 504")
     sock.close()
     server.close()
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -1,4 +1,4 @@
-"""A client that leaves or cancels, and connections that are being closed."""
+"""Clients that leave or cancel, and connections that are being closed."""
 
 import socket
 
@@ -8,108 +8,110 @@
 from gaproute.loop.addresses import address
 
 
-def test_a_client_that_takes_no_answers_is_seen_to_leave_though_nothing_is_read(gate):
-    made = gate(nothing)
-    client = made.client()
+def test_a_client_that_receives_no_answers_is_noticed_to_leave_while_reading_is_paused(gate):
+    gateway = gate(nothing)
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: made.came())
-    (link,) = made.process.front.active_connections
-    link.stream.pause()
+    gateway.until(lambda: gateway.came())
+    (connection,) = gateway.process.front.active_connections
+    connection.stream.pause()
     half_close(client.stream)
-    made.until(lambda: not made.process.core.in_flight)
-    assert not made.process.front.active_connections
-    assert not made.process.front.open_request_ids
+    gateway.until(lambda: not gateway.process.core.in_flight)
+    assert not gateway.process.front.active_connections
+    assert not gateway.process.front.open_request_ids
 
 
-def test_connections_that_say_farewell_count_and_make_room_in_a_full_house(gate):
-    made = gate(sockets=70, clock=Handed())
-    connections = made.process.front.connections
-    deaf = [
-        socket.create_connection(address(made.where)[1]) for _ in range(connections.admission.max_connections)
+def test_closing_connections_are_counted_and_ended_to_free_capacity_at_the_limit(gate):
+    gateway = gate(sockets=70, clock=Handed())
+    connections = gateway.process.front.connections
+    clients = [
+        socket.create_connection(address(gateway.where)[1])
+        for _ in range(connections.admission.max_connections)
     ]
-    for each in deaf:  # an error is owed to each, and none of them closes then
+    for each in clients:  # each is sent an error and does not close its side
         each.sendall(b"noise" * 200)
-    made.until(lambda: len(made.loop.closing_streams) == len(deaf))
-    # The kernel may take 40 ms.
-    made.until(lambda: all(stream.is_acknowledged() for stream in made.loop.closing_streams))
-    late = made.client()
+    gateway.until(lambda: len(gateway.loop.closing_streams) == len(clients))
+    # The kernel may delay an acknowledgement by 40 ms
+    gateway.until(lambda: all(stream.is_acknowledged() for stream in gateway.loop.closing_streams))
+    late = gateway.client()
     late.ask(1)
-    made.turns()
+    gateway.turns()
     assert connections.client_count == connections.admission.max_connections
     assert not late.answers
-    made.passes(110 * MILLI)
-    made.passes(20 * MILLI)
-    made.until(lambda: late.answers)
+    gateway.passes(110 * MILLI)
+    gateway.passes(20 * MILLI)
+    gateway.until(lambda: late.answers)
     assert "result" in late.answers[0]
     assert (
         connections.client_count
         == connections.admission.max_connections
-        == len(made.loop.closing_streams) + 1
+        == len(gateway.loop.closing_streams) + 1
     )
-    for each in deaf:
+    for each in clients:
         each.close()
 
 
-@pytest.mark.parametrize("at_work", [False, True])
-def test_nothing_begins_for_a_request_whose_client_has_closed_behind_it(gate, at_work):
-    """Also where it waited at admission meanwhile: a parked connection that spoke."""
-    made = gate(clock=Handed())
-    client = made.client()
-    if at_work:
+@pytest.mark.parametrize("in_use", [False, True])
+def test_no_request_begins_if_its_client_closed_after_sending_it(gate, in_use):
+    """Also if the connection was parked when the request arrived."""
+    gateway = gate(clock=Handed())
+    client = gateway.client()
+    if in_use:
         client.ask(1)
-        made.until(lambda: client.answers)
+        gateway.until(lambda: client.answers)
     else:
-        made.until(lambda: made.process.front.parked)
+        gateway.until(lambda: gateway.process.front.parked)
     client.ask(2)
     half_close(client.stream)
-    made.until(lambda: not made.process.front.connection_count)
-    made.turns()
-    assert made.came() == at_work == made.process.core.submitted
-    assert not made.process.front.open_request_ids
+    gateway.until(lambda: not gateway.process.front.connection_count)
+    gateway.turns()
+    assert gateway.came() == in_use == gateway.process.core.submitted
+    assert not gateway.process.front.open_request_ids
 
 
 @pytest.mark.parametrize(
-    ("abort", "answered", "relayed"),
+    ("abort", "answered", "attempts"),
     [
         ({"id": 2}, [3], 1),
-        ({"i": f"{2:016x}"}, [3], 1),  # neither begun nor answered
+        ({"i": f"{2:016x}"}, [3], 1),  # request 2 neither begins nor is answered
         ({"id": 9}, [2, 3], 2),
         ({"id": None}, [2, 3], 2),
     ],
 )
-def test_an_abort_takes_back_a_request_that_came_in_the_same_read(gate, abort, answered, relayed):
-    made = gate()
-    client = made.client()
-    client.ask(1)  # a connection to the host stands then
-    made.until(lambda: client.answers)
+def test_an_abort_cancels_an_earlier_request_of_the_same_read(gate, abort, answered, attempts):
+    gateway = gate()
+    client = gateway.client()
+    client.ask(1)  # opens a connection to the host
+    gateway.until(lambda: client.answers)
     client.answers.clear()
-    client.message({"jsonrpc": "2.0", "method": "abort", "params": abort})  # before it: names nothing
+    client.message({"jsonrpc": "2.0", "method": "abort", "params": abort})  # no such request is open
     client.ask(2)
     for _ in range(2):
         client.message({"jsonrpc": "2.0", "method": "abort", "params": abort})
     client.ask(3)
-    made.until(lambda: len(client.answers) == len(answered))
-    made.turns()
+    gateway.until(lambda: len(client.answers) == len(answered))
+    gateway.turns()
     assert sorted(each["id"] for each in client.answers) == answered
-    assert made.came() == 1 + relayed
-    assert made.process.front.protocol_errors == 0
-    assert not made.process.core.in_flight
+    assert gateway.came() == 1 + attempts
+    assert gateway.process.front.protocol_errors == 0
+    assert not gateway.process.core.in_flight
 
 
-def test_an_abort_reaches_no_request_of_another_connection_and_a_second_one_nothing(gate):
+def test_an_abort_cancels_no_request_of_another_connection_and_a_repeated_one_nothing(gate):
     held = []
-    made = gate(lambda *arguments: arguments[1]["type"] == "go" and held.append(arguments))
-    one, other = made.client(), made.client()
+    gateway = gate(lambda *arguments: arguments[1]["type"] == "go" and held.append(arguments))
+    one, other = gateway.client(), gateway.client()
     one.ask(1)
     other.ask(1, i="f" * 16)
-    made.until(lambda: len(held) == 2)
-    for named in ("f" * 16, f"{1:016x}", f"{1:016x}"):  # of the other's; its own; its own again
-        one.message({"jsonrpc": "2.0", "method": "abort", "params": {"i": named}})
-    made.until(lambda: made.hosts[0].seen("halt"))
+    gateway.until(lambda: len(held) == 2)
+    # The id of the other client's request, of its own, and of its own again
+    for request_id in ("f" * 16, f"{1:016x}", f"{1:016x}"):
+        one.message({"jsonrpc": "2.0", "method": "abort", "params": {"i": request_id}})
+    gateway.until(lambda: gateway.hosts[0].seen("halt"))
     for each in held:
-        made.hosts[0].serve(*each)
-    made.until(lambda: other.answers)
-    made.turns()
+        gateway.hosts[0].serve(*each)
+    gateway.until(lambda: other.answers)
+    gateway.turns()
     assert "result" in other.answers[0]
     assert one.answers == []
-    assert len(made.hosts[0].seen("halt")) == 1
+    assert len(gateway.hosts[0].seen("halt")) == 1
--- a/tests/fronts/test_messages.py
+++ b/tests/fronts/test_messages.py
@@ -1,4 +1,4 @@
-"""JSON-RPC messages of clients: bytes in, requests or faults out."""
+"""Decoding of JSON-RPC messages to requests or errors, and encoding of errors."""
 
 import contextlib
 import json
@@ -13,7 +13,7 @@
 from gaproute.fronts.jsonrpc.requests import decode_message, decode_request
 from gaproute.fronts.jsonrpc.responses import encode_error
 
-GOOD = {
+VALID_PARAMS = {
     "i": "9b1f03aa5c7e2d41",
     "d": 1500,
     "o": "7f3a9c21e0b4d655",
@@ -22,15 +22,19 @@
 }
 
 
-def asked(**fields):
-    return decode_request(7, "fault-check", json.dumps(GOOD | fields).encode(), 5_000_000_000)
+def decode_with(**fields):
+    return decode_request(7, "fault-check", json.dumps(VALID_PARAMS | fields).encode(), 5_000_000_000)
 
 
-@pytest.mark.parametrize("cut", range(1, 60, 7))
-def test_messages_are_read_however_the_bytes_are_split(cut):
+@pytest.mark.parametrize("piece_size", range(1, 60, 7))
+def test_messages_are_decoded_however_the_bytes_are_split(piece_size):
     data = frame(b'{"a":1}') + frame(b"[2]")
     reader = MessageReader()
-    bodies = [body for at in range(0, len(data), cut) for body in reader.feed(data[at : at + cut])]
+    bodies = [
+        body
+        for start in range(0, len(data), piece_size)
+        for body in reader.feed(data[start : start + piece_size])
+    ]
     assert bodies == [b'{"a":1}', b"[2]"]
     assert not reader.mid_message
 
@@ -50,23 +54,23 @@
         b"Content-Length: 99999999999999999999",
     ],
 )
-def test_an_unreadable_head_is_a_fault_at_once(head):
-    with pytest.raises(ProtocolError) as wrong:
+def test_an_invalid_head_raises_an_error_at_once(head):
+    with pytest.raises(ProtocolError) as raised:
         MessageReader().feed(head + b"\r\n\r\nbody")
-    assert wrong.value.code == ErrorCode.PARSE_ERROR
+    assert raised.value.code == ErrorCode.PARSE_ERROR
 
 
-def test_whole_messages_before_a_fault_are_not_lost():
-    with pytest.raises(FramingError) as wrong:
+def test_complete_messages_before_an_invalid_one_are_kept():
+    with pytest.raises(FramingError) as raised:
         MessageReader().feed(frame(b"{}") + b"Content-Length: -1\r\n\r\n")
-    assert wrong.value.bodies == [b"{}"]
+    assert raised.value.bodies == [b"{}"]
 
 
-def test_a_request_is_read_in_the_modules_units():
-    request = asked()
+def test_a_request_is_decoded_to_the_units_of_the_core():
+    request = decode_with()
     assert (request.max_wait, request.concurrency, request.load_time) == (1_500_000_000, 2, 640_000_000)
     assert request.body == b"Ym9keQ=="
-    assert request.function == GOOD["o"]
+    assert request.function == VALID_PARAMS["o"]
 
 
 @pytest.mark.parametrize(
@@ -96,11 +100,11 @@
         {"extras": 5},
     ],
 )
-def test_figures_that_cannot_be_are_refused_by_name(fields):
-    with pytest.raises(ProtocolError) as wrong:
-        asked(**fields)
-    assert wrong.value.code == ErrorCode.INVALID_PARAMS
-    assert wrong.value.request_number == 7
+def test_invalid_parameters_are_rejected_with_the_number_of_the_request(fields):
+    with pytest.raises(ProtocolError) as raised:
+        decode_with(**fields)
+    assert raised.value.code == ErrorCode.INVALID_PARAMS
+    assert raised.value.request_number == 7
 
 
 @pytest.mark.parametrize(
@@ -118,13 +122,13 @@
         (b'{"jsonrpc":"2.0","id":1.5,"method":"x"}', ErrorCode.INVALID_REQUEST),
     ],
 )
-def test_what_is_no_request_gets_an_error(body, code):
-    with pytest.raises(ProtocolError) as wrong:
+def test_a_body_that_is_no_request_is_rejected(body, code):
+    with pytest.raises(ProtocolError) as raised:
         decode_message(body)
-    assert wrong.value.code == code
+    assert raised.value.code == code
 
 
-def test_an_abort_names_a_number_or_a_mark():
+def test_an_abort_refers_to_a_request_by_number_or_id():
     assert decode_cancellation_params(b'{"id":7}') == 7
     assert decode_cancellation_params(b'{"i":"ab"}') == "ab"
     assert decode_cancellation_params(b"[7]") is None
@@ -139,7 +143,7 @@
 
 
 @given(st.lists(st.binary(max_size=200), max_size=20))
-def test_arbitrary_bytes_raise_nothing_but_faults_and_are_bounded(pieces):
+def test_arbitrary_bytes_raise_only_protocol_errors_and_use_bounded_memory(pieces):
     reader = MessageReader()
     for piece in pieces:
         try:
@@ -151,8 +155,8 @@
 
 
 @given(st.binary(max_size=300))
-def test_arbitrary_bodies_raise_nothing_but_faults(body):
-    for read in (decode_message, lambda data: decode_request(1, "m", data, 10**9)):
+def test_arbitrary_bodies_raise_only_protocol_errors(body):
+    for decode in (decode_message, lambda data: decode_request(1, "m", data, 10**9)):
         with contextlib.suppress(ProtocolError):
-            read(body)
+            decode(body)
     decode_cancellation_params(body)
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -1,5 +1,5 @@
-"""A request that was read has its answer before its connection is closed, whatever the connection is closed
-for: a bad message behind it, its client's slowness, a full house, a shortage of descriptors."""
+"""A request that was read is answered before its connection is closed, whatever the reason for closing it:
+an invalid message behind it, a slow client, the connection limit, or a shortage of descriptors."""
 
 import pytest
 from request_scenarios import codes, holding, takes_nothing
@@ -10,209 +10,217 @@
 from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.fronts.jsonrpc.front import MAX_OPEN_REQUESTS
 
-BAD = b"Content-Length: none\r\n\r\n"  # nothing behind it can be read
-EMPTY = b"Content-Length: 2\r\n\r\n{}"  # no request, and what is behind it can be read
+UNDECODABLE_MESSAGE = b"Content-Length: none\r\n\r\n"  # no message behind it can be decoded
+INVALID_MESSAGE = b"Content-Length: 2\r\n\r\n{}"  # no request, but messages behind it can be decoded
 
 
-def said_in_one(client, *said):
-    """Sends all that the calls say as one piece."""
+def send_as_one_piece(client, *sends):
+    """Sends all bytes that the calls of `sends` would send as one piece."""
     pieces = []
     client.send = pieces.append
-    for say in said:
-        say()
+    for send in sends:
+        send()
     del client.send
     client.send(b"".join(pieces))
 
 
-# After a bad message
+# After an invalid message
 
 
 @pytest.mark.parametrize(
-    ("bad", "code"),
-    [(BAD, ErrorCode.PARSE_ERROR), (EMPTY * connections.MAX_PROTOCOL_ERRORS, ErrorCode.INVALID_REQUEST)],
-    ids=["unreadable", "many"],
+    ("invalid", "code"),
+    [
+        (UNDECODABLE_MESSAGE, ErrorCode.PARSE_ERROR),
+        (INVALID_MESSAGE * connections.MAX_PROTOCOL_ERRORS, ErrorCode.INVALID_REQUEST),
+    ],
+    ids=["undecodable", "too many"],
 )
-def test_a_bad_message_leaves_those_before_it_their_answers_and_closes_after_the_last(gate, bad, code):
-    made, held = holding(gate)
-    client = made.client()
+def test_requests_before_an_invalid_message_are_answered_before_the_connection_closes(gate, invalid, code):
+    gateway, held = holding(gate)
+    client = gateway.client()
     client.ask(1)
     client.ask(2)
-    made.until(lambda: len(held) == 2)
-    client.send(bad)
-    made.until(lambda: client.answers)
-    made.hosts[0].serve(*held[0])
-    made.until(lambda: codes(client)[0] == {1: None})
-    made.passes(400 * MILLI)
+    gateway.until(lambda: len(held) == 2)
+    client.send(invalid)
+    gateway.until(lambda: client.answers)
+    gateway.hosts[0].serve(*held[0])
+    gateway.until(lambda: codes(client)[0] == {1: None})
+    gateway.passes(400 * MILLI)
     assert not client.ended
     assert set(codes(client)[1]) == {code}
-    made.hosts[0].serve(*held[1])
-    made.until(lambda: client.ended and not made.process.front.connection_count)
+    gateway.hosts[0].serve(*held[1])
+    gateway.until(lambda: client.ended and not gateway.process.front.connection_count)
     assert codes(client)[0] == {1: None, 2: None}
 
 
-def test_a_request_in_the_same_read_as_bad_messages_is_answered_before_and_behind_them(gate):
-    made = gate(clock=Handed())
-    client = made.client()
-    said_in_one(
+def test_requests_before_and_behind_invalid_messages_of_the_same_read_are_answered(gate):
+    gateway = gate(clock=Handed())
+    client = gateway.client()
+    send_as_one_piece(
         client,
         lambda: client.ask(1),
-        lambda: client.send(EMPTY * (connections.MAX_PROTOCOL_ERRORS + 5)),
+        lambda: client.send(INVALID_MESSAGE * (connections.MAX_PROTOCOL_ERRORS + 5)),
         lambda: client.ask(2),
-        lambda: client.send(BAD),
+        lambda: client.send(UNDECODABLE_MESSAGE),
     )
-    made.until(lambda: client.ended)
+    gateway.until(lambda: client.ended)
     numbered, errors = codes(client)
     assert numbered == {1: None, 2: None}
     assert len(errors) == connections.MAX_PROTOCOL_ERRORS
 
 
-def test_rejections_are_answers_and_no_faults_of_the_client(gate):
-    made, held = holding(gate)
-    client, most = made.client(), MAX_OPEN_REQUESTS + 2 * connections.MAX_PROTOCOL_ERRORS
-    for number in range(1, most + 1):
+def test_rejected_requests_are_not_counted_as_protocol_errors(gate):
+    gateway, held = holding(gate)
+    client, request_count = gateway.client(), MAX_OPEN_REQUESTS + 2 * connections.MAX_PROTOCOL_ERRORS
+    for number in range(1, request_count + 1):
         client.ask(number)
-    made.until(lambda: len(client.answers) == most - MAX_OPEN_REQUESTS)
-    made.until(lambda: len(held) == MAX_OPEN_REQUESTS)  # which the host may read later
+    gateway.until(lambda: len(client.answers) == request_count - MAX_OPEN_REQUESTS)
+    gateway.until(lambda: len(held) == MAX_OPEN_REQUESTS)  # the host may read them later
     assert set(codes(client)[0].values()) == {ErrorCode.REJECTED}
-    assert made.process.front.protocol_errors == 0
+    assert gateway.process.front.protocol_errors == 0
     for each in held:
-        made.hosts[0].serve(*each)
-    made.until(lambda: len(client.answers) == most)
-    assert len(codes(client)[0]) == most
+        gateway.hosts[0].serve(*each)
+    gateway.until(lambda: len(client.answers) == request_count)
+    assert len(codes(client)[0]) == request_count
     assert not client.ended
 
 
-def test_a_figure_beyond_all_figures_is_refused_and_spoils_no_request_behind_it(gate):
-    made = gate(clock=Handed())
-    client = made.client()
-    said_in_one(client, lambda: client.ask(1, d=10**400), lambda: client.ask(2))
-    made.until(lambda: len(client.answers) == 2)
+def test_a_huge_number_is_rejected_and_does_not_affect_the_next_request(gate):
+    gateway = gate(clock=Handed())
+    client = gateway.client()
+    send_as_one_piece(client, lambda: client.ask(1, d=10**400), lambda: client.ask(2))
+    gateway.until(lambda: len(client.answers) == 2)
     assert codes(client)[0] == {1: ErrorCode.INVALID_PARAMS, 2: None}
-    assert not made.loop.errors
+    assert not gateway.loop.errors
 
 
-def test_an_error_of_the_gateway_over_one_request_is_reported_and_spoils_no_other(gate, monkeypatch):
-    made = gate(clock=Handed())
-    task = fronts.JsonRpcFront.start_request
+def test_an_internal_error_at_one_request_is_reported_and_affects_no_other(gate, monkeypatch):
+    gateway = gate(clock=Handed())
+    start_request = fronts.JsonRpcFront.start_request
     monkeypatch.setattr(
         fronts.JsonRpcFront,
         "start_request",
-        lambda *arguments: 1 / 0 if arguments[2].number == 1 else task(*arguments),
+        lambda *arguments: 1 / 0 if arguments[2].number == 1 else start_request(*arguments),
     )
-    client = made.client()
-    said_in_one(client, lambda: client.ask(1), lambda: client.ask(2))
-    made.until(lambda: len(client.answers) == 2)
+    client = gateway.client()
+    send_as_one_piece(client, lambda: client.ask(1), lambda: client.ask(2))
+    gateway.until(lambda: len(client.answers) == 2)
     assert codes(client)[0] == {1: ErrorCode.FAILED, 2: None}
 
 
 # Slow clients
 
 
-def halves(client, number):
-    """The two halves of a request's bytes."""
+def split_request(client, number):
+    """The bytes of a request, which the client does not send, in two parts."""
     pieces, client.send = [], lambda data: pieces.append(data)
     client.ask(number)
     del client.send
     return pieces[0][:40], pieces[0][40:]
 
 
-def test_a_message_whose_rest_has_just_come_is_not_swept_as_a_slow_one(gate):
-    made = gate(clock=Handed())
-    client = made.client()
-    first, rest = halves(client, 1)
+def test_a_message_whose_rest_has_just_arrived_is_not_rejected_as_slow(gate):
+    gateway = gate(clock=Handed())
+    client = gateway.client()
+    first, rest = split_request(client, 1)
     client.send(first)
-    made.until(lambda: made.process.front.active_connections)
-    (link,) = made.process.front.active_connections
-    made.clock.now += connections.PROGRESS_TIMEOUT + MILLI
-    client.send(rest)  # in the gateway's socket, not read by it
-    link.check_progress(made.loop.now())
-    made.until(lambda: client.answers)
+    gateway.until(lambda: gateway.process.front.active_connections)
+    (connection,) = gateway.process.front.active_connections
+    gateway.clock.now += connections.PROGRESS_TIMEOUT + MILLI
+    client.send(rest)  # received by the kernel, not read yet
+    connection.check_progress(gateway.loop.now())
+    gateway.until(lambda: client.answers)
     assert codes(client)[0] == {1: None}
     assert not client.ended
 
 
-def test_a_message_that_stays_half_is_swept_and_what_was_asked_before_it_is_answered(gate):
-    made, held = holding(gate)
-    client = made.client()
+def test_an_incomplete_message_is_rejected_as_slow_and_earlier_requests_are_answered(gate):
+    gateway, held = holding(gate)
+    client = gateway.client()
     client.ask(1, d=2900)
-    made.until(lambda: held)
-    client.send(halves(client, 2)[0])
-    made.until(lambda: next(iter(made.process.front.active_connections)).reader.mid_message)
-    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
-    made.passes(fronts.SWEEP_INTERVAL)
+    gateway.until(lambda: held)
+    client.send(split_request(client, 2)[0])
+    gateway.until(lambda: next(iter(gateway.process.front.active_connections)).reader.mid_message)
+    gateway.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    gateway.passes(fronts.SWEEP_INTERVAL)
     assert codes(client) == ({}, [ErrorCode.PARSE_ERROR])
     assert not client.ended
-    made.hosts[0].serve(*held[0])
-    made.until(lambda: client.ended)
+    gateway.hosts[0].serve(*held[0])
+    gateway.until(lambda: client.ended)
     assert codes(client)[0] == {1: None}
 
 
-def test_a_message_in_many_pieces_is_answered_and_so_are_those_that_share_its_pieces(gate):
-    made = gate(clock=Handed())
-    client = made.client()
+def test_messages_in_many_pieces_are_answered_also_if_two_share_a_piece(gate):
+    gateway = gate(clock=Handed())
+    client = gateway.client()
     pieces = []
     client.send = pieces.append
     for number in range(1, 6):
         client.ask(number)
     del client.send
-    said = b"".join(pieces)
-    for place in range(0, len(said), 7):
-        client.send(said[place : place + 7])
-        made.turns(2)
-    made.until(lambda: len(client.answers) == 5)
+    data = b"".join(pieces)
+    for start in range(0, len(data), 7):
+        client.send(data[start : start + 7])
+        gateway.turns(2)
+    gateway.until(lambda: len(client.answers) == 5)
     assert codes(client) == (dict.fromkeys(range(1, 6)), [])
 
 
-# Clients that take no answers
+# Clients that receive no answers
 
 
-def test_a_client_that_takes_nothing_for_a_while_still_gets_the_answers_it_waits_for(gate, monkeypatch):
-    made, held = holding(gate)
-    client = made.client()
+def test_a_client_that_receives_nothing_for_a_while_still_gets_the_answers_it_waits_for(gate, monkeypatch):
+    gateway, held = holding(gate)
+    client = gateway.client()
     client.ask(1, d=2900)
     client.ask(2, d=2900)
-    made.until(lambda: len(held) == 2)
-    (link,) = made.process.front.active_connections
-    reads = takes_nothing(link, monkeypatch)
-    made.hosts[0].serve(*held[0])
-    made.until(lambda: link.stream.bytes_unsent)
-    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
-    made.passes(fronts.SWEEP_INTERVAL)
-    made.hosts[0].serve(*held[1])
-    made.until(lambda: not link.open_requests)
-    made.passes(700 * MILLI)
+    gateway.until(lambda: len(held) == 2)
+    (connection,) = gateway.process.front.active_connections
+    resume_reading = takes_nothing(connection, monkeypatch)
+    gateway.hosts[0].serve(*held[0])
+    gateway.until(lambda: connection.stream.bytes_unsent)
+    gateway.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    gateway.passes(fronts.SWEEP_INTERVAL)
+    gateway.hosts[0].serve(*held[1])
+    gateway.until(lambda: not connection.open_requests)
+    gateway.passes(700 * MILLI)
     assert not client.answers
     assert not client.ended
-    reads()
-    made.until(lambda: len(client.answers) == 2)
+    resume_reading()
+    gateway.until(lambda: len(client.answers) == 2)
     assert codes(client)[0] == {1: None, 2: None}
 
 
-def test_a_client_that_takes_nothing_beyond_its_time_is_ended(gate, monkeypatch):
-    made = gate(clock=Handed())
-    client = made.client()
+def test_a_client_that_receives_nothing_after_its_deadline_is_disconnected(gate, monkeypatch):
+    gateway = gate(clock=Handed())
+    client = gateway.client()
     client.ask(1, d=1000)
-    made.until(lambda: client.answers)
-    (link,) = made.process.front.active_connections
-    takes_nothing(link, monkeypatch)
+    gateway.until(lambda: client.answers)
+    (connection,) = gateway.process.front.active_connections
+    takes_nothing(connection, monkeypatch)
     client.ask(2, d=1000)
-    made.until(lambda: link.stream.bytes_unsent)
-    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
-    made.passes(fronts.SWEEP_INTERVAL)
+    gateway.until(lambda: connection.stream.bytes_unsent)
+    gateway.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    gateway.passes(fronts.SWEEP_INTERVAL)
     assert client.ended
-    assert made.process.front.unresponsive_clients == 1
+    assert gateway.process.front.unresponsive_clients == 1
 
 
-def test_of_clients_that_hold_too_much_together_those_who_are_owed_nothing_go_first(gate, monkeypatch):
+def test_at_too_much_memory_connections_that_are_owed_no_answer_end_first(gate, monkeypatch):
     monkeypatch.setattr(fronts, "MAX_BUFFERED_BYTES", 60_000)
-    made, held = holding(gate)
-    clients = [made.client() for _ in range(2)]
+    gateway, held = holding(gate)
+    clients = [gateway.client() for _ in range(2)]
     clients[0].ask(1)
-    made.until(lambda: held)
+    gateway.until(lambda: held)
     for client, size in zip(clients, (40_000, 30_000), strict=True):
         client.send(b"Content-Length: 45000\r\n\r\n" + b"x" * size)
-    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.active_connections) == 70_000)
-    made.passes(fronts.SWEEP_INTERVAL)
+    gateway.until(
+        lambda: (
+            sum(connection.buffered_bytes() for connection in gateway.process.front.active_connections)
+            == 70_000
+        )
+    )
+    gateway.passes(fronts.SWEEP_INTERVAL)
     assert [client.ended for client in clients] == [False, True]
-    made.hosts[0].serve(*held[0])
-    made.until(lambda: clients[0].answers)
+    gateway.hosts[0].serve(*held[0])
+    gateway.until(lambda: clients[0].answers)
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -1,115 +1,115 @@
-"""A connection that rests, or that says farewell, is not closed over a request or an answer: where its time
-is over, where a full house or a shortage of descriptors asks for room, and at the end of the process."""
+"""A parked or closing connection is not closed before a request that has arrived is answered: when its idle
+time is over, to free capacity or descriptors, and at the end of the process."""
 
 import pytest
 from request_scenarios import codes, takes_nothing
 from scripted import MILLI, SECOND, Handed
 
-from tests.fronts.test_unanswered_requests import BAD
+from tests.fronts.test_unanswered_requests import UNDECODABLE_MESSAGE
 
 
-def resting(made, asks=1):
-    """A client whose connection rests at admission; with `asks` requests answered before."""
-    client = made.client()
+def parked_client(gateway, asks=1):
+    """A client whose connection is parked after `asks` answered requests."""
+    client = gateway.client()
     for number in range(1, asks + 1):
         client.ask(number)
-        made.until(lambda number=number: len(client.answers) == number)
-    made.passes(300 * MILLI)
-    made.until(lambda: made.process.front.parked)
+        gateway.until(lambda number=number: len(client.answers) == number)
+    gateway.passes(300 * MILLI)
+    gateway.until(lambda: gateway.process.front.parked)
     return client
 
 
-def over_time(connections, made):
-    made.clock.now += 60 * SECOND
+def expire_idle(connections, gateway):
+    gateway.clock.now += 60 * SECOND
     connections._close_expired()
 
 
-def displaced(connections, made):
+def evict_one(connections, gateway):
     connections._evict_one()
 
 
-def short_of_descriptors(connections, made):
+def evict_for_descriptors(connections, gateway):
     connections.evict_idle()
 
 
-def closed_by_its_owner(connections, made):
-    connections.close_owned(made.process.front.owner_id)
+def close_by_owner(connections, gateway):
+    connections.close_owned(gateway.process.front.owner_id)
 
 
-@pytest.mark.parametrize("close", [over_time, displaced, short_of_descriptors, closed_by_its_owner])
+@pytest.mark.parametrize("close", [expire_idle, evict_one, evict_for_descriptors, close_by_owner])
 @pytest.mark.parametrize("asks", [0, 1])
-def test_a_connection_is_not_closed_over_a_request_that_has_just_come(gate, close, asks):
-    """The first request of a connection, or a later one, not seen by the loop as yet."""
-    made = gate(clock=Handed())
-    client, quiet = resting(made, asks), made.client()
-    made.until(lambda: made.process.front.parked == 2)
-    made.passes(300 * MILLI)
+def test_a_parked_connection_is_not_closed_if_a_request_has_just_arrived(gate, close, asks):
+    """The first request of the connection or a later one, which the loop has not noticed yet."""
+    gateway = gate(clock=Handed())
+    client, quiet = parked_client(gateway, asks), gateway.client()
+    gateway.until(lambda: gateway.process.front.parked == 2)
+    gateway.passes(300 * MILLI)
     client.ask(asks + 1)
-    close(made.process.front.connections, made)
-    made.until(lambda: len(client.answers) == asks + 1)
+    close(gateway.process.front.connections, gateway)
+    gateway.until(lambda: len(client.answers) == asks + 1)
     assert set(codes(client)[0].values()) == {None}
     assert not client.ended
-    made.turns()
+    gateway.turns()
     assert quiet.ended
 
 
-def test_a_request_that_comes_while_others_are_being_closed_is_answered(gate):
-    made = gate(clock=Handed())
-    clients = [made.client() for _ in range(3)]
-    made.until(lambda: made.process.front.parked == 3)
-    connections, last = made.process.front.connections, clients[-1]
-    drop = connections._close_parked
+def test_a_request_that_arrives_while_other_connections_are_closed_is_answered(gate):
+    gateway = gate(clock=Handed())
+    clients = [gateway.client() for _ in range(3)]
+    gateway.until(lambda: gateway.process.front.parked == 3)
+    connections, last = gateway.process.front.connections, clients[-1]
+    close_parked = connections._close_parked
 
     def slow_close(fd):
-        if not last.buffer and not said:
-            said.append(True)
+        if not last.buffer and not sent:
+            sent.append(True)
             last.ask(1)
-        drop(fd)
+        close_parked(fd)
 
-    said, connections._close_parked = [], slow_close
-    connections.close_owned(made.process.front.owner_id)
-    made.until(lambda: last.answers)
+    sent, connections._close_parked = [], slow_close
+    connections.close_owned(gateway.process.front.owner_id)
+    gateway.until(lambda: last.answers)
     assert codes(last)[0] == {1: None}
     assert [client.ended for client in clients] == [True, True, False]
 
 
-def test_who_was_accepted_for_one_who_rested_stays_although_that_one_has_just_spoken(gate):
-    made = gate(sockets=70, clock=Handed())
-    connections = made.process.front.connections
-    clients = [made.client() for _ in range(connections.admission.max_connections)]
-    made.until(lambda: made.process.front.parked == len(clients))
-    made.passes(200 * MILLI)
-    late = made.client()
+def test_a_connection_accepted_in_place_of_a_parked_one_stays_if_that_one_sends_a_request(gate):
+    gateway = gate(sockets=70, clock=Handed())
+    connections = gateway.process.front.connections
+    clients = [gateway.client() for _ in range(connections.admission.max_connections)]
+    gateway.until(lambda: gateway.process.front.parked == len(clients))
+    gateway.passes(200 * MILLI)
+    late = gateway.client()
     late.ask(1, i="f" * 16)
-    displace = connections._evict_one
+    evict = connections._evict_one
 
-    def all_have_spoken():
+    def evict_after_all_sent():
         for number, client in enumerate(clients):
             client.ask(1, i=f"{number:016x}")
-        connections._evict_one = displace
-        return displace()
+        connections._evict_one = evict
+        return evict()
 
-    connections._evict_one = all_have_spoken
-    made.until(lambda: late.answers and all(client.answers for client in clients))
+    connections._evict_one = evict_after_all_sent
+    gateway.until(lambda: late.answers and all(client.answers for client in clients))
     assert codes(late)[0] == {1: None}
-    assert made.process.front.rejected_connections == 0
+    assert gateway.process.front.rejected_connections == 0
 
 
-def test_a_connection_whose_answers_are_on_their_way_makes_no_room(gate, monkeypatch):
-    made = gate(sockets=70, clock=Handed())
-    client = made.client()
+def test_a_connection_with_unsent_answers_is_not_evicted(gate, monkeypatch):
+    gateway = gate(sockets=70, clock=Handed())
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: client.answers)
-    (link,) = made.process.front.active_connections
-    reads = takes_nothing(link, monkeypatch)
+    gateway.until(lambda: client.answers)
+    (connection,) = gateway.process.front.active_connections
+    resume_reading = takes_nothing(connection, monkeypatch)
     client.ask(2)
-    made.until(lambda: link.stream.bytes_unsent)
-    client.send(BAD)
-    made.until(lambda: made.loop.closing_streams)
-    made.passes(200 * MILLI)
-    connections = made.process.front.connections
+    gateway.until(lambda: connection.stream.bytes_unsent)
+    client.send(UNDECODABLE_MESSAGE)
+    gateway.until(lambda: gateway.loop.closing_streams)
+    gateway.passes(200 * MILLI)
+    connections = gateway.process.front.connections
     assert connections._evictable_stream() is None
     assert not connections._evict_one()
-    reads()
-    made.until(lambda: client.ended)
+    resume_reading()
+    gateway.until(lambda: client.ended)
     assert codes(client)[0] == {1: None, 2: None}
