--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -86,9 +86,8 @@
     # Limits
 
     def _sweep(self) -> None:
-        self.sweep_timer = self.loop.after(
-            SWEEP_INTERVAL, self._sweep
-        )  # first, as an error must not end the sweeps
+        # First, as an error must not end the sweeps
+        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
         now = self.loop.now()
         for connection in list(self.active_connections):
             self.loop.guard(connection.check_progress, now)
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -112,7 +112,7 @@
         server.handle(request)
 
     def client_present(self) -> bool:
-        """Whether the client is still connected, which the kernel is asked; called before an attempt."""
+        """Asks the kernel whether the client is still connected; called before an attempt begins."""
         if self.client_closed or not self.stream.open:
             return False
         now = self.server.loop.now()
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -92,7 +92,9 @@
             return
         if self.expired:
             sock.close()
-            self._fail_unsent("the connection was opened too late for the request to be sent", expired=True)
+            self._fail_unsent(
+                "the request was not sent: it is too late, or its client has left", expired=True
+            )
             return
         connection = ClientConnection(self.loop, sock, head_limit, body_limit)
         if on_connection is not None:
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -141,9 +141,9 @@
     def stop(self, grace: int | None = None) -> None:
         """Stops accepting connections; open ones close after the answers that are owed.
 
-        Requests that were sent already are answered first. `grace` (ns): how long a first request on a new
-        connection and the rest of an incomplete request may still arrive, as no other process can take these
-        connections over. A connection with a recent answer stays open until it is quiet.
+        Requests that were sent already are answered first. `grace` (ns): for how long the first request on a
+        new connection and the rest of an incomplete request may still arrive, as no other process can take
+        these connections over. A connection with a recent answer stays open until it is quiet.
         """
         if self.stopping:
             return
