--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -50,7 +50,7 @@
         # Called when the connection ends while no exchange uses it
         self.on_idle_end: Callable[[ClientConnection], object] | None = None
         self.response_count = 0
-        # How long the server keeps an idle connection open by its last response, ns
+        # How long the server keeps the connection open while idle, as its last response says, ns
         self.keep_alive_timeout: int | None = None
         self.unrequested_response = False  # whether the server sent a response to no request
 
