--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -1,4 +1,4 @@
-"""The front for clients: an address of its own."""
+"""The front for clients, which has a server of its own."""
 
 import socket
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class KServeFront(RestFront):
-    """One listening address."""
+    """Serves clients on one listening address."""
 
     def __init__(
         self,
@@ -27,12 +27,12 @@
         is_ready: Callable[[], bool],
         inherited: socket.socket | None = None,
     ) -> None:
-        """`inherited`: a listening socket that other processes accept from as well. Errors: OSError."""
+        """`inherited`: a listening socket from which other processes accept as well. Errors: OSError."""
         server = Server(
             loop,
             address,
             self.handle,
-            _limits(configuration.client_limits),
+            _server_limits(configuration.client_limits),
             render_error=_error_answer,
             counted=True,
             inherited=inherited,
@@ -40,15 +40,15 @@
         super().__init__(server, core, configuration, is_ready)
 
 
-def _limits(clients: ClientLimitsLine) -> Limits:
+def _server_limits(clients: ClientLimitsLine) -> Limits:
     return Limits(
-        head=clients.head,
-        body=clients.body,
-        pipelined=clients.pipelined,
-        read_time=clients.read,
-        idle_time=clients.idle,
-        connections=clients.connections,
-        spread=IDLE_JITTER,
+        max_head_bytes=clients.head,
+        max_body_bytes=clients.body,
+        max_pipelined=clients.pipelined,
+        read_timeout=clients.read,
+        idle_timeout=clients.idle,
+        max_connections=clients.connections,
+        idle_jitter=IDLE_JITTER,
     )
 
 
