--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -143,7 +143,7 @@
     with start_hosts(count, announced=announced) as hosts:
         played = Play(pooling, hosts.addresses, idempotency)
         played.run(seconds)
-    requests, opened = played.results.total(), played.client.opened
+    requests, opened = played.results.total(), played.client.connections_opened
     return {
         "tasks": requests,
         "resets": played.results[Result.RESET],
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -59,7 +59,7 @@
     """Milliseconds of CPU of a first probe of each host."""
     probed = ProbedHosts(count)
     spent = cpu_seconds_once(probed.probe_all)
-    opened, ready = probed.hosts.opened, probed.ready
+    opened, ready = probed.hosts.connections_opened, probed.ready
     probed.close()
     assert (opened, ready) == (count, count), (opened, ready)
     return spent * MS_PER_SECOND
@@ -70,7 +70,7 @@
     probed = ProbedHosts(count)
     probed.probe_all()
     spent = cpu_seconds_once(probed.probe_all)
-    reused, ready = probed.hosts.reused, probed.ready
+    reused, ready = probed.hosts.connections_reused, probed.ready
     probed.close()
     assert (reused, ready) == (count, 2 * count), (reused, ready)
     return spent * MS_PER_SECOND
@@ -92,7 +92,7 @@
 
 def probe_bytes(count: int, seed: int) -> float:
     """Bytes of a probe of each host and its answer."""
-    return count * (len(messages.encode_ready(WHERE)) + len(render(200, (), b"{}", close=False)))
+    return count * (len(messages.encode_probe(WHERE)) + len(render(200, (), b"{}", close=False)))
 
 
 LOOPBACK = "one listener in a process of its own, on loopback"
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -28,7 +28,11 @@
         "late_turns": appliance.loop.late_turns,
         "counts": legacy_counts(appliance.record.counts),
         "clients": _clients(appliance),
-        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
+        "connections": {
+            "opened": hosts.connections_opened,
+            "reused": hosts.connections_reused,
+            "raced": hosts.reuse_races,
+        },
         "gateways": membership_transport and membership_transport.membership.live_count(),
         "cells": appliance.cells and appliance.cells.status(),
         "weak_word": gossip and gossip.node.status(appliance.loop.now()),
@@ -50,7 +54,7 @@
                 "address": row.address,
                 "state": row.listed.state.value,
                 "capacity": row.listed.capacity,
-                "connections": len(host.open) if host else 0,
+                "connections": len(host.open_connections) if host else 0,
                 "relays": attempts.get(name, {}),
             }
         )
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -39,20 +39,20 @@
 
     def _call(self, request: Request, model: str, version: str) -> Call:
         call = super()._call(request, model, version)
-        forwarded = forwarding.decode(request.headers)
+        forwarded = forwarding.decode_forwarded(request.headers)
         if forwarded is None:
             return call
         return call._replace(forwarded=forwarded, origin=forwarding.decode_origin(request.headers))
 
     def _answer(self, request: Request, final: Final, answer: Answer) -> None:
-        forwarded = forwarding.decode(request.headers)
+        forwarded = forwarding.decode_forwarded(request.headers)
         if forwarded is not None:
             fields = (*answer.fields, *self._metrics(forwarded.cell, final.found))
             answer = answer._replace(fields=fields)
         super()._answer(request, final, answer)
 
     def _rejected_status(self, request: Request, final: Final) -> int:
-        if not final.never_ran or forwarding.decode(request.headers) is None:
+        if not final.never_ran or forwarding.decode_forwarded(request.headers) is None:
             return super()._rejected_status(request, final)
         return CELL_UNKNOWN if final.cell_unknown else NEVER_RAN
 
@@ -66,4 +66,4 @@
             metrics["copy"] = found.value
         if not metrics:
             return ()
-        return ((orca.HEADER, b"JSON " + msgspec.json.encode({"named_metrics": metrics})),)
+        return ((orca.REPORT_HEADER, b"JSON " + msgspec.json.encode({"named_metrics": metrics})),)
--- a/gaproute/hosts/cell_hosts.py
+++ b/gaproute/hosts/cell_hosts.py
@@ -20,22 +20,24 @@
         host_name: str,
         call: Call,
         idempotency: Idempotency,
-        request: str,
-        limit: int,
-        until: int,
+        gateway_request_id: str,
+        deadline: int,
+        start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
         """As `KServeClient.send`; an attempt at a host that is gone is not sent."""
         if self._is_gone(host_name):
             return UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
-        return super().send(host_name, call, idempotency, request, limit, until, on_ended)
+        return super().send(
+            host_name, call, idempotency, gateway_request_id, deadline, start_before, on_ended
+        )
 
-    def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
+    def order(self, host_name: str, function: str, instance_count: int, on_ended: OnLoadOrderEnded) -> None:
         """As `KServeClient.order`; a host that is gone has no space."""
         if self._is_gone(host_name):
             self.loop.soon(on_ended, Result.FULL, 0)
         else:
-            super().order(host_name, function, copies, on_ended)
+            super().order(host_name, function, instance_count, on_ended)
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
         """As `KServeClient.probe`; of a host that is gone nothing is said."""
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -30,15 +30,15 @@
     forwards = True
 
     def encode_attempt(
-        self, call: Call, request: str, host: HostConnections, until: int
+        self, call: Call, gateway_request_id: str, host: HostConnections, start_before: int
     ) -> Callable[[int], bytes]:
         """What makes the bytes of an attempt when they are sent; it must be answered by `until`."""
 
         def encode(now: int) -> bytes:
-            left = max(1, (until - now) // MILLI)
-            limit = (b"Gaproute-Limit-Ms", b"%d" % left)
-            limited = call._replace(fields=(*call.fields, limit))
-            return messages.encode_infer(limited, request, host.address_text)
+            time_left_ms = max(1, (start_before - now) // MILLI)
+            limit_field = (b"Gaproute-Limit-Ms", b"%d" % time_left_ms)
+            limited_call = call._replace(fields=(*call.fields, limit_field))
+            return messages.encode_infer(limited_call, gateway_request_id, host.address_text)
 
         return encode
 
@@ -46,38 +46,40 @@
 class ForwardingClient:
     """Sends one call to one entry gateway, as `KServeClient` sends to a host."""
 
-    __slots__ = ("gateways", "forward")
+    __slots__ = ("entry_gateways", "forward")
 
-    def __init__(self, gateways: "EntryGateways", forward: ForwardAttempt) -> None:
-        self.gateways, self.forward = gateways, forward
+    def __init__(self, entry_gateways: "EntryGateways", forward: ForwardAttempt) -> None:
+        self.entry_gateways, self.forward = entry_gateways, forward
 
     def send(
         self,
         host_name: str,
         call: Call,
         idempotency: Idempotency,
-        request: str,
-        limit: int,
-        until: int,
+        gateway_request_id: str,
+        deadline: int,
+        start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
         """As `KServeClient.send`, to the entry gateway whatever the host's name."""
         address = self.forward.address
-        if not self.gateways.add(address):
-            return UnsentAttempt(self.gateways.loop, on_ended, Result.CONNECT_FAILED)
-        fields = [*call.fields, forwarding.encode(self.forward.forwarded)]
+        if not self.entry_gateways.add(address):
+            return UnsentAttempt(self.entry_gateways.loop, on_ended, Result.CONNECT_FAILED)
+        fields = [*call.fields, forwarding.encode_forwarded(self.forward.forwarded)]
         if call.tenant:
             fields.append((b"Gaproute-Tenant", call.tenant))
         call = call._replace(fields=tuple(fields))
-        return self.gateways.hosts.send(address, call, idempotency, request, limit, until, on_ended)
+        return self.entry_gateways.client.send(
+            address, call, idempotency, gateway_request_id, deadline, start_before, on_ended
+        )
 
 
 class EntryGateways:
     """The entry gateways in use: each from the first call to it, for as long as the cell table names it."""
 
-    def __init__(self, loop: Loop, settings: ClientSettings, gateway: str) -> None:
+    def __init__(self, loop: Loop, settings: ClientSettings, gateway_name: str) -> None:
         self.loop = loop
-        self.hosts = EntryGatewayClient(loop, Pooling(), settings, gateway)
+        self.client = EntryGatewayClient(loop, Pooling(), settings, gateway_name)
 
     def client_for(self, forward: ForwardAttempt) -> ForwardingClient:
         """What sends the call that is to be forwarded."""
@@ -85,24 +87,24 @@
 
     def add(self, address: str) -> bool:
         """Have the entry gateway at that address in use; False where it is no address."""
-        if address in self.hosts.hosts:
+        if address in self.client.hosts:
             return True
         try:
             parse_address(address)
         except (ValueError, OSError):
             return False
-        self.hosts.update([_endpoint(address)], complete=False)
+        self.client.update([_endpoint(address)], complete=False)
         return True
 
     def apply_table(self, table: CellTable) -> None:
         """Let go of those that a newer table does not name."""
         named = {entry.address for cell in table.cells for entry in cell.entries}
-        still_named = [address for address in self.hosts.hosts if address in named]
-        self.hosts.update([_endpoint(address) for address in still_named], complete=True)
+        named_addresses = [address for address in self.client.hosts if address in named]
+        self.client.update([_endpoint(address) for address in named_addresses], complete=True)
 
     def close(self) -> None:
         """Close all connections."""
-        self.hosts.close()
+        self.client.close()
 
 
 def _endpoint(address: str) -> Endpoint:
--- a/gaproute/hosts/forwarding.py
+++ b/gaproute/hosts/forwarding.py
@@ -15,21 +15,21 @@
 from gaproute.decisions.cells.bounds import MAX_NAME
 from gaproute.decisions.cells.entries import MAX_HOPS, Forwarded
 
-HEADER = b"gaproute-forwarded"
+FORWARDED_HEADER = b"gaproute-forwarded"
 ORIGIN_HEADER, ORIGIN_PATTERN = b"gaproute-task", re.compile(rb"[!-~]{1,256}")
-MAX_HEADER_BYTES = 3 + 12 * MAX_NAME  # each character takes 12 at most when it is percent-encoded
+MAX_FORWARDED_VALUE_BYTES = 3 + 12 * MAX_NAME  # each character takes 12 at most when it is percent-encoded
 MAX_HOP_DIGITS = 2
 
 
-def encode(forwarded: Forwarded) -> tuple[bytes, bytes]:
+def encode_forwarded(forwarded: Forwarded) -> tuple[bytes, bytes]:
     """The header field of a forwarded call."""
     return b"Gaproute-Forwarded", f"{forwarded.hops} {quote(forwarded.cell, safe='')}".encode()
 
 
-def decode(headers: Mapping[bytes, bytes]) -> Forwarded | None:
+def decode_forwarded(headers: Mapping[bytes, bytes]) -> Forwarded | None:
     """How a call was forwarded, by its headers; None where it was not, or the field is malformed."""
-    value = headers.get(HEADER)
-    if value is None or len(value) > MAX_HEADER_BYTES:
+    value = headers.get(FORWARDED_HEADER)
+    if value is None or len(value) > MAX_FORWARDED_VALUE_BYTES:
         return None
     hops, _, cell = value.partition(b" ")
     if not hops.isdigit() or len(hops) > MAX_HOP_DIGITS or int(hops) < 1:
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -156,7 +156,7 @@
         by_host = not malformed and not isinstance(error, WriteAbandonedError)
         now, ended = self.pool.loop.now(), []
         for request in self.pending.values():
-            result = results.of_ended_connection(error, started=request.started, malformed=malformed)
+            result = results.result_of_ended_connection(error, started=request.started, malformed=malformed)
             ended.append((request, result))
             if by_host and self.answered and self.last_read < request.created_at:
                 idle_time = request.created_at - self.last_used
@@ -169,7 +169,7 @@
     def drain(self) -> None:
         """Begin no further request; close the connection once none is in flight."""
         for request in [request for request in self.pending.values() if not request.started]:
-            self._fail_unsent(request, results.of_ended_connection(None, started=False))
+            self._fail_unsent(request, results.result_of_ended_connection(None, started=False))
         self.reusable = False
         if not self.pending:
             self.drop()
--- a/gaproute/hosts/kserve/attempts.py
+++ b/gaproute/hosts/kserve/attempts.py
@@ -7,7 +7,7 @@
 from gaproute.interface import Result
 from gaproute.interface.call import Answer
 
-PASSED_HEADERS = (b"content-type", b"inference-header-content-length", b"content-encoding")
+PASSED_ON_HEADERS = (b"content-type", b"inference-header-content-length", b"content-encoding")
 
 
 class SentAttempt:
@@ -39,11 +39,13 @@
 def attempt_result(outcome: Response | NoResponseError) -> AttemptResult:
     """What the answer, or the failure, of an exchange says of its attempt."""
     if isinstance(outcome, NoResponseError):
-        return AttemptResult(Result.NOT_SENT if outcome.lapsed else results.of_undelivered(outcome), None)
+        return AttemptResult(
+            Result.NOT_SENT if outcome.lapsed else results.result_of_failed_exchange(outcome), None
+        )
     answer = outcome
     reported = orca.decode_headers(answer.headers)
-    result, passed = results.of_status(answer.status), None
+    result, passed_on = results.result_of_status(answer.status), None
     if result is Result.OK:
-        fields = tuple((name, answer.headers[name]) for name in PASSED_HEADERS if name in answer.headers)
-        passed = Answer(answer.status, fields, answer.body)
-    return AttemptResult(result, passed, reported.found, reported.same_function_requests, reported.report)
+        fields = tuple((name, answer.headers[name]) for name in PASSED_ON_HEADERS if name in answer.headers)
+        passed_on = Answer(answer.status, fields, answer.body)
+    return AttemptResult(result, passed_on, reported.found, reported.same_function_requests, reported.report)
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -25,7 +25,7 @@
 from gaproute.units import SECOND
 
 OK_STATUS = 200
-REFUSED_STATUSES = (404, 409, 429)  # of a load order: there is no space for it, or no such model
+LOAD_REFUSED_STATUSES = (404, 409, 429)  # of a load order: there is no space for it, or no such model
 SWEEP_INTERVAL = SECOND
 REUSE_RACE_WINDOW = SECOND  # an open connection that ends within it was perhaps closed just as it was used
 
@@ -43,11 +43,16 @@
         loop: Loop,
         pooling: Pooling,
         settings: ClientSettings = DEFAULT_SETTINGS,
-        gateway: str = "gaproute",
+        gateway_name: str = "gaproute",
     ) -> None:
-        self.loop, self.pooling, self.settings, self.gateway = loop, pooling, settings, gateway.encode()
+        self.loop, self.pooling, self.settings, self.gateway_name = (
+            loop,
+            pooling,
+            settings,
+            gateway_name.encode(),
+        )
         self.hosts: dict[str, HostConnections] = {}
-        self.opened = self.reused = self.reuse_races = 0
+        self.connections_opened = self.connections_reused = self.reuse_races = 0
         self.sweep()
 
     def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
@@ -68,7 +73,7 @@
                 continue
             host.close_idle()
             host.abandon_connecting("the host drains or is gone")
-            if missing and not host.open:
+            if missing and not host.open_connections:
                 del self.hosts[host.name]
                 self.pooling.forget_host(host.name)
 
@@ -93,9 +98,9 @@
         host_name: str,
         call: Call,
         idempotency: Idempotency,
-        request: str,
-        limit: int,
-        until: int,
+        gateway_request_id: str,
+        deadline: int,
+        start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
         """Send one attempt of the request with that id; `on_ended(result)` once, never at once.
@@ -110,31 +115,35 @@
         def ended(outcome: Response | NoResponseError) -> None:
             on_ended(attempt_result(outcome))
 
-        data = self.encode_attempt(call, request, host, until)
-        exchange = self._start_exchange(host, data, idempotency, ended, until, call.client_present)
+        data = self.encode_attempt(call, gateway_request_id, host, start_before)
+        exchange = self._start_exchange(host, data, idempotency, ended, start_before, call.client_present)
         if exchange is None:
             return UnsentAttempt(self.loop, on_ended, Result.FULL)
         return SentAttempt(host, exchange, forwards=self.forwards)
 
-    def encode_attempt(self, call: Call, request: str, host: HostConnections, until: int) -> RequestBytes:
+    def encode_attempt(
+        self, call: Call, gateway_request_id: str, host: HostConnections, start_before: int
+    ) -> RequestBytes:
         """The bytes of an attempt, or what makes them when they are sent."""
-        return messages.encode_infer(call, request, host.address_text)
+        return messages.encode_infer(call, gateway_request_id, host.address_text)
 
-    def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
+    def order(self, host_name: str, function: str, instance_count: int, on_ended: OnLoadOrderEnded) -> None:
         """Send a load order; `on_ended(result, instances that are loaded)` once, never at once."""
         host = self.hosts[host_name]
 
         def ended(outcome: Response | NoResponseError) -> None:
             if isinstance(outcome, NoResponseError):
-                on_ended(results.of_undelivered(outcome), 0)
+                on_ended(results.result_of_failed_exchange(outcome), 0)
             elif outcome.status == OK_STATUS:
-                on_ended(Result.OK, messages.decode_load(outcome.body))
+                on_ended(Result.OK, messages.decode_load_answer(outcome.body))
             else:
-                on_ended(Result.FULL if outcome.status in REFUSED_STATUSES else Result.ERROR, 0)
+                on_ended(Result.FULL if outcome.status in LOAD_REFUSED_STATUSES else Result.ERROR, 0)
 
-        data = messages.encode_load(function, copies, host.address_text, self.gateway)
+        data = messages.encode_load_order(function, instance_count, host.address_text, self.gateway_name)
         timeout = self.settings.order_timeout
-        if not self._exchange_within(host, data, timeout, ended, partial(on_ended, Result.TIMEOUT, 0)):
+        if not self._start_exchange_with_timeout(
+            host, data, timeout, ended, partial(on_ended, Result.TIMEOUT, 0)
+        ):
             self.loop.soon(on_ended, Result.FULL, 0)
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
@@ -147,16 +156,16 @@
 
         def ended(outcome: Response | NoResponseError) -> None:
             if isinstance(outcome, NoResponseError):
-                if results.of_undelivered(outcome) is not Result.NOT_SENT:
+                if results.result_of_failed_exchange(outcome) is not Result.NOT_SENT:
                     on_ended(None, good=False)
             elif outcome.status == OK_STATUS:
                 on_ended(orca.decode_headers(outcome.headers).report, good=True)
             else:
                 on_ended(None, good=False)
 
-        data = messages.encode_ready(host.address_text)
+        data = messages.encode_probe(host.address_text)
         timeout = self.settings.probe_timeout
-        self._exchange_within(host, data, timeout, ended, partial(on_ended, None, good=False))
+        self._start_exchange_with_timeout(host, data, timeout, ended, partial(on_ended, None, good=False))
 
     def close(self) -> None:
         """Close every connection, and sweep no more."""
@@ -164,7 +173,7 @@
         for host in self.hosts.values():
             host.close()
 
-    def _exchange_within(
+    def _start_exchange_with_timeout(
         self,
         host: HostConnections,
         data: bytes,
@@ -180,14 +189,14 @@
                 timer.cancel()
             on_ended(outcome)
 
-        def overdue(exchange: Exchange) -> None:
+        def timed_out(exchange: Exchange) -> None:
             host.cancel(exchange)
             on_timeout()
 
         exchange = self._start_exchange(host, data, Idempotency.IDEMPOTENT, ended)
         if exchange is None:
             return False
-        timer = self.loop.after(timeout, overdue, exchange)
+        timer = self.loop.after(timeout, timed_out, exchange)
         return True
 
     def _start_exchange(
@@ -196,8 +205,8 @@
         data: RequestBytes,
         idempotency: Idempotency,
         on_ended: OnExchangeEnded,
-        until: int | None = None,
-        wanted: Callable[[], bool] | None = None,
+        start_before: int | None = None,
+        still_wanted: Callable[[], bool] | None = None,
     ) -> Exchange | None:
         """Send a request on an open connection that may be trusted with it, else on a new one.
 
@@ -205,32 +214,32 @@
         """
         reused = host.take_idle(idempotency)
 
-        def ended(answer: Response | None, undelivered: NoResponseError | None) -> None:  # one is None
-            host.connecting.pop(exchange, None)
+        def ended(answer: Response | None, failure: NoResponseError | None) -> None:  # one is None
+            host.connecting_exchanges.pop(exchange, None)
             if exchange.connection is not None:
                 host.release(exchange.connection)
             if answer is not None:
                 on_ended(answer)
-            elif undelivered is not None:
-                if undelivered.any_byte_sent and reused is not None:
+            elif failure is not None:
+                if failure.any_byte_sent and reused is not None:
                     self._count_reuse_race(exchange)
-                on_ended(undelivered)
+                on_ended(failure)
 
-        exchange = Exchange(self.loop, data, ended, until, wanted)
+        exchange = Exchange(self.loop, data, ended, start_before, still_wanted)
         if reused is not None:
-            self.reused += 1
+            self.connections_reused += 1
             exchange.send_on(reused)
             return exchange
-        if len(host.open) >= self.settings.max_connections:
+        if len(host.open_connections) >= self.settings.max_connections:
             return None
-        self.opened += 1
-        host.connecting[exchange] = None
+        self.connections_opened += 1
+        host.connecting_exchanges[exchange] = None
         exchange.connect(
             host.address,
             self.settings.connect_timeout,
             self.settings.max_head_bytes,
             self.settings.max_answer_bytes,
-            partial(host.connected, exchange),
+            partial(host.on_connected, exchange),
         )
         return exchange
 
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -19,18 +19,18 @@
         "name",
         "address",
         "address_text",
-        "idle",
-        "open",
-        "connecting",
+        "idle_connections",
+        "open_connections",
+        "connecting_exchanges",
         "active",
     )
 
     def __init__(self, loop: Loop, pooling: Pooling, name: str, address_text: str) -> None:
         self.loop, self.pooling, self.name = loop, pooling, name
         self.active = True  # by the endpoint list
-        self.idle: list[ClientConnection] = []  # the one that has been idle longest first
-        self.open: set[ClientConnection] = set()  # idle or in use
-        self.connecting: dict[Exchange, None] = {}  # in order; no byte of these is sent
+        self.idle_connections: list[ClientConnection] = []  # the one that has been idle longest first
+        self.open_connections: set[ClientConnection] = set()  # idle or in use
+        self.connecting_exchanges: dict[Exchange, None] = {}  # in order; no byte of these is sent
         self.set_address(address_text)
 
     def set_address(self, address_text: str) -> None:
@@ -40,79 +40,81 @@
     def take_idle(self, idempotency: Idempotency) -> ClientConnection | None:
         """The connection that has been idle least, if it may be used and shows no sign of an end."""
         now = self.loop.now()
-        while self.idle:
-            link = self.idle[-1]
-            idle_time = now - link.last_used
-            if idle_time > self.pooling.max_idle(now, self.name, idempotency, link.keep_alive_timeout):
+        while self.idle_connections:
+            connection = self.idle_connections[-1]
+            idle_time = now - connection.last_used
+            if idle_time > self.pooling.max_idle(now, self.name, idempotency, connection.keep_alive_timeout):
                 return None
-            self.idle.pop()
-            link.on_idle_end = None
+            self.idle_connections.pop()
+            connection.on_idle_end = None
             # An idempotent request may be sent again: for it the system call is spared.
-            if idempotency is Idempotency.IDEMPOTENT or link.stream.is_quiet():
-                return link
-            link.abort()
-            self.open.discard(link)
+            if idempotency is Idempotency.IDEMPOTENT or connection.stream.is_quiet():
+                return connection
+            connection.abort()
+            self.open_connections.discard(connection)
             self.pooling.record_close(now, self.name, idle_time)
         return None
 
-    def release(self, link: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         """An exchange on the connection has ended: it is idle, or at its end."""
-        if link.open:
-            link.on_idle_end = self._idle_ended
-            self.idle.append(link)
+        if connection.open:
+            connection.on_idle_end = self._on_idle_end
+            self.idle_connections.append(connection)
         else:
-            self.open.discard(link)
+            self.open_connections.discard(connection)
 
-    def connected(self, exchange: Exchange, link: ClientConnection) -> None:
+    def on_connected(self, exchange: Exchange, connection: ClientConnection) -> None:
         """The connection that an exchange waits for is there."""
-        self.connecting.pop(exchange, None)
-        self.open.add(link)
+        self.connecting_exchanges.pop(exchange, None)
+        self.open_connections.add(connection)
 
     def cancel(self, exchange: Exchange) -> None:
         """End an exchange and the connection that it is on; its callback is not called."""
         exchange.cancel()
-        self.connecting.pop(exchange, None)
+        self.connecting_exchanges.pop(exchange, None)
         if exchange.connection is not None:
-            self.open.discard(exchange.connection)
+            self.open_connections.discard(exchange.connection)
 
     def abandon_connecting(self, reason: str) -> None:
         """End what waits for a new connection as never run."""
-        for exchange in list(self.connecting):
+        for exchange in list(self.connecting_exchanges):
             exchange.fail_if_unsent(reason)
-        self.connecting.clear()
+        self.connecting_exchanges.clear()
 
     def close_idle(self) -> None:
         """Close every idle connection."""
-        for link in self.idle:
-            self._close(link)
-        self.idle = []
+        for connection in self.idle_connections:
+            self._close_connection(connection)
+        self.idle_connections = []
 
     def close_expired(self) -> None:
         """Close connections that have been idle too long for any request, before the host does."""
-        now, remaining = self.loop.now(), []
-        for link in self.idle:
-            longest = self.pooling.max_idle(now, self.name, Idempotency.IDEMPOTENT, link.keep_alive_timeout)
-            if now - link.last_used <= longest:
-                remaining.append(link)
+        now, kept = self.loop.now(), []
+        for connection in self.idle_connections:
+            max_idle = self.pooling.max_idle(
+                now, self.name, Idempotency.IDEMPOTENT, connection.keep_alive_timeout
+            )
+            if now - connection.last_used <= max_idle:
+                kept.append(connection)
             else:
-                self._close(link)
-        self.idle = remaining
+                self._close_connection(connection)
+        self.idle_connections = kept
 
     def close(self) -> None:
         """Close every connection."""
-        for link in list(self.open):
-            link.abort()
-        self.open.clear()
-        self.idle = []
+        for connection in list(self.open_connections):
+            connection.abort()
+        self.open_connections.clear()
+        self.idle_connections = []
 
-    def _close(self, link: ClientConnection) -> None:
-        link.abort()
-        self.open.discard(link)
+    def _close_connection(self, connection: ClientConnection) -> None:
+        connection.abort()
+        self.open_connections.discard(connection)
 
-    def _idle_ended(self, link: ClientConnection) -> None:
+    def _on_idle_end(self, connection: ClientConnection) -> None:
         """The host has closed an idle connection."""
-        if link in self.idle:
-            self.idle.remove(link)
-        self.open.discard(link)
+        if connection in self.idle_connections:
+            self.idle_connections.remove(connection)
+        self.open_connections.discard(connection)
         now = self.loop.now()
-        self.pooling.record_close(now, self.name, now - link.last_used)
+        self.pooling.record_close(now, self.name, now - connection.last_used)
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -16,14 +16,16 @@
 from gaproute.hosts.load_figures import bounded_count, valid_figure
 from gaproute.interface import Found, Report
 
-HEADER = b"endpoint-load-metrics"
-REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # requests a report
-NAMED_PREFIX = "named_metrics."
-FOUND: dict[float | None, Found] = {found.value: found for found in Found if found is not Found.UNKNOWN}
-NO_FIGURES = Report()
+REPORT_HEADER = b"endpoint-load-metrics"
+REPORT_REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # requests a report
+NAMED_METRIC_PREFIX = "named_metrics."
+FOUND_BY_COPY_METRIC: dict[float | None, Found] = {
+    found.value: found for found in Found if found is not Found.UNKNOWN
+}
+EMPTY_REPORT = Report()
 
 
-class LoadReport(msgspec.Struct):
+class OrcaReport(msgspec.Struct):
     """The fields of the header that are used."""
 
     cpu_utilization: float | None = None
@@ -31,7 +33,7 @@
     named_metrics: dict[str, float] = {}
 
 
-class ReportedLoad(NamedTuple):
+class ReportedMetrics(NamedTuple):
     """What the headers of one answer report."""
 
     report: Report | None
@@ -39,30 +41,30 @@
     same_function_requests: int | None
 
 
-NOTHING_REPORTED = ReportedLoad(None, Found.UNKNOWN, None)
+NO_METRICS = ReportedMetrics(None, Found.UNKNOWN, None)
 
-_decode_json = msgspec.json.Decoder(LoadReport).decode
+_decode_json = msgspec.json.Decoder(OrcaReport).decode
 
 
-def decode_value(value: bytes) -> LoadReport | None:
+def decode_header_value(value: bytes) -> OrcaReport | None:
     """The header's value, or None where it is not of the form."""
-    form, _, text = value.strip().partition(b" ")
+    encoding, _, text = value.strip().partition(b" ")
     try:
-        if form == b"JSON":
+        if encoding == b"JSON":
             return _decode_json(text)
-        if form == b"TEXT":
+        if encoding == b"TEXT":
             return _decode_text(text.decode())
     except (msgspec.MsgspecError, ValueError):
         pass
     return None
 
 
-def _decode_text(text: str) -> LoadReport:
-    report = LoadReport(named_metrics={})
+def _decode_text(text: str) -> OrcaReport:
+    report = OrcaReport(named_metrics={})
     for pair in text.split(","):
         name, _, figure = pair.strip().partition("=")
-        if name.startswith(NAMED_PREFIX):
-            report.named_metrics[name.removeprefix(NAMED_PREFIX)] = float(figure)
+        if name.startswith(NAMED_METRIC_PREFIX):
+            report.named_metrics[name.removeprefix(NAMED_METRIC_PREFIX)] = float(figure)
         elif name == "cpu_utilization":
             report.cpu_utilization = float(figure)
         elif name == "mem_utilization":
@@ -70,21 +72,21 @@
     return report
 
 
-def decode_headers(headers: Mapping[bytes, bytes]) -> ReportedLoad:
+def decode_headers(headers: Mapping[bytes, bytes]) -> ReportedMetrics:
     """What an answer's headers, by lower-case name, report of the host's load."""
-    value = headers.get(HEADER)
-    reported = decode_value(value) if value is not None else None
-    if reported is None:
-        return NOTHING_REPORTED
-    named = reported.named_metrics
+    value = headers.get(REPORT_HEADER)
+    decoded = decode_header_value(value) if value is not None else None
+    if decoded is None:
+        return NO_METRICS
+    named_metrics = decoded.named_metrics
     report = Report(
-        valid_figure(named.get("in_hand")),
-        valid_figure(named.get("queue")),
-        valid_figure(reported.cpu_utilization),
-        valid_figure(reported.mem_utilization),
+        valid_figure(named_metrics.get("in_hand")),
+        valid_figure(named_metrics.get("queue")),
+        valid_figure(decoded.cpu_utilization),
+        valid_figure(decoded.mem_utilization),
     )
-    return ReportedLoad(
-        report if report != NO_FIGURES else None,
-        FOUND.get(named.get("copy"), Found.UNKNOWN),
-        bounded_count(valid_figure(named.get("alike"))),
+    return ReportedMetrics(
+        report if report != EMPTY_REPORT else None,
+        FOUND_BY_COPY_METRIC.get(named_metrics.get("copy"), Found.UNKNOWN),
+        bounded_count(valid_figure(named_metrics.get("alike"))),
     )
--- a/gaproute/hosts/results.py
+++ b/gaproute/hosts/results.py
@@ -23,13 +23,11 @@
 if TYPE_CHECKING:  # the platform process loads no HTTP
     from gaproute.http1 import NoResponseError
 
-LOCAL_SHORTAGES = (
-    SHORTAGE_ERRNOS | LOCAL_ADDRESS_ERRNOS
-)  # errors of this machine, which say nothing of the host
+LOCAL_ERRNOS = SHORTAGE_ERRNOS | LOCAL_ADDRESS_ERRNOS  # errors of this machine, which say nothing of the host
 AMBIGUOUS_STATUSES = (408, 425)  # time-out at the host, too early: neither says whether the request ran
 
 
-def of_status(status: int) -> Result:
+def result_of_status(status: int) -> Result:
     """What a full answer of that HTTP status proves."""
     if status == 429:
         return Result.FULL
@@ -40,24 +38,26 @@
     return Result.ERROR
 
 
-def of_ended_connection(error: BaseException | None, *, started: bool, malformed: bool = False) -> Result:
+def result_of_ended_connection(
+    error: BaseException | None, *, started: bool, malformed: bool = False
+) -> Result:
     """What the end of its connection proves for a request.
 
     `started`: whether the kernel took any byte of it; `malformed`: the host answered on the connection with
     what cannot be read.
     """
-    if not started and isinstance(error, OSError) and error.errno in LOCAL_SHORTAGES:
+    if not started and isinstance(error, OSError) and error.errno in LOCAL_ERRNOS:
         return Result.NOT_SENT
     if started and malformed:
         return Result.ERROR
-    return of_unanswered(started=started)
+    return result_without_answer(started=started)
 
 
-def of_undelivered(undelivered: NoResponseError) -> Result:
+def result_of_failed_exchange(failure: NoResponseError) -> Result:
     """As `of_ended_connection`, of an HTTP request for which no full answer came."""
-    return of_ended_connection(undelivered.error, started=undelivered.any_byte_sent)
+    return result_of_ended_connection(failure.error, started=failure.any_byte_sent)
 
 
-def of_unanswered(*, started: bool) -> Result:
+def result_without_answer(*, started: bool) -> Result:
     """What it proves that no full answer came."""
     return Result.RESET if started else Result.CONNECT_FAILED
--- a/tests/appliance/test_attempt_results.py
+++ b/tests/appliance/test_attempt_results.py
@@ -52,7 +52,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         assert heard_of(made, "{}:{}".format(*taken.getsockname())) is face.Result.CONNECT_FAILED
-    assert results.of_unanswered(started=False) is face.Result.CONNECT_FAILED
+    assert results.result_without_answer(started=False) is face.Result.CONNECT_FAILED
 
 
 def heard_of(made, where):
@@ -93,4 +93,4 @@
     ],
 )
 def test_load_reports_in_the_published_forms(value, report, found, alike):
-    assert orca.decode_headers({orca.HEADER: value}) == (report, found, alike)
+    assert orca.decode_headers({orca.REPORT_HEADER: value}) == (report, found, alike)
--- a/tests/appliance/test_gateway_host_list.py
+++ b/tests/appliance/test_gateway_host_list.py
@@ -20,7 +20,7 @@
         for event in made.taps[0].events
         if event["at"] > reported_at and event["what"] in ("task", "order")
     ]
-    assert not made.gate.hosts.hosts["h0"].idle
+    assert not made.gate.hosts.hosts["h0"].idle_connections
 
 
 def test_a_relay_that_waits_for_its_connection_is_not_sent_once_the_host_drains(rig):
@@ -36,7 +36,7 @@
         made.relist(row)
         made.until(lambda: "slow" in made.gate.rows)
         asked = made.ask("crew", "w")
-        made.until(lambda: made.gate.hosts.hosts["slow"].connecting)
+        made.until(lambda: made.gate.hosts.hosts["slow"].connecting_exchanges)
         begun = made.loop.now()
         made.relist(row + " state draining")
         answer = made.wait(asked)
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("cell", ["a1", "a cell, 100%", "ħall/7", "x" * MAX_NAME, "\U0001f600" * MAX_NAME])
 def test_the_header_holds_every_name_of_a_cell(cell):
-    name, value = forwarding.encode(Forwarded(cell, 2))
-    assert forwarding.decode({name.lower(): value}) == Forwarded(cell, 2)
+    name, value = forwarding.encode_forwarded(Forwarded(cell, 2))
+    assert forwarding.decode_forwarded({name.lower(): value}) == Forwarded(cell, 2)
 
 
 @pytest.mark.parametrize(
@@ -41,11 +41,11 @@
     + [b"1 " + b"x" * (MAX_NAME + 1), b"1 " + b"%41" * 4096, b"1 a1, 1 a1" + b"x" * 4096],
 )
 def test_a_malformed_header_is_ignored(value):
-    assert forwarding.decode({forwarding.HEADER: value}) is None
+    assert forwarding.decode_forwarded({forwarding.FORWARDED_HEADER: value}) is None
 
 
 def test_a_call_that_came_too_far_goes_no_further():
-    assert forwarding.decode({forwarding.HEADER: b"9 a1"}) == Forwarded("a1", MAX_HOPS)
+    assert forwarding.decode_forwarded({forwarding.FORWARDED_HEADER: b"9 a1"}) == Forwarded("a1", MAX_HOPS)
 
 
 def test_the_status_of_a_forwarded_call_proves_that_it_never_ran_only_where_that_is_known(cells):
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -52,16 +52,16 @@
 
 
 def lack_at_connect_taken_for_what_may_have_run(patch):
-    honest = results.of_ended_connection
+    honest = results.result_of_ended_connection
 
-    def of_ended_connection(error, **details):
+    def result_of_ended_connection(error, **details):
         return Result.RESET if isinstance(error, OSError) else honest(error, **details)
 
-    patch.setattr(results, "of_ended_connection", of_ended_connection)
+    patch.setattr(results, "result_of_ended_connection", result_of_ended_connection)
 
 
 def broken_connection_taken_for_what_never_ran(patch):
-    patch.setattr(results, "of_ended_connection", lambda error, **details: Result.CONNECT_FAILED)
+    patch.setattr(results, "result_of_ended_connection", lambda error, **details: Result.CONNECT_FAILED)
 
 
 def wall_clock_used_for_waits(patch):
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -59,7 +59,7 @@
     way.until(lambda: way.came)
     way.server.answer(way.came[0], 200, (), b"")
     way.until(lambda: way.heard)
-    ((link,),) = [host.idle for host in way.entries.hosts.hosts.values()]
+    ((link,),) = [host.idle_connections for host in way.entries.client.hosts.values()]
     full = fill_after(link, 0)
     hold = way.forward()
     way.until(lambda: len(way.heard) == 2)
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -63,8 +63,8 @@
     made.probe("a", lambda report, *, good: results.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
     assert sorted(results, key=len) == [(face.Result.NOT_SENT, 0), AttemptResult(face.Result.NOT_SENT, None)]
-    assert not made.hosts["a"].open
-    assert not made.hosts["a"].connecting
+    assert not made.hosts["a"].open_connections
+    assert not made.hosts["a"].connecting_exchanges
 
 
 def test_a_network_that_is_not_there_counts_as_no_connection_to_the_host(hosts):
@@ -78,15 +78,19 @@
 @pytest.mark.parametrize("code", OWN)
 def test_what_had_begun_may_have_run_whatever_ended_it(code):
     assert (
-        results.of_undelivered(NoResponseError("", any_byte_sent=True, connected=True, error=fault(code)))
+        results.result_of_failed_exchange(
+            NoResponseError("", any_byte_sent=True, connected=True, error=fault(code))
+        )
         is face.Result.RESET
     )
     assert (
-        results.of_undelivered(NoResponseError("", any_byte_sent=False, connected=True, error=fault(code)))
+        results.result_of_failed_exchange(
+            NoResponseError("", any_byte_sent=False, connected=True, error=fault(code))
+        )
         is face.Result.NOT_SENT
     )
     assert (
-        results.of_undelivered(NoResponseError("closed", any_byte_sent=False, connected=True))
+        results.result_of_failed_exchange(NoResponseError("closed", any_byte_sent=False, connected=True))
         is face.Result.CONNECT_FAILED
     )
 
--- a/tests/loop/test_syscalls_dialing.py
+++ b/tests/loop/test_syscalls_dialing.py
@@ -132,14 +132,14 @@
 
 @pytest.mark.parametrize("code", [*SHORT, errno.EADDRNOTAVAIL])
 def test_what_this_machine_lacks_is_held_against_no_host(code):
-    assert results.of_ended_connection(fault(code), started=False) is Result.NOT_SENT
-    assert results.of_ended_connection(fault(code), started=True) is Result.RESET
+    assert results.result_of_ended_connection(fault(code), started=False) is Result.NOT_SENT
+    assert results.result_of_ended_connection(fault(code), started=True) is Result.RESET
 
 
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT])
 def test_what_lies_on_the_way_to_a_host_counts_as_no_connection(code):
-    assert results.of_ended_connection(fault(code), started=False) is Result.CONNECT_FAILED
-    assert results.of_ended_connection(fault(code), started=True) is Result.RESET
+    assert results.result_of_ended_connection(fault(code), started=False) is Result.CONNECT_FAILED
+    assert results.result_of_ended_connection(fault(code), started=True) is Result.RESET
 
 
 def test_a_shortage_makes_room_only_when_it_repeats(loop, there, sockets, evictions):
