--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -35,18 +35,18 @@
         super().__init__(loop, pooling, deployment, max_connections)
         self.probe_timeout = self.connect_timeout
         self.order_timeout = deployment.order_time or DEFAULT_ORDER_TIMEOUT
-        self.counts_reported = deployment.same_function_counted
-        self.last_tag = 0
-        self.unexpected = 0  # replies that do not fit the kind of their request
+        self.same_function_counted = deployment.same_function_counted
+        self.last_request_number = 0
+        self.unexpected_replies = 0  # replies that do not fit the kind of their request
 
     def send(
         self,
         host_name: str,
         call: Call,
         idempotency: Idempotency,
-        request: str,
-        limit: int,
-        until: int,
+        gateway_request_id: str,
+        deadline: int,
+        start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
         """Send one attempt of a request; `request` is the gateway's id of it, which is not sent.
@@ -68,19 +68,21 @@
             return attempt.result is Result.OK
 
         def encode(now: int) -> bytes:
-            return messages.encode_attempt(call, limit - now)
+            return messages.encode_attempt(call, deadline - now)
 
-        pending = self.submit(host, call.request_id, encode, until, idempotency, ended, call.client_present)
+        pending = self.submit(
+            host, call.request_id, encode, start_before, idempotency, ended, call.client_present
+        )
         return pending or UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
 
     def _attempt_result(self, reply: Reply) -> AttemptResult:
-        result = messages.decode_attempt(reply, with_count=self.counts_reported)
+        result = messages.decode_attempt_reply(reply, same_function_counted=self.same_function_counted)
         if result is None:
-            self.unexpected += 1
+            self.unexpected_replies += 1
             return AttemptResult(Result.ERROR, None)
         return result
 
-    def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
+    def order(self, host_name: str, function: str, instance_count: int, on_ended: OnLoadOrderEnded) -> None:
         """Send a load order; `on_ended(result, instances that are loaded)` is called once, later.
 
         If the host does not reply in time and the connection was silent, the connection is closed, so that
@@ -91,18 +93,18 @@
             if isinstance(outcome, Result):
                 on_ended(outcome, 0)
             else:
-                on_ended(*(messages.decode_load_order(outcome) or (Result.ERROR, 0)))
+                on_ended(*(messages.decode_load_order_reply(outcome) or (Result.ERROR, 0)))
 
-        tag = self._next_tag()
-        self._submit_tagged(
+        request_id = self._next_request_id()
+        self._submit_with_timeout(
             host_name,
-            tag,
-            messages.encode_load_order(tag, function, copies),
+            request_id,
+            messages.encode_load_order(request_id, function, instance_count),
             ended,
-            unavailable=partial(on_ended, Result.CONNECT_FAILED, 0),
+            on_unavailable=partial(on_ended, Result.CONNECT_FAILED, 0),
             timeout=self.order_timeout,
-            overdue=partial(on_ended, Result.TIMEOUT, 0),
-            end_silent=True,
+            on_timeout=partial(on_ended, Result.TIMEOUT, 0),
+            close_if_silent=True,
         )
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
@@ -115,36 +117,36 @@
         def ended(outcome: Reply | Result) -> None:
             if outcome is Result.NOT_SENT:
                 return
-            health = None if isinstance(outcome, Result) else messages.decode_health(outcome)
+            health = None if isinstance(outcome, Result) else messages.decode_probe_reply(outcome)
             ready, report = health or (False, None)
             on_ended(report, good=ready)
 
-        tag, not_ready = self._next_tag(), partial(on_ended, None, good=False)
-        self._submit_tagged(
+        request_id, not_ready = self._next_request_id(), partial(on_ended, None, good=False)
+        self._submit_with_timeout(
             host_name,
-            tag,
-            messages.encode_probe(tag),
+            request_id,
+            messages.encode_probe(request_id),
             ended,
-            unavailable=not_ready,
+            on_unavailable=not_ready,
             timeout=self.probe_timeout,
-            overdue=not_ready,
+            on_timeout=not_ready,
         )
 
-    def _next_tag(self) -> str:
-        self.last_tag += 1
-        return f"g{self.last_tag}"
+    def _next_request_id(self) -> str:
+        self.last_request_number += 1
+        return f"g{self.last_request_number}"
 
-    def _submit_tagged(
+    def _submit_with_timeout(
         self,
         host_name: str,
-        tag: str,
+        request_id: str,
         data: bytes,
         on_ended: Callable[[Reply | Result], object],
         *,
-        unavailable: Callable[[], object],
+        on_unavailable: Callable[[], object],
         timeout: int,
-        overdue: Callable[[], object],
-        end_silent: bool = False,
+        on_timeout: Callable[[], object],
+        close_if_silent: bool = False,
     ) -> None:
         """Submit a load order or a probe under the id `tag`, which is used once.
 
@@ -154,7 +156,7 @@
         """
         host = self.hosts.get(host_name)
         if host is None or not host.active:
-            self.loop.soon(unavailable)
+            self.loop.soon(on_unavailable)
             return
 
         def ended(outcome: Reply | Result) -> bool:
@@ -166,11 +168,11 @@
             connection = request.connection
             request.cancel()
             silent = connection.is_silent_since(request.created_at)
-            if end_silent and silent and connection in host.connections:
+            if close_if_silent and silent and connection in host.connections:
                 connection.fail(TimeoutError("nothing came back"))
-            overdue()
+            on_timeout()
 
-        request = self.submit(host, tag, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, ended)
+        request = self.submit(host, request_id, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, ended)
         if request is None:  # no further connection can be had here
             self.loop.soon(on_ended, Result.NOT_SENT)
             return
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -13,16 +13,16 @@
 from gaproute.errors import GaprouteError
 from gaproute.hosts import results
 from gaproute.hosts.jsonlines import messages
-from gaproute.hosts.jsonlines.connection_owner import ConnectionHost
+from gaproute.hosts.jsonlines.connection_owner import HostProtocol
 from gaproute.hosts.jsonlines.line_reader import LineReader, MalformedLineError
 from gaproute.hosts.jsonlines.messages import Reply
-from gaproute.hosts.jsonlines.pending_request import NO_DEADLINE, PendingRequest, already_written
+from gaproute.hosts.jsonlines.pending_request import NO_DEADLINE, PendingRequest, encode_nothing
 from gaproute.interface import Idempotency, Result
 from gaproute.loop import Stream, connect
 
 # Time in which the kernel must have taken a complete request that has begun, ns. The time limit that the
 # request carries is too long by no more than this when the host can read it.
-WRITE_TIMEOUT = 100_000_000
+WRITE_TIMEOUT_NS = 100_000_000
 
 
 class WriteAbandonedError(GaprouteError):
@@ -39,25 +39,25 @@
         "retired_ids",
         "reader",
         "stream",
-        "written",
+        "bytes_written",
         "last_used",
-        "last_read",
+        "last_received",
         "reusable",
-        "answered",
+        "replies_received",
         "cancel_connect",
     )
 
-    def __init__(self, host: ConnectionHost[Connection]) -> None:
+    def __init__(self, host: HostProtocol[Connection]) -> None:
         self.host, self.pool = host, host.pool
         loop = self.pool.loop
         self.pending: dict[str, PendingRequest] = {}  # by id
         self.retired_ids: set[str] = set()  # ids of ended requests for which a reply may still come
         self.reader = LineReader()
         self.stream: Stream | None = None  # None until the connection is established
-        self.written = 0  # bytes given to the stream so far
-        self.last_used = self.last_read = loop.now()
+        self.bytes_written = 0  # bytes given to the stream so far
+        self.last_used = self.last_received = loop.now()
         self.reusable = True  # whether the connection takes further requests
-        self.answered = 0  # requests that got a reply
+        self.replies_received = 0  # requests that got a reply
         self.cancel_connect: Callable[[], object] | None = connect(
             loop, host.address, self.pool.connect_timeout, self._connected
         )
@@ -68,31 +68,31 @@
             return
         self.cancel_connect = None
         self.stream = Stream(self.pool.loop, sock, self.on_bytes, self.fail)
-        self.stream.on_writable = self.write_pending
-        self.write_pending()
+        self.stream.on_writable = self.write_unsent_requests
+        self.write_unsent_requests()
 
     def submit(self, request: PendingRequest) -> None:
         """Write the request now, or once the connection takes it."""
         self.pending[request.id] = request
-        self.write_pending()
+        self.write_unsent_requests()
 
-    def write_pending(self) -> None:
+    def write_unsent_requests(self) -> None:
         """Write the requests that wait, while the kernel takes them; end those that may no longer begin."""
         stream, loop = self.stream, self.pool.loop
         if stream is None:  # not connected yet
             return
         for request in [request for request in self.pending.values() if request.end_offset is None]:
             now = loop.now()
-            if now >= request.until or not request.wanted():
+            if now >= request.start_before or not request.still_wanted():
                 self._fail_unsent(request, Result.NOT_SENT)
                 continue
             data = request.encode(now)
             if not stream.try_begin(data):
                 return  # `on_writable` calls this again
-            self.written += len(data)
-            request.end_offset, request.encode = self.written, already_written
-            if stream.bytes_unsent and request.until < NO_DEADLINE:
-                loop.after(WRITE_TIMEOUT, self._check_written, request)
+            self.bytes_written += len(data)
+            request.end_offset, request.encode = self.bytes_written, encode_nothing
+            if stream.bytes_unsent and request.start_before < NO_DEADLINE:
+                loop.after(WRITE_TIMEOUT_NS, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
         """Close the connection if the request is still written only in part: its time limit is wrong now."""
@@ -111,7 +111,7 @@
 
     def is_silent_since(self, time: int) -> bool:
         """Whether nothing was received since that time, or no reply ever came."""
-        return not self.answered or self.last_read < time
+        return not self.replies_received or self.last_received < time
 
     def is_quiet(self) -> bool:
         """Whether neither the connection's end nor unexpected bytes have come; takes one system call."""
@@ -119,35 +119,35 @@
 
     def on_bytes(self, data: bytes) -> None:
         """Take received bytes and end the requests to which they reply."""
-        self.last_read = self.pool.loop.now()
+        self.last_received = self.pool.loop.now()
         malformed = None
         try:
             replies = self.reader.feed(data)
         except MalformedLineError as error:
             malformed, replies = error, error.replies
         for reply in replies:
-            self._take_reply(reply)
+            self._handle_reply(reply)
         if malformed is not None:
-            self.pool.malformed += 1
+            self.pool.malformed_replies += 1
             self.fail(malformed)
-        elif not self.pending and not self._may_be_kept():
+        elif not self.pending and not self._is_still_reusable():
             self.drop()
 
-    def _take_reply(self, reply: Reply) -> None:
+    def _handle_reply(self, reply: Reply) -> None:
         request = self.pending.get(str(reply.req))
         if request is None or not self.is_written(request):
-            self.pool.unmatched += 1
+            self.pool.unmatched_replies += 1
             return
         del self.pending[request.id]
         self.retired_ids.add(request.id)  # a retry may carry this id, and a second reply to this attempt come
-        self.last_used = self.last_read
-        self.answered += 1
+        self.last_used = self.last_received
+        self.replies_received += 1
         if request.end(reply):
             self.retired_ids.discard(request.id)
 
-    def _may_be_kept(self) -> bool:
+    def _is_still_reusable(self) -> bool:
         return self.reusable and self.pool.pooling.allows_reuse(
-            self.last_read, self.host.name, Idempotency.IDEMPOTENT
+            self.last_received, self.host.name, Idempotency.IDEMPOTENT
         )
 
     def fail(self, error: BaseException | None) -> None:
@@ -158,7 +158,7 @@
         for request in self.pending.values():
             result = results.result_of_ended_connection(error, started=request.started, malformed=malformed)
             ended.append((request, result))
-            if by_host and self.answered and self.last_read < request.created_at:
+            if by_host and self.replies_received and self.last_received < request.created_at:
                 idle_time = request.created_at - self.last_used
                 self.pool.pooling.record_stale_end(now, self.host.name, idle_time, now - request.created_at)
         self.pending = {}
@@ -189,7 +189,7 @@
         if not request.started:
             if not self.pending:
                 self.drop()
-        elif request.until < NO_DEADLINE and not self.is_written(request):
+        elif request.start_before < NO_DEADLINE and not self.is_written(request):
             self.fail(WriteAbandonedError("a request is cancelled before it was written whole"))
         elif self.stream is not None:
             self._cancel_at_host(request, self.stream)
@@ -197,7 +197,7 @@
     def _cancel_at_host(self, request: PendingRequest, stream: Stream) -> None:
         self.retired_ids.add(request.id)
         now = self.pool.loop.now()
-        if self.pool.pooling.is_silent(now, max(request.created_at, self.last_read)):
+        if self.pool.pooling.is_silent(now, max(request.created_at, self.last_received)):
             self.reusable = False
         if not self.pending and (not self.reusable or stream.bytes_unsent):
             self.drop()
@@ -205,7 +205,7 @@
             self.last_used = now
             data = messages.encode_cancel(request.id)
             stream.write(data)
-            self.written += len(data)
+            self.bytes_written += len(data)
 
     def drop(self) -> None:
         """Close the connection; no callback is called."""
--- a/gaproute/hosts/jsonlines/connection_owner.py
+++ b/gaproute/hosts/jsonlines/connection_owner.py
@@ -11,7 +11,7 @@
 Connection = TypeVar("Connection", contravariant=True)
 
 
-class HostConnectionOwner(Protocol):
+class ConnectionPoolProtocol(Protocol):
     """The part of `ConnectionPool` that its connections use.
 
     `connect_timeout`: ns; `cancel_allowed`: whether hosts take cancellations. `malformed`: connections that
@@ -22,27 +22,27 @@
     pooling: Pooling
     connect_timeout: int
     cancel_allowed: bool
-    malformed: int
-    unmatched: int
+    malformed_replies: int
+    unmatched_replies: int
 
 
-class ConnectionRegistry(Protocol[Connection]):
+class ConnectionSetProtocol(Protocol[Connection]):
     """The connections of one host: see `ConnectionSet`."""
 
     def discard(self, connection: Connection) -> None:
         """Removes a connection; no error where it is not in the set."""
 
 
-class ConnectionHost(Protocol[Connection]):
+class HostProtocol(Protocol[Connection]):
     """The part of `Host` that its connections use."""
 
     name: str
     address: Address
 
     @property
-    def pool(self) -> HostConnectionOwner:
+    def pool(self) -> ConnectionPoolProtocol:
         """The pool of all connections."""
 
     @property
-    def connections(self) -> ConnectionRegistry[Connection]:
+    def connections(self) -> ConnectionSetProtocol[Connection]:
         """The host's connections."""
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -28,18 +28,18 @@
     ) -> None:
         """`max_connections`: to all hosts together."""
         self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
-        self.on_removed: Callable[[str], object] = lambda name: None  # called when a host is forgotten
+        self.on_host_removed: Callable[[str], object] = lambda name: None  # called when a host is forgotten
         self.connect_timeout = deployment.connect_time or DEFAULT_CONNECT_TIMEOUT
         # The settings say when hosts close an idle connection. One that ends sooner was reset by accident,
         # which predicts nothing: to learn from such ends would open a connection for nearly every attempt.
         self.idle_timeout = deployment.idle_time or None
-        self.max_requests = deployment.requests_per_connection  # on one connection
+        self.max_requests_per_connection = deployment.requests_per_connection  # on one connection
         self.cancel_allowed = deployment.cancel_allowed
         self.hosts: dict[str, Host] = {}
         # Requests on a new connection, on an idle one, and on one that they share with others.
-        self.opened = self.reused = self.multiplexed = 0
-        self.malformed = 0  # connections that were closed because a line could not be decoded
-        self.unmatched = 0  # replies that belong to no request
+        self.connections_opened = self.connections_reused = self.requests_multiplexed = 0
+        self.malformed_replies = 0  # connections that were closed because a line could not be decoded
+        self.unmatched_replies = 0  # replies that belong to no request
         self.sweep()
 
     def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
@@ -62,7 +62,7 @@
         host = self.hosts.get(name)
         if host is None:
             host = self.hosts[name] = Host(self, endpoint)
-        elif not host.is_at(endpoint):
+        elif not host.matches_endpoint(endpoint):
             host.drain()  # its connections lead to the former address or process
             host.set_endpoint(endpoint)
         host.active = endpoint.listed.state is State.ACTIVE
@@ -73,10 +73,10 @@
         host: Host,
         request_id: str,
         encode: Callable[[int], bytes],
-        until: int,
+        start_before: int,
         idempotency: Idempotency,
         on_ended: OnRequestEnded,
-        wanted: Callable[[], bool] = always,
+        still_wanted: Callable[[], bool] = always,
     ) -> PendingRequest | None:
         """Submit a request on an idle connection that pooling picks, else on a new one, else on a shared one.
 
@@ -84,22 +84,24 @@
         `PendingRequest`). Returns None where there is no connection and no further one can be opened.
         """
         now = self.loop.now()
-        connection = self._pick(now, host, request_id, idempotency)
-        if (connection is None or connection.pending) and self._make_room():
+        connection = self._pick_connection(now, host, request_id, idempotency)
+        if (connection is None or connection.pending) and self._make_room_for_connection():
             connection = Connection(host)
-            self.opened += 1
+            self.connections_opened += 1
             host.connections.add(connection)
         elif connection is None:
             return None
         elif connection.pending:
-            self.multiplexed += 1
+            self.requests_multiplexed += 1
         else:
-            self.reused += 1
-        request = PendingRequest(connection, request_id, encode, until, on_ended, now, wanted)
+            self.connections_reused += 1
+        request = PendingRequest(connection, request_id, encode, start_before, on_ended, now, still_wanted)
         connection.submit(request)
         return request
 
-    def _pick(self, now: int, host: Host, request_id: str, idempotency: Idempotency) -> Connection | None:
+    def _pick_connection(
+        self, now: int, host: Host, request_id: str, idempotency: Idempotency
+    ) -> Connection | None:
         """The connection that pooling picks, or None.
 
         For a request that must not be sent again, an idle connection is checked first: one on which an end or
@@ -112,7 +114,7 @@
                 idempotency,
                 host.connections,
                 request_id,
-                self.max_requests,
+                self.max_requests_per_connection,
                 self.idle_timeout,
             )
             if (
@@ -124,7 +126,7 @@
                 return connection
             connection.drop()
 
-    def _make_room(self) -> bool:
+    def _make_room_for_connection(self) -> bool:
         """Whether a further connection may be opened; at the limit the one idle longest is closed for it."""
         if self.connection_count() < self.max_connections:
             return True
@@ -164,7 +166,7 @@
         if gone_before and host.gone_at_last_sweep:
             del self.hosts[host.name]
             self.pooling.forget_host(host.name)
-            self.on_removed(host.name)
+            self.on_host_removed(host.name)
 
     def close(self) -> None:
         """Close every connection and end the sweeps; no callback is called any more."""
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -2,7 +2,7 @@
 
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.connection import Connection
-from gaproute.hosts.jsonlines.connection_owner import HostConnectionOwner
+from gaproute.hosts.jsonlines.connection_owner import ConnectionPoolProtocol
 from gaproute.loop.addresses import address as parse_address
 
 
@@ -30,10 +30,10 @@
         "gone_at_last_sweep",
         "address_text",
         "address",
-        "started",
+        "started_at",
     )
 
-    def __init__(self, pool: HostConnectionOwner, endpoint: Endpoint) -> None:
+    def __init__(self, pool: ConnectionPoolProtocol, endpoint: Endpoint) -> None:
         self.pool, self.name = pool, endpoint.listed.host
         self.connections = ConnectionSet()
         self.active = self.listed = True
@@ -43,11 +43,11 @@
     def set_endpoint(self, endpoint: Endpoint) -> None:
         """Take over the host's address and the time of its last start. Errors: ValueError."""
         self.address_text, self.address = endpoint.address, parse_address(endpoint.address)
-        self.started = endpoint.listed.started
+        self.started_at = endpoint.listed.started
 
-    def is_at(self, endpoint: Endpoint) -> bool:
+    def matches_endpoint(self, endpoint: Endpoint) -> bool:
         """Whether the host still has that address and has not restarted."""
-        return (self.address_text, self.started) == (endpoint.address, endpoint.listed.started)
+        return (self.address_text, self.started_at) == (endpoint.address, endpoint.listed.started)
 
     def drain(self) -> None:
         """Fail requests that have not begun, and close each connection once it has none in flight."""
--- a/gaproute/hosts/jsonlines/line_reader.py
+++ b/gaproute/hosts/jsonlines/line_reader.py
@@ -22,11 +22,11 @@
 class LineReader:
     """Takes bytes and returns complete replies; buffers one unfinished line at most."""
 
-    __slots__ = ("max_line_bytes", "parts", "unfinished_bytes")
+    __slots__ = ("max_line_bytes", "unfinished_parts", "unfinished_bytes")
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
         self.max_line_bytes = max_line_bytes
-        self.parts: list[bytes] = []  # of the unfinished line
+        self.unfinished_parts: list[bytes] = []  # of the unfinished line
         self.unfinished_bytes = 0
 
     def feed(self, data: bytes) -> list[Reply]:
@@ -34,9 +34,9 @@
         replies: list[Reply] = []
         *lines, rest = data.split(b"\n")
         for line in lines:
-            if self.parts:
-                line = b"".join((*self.parts, line))
-                self.parts, self.unfinished_bytes = [], 0
+            if self.unfinished_parts:
+                line = b"".join((*self.unfinished_parts, line))
+                self.unfinished_parts, self.unfinished_bytes = [], 0
             if len(line) > self.max_line_bytes:
                 raise MalformedLineError("a line is too long", replies)
             try:
@@ -44,7 +44,7 @@
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
                 raise MalformedLineError(f"no line of the protocol: {error}", replies) from None
         if rest:
-            self.parts.append(rest)
+            self.unfinished_parts.append(rest)
             self.unfinished_bytes += len(rest)
             if self.unfinished_bytes > self.max_line_bytes:
                 raise MalformedLineError("a line is too long", replies)
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -16,15 +16,15 @@
 from gaproute.units import MILLI
 
 OK_STATUS = 200  # status of answers: this protocol has none
-RESULTS = {
+RESULT_BY_REPLY_TYPE = {
     "served": Result.OK,
     "not_here": Result.NOT_LOADED,
     "overload": Result.FULL,
     "crashed": Result.ERROR,
     "nobody": Result.NOT_SENT,
 }
-FOUND = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
-READY, NOT_READY = "green", "red"
+FOUND_BY_CODE = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
+READY_TYPE, NOT_READY_TYPE = "green", "red"
 
 Meta = dict[str, str | int | float]
 
@@ -42,39 +42,43 @@
 _encode_json = msgspec.json.encode
 
 
-def _line(command: dict[str, object]) -> bytes:
+def _encode_line(command: dict[str, object]) -> bytes:
     return _encode_json(command) + b"\n"
 
 
-def encode_attempt(call: Call, left: int) -> bytes:
+def encode_attempt(call: Call, time_left: int) -> bytes:
     """The line of an attempt; `left`: how long the gateway will wait, ns."""
-    meta: Meta = {"cls": call.request_class, "item": call.model, "limit": max(1, left // MILLI)}
+    meta: Meta = {"cls": call.request_class, "item": call.model, "limit": max(1, time_left // MILLI)}
     if call.idempotency_key:
         meta["nonce"] = call.idempotency_key
-    return _line({"type": "go", "req": call.request_id, "meta": meta, "data": call.body.decode("ascii")})
+    return _encode_line(
+        {"type": "go", "req": call.request_id, "meta": meta, "data": call.body.decode("ascii")}
+    )
 
 
 def encode_cancel(request_id: str) -> bytes:
     """The line that cancels a request, as nobody waits for it any more."""
-    return _line({"type": "halt", "req": request_id})
+    return _encode_line({"type": "halt", "req": request_id})
 
 
-def encode_probe(tag: str) -> bytes:
+def encode_probe(request_id: str) -> bytes:
     """The line of a probe; `tag`: its id."""
-    return _line({"type": "stat", "req": tag})
+    return _encode_line({"type": "stat", "req": request_id})
 
 
-def encode_load_order(tag: str, function: str, copies: int) -> bytes:
+def encode_load_order(request_id: str, function: str, instance_count: int) -> bytes:
     """The line of an order to have `copies` instances of a function loaded; `tag`: its id."""
-    return _line({"type": "stage", "req": tag, "meta": {"item": function, "copies": copies}})
+    return _encode_line(
+        {"type": "stage", "req": request_id, "meta": {"item": function, "copies": instance_count}}
+    )
 
 
-def decode_attempt(reply: Reply, *, with_count: bool) -> AttemptResult | None:
+def decode_attempt_reply(reply: Reply, *, same_function_counted: bool) -> AttemptResult | None:
     """What the reply to an attempt proves; None where it is no such reply.
 
     `with_count`: whether hosts report how many requests of the same function they have in flight.
     """
-    result = RESULTS.get(reply.type)
+    result = RESULT_BY_REPLY_TYPE.get(reply.type)
     if result is None:
         return None
     answer = None
@@ -84,9 +88,9 @@
             return AttemptResult(Result.ERROR, None)  # it ran, but its answer is lost
         answer = Answer(OK_STATUS, (), body)
     count = None
-    if with_count and result in (Result.OK, Result.FULL):
+    if same_function_counted and result in (Result.OK, Result.FULL):
         count = bounded_count(parse_figure(reply.meta.get("queue_fn"))) or 0
-    found = FOUND.get(reply.meta.get("tell"), Found.UNKNOWN)  # type: ignore[arg-type]
+    found = FOUND_BY_CODE.get(reply.meta.get("tell"), Found.UNKNOWN)  # type: ignore[arg-type]
     return AttemptResult(result, answer, found, count, decode_load_report(reply.meta))
 
 
@@ -102,16 +106,16 @@
     return body
 
 
-def decode_health(reply: Reply) -> tuple[bool, Report | None] | None:
+def decode_probe_reply(reply: Reply) -> tuple[bool, Report | None] | None:
     """(ready, load report) of the reply to a probe; None where it is no such reply."""
-    if reply.type not in (READY, NOT_READY):
+    if reply.type not in (READY_TYPE, NOT_READY_TYPE):
         return None
-    return reply.type == READY, decode_load_report(reply.meta)
+    return reply.type == READY_TYPE, decode_load_report(reply.meta)
 
 
-def decode_load_order(reply: Reply) -> tuple[Result, int] | None:
+def decode_load_order_reply(reply: Reply) -> tuple[Result, int] | None:
     """(result, instances that are loaded) of the reply to a load order; None where it is no such reply."""
-    result = RESULTS.get(reply.type)
+    result = RESULT_BY_REPLY_TYPE.get(reply.type)
     return None if result is None else (result, bounded_count(parse_figure(reply.meta.get("copies"))) or 0)
 
 
--- a/gaproute/hosts/jsonlines/pending_request.py
+++ b/gaproute/hosts/jsonlines/pending_request.py
@@ -16,12 +16,12 @@
 OnRequestEnded: TypeAlias = Callable[[Reply | Result], bool]
 
 
-def already_written(now: int) -> bytes:
+def encode_nothing(now: int) -> bytes:
     """Replaces `PendingRequest.encode` once the request is written, so that its content can be freed."""
     return b""
 
 
-class RequestConnection(Protocol):
+class ConnectionProtocol(Protocol):
     """What a request needs of its connection: see `Connection`."""
 
     stream: Stream | None
@@ -50,27 +50,32 @@
         "connection",
         "id",
         "encode",
-        "until",
+        "start_before",
         "on_ended",
         "created_at",
-        "wanted",
+        "still_wanted",
         "end_offset",
     )
 
     def __init__(
         self,
-        connection: RequestConnection,
+        connection: ConnectionProtocol,
         request_id: str,
         encode: Callable[[int], bytes],
-        until: int,
+        start_before: int,
         on_ended: OnRequestEnded | None,
         now: int,
-        wanted: Callable[[], bool] = always,
+        still_wanted: Callable[[], bool] = always,
     ) -> None:
-        self.connection, self.id, self.until, self.created_at = connection, request_id, until, now
+        self.connection, self.id, self.start_before, self.created_at = (
+            connection,
+            request_id,
+            start_before,
+            now,
+        )
         self.encode = encode
         self.on_ended = on_ended  # None once it has ended
-        self.wanted = wanted
+        self.still_wanted = still_wanted
         # Bytes written on the connection up to the end of this request; None until it has begun.
         self.end_offset: int | None = None
 
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -69,7 +69,7 @@
         """Divides the descriptors between connections of clients and connections to hosts."""
         shares = split_descriptors(self.sockets)
         self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
-        self.hosts.on_removed = self.record.forget_host
+        self.hosts.on_host_removed = self.record.forget_host
         AcceptedConnections.of(self.loop).admission = Admission(
             shares.clients,
             shares.clients + 1,
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -85,11 +85,11 @@
     def _host_fields(self) -> dict[str, int]:
         hosts = self.hosts
         return {
-            "host_connections_opened": hosts.opened,
-            "host_connections_reused": hosts.reused,
-            "host_connections_multiplexed": hosts.multiplexed,
-            "malformed_responses": hosts.malformed,
-            "unmatched_responses": hosts.unmatched,
+            "host_connections_opened": hosts.connections_opened,
+            "host_connections_reused": hosts.connections_reused,
+            "host_connections_multiplexed": hosts.requests_multiplexed,
+            "malformed_responses": hosts.malformed_replies,
+            "unmatched_responses": hosts.unmatched_replies,
         }
 
     def _process_fields(self) -> dict[str, float | None]:
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -9,7 +9,7 @@
 from scripted import MILLI, SECOND, Handed
 
 from gaproute.fronts.jsonrpc import connection as connections
-from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT
+from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT_NS
 from gaproute.loop import unread
 from gaproute.loop.addresses import address
 
@@ -95,11 +95,11 @@
     other = made.client()
     other.ask(1, i="f" * 16, d=D)
     made.turns()
-    made.clock.now += WRITE_TIMEOUT - 10 * MILLI
+    made.clock.now += WRITE_TIMEOUT_NS - 10 * MILLI
     made.clog.emptied()
     made.until(lambda: made.came() == 2)
     limits = {command["req"]: command["meta"]["limit"] for command in made.hosts[0].seen("go")}
-    assert limits["f" * 16] <= D - WRITE_TIMEOUT // MILLI + 20
+    assert limits["f" * 16] <= D - WRITE_TIMEOUT_NS // MILLI + 20
 
 
 @pytest.mark.parametrize("track", ["fault-check", "repair-order"])
@@ -121,7 +121,7 @@
     full = fill_after(link, 10)
     results = []
     made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: results.append(each))
-    made.passes(WRITE_TIMEOUT + 50 * MILLI)
+    made.passes(WRITE_TIMEOUT_NS + 50 * MILLI)
     full.emptied()
     made.until(lambda: results)
     assert link.stream.open
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -137,7 +137,7 @@
 def test_a_host_back_under_its_id_is_not_sent_to_on_connections_of_its_life_before(gate, change):
     made = gate(hosts=2)
     known, name = made.process.hosts.hosts, "s-0"
-    made.until(lambda: any(link.answered for link in known[name].connections))  # a probe's
+    made.until(lambda: any(link.replies_received for link in known[name].connections))  # a probe's
     old = next(iter(known[name].connections))
     old.pending["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
     old.pending["x"].end_offset = 0
@@ -173,7 +173,7 @@
     made.until(lambda: client.answers)
     assert came[0][0] is not came[1][0]
     assert client.answers[0]["result"]["arg"] == arg(b"body 1")
-    assert made.process.hosts.unmatched == 1
+    assert made.process.hosts.unmatched_replies == 1
 
 
 def test_an_answer_before_its_request_has_gone_out_is_no_answer(slow):
@@ -186,7 +186,7 @@
         link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0
     )
     link.on_bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert made.process.hosts.unmatched == 1
+    assert made.process.hosts.unmatched_replies == 1
     assert len(link.pending) == 2
 
 
@@ -292,7 +292,7 @@
 def test_probes_and_orders_wear_no_connection_out(gate):
     """Their ids never come again, so none of them needs to be remembered."""
     made = gate()
-    made.until(lambda: any(link.answered for link in made.process.hosts.hosts["s-0"].connections))
+    made.until(lambda: any(link.replies_received for link in made.process.hosts.hosts["s-0"].connections))
     done = []
     made.process.hosts.order("s-0", "m", 1, lambda *result: done.append(result))
     made.until(lambda: done)
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -83,7 +83,7 @@
         made.send(request_id=f"{number:016x}")
     made.until(lambda: len(made.host.came) == 4)
     assert len(made.host.streams) == 2
-    assert made.hosts.multiplexed == 2
+    assert made.hosts.requests_multiplexed == 2
 
 
 def test_a_second_attempt_of_a_request_never_shares_a_connection_with_the_first(bench):
@@ -91,7 +91,7 @@
     made.send()
     made.send()
     assert made.results(1) == [Result.NOT_SENT]
-    assert made.hosts.multiplexed == 0
+    assert made.hosts.requests_multiplexed == 0
     made.hosts.max_connections = 2
     made.send()
     made.until(lambda: len(made.host.came) == 2)
@@ -112,7 +112,7 @@
     made.host.reply(late[2][0], late[2][1], "served", data="bmV3")
     assert made.results(1) == [Result.OK]
     assert made.heard[0].answer.body == b"bmV3"
-    made.until(lambda: made.hosts.unmatched == 1)
+    made.until(lambda: made.hosts.unmatched_replies == 1)
 
 
 def test_a_copy_or_a_stranger_before_an_answer_harms_nothing(bench):
@@ -125,7 +125,7 @@
     made.send()
     assert made.results(1) == [Result.OK]
     assert made.heard[0].answer.body == CALL.body
-    made.until(lambda: made.hosts.unmatched == 2)
+    made.until(lambda: made.hosts.unmatched_replies == 2)
     made.send(request_id="1" * 16)
     assert made.results(2) == [Result.OK, Result.OK]
     assert len(made.host.streams) == 1
@@ -217,8 +217,8 @@
     made.results(4)
     made.send(request_id="b" * 16)
     made.results(5)
-    assert made.hosts.opened == 4
-    assert made.hosts.reused == 1
+    assert made.hosts.connections_opened == 4
+    assert made.hosts.connections_reused == 1
 
 
 def test_hosts_that_end_idle_connections_at_their_next_use_get_new_ones_for_a_while(bench):
--- a/tests/hosts/test_line_messages.py
+++ b/tests/hosts/test_line_messages.py
@@ -48,9 +48,9 @@
         for piece in pieces:
             for each in reader.feed(piece):
                 (
-                    messages.decode_attempt(each, with_count=True),
-                    messages.decode_health(each),
-                    messages.decode_load_order(each),
+                    messages.decode_attempt_reply(each, same_function_counted=True),
+                    messages.decode_probe_reply(each),
+                    messages.decode_load_order_reply(each),
                 )
             assert reader.unfinished_bytes <= 300
     except line_reader.MalformedLineError:
@@ -68,28 +68,29 @@
     ],
 )
 def test_what_an_answer_proves(kind, result):
-    assert messages.decode_attempt(reply(type=kind), with_count=True).result is result
+    assert messages.decode_attempt_reply(reply(type=kind), same_function_counted=True).result is result
 
 
 def test_notes_crowds_and_loads_reach_the_module_in_its_terms():
-    heard = messages.decode_attempt(
-        reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), with_count=True
+    heard = messages.decode_attempt_reply(
+        reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""),
+        same_function_counted=True,
     )
     assert (heard.found, heard.same_function_requests) == (Found.AWAITED_LOAD, 3)
     assert (heard.report.cpu_busy, heard.report.memory_busy, heard.report.in_hand) == (0.61, 0.2, None)
-    assert messages.decode_attempt(reply(), with_count=True).same_function_requests == 0
-    assert messages.decode_attempt(reply(), with_count=False).same_function_requests is None
+    assert messages.decode_attempt_reply(reply(), same_function_counted=True).same_function_requests == 0
+    assert messages.decode_attempt_reply(reply(), same_function_counted=False).same_function_requests is None
     assert messages.decode_load_report({"meter": "util:lots;inflight:7"}).in_hand == 7
     assert messages.decode_load_report({"meter": "x"}) is None
 
 
 @pytest.mark.parametrize("data", ["%%%", "ab", "\u00e9", None])
 def test_a_body_that_is_missing_or_no_base64_ran_and_is_not_passed_on(data):
-    assert messages.decode_attempt(reply(data=data), with_count=True) == (
+    assert messages.decode_attempt_reply(reply(data=data), same_function_counted=True) == (
         Result.ERROR,
         None,
         Found.UNKNOWN,
         None,
         None,
     )
-    assert messages.decode_attempt(reply(data=""), with_count=True).answer.body == b""
+    assert messages.decode_attempt_reply(reply(data=""), same_function_counted=True).answer.body == b""
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -118,7 +118,7 @@
         self.record = Record(
             SimpleNamespace(error=lambda what, **fields: self.errors.append(fields)), "pgs", 0
         )
-        self.hosts.on_removed = self.record.forget_host
+        self.hosts.on_host_removed = self.record.forget_host
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.incarnations = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
