--- a/gaproute/hosts/__init__.py
+++ b/gaproute/hosts/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that goes out to hosts: attempts, load orders and probes, and what their answers prove."""
+"""The clients of hosts: attempts, load orders and probes, and what the end of each proves."""
--- a/gaproute/hosts/attempts.py
+++ b/gaproute/hosts/attempts.py
@@ -1,4 +1,4 @@
-"""An attempt that no host gets, and the callbacks of those that call a client of hosts."""
+"""The handle of an attempt that is not sent, and the callback types of the clients of hosts."""
 
 from collections.abc import Callable
 from typing import TypeAlias
@@ -8,11 +8,11 @@
 from gaproute.loop import Loop
 
 OnAttemptEnded: TypeAlias = Callable[[AttemptResult], object]
-OnLoadOrderEnded: TypeAlias = Callable[[Result, int], object]  # (result, instances that are loaded)
+OnLoadOrderEnded: TypeAlias = Callable[[Result, int], object]  # (result, number of loaded instances)
 
 
 class UnsentAttempt:
-    """An attempt that is not sent; `on_ended` is called with the result, never at once."""
+    """The handle of an attempt that is not sent; the loop calls `on_ended` with its result later."""
 
     __slots__ = ("on_ended",)
 
@@ -28,5 +28,5 @@
             self.on_ended(result)
 
     def cancel(self) -> None:
-        """Call nothing any more."""
+        """Ends the attempt; `on_ended` is not called any more."""
         self.on_ended = None
--- a/gaproute/hosts/cell_hosts.py
+++ b/gaproute/hosts/cell_hosts.py
@@ -1,4 +1,7 @@
-"""Hosts of cells that come and go: a cell may be let go while a request is in flight there."""
+"""The client of hosts whose cells are added and removed while the gateway runs.
+
+A cell may be removed while a request is in flight at one of its hosts.
+"""
 
 from gaproute.core.in_flight import AttemptHandle
 from gaproute.core.ports import OnProbeEnded
@@ -9,9 +12,9 @@
 
 
 class CellHostClient(KServeClient):
-    """The hosts of the cells known. Nothing begins at hosts that went with their cell."""
+    """Sends to the hosts of the known cells, and nothing to a host that was removed with its cell."""
 
-    def _is_gone(self, host_name: str) -> bool:
+    def _is_unavailable(self, host_name: str) -> bool:
         host = self.hosts.get(host_name)
         return host is None or not host.active
 
@@ -25,21 +28,21 @@
         start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
-        """As `KServeClient.send`; an attempt at a host that is gone is not sent."""
-        if self._is_gone(host_name):
+        """Sends an attempt as `KServeClient.send` does; an attempt at an unavailable host is not sent."""
+        if self._is_unavailable(host_name):
             return UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
         return super().send(
             host_name, call, idempotency, gateway_request_id, deadline, start_before, on_ended
         )
 
     def order(self, host_name: str, function: str, instance_count: int, on_ended: OnLoadOrderEnded) -> None:
-        """As `KServeClient.order`; a host that is gone has no space."""
-        if self._is_gone(host_name):
+        """Sends a load order as `KServeClient.order` does; an unavailable host counts as full."""
+        if self._is_unavailable(host_name):
             self.loop.soon(on_ended, Result.FULL, 0)
         else:
             super().order(host_name, function, instance_count, on_ended)
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
-        """As `KServeClient.probe`; of a host that is gone nothing is said."""
-        if not self._is_gone(host_name):
+        """Sends a probe as `KServeClient.probe` does; `on_ended` is not called for an unavailable host."""
+        if not self._is_unavailable(host_name):
             super().probe(host_name, on_ended)
--- a/gaproute/hosts/endpoints.py
+++ b/gaproute/hosts/endpoints.py
@@ -1,4 +1,4 @@
-"""A host of the endpoint list, whichever protocol lists it and whichever it speaks."""
+"""An entry of the endpoint list, the same for every discovery protocol and every protocol of hosts."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Endpoint(NamedTuple):
-    """What the decisions get to know of a host, and its address."""
+    """What the decisions know about a host, and its address."""
 
     listed: ListedHost
-    address: str  # as `loop.streams.address` reads it
+    address: str  # in the syntax of `gaproute.loop.addresses`
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -1,7 +1,7 @@
-"""Calls forwarded to the entry gateways of other cells.
+"""Forwards requests to the entry gateways of other cells.
 
-An entry gateway is reached as a host is, by the KServe form. It gets the time left in the same field as from
-a client, counted when the request is sent, so that it does not answer after that.
+An entry gateway is reached like a host, over the KServe protocol. It gets the time left in the same header
+field as from a client, computed when the request is sent, so that it does not answer after that time.
 """
 
 from collections.abc import Callable
@@ -25,14 +25,14 @@
 
 
 class EntryGatewayClient(KServeClient):
-    """Entry gateways as hosts, each named by its address."""
+    """Sends requests to entry gateways as to hosts; each entry gateway is named by its address."""
 
     forwards = True
 
     def encode_attempt(
         self, call: Call, gateway_request_id: str, host: HostConnections, start_before: int
     ) -> Callable[[int], bytes]:
-        """What makes the bytes of an attempt when they are sent; it must be answered by `until`."""
+        """A function that encodes the attempt when it is sent, with the time left until `start_before`."""
 
         def encode(now: int) -> bytes:
             time_left_ms = max(1, (start_before - now) // MILLI)
@@ -44,7 +44,7 @@
 
 
 class ForwardingClient:
-    """Sends one call to one entry gateway, as `KServeClient` sends to a host."""
+    """Sends one request to one entry gateway, as `KServeClient` sends requests to a host."""
 
     __slots__ = ("entry_gateways", "forward")
 
@@ -61,7 +61,7 @@
         start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
-        """As `KServeClient.send`, to the entry gateway whatever the host's name."""
+        """Sends an attempt as `KServeClient.send` does, but to the entry gateway; ignores `host_name`."""
         address = self.forward.address
         if not self.entry_gateways.add(address):
             return UnsentAttempt(self.entry_gateways.loop, on_ended, Result.CONNECT_FAILED)
@@ -75,18 +75,18 @@
 
 
 class EntryGateways:
-    """The entry gateways in use: each from the first call to it, for as long as the cell table names it."""
+    """The entry gateways in use: each from its first request until the cell table no longer names it."""
 
     def __init__(self, loop: Loop, settings: ClientSettings, gateway_name: str) -> None:
         self.loop = loop
         self.client = EntryGatewayClient(loop, Pooling(), settings, gateway_name)
 
     def client_for(self, forward: ForwardAttempt) -> ForwardingClient:
-        """What sends the call that is to be forwarded."""
+        """The client that sends the request of this forward attempt."""
         return ForwardingClient(self, forward)
 
     def add(self, address: str) -> bool:
-        """Have the entry gateway at that address in use; False where it is no address."""
+        """Adds the entry gateway at that address; False where the address is malformed."""
         if address in self.client.hosts:
             return True
         try:
@@ -97,13 +97,13 @@
         return True
 
     def apply_table(self, table: CellTable) -> None:
-        """Let go of those that a newer table does not name."""
-        named = {entry.address for cell in table.cells for entry in cell.entries}
-        named_addresses = [address for address in self.client.hosts if address in named]
-        self.client.update([_endpoint(address) for address in named_addresses], complete=True)
+        """Removes the entry gateways that a newer cell table does not name."""
+        addresses_in_table = {entry.address for cell in table.cells for entry in cell.entries}
+        kept_addresses = [address for address in self.client.hosts if address in addresses_in_table]
+        self.client.update([_endpoint(address) for address in kept_addresses], complete=True)
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         self.client.close()
 
 
--- a/gaproute/hosts/forwarding.py
+++ b/gaproute/hosts/forwarding.py
@@ -1,11 +1,12 @@
-"""The header fields by which one gateway marks a call that it forwards to another.
+"""The header fields that mark a request that one gateway forwards to another.
 
-`Gaproute-Forwarded: HOPS CELL` says how often the call has been forwarded, this time included, and the cell
-that its first gateway chose, percent-encoded. What is malformed is ignored: the call is then a client's own.
-More hops than a gateway may make count as the most, so that such a call is not forwarded again.
+`Gaproute-Forwarded: HOPS CELL` has the number of times that the request has been forwarded, this time
+included, and the cell that its first gateway chose, percent-encoded. A malformed field is ignored, so the
+request counts as sent by a client. More than `MAX_HOPS` hops count as `MAX_HOPS`, so that the request is not
+forwarded again.
 
-`Gaproute-Task` is the first gateway's id of the call, as hosts get it: an entry gateway passes it on to them,
-so that they recognize a repeat that comes by another entry.
+`Gaproute-Task` is the id that the first gateway gave the request. Each gateway passes it on, and hosts
+recognize a repeat by it, also one that comes through another entry gateway.
 """
 
 import re
@@ -17,17 +18,17 @@
 
 FORWARDED_HEADER = b"gaproute-forwarded"
 ORIGIN_HEADER, ORIGIN_PATTERN = b"gaproute-task", re.compile(rb"[!-~]{1,256}")
-MAX_FORWARDED_VALUE_BYTES = 3 + 12 * MAX_NAME  # each character takes 12 at most when it is percent-encoded
+MAX_FORWARDED_VALUE_BYTES = 3 + 12 * MAX_NAME  # a percent-encoded character takes at most 12 bytes
 MAX_HOP_DIGITS = 2
 
 
 def encode_forwarded(forwarded: Forwarded) -> tuple[bytes, bytes]:
-    """The header field of a forwarded call."""
+    """Encodes the header field of a forwarded request."""
     return b"Gaproute-Forwarded", f"{forwarded.hops} {quote(forwarded.cell, safe='')}".encode()
 
 
 def decode_forwarded(headers: Mapping[bytes, bytes]) -> Forwarded | None:
-    """How a call was forwarded, by its headers; None where it was not, or the field is malformed."""
+    """Decodes how a request was forwarded; None where the header field is missing or malformed."""
     value = headers.get(FORWARDED_HEADER)
     if value is None or len(value) > MAX_FORWARDED_VALUE_BYTES:
         return None
@@ -44,6 +45,6 @@
 
 
 def decode_origin(headers: Mapping[bytes, bytes]) -> str:
-    """The first gateway's id of a forwarded call; "" where the field is missing or malformed."""
+    """The id that the first gateway gave the request; "" where the field is missing or malformed."""
     value = headers.get(ORIGIN_HEADER, b"")
     return value.decode("ascii") if ORIGIN_PATTERN.fullmatch(value) else ""
--- a/gaproute/hosts/kserve/attempts.py
+++ b/gaproute/hosts/kserve/attempts.py
@@ -1,4 +1,4 @@
-"""An attempt on a connection to a host, and what its end says."""
+"""An attempt on a connection to a host, and the result of its exchange."""
 
 from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts import orca, results
@@ -11,9 +11,9 @@
 
 
 class SentAttempt:
-    """An attempt on a connection to a host, or waiting for one.
+    """The handle of an attempt that is on a connection to a host, or waits for a new connection.
 
-    `forwards`: it went to another gateway, which may not have sent it to a host yet.
+    `forwards`: whether the attempt goes to another gateway, which may not have sent it to a host yet.
     """
 
     __slots__ = ("host", "exchange", "forwards")
@@ -23,29 +23,31 @@
 
     @property
     def started(self) -> bool:
-        """Whether it has a connection."""
+        """Whether the attempt has a connection."""
         return self.exchange.connection is not None
 
     @property
     def cancellable(self) -> bool:
-        """Whether it is cancelled, though it started, once nobody waits for its answer."""
+        """Whether a started attempt may still be withdrawn: it is forwarded, or not completely sent."""
         return self.forwards or not self.exchange.all_bytes_sent
 
     def cancel(self) -> None:
-        """End it and its connection; its callback is not called any more."""
+        """Ends the attempt and closes its connection; its callback is not called any more."""
         self.host.cancel(self.exchange)
 
 
 def attempt_result(outcome: Response | NoResponseError) -> AttemptResult:
-    """What the answer, or the failure, of an exchange says of its attempt."""
+    """The result of an attempt by the response or the failure of its exchange."""
     if isinstance(outcome, NoResponseError):
         return AttemptResult(
             Result.NOT_SENT if outcome.lapsed else results.result_of_failed_exchange(outcome), None
         )
-    answer = outcome
-    reported = orca.decode_headers(answer.headers)
-    result, passed_on = results.result_of_status(answer.status), None
+    response = outcome
+    reported = orca.decode_headers(response.headers)
+    result, passed_on = results.result_of_status(response.status), None
     if result is Result.OK:
-        fields = tuple((name, answer.headers[name]) for name in PASSED_ON_HEADERS if name in answer.headers)
-        passed_on = Answer(answer.status, fields, answer.body)
+        fields = tuple(
+            (name, response.headers[name]) for name in PASSED_ON_HEADERS if name in response.headers
+        )
+        passed_on = Answer(response.status, fields, response.body)
     return AttemptResult(result, passed_on, reported.found, reported.same_function_requests, reported.report)
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -1,7 +1,7 @@
-"""The client of hosts that speak KServe v2: attempts, load orders and probes on open connections.
+"""The client of hosts that speak KServe v2: attempts, load orders and probes on pooled connections.
 
-It reports what it sees and chooses nothing: `decisions.connections.pooling` says which open connection may be
-used, `gaproute.hosts.results` what an end proves. `update` brings the endpoint list.
+The client chooses no host and retries nothing. `decisions.connections.pooling` says which idle connection may
+be used, `gaproute.hosts.results` what the end of an exchange proves. `update` takes over the endpoint list.
 """
 
 from collections.abc import Callable, Iterable
@@ -25,18 +25,18 @@
 from gaproute.units import SECOND
 
 OK_STATUS = 200
-LOAD_REFUSED_STATUSES = (404, 409, 429)  # of a load order: there is no space for it, or no such model
+LOAD_REFUSED_STATUSES = (404, 409, 429)  # of a load order: no such model, or no space for it
 SWEEP_INTERVAL = SECOND
-REUSE_RACE_WINDOW = SECOND  # an open connection that ends within it was perhaps closed just as it was used
+REUSE_RACE_WINDOW = SECOND  # a reused connection that ends this soon was perhaps closed as it was used
 
 OnExchangeEnded: TypeAlias = Callable[[Response | NoResponseError], object]
-RequestBytes: TypeAlias = bytes | Callable[[int], bytes]  # or what makes them at a time of the loop's clock
+RequestBytes: TypeAlias = bytes | Callable[[int], bytes]  # or a function that makes them at a time (ns)
 
 
 class KServeClient:
-    """All hosts by name, with their connections."""
+    """Sends to hosts by name, and owns the connections to them."""
 
-    forwards = False  # whether what is reached are other gateways
+    forwards = False  # whether requests go to other gateways instead of hosts
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         self.sweep()
 
     def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
-        """Take over the endpoint list, or with `complete` False changes of it.
+        """Takes over the endpoint list (`complete`), or changes of it.
 
-        From now on nothing more goes to hosts that drain or are gone, also what waits for its connection;
-        what they have in flight runs on.
+        Hosts that drain or are gone get no further request, also none that waits for its connection. Their
+        requests in flight continue.
         """
         named = set()
         for endpoint in endpoints:
@@ -72,7 +72,7 @@
             if host.active:
                 continue
             host.close_idle()
-            host.abandon_connecting("the host drains or is gone")
+            host.abandon_connecting("host is draining or gone")
             if missing and not host.open_connections:
                 del self.hosts[host.name]
                 self.pooling.forget_host(host.name)
@@ -88,7 +88,7 @@
         host.active = endpoint.listed.state is State.ACTIVE
 
     def sweep(self) -> None:
-        """Close connections that have been idle too long, and go on doing so."""
+        """Closes connections that have been idle too long; runs every second."""
         for host in self.hosts.values():
             host.close_expired()
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
@@ -103,10 +103,10 @@
         start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
-        """Send one attempt of the request with that id; `on_ended(result)` once, never at once.
+        """Sends one attempt; `on_ended(result)` is called once, and never before this method returns.
 
-        It begins before `until`, by the loop's clock, while its client is present, or never. `limit`: when
-        the request's final answer is owed.
+        The attempt starts before `start_before` and while its client is present, or never. The final answer
+        of the request is owed by `deadline`. Both are times of the loop's clock, ns.
         """
         if not call.client_present():
             return UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
@@ -124,18 +124,18 @@
     def encode_attempt(
         self, call: Call, gateway_request_id: str, host: HostConnections, start_before: int
     ) -> RequestBytes:
-        """The bytes of an attempt, or what makes them when they are sent."""
+        """The bytes of an attempt, or a function that makes them when the attempt is sent."""
         return messages.encode_infer(call, gateway_request_id, host.address_text)
 
     def order(self, host_name: str, function: str, instance_count: int, on_ended: OnLoadOrderEnded) -> None:
-        """Send a load order; `on_ended(result, instances that are loaded)` once, never at once."""
+        """Sends a load order; `on_ended(result, number of loaded instances)` is called once, and later."""
         host = self.hosts[host_name]
 
         def ended(outcome: Response | NoResponseError) -> None:
             if isinstance(outcome, NoResponseError):
                 on_ended(results.result_of_failed_exchange(outcome), 0)
             elif outcome.status == OK_STATUS:
-                on_ended(Result.OK, messages.decode_load_answer(outcome.body))
+                on_ended(Result.OK, messages.decode_load_response(outcome.body))
             else:
                 on_ended(Result.FULL if outcome.status in LOAD_REFUSED_STATUSES else Result.ERROR, 0)
 
@@ -147,10 +147,10 @@
             self.loop.soon(on_ended, Result.FULL, 0)
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
-        """Ask for readiness and load; `on_ended` is called with both once, never at once.
+        """Asks a host for its readiness and load; `on_ended` is called with both once, and later.
 
-        It is not called where this machine had no connection or descriptor for the probe: that says nothing
-        of the host.
+        It is not called if this machine has no connection or descriptor for the probe, as that shows nothing
+        about the host.
         """
         host = self.hosts[host_name]
 
@@ -168,7 +168,7 @@
         self._start_exchange_with_timeout(host, data, timeout, ended, partial(on_ended, None, good=False))
 
     def close(self) -> None:
-        """Close every connection, and sweep no more."""
+        """Closes every connection and ends the sweeps."""
         self.sweep_timer.cancel()
         for host in self.hosts.values():
             host.close()
@@ -181,7 +181,7 @@
         on_ended: OnExchangeEnded,
         on_timeout: Callable[[], object],
     ) -> bool:
-        """An idempotent exchange that is cancelled after `timeout` ns; False where it cannot be sent."""
+        """Starts an idempotent exchange with a timeout in ns; False where the host has no free connection."""
         timer = None
 
         def ended(outcome: Response | NoResponseError) -> None:
@@ -208,18 +208,18 @@
         start_before: int | None = None,
         still_wanted: Callable[[], bool] | None = None,
     ) -> Exchange | None:
-        """Send a request on an open connection that may be trusted with it, else on a new one.
+        """Sends a request on an idle connection that pooling allows for it, else on a new one.
 
-        None where the host has as many connections as it may. `on_ended` is called once, never at once.
+        None where the host has the maximum number of connections. `on_ended` is called once, and later.
         """
         reused = host.take_idle(idempotency)
 
-        def ended(answer: Response | None, failure: NoResponseError | None) -> None:  # one is None
+        def ended(response: Response | None, failure: NoResponseError | None) -> None:  # one is None
             host.connecting_exchanges.pop(exchange, None)
             if exchange.connection is not None:
                 host.release(exchange.connection)
-            if answer is not None:
-                on_ended(answer)
+            if response is not None:
+                on_ended(response)
             elif failure is not None:
                 if failure.any_byte_sent and reused is not None:
                     self._count_reuse_race(exchange)
@@ -238,7 +238,7 @@
             host.address,
             self.settings.connect_timeout,
             self.settings.max_head_bytes,
-            self.settings.max_answer_bytes,
+            self.settings.max_response_bytes,
             partial(host.on_connected, exchange),
         )
         return exchange
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -1,4 +1,4 @@
-"""The connections to one host: which of them are idle, and which idle one may be used."""
+"""The connections to one host, and which idle connection a request may use."""
 
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.http1 import ClientConnection, Exchange
@@ -8,9 +8,9 @@
 
 
 class HostConnections:
-    """One host, its connections, and the exchanges that wait for a new one.
+    """One host, its connections, and the exchanges that wait for a new connection.
 
-    `decisions.connections.pooling` says how long a connection may have been idle to be used.
+    `decisions.connections.pooling` says how long a connection may have been idle if it is to be used.
     """
 
     __slots__ = (
@@ -27,18 +27,21 @@
 
     def __init__(self, loop: Loop, pooling: Pooling, name: str, address_text: str) -> None:
         self.loop, self.pooling, self.name = loop, pooling, name
-        self.active = True  # by the endpoint list
-        self.idle_connections: list[ClientConnection] = []  # the one that has been idle longest first
+        self.active = True  # whether the endpoint list has the host as active
+        self.idle_connections: list[ClientConnection] = []  # the longest idle first
         self.open_connections: set[ClientConnection] = set()  # idle or in use
-        self.connecting_exchanges: dict[Exchange, None] = {}  # in order; no byte of these is sent
+        self.connecting_exchanges: dict[Exchange, None] = {}  # in order of start; nothing of them is sent
         self.set_address(address_text)
 
     def set_address(self, address_text: str) -> None:
-        """The host answers at that address from now on. Errors: ValueError."""
+        """Sets the host's address. Raises ValueError if the address is malformed."""
         self.address_text, self.address = address_text.encode(), parse_address(address_text)
 
     def take_idle(self, idempotency: Idempotency) -> ClientConnection | None:
-        """The connection that has been idle least, if it may be used and shows no sign of an end."""
+        """Removes and returns the connection that became idle last; None where no connection may be used.
+
+        For a non-idempotent request, connections on which an end or unexpected bytes have arrived are closed.
+        """
         now = self.loop.now()
         while self.idle_connections:
             connection = self.idle_connections[-1]
@@ -47,7 +50,7 @@
                 return None
             self.idle_connections.pop()
             connection.on_idle_end = None
-            # An idempotent request may be sent again: for it the system call is spared.
+            # An idempotent request may be sent again, so the system call of the check is saved.
             if idempotency is Idempotency.IDEMPOTENT or connection.stream.is_quiet():
                 return connection
             connection.abort()
@@ -56,7 +59,7 @@
         return None
 
     def release(self, connection: ClientConnection) -> None:
-        """An exchange on the connection has ended: it is idle, or at its end."""
+        """Takes back a connection whose exchange has ended: it is idle now, unless it has ended too."""
         if connection.open:
             connection.on_idle_end = self._on_idle_end
             self.idle_connections.append(connection)
@@ -64,31 +67,31 @@
             self.open_connections.discard(connection)
 
     def on_connected(self, exchange: Exchange, connection: ClientConnection) -> None:
-        """The connection that an exchange waits for is there."""
+        """Adds the new connection for which an exchange has waited."""
         self.connecting_exchanges.pop(exchange, None)
         self.open_connections.add(connection)
 
     def cancel(self, exchange: Exchange) -> None:
-        """End an exchange and the connection that it is on; its callback is not called."""
+        """Ends an exchange and closes its connection; its callback is not called."""
         exchange.cancel()
         self.connecting_exchanges.pop(exchange, None)
         if exchange.connection is not None:
             self.open_connections.discard(exchange.connection)
 
     def abandon_connecting(self, reason: str) -> None:
-        """End what waits for a new connection as never run."""
+        """Fails the exchanges that wait for a new connection; their requests never ran."""
         for exchange in list(self.connecting_exchanges):
             exchange.fail_if_unsent(reason)
         self.connecting_exchanges.clear()
 
     def close_idle(self) -> None:
-        """Close every idle connection."""
+        """Closes every idle connection."""
         for connection in self.idle_connections:
             self._close_connection(connection)
         self.idle_connections = []
 
     def close_expired(self) -> None:
-        """Close connections that have been idle too long for any request, before the host does."""
+        """Closes connections that have been idle too long for any request, before the host closes them."""
         now, kept = self.loop.now(), []
         for connection in self.idle_connections:
             max_idle = self.pooling.max_idle(
@@ -101,7 +104,7 @@
         self.idle_connections = kept
 
     def close(self) -> None:
-        """Close every connection."""
+        """Closes every connection."""
         for connection in list(self.open_connections):
             connection.abort()
         self.open_connections.clear()
@@ -112,7 +115,7 @@
         self.open_connections.discard(connection)
 
     def _on_idle_end(self, connection: ClientConnection) -> None:
-        """The host has closed an idle connection."""
+        """Removes an idle connection that the host has closed, and records its idle time."""
         if connection in self.idle_connections:
             self.idle_connections.remove(connection)
         self.open_connections.discard(connection)
--- a/gaproute/hosts/kserve/messages.py
+++ b/gaproute/hosts/kserve/messages.py
@@ -1,5 +1,4 @@
-"""The requests that go out to hosts, in the published forms: KServe v2 REST and its model repository
-extension."""
+"""Encodes the requests to hosts: the KServe v2 REST protocol and its model repository extension."""
 
 from collections.abc import Iterable
 from functools import lru_cache
@@ -28,7 +27,7 @@
 
 @lru_cache(MAX_CACHED_PATHS)
 def model_path(function: str) -> bytes:
-    """The path of a model, for `lamp/2` that of version 2 of model lamp; names are quoted."""
+    """The path of a model; `lamp/2` is version 2 of the model `lamp`. Names are percent-encoded."""
     model, _, version = function.partition("/")
     path = f"/v2/models/{quote(model, '')}"
     if version:
@@ -37,9 +36,10 @@
 
 
 def encode_infer(call: Call, gateway_request_id: str, host_field: bytes) -> bytes:
-    """The client's body and fields as they came, for the host with that `Host` field.
+    """Encodes an inference request with the client's body and header fields unchanged.
 
-    `Gaproute-Task` is the id by which hosts recognize a repeat: the same by whichever gateways a call comes.
+    `host_field`: the value of `Host`. `Gaproute-Task` is the id by which hosts recognize a repeat: it is the
+    same through whichever gateways the request comes.
     """
     fields = call.fields + (
         (b"Gaproute-Task", (call.origin or gateway_request_id).encode()),
@@ -49,7 +49,7 @@
 
 
 def encode_load_order(function: str, instance_count: int, host_field: bytes, gateway_name: bytes) -> bytes:
-    """An order to have so many instances loaded; 0 only queries how many are."""
+    """Encodes an order to have `instance_count` instances loaded; 0 only asks how many are loaded."""
     model, _, version = function.partition("/")
     parameters: dict[str, str | int] = {"copies": instance_count}
     if version:
@@ -63,16 +63,16 @@
     )
 
 
-def decode_load_answer(body: bytes) -> int:
-    """The number of instances that are loaded, by the answer to a load order; 0 where it does not say."""
+def decode_load_response(body: bytes) -> int:
+    """The number of loaded instances in the response to a load order; 0 where the response has none."""
     try:
-        answer = msgspec.json.decode(body, type=dict)
+        response = msgspec.json.decode(body, type=dict)
     except msgspec.MsgspecError:
         return 0
-    count = answer.get("copies")
+    count = response.get("copies")
     return count if isinstance(count, int) and not isinstance(count, bool) and count >= 0 else 0
 
 
 def encode_probe(host_field: bytes) -> bytes:
-    """A request for the host's readiness, whose answer also brings its load report."""
+    """Encodes a request for the host's readiness; the response also has its load report."""
     return _encode_request(b"GET", b"/v2/health/ready", host_field, (orca.REPORT_REQUEST_FIELD,), None)
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -1,11 +1,13 @@
-"""Load reports in the published ORCA form (Open Request Cost Aggregation): the `endpoint-load-metrics`
-header.
-
-`JSON {"cpu_utilization": 0.4, "named_metrics": {"queue": 2}}` or `TEXT
-cpu_utilization=0.4,named_metrics.queue=2`. Standard fields used: `cpu_utilization`, `mem_utilization`
-(shares). Named metrics used: `queue` (requests waiting), `in_hand` (requests at work or waiting), `copy`
-(what the request found: 1 a warm instance, 2 it began a load, 3 it waited for one), `alike` (requests of the
-same model in flight when it came). What cannot be read counts as not reported.
+"""Decodes load reports in the ORCA format (Open Request Cost Aggregation).
+
+The value of the `endpoint-load-metrics` header is
+`JSON {"cpu_utilization": 0.4, "named_metrics": {"queue": 2}}` or
+`TEXT cpu_utilization=0.4,named_metrics.queue=2`.
+
+Standard fields used: `cpu_utilization`, `mem_utilization` (shares). Named metrics used: `queue` (waiting requests), `in_hand` (running or waiting requests), `copy`
+(what the request found: 1 a warm instance, 2 it began a load, 3 it waited for a load, 4 the load failed),
+`alike` (requests of the same model that were in flight when the request arrived). A value that cannot be
+decoded counts as not reported.
 """
 
 from collections.abc import Mapping
@@ -17,7 +19,7 @@
 from gaproute.interface import Found, Report
 
 REPORT_HEADER = b"endpoint-load-metrics"
-REPORT_REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # requests a report
+REPORT_REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # asks the host for a load report
 NAMED_METRIC_PREFIX = "named_metrics."
 FOUND_BY_COPY_METRIC: dict[float | None, Found] = {
     found.value: found for found in Found if found is not Found.UNKNOWN
@@ -26,7 +28,7 @@
 
 
 class OrcaReport(msgspec.Struct):
-    """The fields of the header that are used."""
+    """The fields of the header value that are used."""
 
     cpu_utilization: float | None = None
     mem_utilization: float | None = None
@@ -34,7 +36,7 @@
 
 
 class ReportedMetrics(NamedTuple):
-    """What the headers of one answer report."""
+    """The metrics that the headers of one response report."""
 
     report: Report | None
     found: Found
@@ -47,7 +49,7 @@
 
 
 def decode_header_value(value: bytes) -> OrcaReport | None:
-    """The header's value, or None where it is not of the form."""
+    """Decodes the value of the header; None where it is malformed."""
     encoding, _, text = value.strip().partition(b" ")
     try:
         if encoding == b"JSON":
@@ -73,7 +75,7 @@
 
 
 def decode_headers(headers: Mapping[bytes, bytes]) -> ReportedMetrics:
-    """What an answer's headers, by lower-case name, report of the host's load."""
+    """Decodes the metrics in the headers of a response; `headers` are by lower-case name."""
     value = headers.get(REPORT_HEADER)
     decoded = decode_header_value(value) if value is not None else None
     if decoded is None:
