--- a/gaproute/hosts/jsonlines/__init__.py
+++ b/gaproute/hosts/jsonlines/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts that take commands as lines of JSON, many on one connection."""
+"""The client of hosts that take commands as JSON Lines, many at once on a connection."""
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -1,7 +1,7 @@
-"""The client of hosts that take lines of JSON: attempts, load orders and probes, many on one connection.
+"""The client of hosts that speak JSON Lines: attempts, load orders and probes, many on one connection.
 
 The client chooses no host and retries nothing. `ConnectionPool.submit` finds a connection for a request,
-`ConnectionPool.update` takes over the host list, and `gaproute.hosts.results` says what the end of a
+`ConnectionPool.update` takes over the endpoint list, and `gaproute.hosts.results` says what the end of a
 connection proves about the requests on it.
 """
 
@@ -23,11 +23,11 @@
 from gaproute.settings import DeploymentSettings
 from gaproute.units import SECOND
 
-DEFAULT_ORDER_TIMEOUT = 10 * SECOND  # where the settings have none
+DEFAULT_ORDER_TIMEOUT = 10 * SECOND  # if the settings have no order timeout
 
 
 class JsonLinesClient(ConnectionPool):
-    """Sends to hosts by name, on the connections of the pool."""
+    """Sends to hosts by name, on the connections of its pool."""
 
     def __init__(
         self, loop: Loop, pooling: Pooling, deployment: DeploymentSettings, max_connections: int
@@ -37,7 +37,7 @@
         self.order_timeout = deployment.order_time or DEFAULT_ORDER_TIMEOUT
         self.same_function_counted = deployment.same_function_counted
         self.last_request_number = 0
-        self.unexpected_replies = 0  # replies that do not fit the kind of their request
+        self.unexpected_replies = 0  # replies to attempts that have the type of another reply
 
     def send(
         self,
@@ -49,11 +49,11 @@
         start_before: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
-        """Send one attempt of a request; `request` is the gateway's id of it, which is not sent.
+        """Sends one attempt; `on_ended(result)` is called once, and never before this method returns.
 
-        `on_ended(result)` is called once, and never before this method has returned. The attempt begins
-        before `until` (ns of the loop's clock) and while its client is present, or never. `limit`: when the
-        request's final answer is owed (ns).
+        The attempt starts before `start_before` and while its client is present, or never. The final answer
+        of the request is owed by `deadline`. Both are times of the loop's clock, ns. `gateway_request_id` is
+        not sent, as hosts get the client's id of the request.
         """
         host = self.hosts.get(host_name)
         if host is None or not host.active:
@@ -83,10 +83,10 @@
         return result
 
     def order(self, host_name: str, function: str, instance_count: int, on_ended: OnLoadOrderEnded) -> None:
-        """Send a load order; `on_ended(result, instances that are loaded)` is called once, later.
+        """Sends a load order; `on_ended(result, number of loaded instances)` is called once, and later.
 
-        If the host does not reply in time and the connection was silent, the connection is closed, so that
-        the order does not arrive later.
+        If the host does not reply in time and nothing was received on the connection, the connection is
+        closed, so that the order does not arrive later.
         """
 
         def ended(outcome: Reply | Result) -> None:
@@ -108,10 +108,10 @@
         )
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
-        """Ask a host for its readiness and load; `on_ended` is called with both once, later.
+        """Asks a host for its readiness and load; `on_ended` is called with both once, and later.
 
-        It is not called where this machine had no connection or descriptor for the probe, as that shows
-        nothing about the host.
+        It is not called if this machine has no connection or descriptor for the probe, as that shows nothing
+        about the host.
         """
 
         def ended(outcome: Reply | Result) -> None:
@@ -148,11 +148,11 @@
         on_timeout: Callable[[], object],
         close_if_silent: bool = False,
     ) -> None:
-        """Submit a load order or a probe under the id `tag`, which is used once.
+        """Submits a load order or a probe, whose id is used only once.
 
-        One of three callbacks is called, once and later: `unavailable()` where the host takes no requests,
-        `overdue()` after `timeout` ns, else `on_ended`. `end_silent`: after a timeout, close the connection
-        if nothing has been received on it since the request was made.
+        One of three callbacks is called, once and later: `on_unavailable()` if the host takes no requests,
+        `on_timeout()` after `timeout` ns, else `on_ended`. `close_if_silent`: after a timeout, closes the
+        connection if nothing has been received on it since the request was created.
         """
         host = self.hosts.get(host_name)
         if host is None or not host.active:
@@ -169,11 +169,11 @@
             request.cancel()
             silent = connection.is_silent_since(request.created_at)
             if close_if_silent and silent and connection in host.connections:
-                connection.fail(TimeoutError("nothing came back"))
+                connection.fail(TimeoutError("host sent nothing before the load order timed out"))
             on_timeout()
 
         request = self.submit(host, request_id, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, ended)
-        if request is None:  # no further connection can be had here
+        if request is None:  # no connection can be used or opened
             self.loop.soon(on_ended, Result.NOT_SENT)
             return
         timer = self.loop.after(timeout, timed_out, host, request)
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,8 +1,9 @@
 """One connection to a host, and the requests on it.
 
 `decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` says what the
-end of a connection proves. A request has begun once the kernel has taken its first byte. Until then the
-request itself waits here, and not its bytes in a buffer: whether it may begin is checked when it is written.
+end of a connection proves. A request has started once the kernel has taken its first byte. Until then the
+request waits here and not its bytes in a buffer, so that it is checked whether it may still start when it is
+written.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 from gaproute.interface import Idempotency, Result
 from gaproute.loop import Stream, connect
 
-# Time in which the kernel must have taken a complete request that has begun, ns. The time limit that the
-# request carries is too long by no more than this when the host can read it.
+# Time within which the kernel must take the rest of a request that has started. When the host can read the
+# request, the time limit in it is too long by no more than this.
 WRITE_TIMEOUT_NS = 100_000_000
 
 
 class WriteAbandonedError(GaprouteError):
-    """The gateway closes the connection, so that a request that is written in part is never completed."""
+    """The gateway closed the connection, so that a partly written request is never completed."""
 
 
 class Connection:
-    """A connection to one host, from when it is being opened; requests wait until it is established."""
+    """A connection to one host, or the attempt to open one; requests wait until it is established."""
 
     __slots__ = (
         "host",
@@ -51,13 +52,13 @@
         self.host, self.pool = host, host.pool
         loop = self.pool.loop
         self.pending: dict[str, PendingRequest] = {}  # by id
-        self.retired_ids: set[str] = set()  # ids of ended requests for which a reply may still come
+        self.retired_ids: set[str] = set()  # ids of ended requests to which a reply may still come
         self.reader = LineReader()
         self.stream: Stream | None = None  # None until the connection is established
-        self.bytes_written = 0  # bytes given to the stream so far
+        self.bytes_written = 0  # of all requests and cancellations
         self.last_used = self.last_received = loop.now()
         self.reusable = True  # whether the connection takes further requests
-        self.replies_received = 0  # requests that got a reply
+        self.replies_received = 0  # that belong to a request
         self.cancel_connect: Callable[[], object] | None = connect(
             loop, host.address, self.pool.connect_timeout, self._connected
         )
@@ -72,12 +73,12 @@
         self.write_unsent_requests()
 
     def submit(self, request: PendingRequest) -> None:
-        """Write the request now, or once the connection takes it."""
+        """Writes the request now, or as soon as the connection takes it."""
         self.pending[request.id] = request
         self.write_unsent_requests()
 
     def write_unsent_requests(self) -> None:
-        """Write the requests that wait, while the kernel takes them; end those that may no longer begin."""
+        """Writes waiting requests while the kernel takes them; ends those that may no longer start."""
         stream, loop = self.stream, self.pool.loop
         if stream is None:  # not connected yet
             return
@@ -88,19 +89,19 @@
                 continue
             data = request.encode(now)
             if not stream.try_begin(data):
-                return  # `on_writable` calls this again
+                return  # the stream calls `on_writable` once it has room
             self.bytes_written += len(data)
             request.end_offset, request.encode = self.bytes_written, encode_nothing
             if stream.bytes_unsent and request.start_before < NO_DEADLINE:
                 loop.after(WRITE_TIMEOUT_NS, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
-        """Close the connection if the request is still written only in part: its time limit is wrong now."""
+        """Closes the connection if the request is still partly written, as its time limit is wrong by now."""
         if self.pending.get(request.id) is request and not self.is_written(request):
-            self.fail(WriteAbandonedError("a request could not be written whole in time"))
+            self.fail(WriteAbandonedError("request was not completely written within the write timeout"))
 
     def _fail_unsent(self, request: PendingRequest, result: Result) -> None:
-        """End a request that has not begun."""
+        """Ends a request that has not started."""
         del self.pending[request.id]
         self.pool.loop.soon(request.end, result)
 
@@ -110,15 +111,15 @@
         return stream is not None and end_offset is not None and stream.bytes_sent >= end_offset
 
     def is_silent_since(self, time: int) -> bool:
-        """Whether nothing was received since that time, or no reply ever came."""
+        """Whether nothing was received since that time, or no reply was ever received."""
         return not self.replies_received or self.last_received < time
 
     def is_quiet(self) -> bool:
-        """Whether neither the connection's end nor unexpected bytes have come; takes one system call."""
+        """Whether neither the connection's end nor unexpected bytes have arrived; makes a system call."""
         return self.stream is not None and bool(self.stream.is_quiet())
 
     def on_bytes(self, data: bytes) -> None:
-        """Take received bytes and end the requests to which they reply."""
+        """Decodes received bytes and ends the requests to which they reply."""
         self.last_received = self.pool.loop.now()
         malformed = None
         try:
@@ -139,7 +140,7 @@
             self.pool.unmatched_replies += 1
             return
         del self.pending[request.id]
-        self.retired_ids.add(request.id)  # a retry may carry this id, and a second reply to this attempt come
+        self.retired_ids.add(request.id)  # a retry may have this id, and this attempt may get a second reply
         self.last_used = self.last_received
         self.replies_received += 1
         if request.end(reply):
@@ -151,23 +152,23 @@
         )
 
     def fail(self, error: BaseException | None) -> None:
-        """Note that the connection has ended: each request on it fails, with a result by how far it got."""
+        """Ends the connection; fails each request on it with a result that depends on what was sent."""
         malformed = isinstance(error, MalformedLineError)
-        by_host = not malformed and not isinstance(error, WriteAbandonedError)
-        now, ended = self.pool.loop.now(), []
+        ended_by_host = not malformed and not isinstance(error, WriteAbandonedError)
+        now, failed_requests = self.pool.loop.now(), []
         for request in self.pending.values():
             result = results.result_of_ended_connection(error, started=request.started, malformed=malformed)
-            ended.append((request, result))
-            if by_host and self.replies_received and self.last_received < request.created_at:
+            failed_requests.append((request, result))
+            if ended_by_host and self.replies_received and self.last_received < request.created_at:
                 idle_time = request.created_at - self.last_used
                 self.pool.pooling.record_stale_end(now, self.host.name, idle_time, now - request.created_at)
         self.pending = {}
         self.drop()
-        for request, result in ended:
+        for request, result in failed_requests:
             self.pool.loop.soon(request.end, result)
 
     def drain(self) -> None:
-        """Begin no further request; close the connection once none is in flight."""
+        """Starts no further request, and closes the connection once no request is in flight."""
         for request in [request for request in self.pending.values() if not request.started]:
             self._fail_unsent(request, results.result_of_ended_connection(None, started=False))
         self.reusable = False
@@ -175,12 +176,12 @@
             self.drop()
 
     def cancel(self, request: PendingRequest) -> None:
-        """End a request whose reply nobody waits for; its callback is not called.
+        """Ends a request whose reply nobody waits for any more; its callback is not called.
 
-        A request that has not begun is dropped. One that is written in part is never completed: the
-        connection is closed. For one that is written, the host is sent a cancellation where the settings
-        allow it; a connection that was silent for too long takes no further requests, and is closed once no
-        other request is on it.
+        A request that has not started is dropped. A partly written request is never completed: the connection
+        is closed. For a written request, the host is sent a cancellation if the settings allow it; if the
+        connection was silent for too long, it takes no further requests and is closed once no other request
+        is on it.
         """
         request.on_ended = None
         if self.pending.get(request.id) is not request:
@@ -190,7 +191,7 @@
             if not self.pending:
                 self.drop()
         elif request.start_before < NO_DEADLINE and not self.is_written(request):
-            self.fail(WriteAbandonedError("a request is cancelled before it was written whole"))
+            self.fail(WriteAbandonedError("request was cancelled before it was completely written"))
         elif self.stream is not None:
             self._cancel_at_host(request, self.stream)
 
@@ -208,7 +209,7 @@
             self.bytes_written += len(data)
 
     def drop(self) -> None:
-        """Close the connection; no callback is called."""
+        """Closes the connection; no callback is called."""
         self.host.connections.discard(self)
         self.reusable = False
         if self.cancel_connect is not None:
--- a/gaproute/hosts/jsonlines/connection_owner.py
+++ b/gaproute/hosts/jsonlines/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a connection needs of the host that it leads to, and of the pool of all connections."""
+"""The parts of a host and of the connection pool that a connection uses, as protocol classes."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 class ConnectionPoolProtocol(Protocol):
     """The part of `ConnectionPool` that its connections use.
 
-    `connect_timeout`: ns; `cancel_allowed`: whether hosts take cancellations. `malformed`: connections that
-    were closed because a line could not be decoded; `unmatched`: replies that belong to no request.
+    `connect_timeout` is in ns. `cancel_allowed`: whether hosts take cancellations. `malformed_replies`: the
+    number of lines that could not be decoded, each of which closed its connection. `unmatched_replies`: the
+    number of replies that belong to no request.
     """
 
     loop: Loop
@@ -27,10 +28,10 @@
 
 
 class ConnectionSetProtocol(Protocol[Connection]):
-    """The connections of one host: see `ConnectionSet`."""
+    """The part of `ConnectionSet` that its connections use."""
 
     def discard(self, connection: Connection) -> None:
-        """Removes a connection; no error where it is not in the set."""
+        """Removes a connection; no error if it is not in the set."""
 
 
 class HostProtocol(Protocol[Connection]):
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -1,4 +1,4 @@
-"""All listed hosts and the connections to them.
+"""The listed hosts and the connections to them.
 
 `decisions.connections.pooling` decides which connection carries a request, and how long one may be idle.
 """
@@ -16,36 +16,37 @@
 from gaproute.settings import DeploymentSettings
 from gaproute.units import MILLI, SECOND
 
-DEFAULT_CONNECT_TIMEOUT = 250 * MILLI  # where the settings have none
+DEFAULT_CONNECT_TIMEOUT = 250 * MILLI  # if the settings have no connect timeout
 SWEEP_INTERVAL = SECOND
 
 
 class ConnectionPool:
-    """The hosts by name; finds or opens the connection for each request."""
+    """The hosts by name; finds or opens a connection for each request."""
 
     def __init__(
         self, loop: Loop, pooling: Pooling, deployment: DeploymentSettings, max_connections: int
     ) -> None:
-        """`max_connections`: to all hosts together."""
+        """`max_connections`: the limit for all hosts together."""
         self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
         self.on_host_removed: Callable[[str], object] = lambda name: None  # called when a host is forgotten
         self.connect_timeout = deployment.connect_time or DEFAULT_CONNECT_TIMEOUT
-        # The settings say when hosts close an idle connection. One that ends sooner was reset by accident,
-        # which predicts nothing: to learn from such ends would open a connection for nearly every attempt.
+        # The settings say when hosts close an idle connection. A connection that ends sooner was reset by
+        # accident, which predicts nothing: a timeout learnt from such ends would open a new connection for
+        # nearly every attempt.
         self.idle_timeout = deployment.idle_time or None
         self.max_requests_per_connection = deployment.requests_per_connection  # on one connection
         self.cancel_allowed = deployment.cancel_allowed
         self.hosts: dict[str, Host] = {}
-        # Requests on a new connection, on an idle one, and on one that they share with others.
+        # Requests sent on a new connection, on an idle one, and on one with other requests in flight.
         self.connections_opened = self.connections_reused = self.requests_multiplexed = 0
-        self.malformed_replies = 0  # connections that were closed because a line could not be decoded
+        self.malformed_replies = 0  # each of them has closed its connection
         self.unmatched_replies = 0  # replies that belong to no request
         self.sweep()
 
     def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
-        """Take over the host list (`complete`), or changes of it.
+        """Takes over the endpoint list (`complete`), or changes of it.
 
-        No further request goes to hosts that drain or are gone; the requests that they have continue.
+        Hosts that drain or are gone get no further request; their requests in flight continue.
         """
         named = set()
         for endpoint in endpoints:
@@ -63,7 +64,7 @@
         if host is None:
             host = self.hosts[name] = Host(self, endpoint)
         elif not host.matches_endpoint(endpoint):
-            host.drain()  # its connections lead to the former address or process
+            host.drain()  # its connections lead to the old address or process
             host.set_endpoint(endpoint)
         host.active = endpoint.listed.state is State.ACTIVE
         host.listed = endpoint.listed.state is not State.GONE
@@ -78,10 +79,10 @@
         on_ended: OnRequestEnded,
         still_wanted: Callable[[], bool] = always,
     ) -> PendingRequest | None:
-        """Submit a request on an idle connection that pooling picks, else on a new one, else on a shared one.
+        """Submits a request on an idle connection picked by pooling, else on a new one, else on a shared one.
 
-        `encode(now)` gives the request's bytes, `until` and `wanted()` say whether it may still begin (see
-        `PendingRequest`). Returns None where there is no connection and no further one can be opened.
+        `encode(now)` returns the request's bytes; `start_before` and `still_wanted()` say whether it may
+        still start (see `PendingRequest`). Returns None if no connection can be used or opened.
         """
         now = self.loop.now()
         connection = self._pick_connection(now, host, request_id, idempotency)
@@ -104,8 +105,8 @@
     ) -> Connection | None:
         """The connection that pooling picks, or None.
 
-        For a request that must not be sent again, an idle connection is checked first: one on which an end or
-        unexpected bytes have come is closed, and the next is picked.
+        For a request that must not be sent again, an idle connection is checked first. If its end or
+        unexpected bytes have arrived, it is closed and the next connection is picked.
         """
         while True:
             connection: Connection | None = self.pooling.choose(
@@ -127,7 +128,7 @@
             connection.drop()
 
     def _make_room_for_connection(self) -> bool:
-        """Whether a further connection may be opened; at the limit the one idle longest is closed for it."""
+        """Whether a new connection may be opened; at the limit, closes the one that is idle longest."""
         if self.connection_count() < self.max_connections:
             return True
         idle = [
@@ -141,11 +142,11 @@
         return bool(idle)
 
     def connection_count(self) -> int:
-        """How many connections there are to all hosts together."""
+        """The number of connections to all hosts together."""
         return sum(len(host.connections) for host in self.hosts.values())
 
     def sweep(self) -> None:
-        """Close connections that have been idle too long and forget hosts that are gone, every second."""
+        """Closes connections idle for too long and forgets hosts that are gone; runs every second."""
         now = self.loop.now()
         for host in list(self.hosts.values()):
             for connection in list(host.connections):
@@ -157,10 +158,10 @@
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
 
     def _forget_if_gone(self, host: Host) -> None:
-        """Forget a host that was gone at the last sweep already.
+        """Forgets a host that was already gone at the last sweep.
 
-        The ends of its last attempts are counted after their connections have ended. If the host were
-        forgotten at once, those counts would make a new entry that is never freed.
+        The ends of its last attempts are counted after its connections have ended. If the host were
+        forgotten at once, those counts would create a new entry that is never freed.
         """
         gone_before, host.gone_at_last_sweep = host.gone_at_last_sweep, host.is_gone()
         if gone_before and host.gone_at_last_sweep:
@@ -169,7 +170,7 @@
             self.on_host_removed(host.name)
 
     def close(self) -> None:
-        """Close every connection and end the sweeps; no callback is called any more."""
+        """Closes every connection and ends the sweeps; no callback is called any more."""
         self.sweep_timer.cancel()
         for host in list(self.hosts.values()):
             for connection in list(host.connections):
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -7,19 +7,19 @@
 
 
 class ConnectionSet(dict[Connection, None]):
-    """An ordered set, so that the choice among connections does not depend on addresses in memory."""
+    """An ordered set, so that the choice among connections does not depend on memory addresses."""
 
     def add(self, connection: Connection) -> None:
-        """Add a connection as the newest."""
+        """Adds a connection as the newest."""
         self[connection] = None
 
     def discard(self, connection: Connection) -> None:
-        """Remove a connection; no error where it is not in the set."""
+        """Removes a connection; no error if it is not in the set."""
         self.pop(connection, None)
 
 
 class Host:
-    """A host, from when it is first listed until it has left the list and has no connection."""
+    """A host, from its first entry in the endpoint list until it has left the list and has no connection."""
 
     __slots__ = (
         "pool",
@@ -41,7 +41,7 @@
         self.set_endpoint(endpoint)
 
     def set_endpoint(self, endpoint: Endpoint) -> None:
-        """Take over the host's address and the time of its last start. Errors: ValueError."""
+        """Sets the host's address and the time of its last start. Raises ValueError if malformed."""
         self.address_text, self.address = endpoint.address, parse_address(endpoint.address)
         self.started_at = endpoint.listed.started
 
@@ -50,10 +50,10 @@
         return (self.address_text, self.started_at) == (endpoint.address, endpoint.listed.started)
 
     def drain(self) -> None:
-        """Fail requests that have not begun, and close each connection once it has none in flight."""
+        """Fails requests that have not started, and closes each connection once it has none in flight."""
         for connection in list(self.connections):
             connection.drain()
 
     def is_gone(self) -> bool:
-        """Whether the host has left the list and has no connection."""
+        """Whether the host has left the endpoint list and has no connection."""
         return not self.listed and not self.connections
--- a/gaproute/hosts/jsonlines/line_reader.py
+++ b/gaproute/hosts/jsonlines/line_reader.py
@@ -5,13 +5,13 @@
 from gaproute.errors import GaprouteError
 from gaproute.hosts.jsonlines.messages import Reply, decode_reply
 
-MAX_LINE_BYTES = 128 * 1024  # of one reply: a body of 16 KiB in base64 takes 22, and hosts add little
+MAX_LINE_BYTES = 128 * 1024  # of one reply: a body of 16 KiB takes 22 KiB in base64, and hosts add little
 
 
 class MalformedLineError(GaprouteError):
-    """A line of a host cannot be decoded, so that nothing after it on the connection can be trusted.
+    """A line from a host cannot be decoded, so nothing after it on the connection can be trusted.
 
-    `replies`: the replies of the lines before it in the same bytes.
+    `replies`: the replies that were decoded from the same bytes before that line.
     """
 
     def __init__(self, reason: str, replies: list[Reply]) -> None:
@@ -20,7 +20,7 @@
 
 
 class LineReader:
-    """Takes bytes and returns complete replies; buffers one unfinished line at most."""
+    """Splits received bytes into lines and decodes them; buffers at most one unfinished line."""
 
     __slots__ = ("max_line_bytes", "unfinished_parts", "unfinished_bytes")
 
@@ -30,7 +30,7 @@
         self.unfinished_bytes = 0
 
     def feed(self, data: bytes) -> list[Reply]:
-        """The replies that these bytes complete. Errors: MalformedLineError."""
+        """Returns the replies that these bytes complete. Raises MalformedLineError."""
         replies: list[Reply] = []
         *lines, rest = data.split(b"\n")
         for line in lines:
@@ -38,14 +38,14 @@
                 line = b"".join((*self.unfinished_parts, line))
                 self.unfinished_parts, self.unfinished_bytes = [], 0
             if len(line) > self.max_line_bytes:
-                raise MalformedLineError("a line is too long", replies)
+                raise MalformedLineError("line from the host exceeds the maximum length", replies)
             try:
                 replies.append(decode_reply(line))
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-                raise MalformedLineError(f"no line of the protocol: {error}", replies) from None
+                raise MalformedLineError(f"line from the host is not a reply: {error}", replies) from None
         if rest:
             self.unfinished_parts.append(rest)
             self.unfinished_bytes += len(rest)
             if self.unfinished_bytes > self.max_line_bytes:
-                raise MalformedLineError("a line is too long", replies)
+                raise MalformedLineError("line from the host exceeds the maximum length", replies)
         return replies
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -1,7 +1,7 @@
-"""Encodes and decodes the lines of JSON of the hosts' protocol; its field names are used here alone.
+"""Encodes and decodes the lines of the hosts' JSON Lines protocol; only this module uses its field names.
 
-Each attempt, load order and probe has an id, which the reply repeats. The id of an attempt is the client's id
-of the request, so a retry has the same one.
+Each attempt, load order and probe has an id, which its reply repeats. The id of an attempt is the client's id
+of the request, so a retry has the same id.
 """
 
 import binascii
@@ -15,7 +15,7 @@
 from gaproute.settings import read_report
 from gaproute.units import MILLI
 
-OK_STATUS = 200  # status of answers: this protocol has none
+OK_STATUS = 200  # of each answer: this protocol has no statuses
 RESULT_BY_REPLY_TYPE = {
     "served": Result.OK,
     "not_here": Result.NOT_LOADED,
@@ -30,7 +30,7 @@
 
 
 class Reply(msgspec.Struct):
-    """A line that a host sends; the field names are those on the wire."""
+    """A line from a host; the field names are those on the wire."""
 
     type: str
     req: str | int | float
@@ -47,7 +47,7 @@
 
 
 def encode_attempt(call: Call, time_left: int) -> bytes:
-    """The line of an attempt; `left`: how long the gateway will wait, ns."""
+    """Encodes an attempt. `time_left`: ns until the final answer of the request is owed."""
     meta: Meta = {"cls": call.request_class, "item": call.model, "limit": max(1, time_left // MILLI)}
     if call.idempotency_key:
         meta["nonce"] = call.idempotency_key
@@ -57,26 +57,26 @@
 
 
 def encode_cancel(request_id: str) -> bytes:
-    """The line that cancels a request, as nobody waits for it any more."""
+    """Encodes the cancellation of a request whose reply nobody waits for any more."""
     return _encode_line({"type": "halt", "req": request_id})
 
 
 def encode_probe(request_id: str) -> bytes:
-    """The line of a probe; `tag`: its id."""
+    """Encodes a probe."""
     return _encode_line({"type": "stat", "req": request_id})
 
 
 def encode_load_order(request_id: str, function: str, instance_count: int) -> bytes:
-    """The line of an order to have `copies` instances of a function loaded; `tag`: its id."""
+    """Encodes an order to have `instance_count` instances of a function loaded."""
     return _encode_line(
         {"type": "stage", "req": request_id, "meta": {"item": function, "copies": instance_count}}
     )
 
 
 def decode_attempt_reply(reply: Reply, *, same_function_counted: bool) -> AttemptResult | None:
-    """What the reply to an attempt proves; None where it is no such reply.
+    """Decodes the reply to an attempt; None where it is the reply to something else.
 
-    `with_count`: whether hosts report how many requests of the same function they have in flight.
+    `same_function_counted`: whether hosts report how many requests of the same function they have in flight.
     """
     result = RESULT_BY_REPLY_TYPE.get(reply.type)
     if result is None:
@@ -85,17 +85,17 @@
     if result is Result.OK:
         body = _decode_body(reply.data)
         if body is None:
-            return AttemptResult(Result.ERROR, None)  # it ran, but its answer is lost
+            return AttemptResult(Result.ERROR, None)  # the request ran, but its answer is lost
         answer = Answer(OK_STATUS, (), body)
-    count = None
+    same_function_requests = None
     if same_function_counted and result in (Result.OK, Result.FULL):
-        count = bounded_count(parse_figure(reply.meta.get("queue_fn"))) or 0
+        same_function_requests = bounded_count(parse_figure(reply.meta.get("queue_fn"))) or 0
     found = FOUND_BY_CODE.get(reply.meta.get("tell"), Found.UNKNOWN)  # type: ignore[arg-type]
-    return AttemptResult(result, answer, found, count, decode_load_report(reply.meta))
+    return AttemptResult(result, answer, found, same_function_requests, decode_load_report(reply.meta))
 
 
 def _decode_body(data: str | None) -> bytes | None:
-    """The body, still in base64, in which an empty body is ""; None where it is missing or malformed."""
+    """The body as base64, where "" is an empty body; None where it is missing or malformed."""
     if data is None:
         return None
     try:
@@ -107,20 +107,23 @@
 
 
 def decode_probe_reply(reply: Reply) -> tuple[bool, Report | None] | None:
-    """(ready, load report) of the reply to a probe; None where it is no such reply."""
+    """Decodes the reply to a probe: (ready, load report). None where it is the reply to something else."""
     if reply.type not in (READY_TYPE, NOT_READY_TYPE):
         return None
     return reply.type == READY_TYPE, decode_load_report(reply.meta)
 
 
 def decode_load_order_reply(reply: Reply) -> tuple[Result, int] | None:
-    """(result, instances that are loaded) of the reply to a load order; None where it is no such reply."""
+    """Decodes the reply to a load order: (result, number of loaded instances).
+
+    None where it is the reply to something else.
+    """
     result = RESULT_BY_REPLY_TYPE.get(reply.type)
     return None if result is None else (result, bounded_count(parse_figure(reply.meta.get("copies"))) or 0)
 
 
 def decode_load_report(meta: Meta) -> Report | None:
-    """A load report such as `inflight:7;util:0.61`; a figure that cannot be decoded counts as missing."""
+    """Decodes a load report, as `inflight:7;util:0.61`; a malformed figure counts as not reported."""
     text = meta.get("meter")
     if not isinstance(text, str):
         return None
--- a/gaproute/hosts/jsonlines/pending_request.py
+++ b/gaproute/hosts/jsonlines/pending_request.py
@@ -10,9 +10,9 @@
 from gaproute.interface.call import always
 from gaproute.loop import Stream
 
-NO_DEADLINE = 1 << 62  # a time that never comes, for requests that have a timeout of their own
+NO_DEADLINE = 1 << 62  # later than any time; for requests that have a timeout of their own
 
-# Called with the reply, or with the result that a failure proves; returns whether the id is never sent again.
+# Called with the reply, or with the result of a failure; returns whether the id is never sent again.
 OnRequestEnded: TypeAlias = Callable[[Reply | Result], bool]
 
 
@@ -22,28 +22,28 @@
 
 
 class ConnectionProtocol(Protocol):
-    """What a request needs of its connection: see `Connection`."""
+    """The part of `Connection` that its requests use."""
 
     stream: Stream | None
 
     def is_written(self, request: PendingRequest) -> bool:
-        """Whether the host may have all of the request."""
+        """Whether the host may have received the complete request."""
 
     def is_silent_since(self, time: int) -> bool:
-        """Whether nothing came since then, or no reply ever."""
+        """Whether nothing was received since that time, or no reply was ever received."""
 
     def cancel(self, request: PendingRequest) -> None:
-        """Ends a request whose reply nobody waits for."""
+        """Ends a request whose reply nobody waits for any more."""
 
     def fail(self, error: BaseException | None) -> None:
-        """The connection has ended: each request on it has failed."""
+        """Ends the connection and fails each request on it."""
 
 
 class PendingRequest:
     """A request that waits to be written, or for its reply.
 
-    `encode(now)` gives the request's bytes and is called when they are written. `until`: when the request may
-    begin at the latest, ns; `wanted()`: whether it still may. `on_ended` is called once, and later.
+    `encode(now)` returns the request's bytes and is called when they are written. The request starts before
+    `start_before` (ns) and while `still_wanted()` is true, or never. `on_ended` is called once, and later.
     """
 
     __slots__ = (
@@ -74,9 +74,9 @@
             now,
         )
         self.encode = encode
-        self.on_ended = on_ended  # None once it has ended
+        self.on_ended = on_ended  # None once the request has ended
         self.still_wanted = still_wanted
-        # Bytes written on the connection up to the end of this request; None until it has begun.
+        # Bytes written on the connection up to the end of this request; None until the request has started.
         self.end_offset: int | None = None
 
     @property
@@ -86,18 +86,18 @@
 
     @property
     def cancellable(self) -> bool:
-        """Whether a request that has begun can still be withdrawn: its last byte has not been sent.
+        """Whether a started request can still be withdrawn, as its last byte has not been sent.
 
-        Then the last byte is never sent, and the host never has the complete request.
+        After `cancel` the last byte is never sent, so the host never gets the complete request.
         """
         stream = self.connection.stream
         return stream is not None and stream.open and not self.connection.is_written(self)
 
     def end(self, outcome: Reply | Result) -> bool:
-        """Call `on_ended` and return its result; False where the request was cancelled meanwhile."""
+        """Calls `on_ended` and returns its result; returns False if the request has ended already."""
         on_ended, self.on_ended = self.on_ended, None
         return on_ended is not None and on_ended(outcome)
 
     def cancel(self) -> None:
-        """End the request, as nobody wants its reply any more; `on_ended` is not called."""
+        """Ends the request, as nobody waits for its reply any more; `on_ended` is not called."""
         self.connection.cancel(self)
