--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -4,10 +4,10 @@
 `JSON {"cpu_utilization": 0.4, "named_metrics": {"queue": 2}}` or
 `TEXT cpu_utilization=0.4,named_metrics.queue=2`.
 
-Standard fields used: `cpu_utilization`, `mem_utilization` (shares). Named metrics used: `queue` (waiting requests), `in_hand` (running or waiting requests), `copy`
-(what the request found: 1 a warm instance, 2 it began a load, 3 it waited for a load, 4 the load failed),
-`alike` (requests of the same model that were in flight when the request arrived). A value that cannot be
-decoded counts as not reported.
+Standard fields used: `cpu_utilization`, `mem_utilization` (shares). Named metrics used: `queue` (waiting
+requests), `in_hand` (running or waiting requests), `copy` (what the request found: 1 a warm instance, 2 it
+began a load, 3 it waited for a load, 4 the load failed), `alike` (requests of the same model that were in
+flight when the request arrived). A value that cannot be decoded counts as not reported.
 """
 
 from collections.abc import Mapping
