--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -1,4 +1,4 @@
-"""The limit sent with a forwarded call is at most what its client has left when its bytes are written."""
+"""The time limit of a forwarded request is at most what its client has left when it is written."""
 
 import socket
 import time
@@ -8,85 +8,85 @@
 from scripted import MILLI, SECOND, HeldDials
 
 from gaproute.http1 import Limits, Server
-from gaproute.http1 import exchange as exchanges
+from gaproute.http1 import exchange as exchange_module
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
 from gaproute.loop.addresses import address
 from tests.appliance.test_departed_forwarded import CALL, Way
 from tests.http1.test_http1 import HEAD
 
-SLACK = 150  # ms, by the operators' terms
+SLACK_MS = 150  # by which a time limit may be too long, by the operators' terms
 
 
 @pytest.fixture
-def way():
-    made = Way()
-    yield made
-    made.close()
+def forwarding():
+    forwarding = Way()
+    yield forwarding
+    forwarding.close()
 
 
-def limit(way):
-    return int(way.came[-1].headers[b"gaproute-limit-ms"])
+def last_time_limit_ms(forwarding):
+    return int(forwarding.came[-1].headers[b"gaproute-limit-ms"])
 
 
-def test_a_forwarded_call_carries_what_is_left_after_its_dial(way, monkeypatch):
-    monkeypatch.setattr(exchanges, "connect", dials := HeldDials())
-    way.forward(within=2 * SECOND)
+def test_forwarded_request_has_the_time_left_after_connecting(forwarding, monkeypatch):
+    monkeypatch.setattr(exchange_module, "connect", dials := HeldDials())
+    forwarding.forward(within=2 * SECOND)
     time.sleep(0.6)
-    loop, where, within, done, _ = dials.held[0]
-    connect(loop, where, within, done)
-    way.until(lambda: way.came)
-    assert 1000 <= limit(way) <= 1400
-
-
-def test_a_forwarded_call_that_goes_again_carries_what_is_left_then(way):
-    call, now = CALL, way.loop.now()
-    way.forward(call, within=2 * SECOND)
-    way.until(lambda: way.came)
-    first = limit(way)
-    way.server.answer(way.came[0], 429, (), b"")
-    way.until(lambda: way.heard)
+    loop, host_address, timeout, on_connected, _ = dials.held[0]
+    connect(loop, host_address, timeout, on_connected)
+    forwarding.until(lambda: forwarding.came)
+    assert 1000 <= last_time_limit_ms(forwarding) <= 1400
+
+
+def test_request_forwarded_again_has_the_time_left_then(forwarding):
+    call, start = CALL, forwarding.loop.now()
+    forwarding.forward(call, within=2 * SECOND)
+    forwarding.until(lambda: forwarding.came)
+    first_limit = last_time_limit_ms(forwarding)
+    forwarding.server.answer(forwarding.came[0], 429, (), b"")
+    forwarding.until(lambda: forwarding.heard)
     time.sleep(0.3)
-    way.forward(call, within=now + 2 * SECOND - way.loop.now())
-    way.until(lambda: len(way.came) == 2)
-    assert 1900 <= first <= 2000
-    assert limit(way) <= 1700
-
-
-def test_a_forwarded_call_waits_in_no_connections_buffer(way, monkeypatch):
-    """An idle connection that takes no byte is not used: the call goes again, with what is left then."""
-    way.forward()
-    way.until(lambda: way.came)
-    way.server.answer(way.came[0], 200, (), b"")
-    way.until(lambda: way.heard)
-    ((link,),) = [host.idle_connections for host in way.entries.client.hosts.values()]
-    full = fill_after(link, 0)
-    hold = way.forward()
-    way.until(lambda: len(way.heard) == 2)
-    full.emptied()
-    way.loop.run(until=way.loop.sleep(20 * MILLI))
-    assert way.heard[1].result is Result.CONNECT_FAILED
-    assert len(way.came) == 1
-    assert not link.open
-    assert not hold.exchange.any_byte_sent
+    forwarding.forward(call, within=start + 2 * SECOND - forwarding.loop.now())
+    forwarding.until(lambda: len(forwarding.came) == 2)
+    assert 1900 <= first_limit <= 2000
+    assert last_time_limit_ms(forwarding) <= 1700
+
+
+def test_forwarded_request_does_not_wait_in_the_buffer_of_a_full_connection(forwarding, monkeypatch):
+    """An idle connection that takes no byte is not used; a repeat of the request has the time left then."""
+    forwarding.forward()
+    forwarding.until(lambda: forwarding.came)
+    forwarding.server.answer(forwarding.came[0], 200, (), b"")
+    forwarding.until(lambda: forwarding.heard)
+    ((connection,),) = [host.idle_connections for host in forwarding.entries.client.hosts.values()]
+    full_socket = fill_after(connection, 0)
+    handle = forwarding.forward()
+    forwarding.until(lambda: len(forwarding.heard) == 2)
+    full_socket.emptied()
+    forwarding.loop.run(until=forwarding.loop.sleep(20 * MILLI))
+    assert forwarding.heard[1].result is Result.CONNECT_FAILED
+    assert len(forwarding.came) == 1
+    assert not connection.open
+    assert not handle.exchange.any_byte_sent
 
 
 @pytest.fixture
-def served():
-    """A server that reads no more than two requests of a connection, with a clock of the test's own."""
-    loop, held = Loop(), []
-    server = Server(loop, address("127.0.0.1:0"), held.append, Limits(pipelined=2))
+def server_setup():
+    """A loop, a server that reads two requests ahead on a connection, its requests, and a client."""
+    loop, received = Loop(), []
+    server = Server(loop, address("127.0.0.1:0"), received.append, Limits(pipelined=2))
     client = socket.create_connection(address(server.address)[1])
-    yield loop, server, held, client
+    yield loop, server, received, client
     client.close()
     server.close()
     loop.close()
 
 
-def until(loop, condition):
-    end = loop.now() + 5 * SECOND
+def run_until(loop, condition):
+    deadline = loop.now() + 5 * SECOND
     while not condition():
-        assert loop.now() < end, "waited too long"
+        assert loop.now() < deadline, "waited too long"
         loop.after(MILLI, lambda: None)
         loop.turn()
 
@@ -94,28 +94,30 @@
 REQUEST = HEAD + b"Content-Length: 0\r\n\r\n"
 
 
-def test_a_request_that_lay_unread_behind_those_in_hand_counts_from_the_pause(served):
-    loop, server, held, client = served
+def test_request_unread_behind_pipelined_ones_counts_as_arrived_when_reading_paused(server_setup):
+    loop, server, received, client = server_setup
     client.sendall(REQUEST * 2)
-    until(loop, lambda: len(held) == 2)
+    run_until(loop, lambda: len(received) == 2)
     client.sendall(REQUEST)
     for _ in range(6):
         loop.run(until=loop.sleep(50 * MILLI))
-    assert len(held) == 2
-    server.answer(held[0], 200, (), b"")
-    until(loop, lambda: len(held) == 3)
-    assert loop.now() - held[2].arrived_at >= 280 * MILLI
-    for request in held[1:]:
+    assert len(received) == 2
+    server.answer(received[0], 200, (), b"")
+    run_until(loop, lambda: len(received) == 3)
+    assert loop.now() - received[2].arrived_at >= 280 * MILLI
+    for request in received[1:]:
         server.answer(request, 200, (), b"")
-    client.sendall(REQUEST)  # read as it comes
-    until(loop, lambda: len(held) == 4)
-    assert loop.now() - held[3].arrived_at <= SLACK * MILLI
+    client.sendall(REQUEST)  # is read at once
+    run_until(loop, lambda: len(received) == 4)
+    assert loop.now() - received[3].arrived_at <= SLACK_MS * MILLI
 
 
-@pytest.mark.parametrize("waits", [0, 300])
-def test_a_request_that_lay_in_the_queue_of_those_to_be_accepted_counts_from_when_it_came(served, waits):
-    loop, server, held, client = served
+@pytest.mark.parametrize("wait_ms", [0, 300])
+def test_request_on_a_connection_not_yet_accepted_counts_as_arrived_when_its_bytes_came(
+    server_setup, wait_ms
+):
+    loop, server, received, client = server_setup
     client.sendall(REQUEST)
-    time.sleep(waits / 1000)
-    until(loop, lambda: held)
-    assert (waits - 20) * MILLI <= loop.now() - held[0].arrived_at <= (waits + SLACK) * MILLI
+    time.sleep(wait_ms / 1000)
+    run_until(loop, lambda: received)
+    assert (wait_ms - 20) * MILLI <= loop.now() - received[0].arrived_at <= (wait_ms + SLACK_MS) * MILLI
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -1,4 +1,4 @@
-"""The limit passed to a host of lines is at most what its client has left when its bytes are written."""
+"""The time limit sent to a JSON Lines host is at most what the client has left when it is written."""
 
 import json
 import socket
@@ -8,145 +8,147 @@
 from request_scenarios import fill_after, first_request_held, one_connection, requests, written_in_part
 from scripted import MILLI, SECOND, Handed
 
-from gaproute.fronts.jsonrpc import connection as connections
+from gaproute.fronts.jsonrpc import connection as connection_module
 from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT_NS
 from gaproute.loop import unread
 from gaproute.loop.addresses import address
 
-SLACK = 150  # ms, by the operators' terms
-D = 2000  # ms that a client waits, sent with its request
+SLACK_MS = 150  # by which a time limit may be too long, by the operators' terms
+CLIENT_TIMEOUT_MS = 2000  # sent with each request
 
 
-def limits(made):
-    return [command["meta"]["limit"] for host in made.hosts for command in host.seen("go")]
+def sent_time_limits(gateway):
+    return [command["meta"]["limit"] for host in gateway.hosts for command in host.seen("go")]
 
 
-def limit_allows_for(made, elapsed):
-    """Whether the one limit passed on leaves out the time since the request was sent, ms."""
-    (limit,) = limits(made)
-    return D - elapsed - 500 <= limit <= D - elapsed + SLACK
+def time_limit_accounts_for(gateway, elapsed_ms):
+    """Whether the only time limit sent to a host leaves out the time since the client sent the request."""
+    (limit,) = sent_time_limits(gateway)
+    return CLIENT_TIMEOUT_MS - elapsed_ms - 500 <= limit <= CLIENT_TIMEOUT_MS - elapsed_ms + SLACK_MS
 
 
-@pytest.mark.parametrize("waits", [0, 300, 1200])
-def test_a_request_that_lay_in_the_queue_of_those_to_be_accepted(gate, waits):
-    """The loop stands still meanwhile, by the system's own clock: the kernel knows how old the bytes are."""
-    made = gate()
-    data = requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D)
-    sock = socket.create_connection(address(made.where)[1])
+@pytest.mark.parametrize("wait_ms", [0, 300, 1200])
+def test_time_limit_accounts_for_the_wait_to_be_accepted(gate, wait_ms):
+    """The loop does not run meanwhile, on the system's clock: the kernel knows the age of the bytes."""
+    gateway = gate()
+    data = requests(gateway, 1, 10).replace(b'"d": 3000', b'"d": %d' % CLIENT_TIMEOUT_MS)
+    sock = socket.create_connection(address(gateway.where)[1])
     sock.sendall(data)
-    time.sleep(waits / 1000)
-    made.until(made.came)
-    assert limit_allows_for(made, waits)
+    time.sleep(wait_ms / 1000)
+    gateway.until(gateway.came)
+    assert time_limit_accounts_for(gateway, wait_ms)
     sock.close()
 
 
-@pytest.mark.parametrize("waits", [0, 60, 140, 400])
-def test_a_request_that_lay_unread_on_a_connection_at_work(gate, waits):
-    made = gate()
-    client = made.client()
+@pytest.mark.parametrize("wait_ms", [0, 60, 140, 400])
+def test_time_limit_accounts_for_the_wait_on_an_accepted_connection(gate, wait_ms):
+    gateway = gate()
+    client = gateway.client()
     client.ask(1, "repair-order")
-    made.until(lambda: client.answers)
-    for host in made.hosts:
+    gateway.until(lambda: client.answers)
+    for host in gateway.hosts:
         host.came.clear()
-    client.ask(2, d=D)
-    time.sleep(waits / 1000)
-    made.until(made.came)
-    assert limit_allows_for(made, waits)
+    client.ask(2, d=CLIENT_TIMEOUT_MS)
+    time.sleep(wait_ms / 1000)
+    gateway.until(gateway.came)
+    assert time_limit_accounts_for(gateway, wait_ms)
 
 
-def test_a_request_that_lay_unread_as_its_client_takes_no_answers(gate, monkeypatch):
-    """How old the bytes are that come in a pause is not known: they count from its begin."""
-    monkeypatch.setattr(connections, "MAX_UNTAKEN", 10)
-    made = gate(clock=Handed())
-    client = made.client()
+def test_time_limit_accounts_for_the_pause_while_the_client_takes_no_answers(gate, monkeypatch):
+    """The age of bytes that arrive in a pause of reading is unknown; it counts from the pause's start."""
+    monkeypatch.setattr(connection_module, "MAX_UNTAKEN", 10)
+    gateway = gate(clock=Handed())
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: client.answers)
-    (link,) = made.process.front.active_connections
-    full = fill_after(link, 0)
+    gateway.until(lambda: client.answers)
+    (client_connection,) = gateway.process.front.active_connections
+    full_socket = fill_after(client_connection, 0)
     client.ask(2)
-    made.until(lambda: link.stream.bytes_unsent)
-    client.ask(3)  # the last one that is read
-    made.until(lambda: made.came() == 3)
-    client.ask(4, d=D)
-    client.ask(5, d=D)
-    made.passes(SECOND)
-    assert made.came() == 3
-    full.emptied()
-    made.until(lambda: made.came() == 5)
-    assert all(limit <= D - 1000 + SLACK for limit in limits(made)[3:])
-    made.until(lambda: len(client.answers) == 5)
-    client.ask(6, d=D)  # read as it comes
-    made.until(lambda: made.came() == 6)
-    assert D - SLACK <= limits(made)[-1] <= D
-
-
-def test_a_retry_carries_what_is_left_then(gate):
-    made, client, held = first_request_held(gate, d=D)
-    made.passes(900 * MILLI)
-    made.hosts[0].reply(*held[0], "overload")
-    made.until(lambda: client.answers)
-    first, second = sorted(limits(made))
-    assert D - SLACK <= second <= D
-    assert first <= D - 900 + SLACK
-
-
-def test_what_waits_for_room_in_a_full_socket_carries_what_is_left_when_it_is_written(gate):
-    made, client = written_in_part(gate)
-    other = made.client()
-    other.ask(1, i="f" * 16, d=D)
-    made.turns()
-    made.clock.now += WRITE_TIMEOUT_NS - 10 * MILLI
-    made.clog.emptied()
-    made.until(lambda: made.came() == 2)
-    limits = {command["req"]: command["meta"]["limit"] for command in made.hosts[0].seen("go")}
-    assert limits["f" * 16] <= D - WRITE_TIMEOUT_NS // MILLI + 20
-
-
-@pytest.mark.parametrize("track", ["fault-check", "repair-order"])
-@pytest.mark.parametrize("span", [90, 300, 1000])
-def test_a_request_written_in_part_comes_whole_while_its_limit_is_true_or_never(gate, span, track):
-    """An idempotent one goes again then, on another connection."""
-    made, client = written_in_part(gate, method=track)
-    made.passes(span * MILLI)
-    made.clog.emptied()
-    made.turns()
-    assert all(limit <= D - span + SLACK for limit in limits(made))
-    assert made.came() == (span == 90 or track == "fault-check")
+    gateway.until(lambda: client_connection.stream.bytes_unsent)
+    client.ask(3)  # the last request that is read
+    gateway.until(lambda: gateway.came() == 3)
+    client.ask(4, d=CLIENT_TIMEOUT_MS)
+    client.ask(5, d=CLIENT_TIMEOUT_MS)
+    gateway.passes(SECOND)
+    assert gateway.came() == 3
+    full_socket.emptied()
+    gateway.until(lambda: gateway.came() == 5)
+    assert all(limit <= CLIENT_TIMEOUT_MS - 1000 + SLACK_MS for limit in sent_time_limits(gateway)[3:])
+    gateway.until(lambda: len(client.answers) == 5)
+    client.ask(6, d=CLIENT_TIMEOUT_MS)  # is read at once
+    gateway.until(lambda: gateway.came() == 6)
+    assert CLIENT_TIMEOUT_MS - SLACK_MS <= sent_time_limits(gateway)[-1] <= CLIENT_TIMEOUT_MS
+
+
+def test_retry_has_the_time_left_at_the_retry(gate):
+    gateway, client, held = first_request_held(gate, d=CLIENT_TIMEOUT_MS)
+    gateway.passes(900 * MILLI)
+    gateway.hosts[0].reply(*held[0], "overload")
+    gateway.until(lambda: client.answers)
+    retry_limit, first_limit = sorted(sent_time_limits(gateway))
+    assert CLIENT_TIMEOUT_MS - SLACK_MS <= first_limit <= CLIENT_TIMEOUT_MS
+    assert retry_limit <= CLIENT_TIMEOUT_MS - 900 + SLACK_MS
+
+
+def test_request_that_waits_for_a_full_socket_has_the_time_left_when_written(gate):
+    gateway, client = written_in_part(gate)
+    other_client = gateway.client()
+    other_client.ask(1, i="f" * 16, d=CLIENT_TIMEOUT_MS)
+    gateway.turns()
+    gateway.clock.now += WRITE_TIMEOUT_NS - 10 * MILLI
+    gateway.clog.emptied()
+    gateway.until(lambda: gateway.came() == 2)
+    limit_by_request = {command["req"]: command["meta"]["limit"] for command in gateway.hosts[0].seen("go")}
+    assert limit_by_request["f" * 16] <= CLIENT_TIMEOUT_MS - WRITE_TIMEOUT_NS // MILLI + 20
+
+
+@pytest.mark.parametrize("request_class", ["fault-check", "repair-order"])
+@pytest.mark.parametrize("pause_ms", [90, 300, 1000])
+def test_partly_written_request_is_completed_while_its_time_limit_is_true_or_never(
+    gate, pause_ms, request_class
+):
+    """If it is not completed, an idempotent request is sent again on another connection."""
+    gateway, client = written_in_part(gate, method=request_class)
+    gateway.passes(pause_ms * MILLI)
+    gateway.clog.emptied()
+    gateway.turns()
+    assert all(limit <= CLIENT_TIMEOUT_MS - pause_ms + SLACK_MS for limit in sent_time_limits(gateway))
+    assert gateway.came() == (pause_ms == 90 or request_class == "fault-check")
     assert len(client.answers) == 1
-    assert made.link.stream.open is (span == 90)
+    assert gateway.link.stream.open is (pause_ms == 90)
 
 
-def test_a_probe_or_an_order_written_in_part_ends_no_connection(gate):
-    made, link = one_connection(gate)
-    full = fill_after(link, 10)
+def test_partly_written_load_order_does_not_end_its_connection(gate):
+    gateway, connection = one_connection(gate)
+    full_socket = fill_after(connection, 10)
     results = []
-    made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: results.append(each))
-    made.passes(WRITE_TIMEOUT_NS + 50 * MILLI)
-    full.emptied()
-    made.until(lambda: results)
-    assert link.stream.open
+    gateway.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *result: results.append(result))
+    gateway.passes(WRITE_TIMEOUT_NS + 50 * MILLI)
+    full_socket.emptied()
+    gateway.until(lambda: results)
+    assert connection.stream.open
     assert results[0][0].value == "ok", json.dumps(str(results))
 
 
-def test_a_kernel_clock_that_runs_otherwise_than_the_loops_makes_no_request_old(gate, monkeypatch):
+def test_kernel_age_that_contradicts_the_loop_clock_shortens_no_time_limit(gate, monkeypatch):
     monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: 10 * SECOND)
-    made = gate()
-    client = made.client()
+    gateway = gate()
+    client = gateway.client()
     for number in (1, 2):
-        client.ask(number, d=D)
-        made.until(lambda number=number: len(limits(made)) == number)
-    assert all(limit >= D - SLACK for limit in limits(made))
-
-
-@pytest.mark.parametrize("age", [0, 10 * SECOND])
-def test_a_request_that_lay_in_the_queue_while_none_were_accepted(gate, monkeypatch, age):
-    """The loop goes on turning: what it polls meanwhile does not show the connection."""
-    kernels = unread.age_of_last_bytes
-    monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age, kernels(sock)))
-    made = gate()
-    made.process.front.listener.pause(600 * MILLI)
-    sock = socket.create_connection(address(made.where)[1])
-    sock.sendall(requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D))
-    made.until(made.came)
-    assert limit_allows_for(made, 600)
+        client.ask(number, d=CLIENT_TIMEOUT_MS)
+        gateway.until(lambda number=number: len(sent_time_limits(gateway)) == number)
+    assert all(limit >= CLIENT_TIMEOUT_MS - SLACK_MS for limit in sent_time_limits(gateway))
+
+
+@pytest.mark.parametrize("age_ns", [0, 10 * SECOND])
+def test_time_limit_accounts_for_a_pause_of_accepting(gate, monkeypatch, age_ns):
+    """The loop runs meanwhile, but its polls do not show the connection."""
+    kernel_age = unread.age_of_last_bytes
+    monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age_ns, kernel_age(sock)))
+    gateway = gate()
+    gateway.process.front.listener.pause(600 * MILLI)
+    sock = socket.create_connection(address(gateway.where)[1])
+    sock.sendall(requests(gateway, 1, 10).replace(b'"d": 3000', b'"d": %d' % CLIENT_TIMEOUT_MS))
+    gateway.until(gateway.came)
+    assert time_limit_accounts_for(gateway, 600)
     sock.close()
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -1,4 +1,4 @@
-"""Crossings between the gateway and its hosts: what is still owed when a dial, a list or a client ends."""
+"""Races between a gateway and its hosts: late connections, changes of the host list, clients that leave."""
 
 import errno
 import json
@@ -9,12 +9,12 @@
 
 from gaproute.decisions.connections.pooling import MAX_RETIRED_IDS
 from gaproute.discovery.changelog import events
-from gaproute.hosts.jsonlines import connection as connections
+from gaproute.hosts.jsonlines import connection as connection_module
 from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import Call
 from gaproute.standins.platform import arg, event
 
-KEYED = {
+CLASS_WITH_KEY = {
     "name": "plan",
     "effect": "guarded",
     "group": "all",
@@ -24,11 +24,11 @@
 }
 
 
-def settings(*, cancel=True, **options):
+def make_settings(*, cancel=True, **options):
     return (
         SETTINGS
         | {
-            "lanes": [*SETTINGS["lanes"], KEYED],
+            "lanes": [*SETTINGS["lanes"], CLASS_WITH_KEY],
             "limits": SETTINGS["limits"] | {"cancel": cancel, "connect_timeout": 1000.0},
         }
         | options
@@ -36,265 +36,295 @@
 
 
 @pytest.fixture
-def slow(gate, monkeypatch):
-    """A gateway on a held clock whose dials come up when the test lets them; only tasks are counted."""
+def make_slow_gateway(gate, monkeypatch):
+    """Makes gateways on a held clock whose connections to hosts are established when the test says so.
+
+    Without probes, only requests open connections.
+    """
 
     def make(*args, cancel=True, probes=False, **options):
         dials = HeldDials()
-        monkeypatch.setattr(connections, "connect", dials)
+        monkeypatch.setattr(connection_module, "connect", dials)
         limits = SETTINGS["limits"] | {"cancel": cancel, "probes": probes, "connect_timeout": 1000.0}
-        made = gate(*args, clock=Handed(), settings=settings() | {"limits": limits}, **options)
-        made.dials = dials
-        return made
+        gateway = gate(*args, clock=Handed(), settings=make_settings() | {"limits": limits}, **options)
+        gateway.dials = dials
+        return gateway
 
     return make
 
 
-def asked(made, *args, **options):
-    """A client that has asked, its task in hand and its dial under way."""
-    client, before = made.client(), made.dials.waiting
+def ask_while_connecting(gateway, *args, **options):
+    """A client that has sent a request for which a connection to a host is being opened."""
+    client, waiting_before = gateway.client(), gateway.dials.waiting
     client.ask(*args, **options)
-    made.until(lambda: made.dials.waiting > before)
+    gateway.until(lambda: gateway.dials.waiting > waiting_before)
     return client
 
 
-def test_where_no_cancel_is_allowed_a_dial_that_outlasts_its_client_begins_nothing(slow):
-    made = slow(cancel=False)
-    client = asked(made, 1)
+def test_without_cancellation_a_connection_established_after_the_client_left_starts_no_attempt(
+    make_slow_gateway,
+):
+    gateway = make_slow_gateway(cancel=False)
+    client = ask_while_connecting(gateway, 1)
     client.stream.abort()
-    made.until(lambda: not made.process.core.in_flight)
-    made.dials.let()
-    made.turns()
-    assert not made.came()
-    assert not made.process.core.generators
-
-
-def test_nothing_begins_after_the_final_answer_however_late_its_dial_comes_up(slow):
-    made = slow(cancel=False)
-    client = asked(made, 1, "repair-order")
-    made.passes(3 * SECOND)
-    made.until(lambda: client.answers)
-    made.dials.let()
-    made.turns()
+    gateway.until(lambda: not gateway.process.core.in_flight)
+    gateway.dials.let()
+    gateway.turns()
+    assert not gateway.came()
+    assert not gateway.process.core.generators
+
+
+def test_connection_established_after_the_final_answer_starts_no_attempt(make_slow_gateway):
+    gateway = make_slow_gateway(cancel=False)
+    client = ask_while_connecting(gateway, 1, "repair-order")
+    gateway.passes(3 * SECOND)
+    gateway.until(lambda: client.answers)
+    gateway.dials.let()
+    gateway.turns()
     assert "error" in client.answers[0]
-    assert not made.came()
-    assert not made.process.core.in_flight
-
-
-def test_the_limit_sent_to_a_host_is_what_is_left_when_the_request_is_written(slow):
-    made = slow()
-    asked(made, 1, d=2000)
-    made.passes(900 * MILLI)
-    made.dials.let()
-    made.until(made.came)
-    assert 1000 <= made.hosts[0].seen("go")[0]["meta"]["limit"] <= 1100
-
-
-def test_a_repeat_whose_window_ends_while_it_dials_is_not_sent(slow):
-    """The first attempt may have run: after 700 ms no host knows it for a repeat any more."""
-    made = slow(lambda stream, command: stream.abort(), hosts=2)
-    client = asked(made, 1, "plan")
-    made.dials.let()
-    made.until(lambda: made.came() == 1 and made.dials.waiting == 1)
-    made.passes(800 * MILLI)
-    made.dials.let()
-    made.until(lambda: client.answers)
-    made.turns()
-    assert made.came() == 1
+    assert not gateway.came()
+    assert not gateway.process.core.in_flight
+
+
+def test_time_limit_sent_to_a_host_is_the_time_left_when_the_request_is_written(make_slow_gateway):
+    gateway = make_slow_gateway()
+    ask_while_connecting(gateway, 1, d=2000)
+    gateway.passes(900 * MILLI)
+    gateway.dials.let()
+    gateway.until(gateway.came)
+    assert 1000 <= gateway.hosts[0].seen("go")[0]["meta"]["limit"] <= 1100
+
+
+def test_retry_whose_repeat_window_ends_while_it_connects_is_not_sent(make_slow_gateway):
+    """The first attempt may have run, and after 700 ms no host recognizes the retry as a repeat."""
+    gateway = make_slow_gateway(lambda stream, command: stream.abort(), hosts=2)
+    client = ask_while_connecting(gateway, 1, "plan")
+    gateway.dials.let()
+    gateway.until(lambda: gateway.came() == 1 and gateway.dials.waiting == 1)
+    gateway.passes(800 * MILLI)
+    gateway.dials.let()
+    gateway.until(lambda: client.answers)
+    gateway.turns()
+    assert gateway.came() == 1
     assert "error" in client.answers[0]
 
 
-def test_what_the_full_socket_has_taken_no_byte_of_never_begins_once_its_client_left(gate, monkeypatch):
-    """One connection serves all, its host reads nothing: the last request waits here, not in a buffer."""
-    made = gate(hosts=1, settings=settings(cancel=False), clock=Handed())
-    made.process.hosts.max_connections = 1
-    first = made.client()
-    first.ask(1)
-    made.until(lambda: first.answers)
-    (link,) = made.process.hosts.hosts["s-0"].connections
-    link.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    for stream in made.hosts[0].streams:
+def test_request_that_waits_for_a_full_socket_never_starts_once_its_client_left(gate, monkeypatch):
+    """All requests share one connection whose host reads nothing; the last ones wait outside its buffer."""
+    gateway = gate(hosts=1, settings=make_settings(cancel=False), clock=Handed())
+    gateway.process.hosts.max_connections = 1
+    first_client = gateway.client()
+    first_client.ask(1)
+    gateway.until(lambda: first_client.answers)
+    (connection,) = gateway.process.hosts.hosts["s-0"].connections
+    connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    for stream in gateway.hosts[0].streams:
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         stream.pause()
     clients = []
     for _ in range(10):
-        clients.append(made.client())
+        clients.append(gateway.client())
         for number in range(1, 9):
             clients[-1].ask(number, i=f"{len(clients):08x}{number:08x}", arg=arg(b"x" * 16000))
-        made.turns(5)
-    waits = [each.id for each in link.pending.values() if not each.started]
-    assert waits
+        gateway.turns(5)
+    waiting_ids = [request.id for request in connection.pending.values() if not request.started]
+    assert waiting_ids
     for client in clients:
         client.stream.abort()
-    made.until(lambda: not made.process.front.active_connections or not made.process.front.open_request_ids)
-    for stream in made.hosts[0].streams:
+    gateway.until(
+        lambda: not gateway.process.front.active_connections or not gateway.process.front.open_request_ids
+    )
+    for stream in gateway.hosts[0].streams:
         stream.resume()
-    made.turns(200)
-    assert not {command["req"] for command in made.hosts[0].came} & set(waits)
+    gateway.turns(200)
+    assert not {command["req"] for command in gateway.hosts[0].came} & set(waiting_ids)
 
 
 @pytest.mark.parametrize("change", ["address", "start"])
-def test_a_host_back_under_its_id_is_not_sent_to_on_connections_of_its_life_before(gate, change):
-    made = gate(hosts=2)
-    known, name = made.process.hosts.hosts, "s-0"
-    made.until(lambda: any(link.replies_received for link in known[name].connections))  # a probe's
-    old = next(iter(known[name].connections))
-    old.pending["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
-    old.pending["x"].end_offset = 0
-    where = made.hosts[1 if change == "address" else 0].address
-    watch_event = event(2, (name, where, "Ready"))
+def test_host_with_a_new_address_or_start_time_gets_no_request_on_old_connections(gate, change):
+    gateway = gate(hosts=2)
+    hosts, name = gateway.process.hosts.hosts, "s-0"
+    gateway.until(
+        lambda: any(connection.replies_received for connection in hosts[name].connections)
+    )  # to a probe
+    old_connection = next(iter(hosts[name].connections))
+    old_connection.pending["x"] = connection_module.PendingRequest(
+        old_connection, "x", None, 0, None, 0
+    )  # still in flight there
+    old_connection.pending["x"].end_offset = 0
+    address = gateway.hosts[1 if change == "address" else 0].address
+    watch_event = event(2, (name, address, "Ready"))
     if change == "start":
         watch_event["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
-    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
-    assert old in known[name].connections
-    assert not old.reusable
-    old.on_bytes(b'{"type":"served","req":"x","data":""}\n')
-    assert old not in known[name].connections
+    gateway.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
+    assert old_connection in hosts[name].connections
+    assert not old_connection.reusable
+    old_connection.on_bytes(b'{"type":"served","req":"x","data":""}\n')
+    assert old_connection not in hosts[name].connections
 
 
-@pytest.mark.parametrize("first", [("crashed", {}), ("served", {"data": "?"})])
-def test_a_second_answer_to_a_failed_attempt_is_not_taken_for_the_next_ones(gate, first):
-    """The host answers 'crashed', or what cannot be read, and once the task came again 'served' for the first
-    of the two."""
-    came = []
+@pytest.mark.parametrize("first_reply", [("crashed", {}), ("served", {"data": "?"})])
+def test_second_reply_to_a_failed_attempt_is_not_taken_for_the_reply_to_the_retry(gate, first_reply):
+    """The host replies 'crashed' or with a malformed body, and once the retry arrives 'served' to the first
+    attempt."""
+    received = []
 
     def answer(stream, command):
         if command["type"] == "go":
-            came.append((stream, command))
-            if len(came) == 1:
-                made.hosts[0].reply(stream, command, first[0], **first[1])
+            received.append((stream, command))
+            if len(received) == 1:
+                gateway.hosts[0].reply(stream, command, first_reply[0], **first_reply[1])
             else:
-                made.hosts[0].reply(came[0][0], command, "served", data=arg(b"stale"))
-                made.hosts[0].serve(stream, command)
+                gateway.hosts[0].reply(received[0][0], command, "served", data=arg(b"stale"))
+                gateway.hosts[0].serve(stream, command)
 
-    made = gate(answer)
-    client = made.client()
+    gateway = gate(answer)
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: client.answers)
-    assert came[0][0] is not came[1][0]
+    gateway.until(lambda: client.answers)
+    assert received[0][0] is not received[1][0]
     assert client.answers[0]["result"]["arg"] == arg(b"body 1")
-    assert made.process.hosts.unmatched_replies == 1
-
-
-def test_an_answer_before_its_request_has_gone_out_is_no_answer(slow):
-    made = slow(nothing)
-    asked(made, 1)
-    made.dials.let()
-    made.until(made.came)
-    (link,) = made.process.hosts.hosts["s-0"].connections
-    link.pending["y"] = connections.PendingRequest(
-        link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0
+    assert gateway.process.hosts.unmatched_replies == 1
+
+
+def test_reply_to_a_request_that_is_not_written_yet_is_ignored(make_slow_gateway):
+    gateway = make_slow_gateway(nothing)
+    ask_while_connecting(gateway, 1)
+    gateway.dials.let()
+    gateway.until(gateway.came)
+    (connection,) = gateway.process.hosts.hosts["s-0"].connections
+    connection.pending["y"] = connection_module.PendingRequest(
+        connection,
+        "y",
+        None,
+        0,
+        lambda *_: pytest.fail("the reply was taken for the reply to this request"),
+        0,
     )
-    link.on_bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert made.process.hosts.unmatched_replies == 1
-    assert len(link.pending) == 2
+    connection.on_bytes(b'{"type":"served","req":"y","data":""}\n')
+    assert gateway.process.hosts.unmatched_replies == 1
+    assert len(connection.pending) == 2
 
 
-def test_a_dial_for_which_there_is_no_descriptor_is_not_held_against_the_host(slow):
-    made = slow()
-    client = asked(made, 1)
-    for entry in list(made.dials.held):
+def test_connection_that_fails_for_lack_of_descriptors_is_no_failure_of_the_host(make_slow_gateway):
+    gateway = make_slow_gateway()
+    client = ask_while_connecting(gateway, 1)
+    for entry in list(gateway.dials.held):
         entry[3](None, OSError(errno.EMFILE, "too many open files"))
-    made.turns()
-    host = made.process.core.gateway.hosts_by_id["s-0"]
+    gateway.turns()
+    host = gateway.process.core.gateway.hosts_by_id["s-0"]
     assert not host.bad_results
-    assert not made.came()
-    made.passes(4 * SECOND)
-    made.until(lambda: client.answers)
+    assert not gateway.came()
+    gateway.passes(4 * SECOND)
+    gateway.until(lambda: client.answers)
 
 
-def test_with_no_room_for_one_more_connection_a_request_is_not_sent_and_no_descriptor_is_taken(slow):
-    made, heard = slow(hosts=2), []
-    hosts, end = made.process.hosts, made.loop.now() + SECOND
-    hosts.max_connections = 1
-    for host in ("s-0", "s-1"):
-        call = Call("7f3a9c21e0b4d655", "", (), b"", f"{host:>16}", "fault-check")
-        hosts.send(host, call, Idempotency.IDEMPOTENT, host, end, end, heard.append)
-    made.turns()
-    assert made.dials.waiting == 1
-    assert [each.result for each in heard] == [Result.NOT_SENT]
+def test_request_beyond_the_connection_limit_is_not_sent_and_takes_no_descriptor(make_slow_gateway):
+    gateway, attempt_results = make_slow_gateway(hosts=2), []
+    client, deadline = gateway.process.hosts, gateway.loop.now() + SECOND
+    client.max_connections = 1
+    for host_name in ("s-0", "s-1"):
+        call = Call("7f3a9c21e0b4d655", "", (), b"", f"{host_name:>16}", "fault-check")
+        client.send(
+            host_name, call, Idempotency.IDEMPOTENT, host_name, deadline, deadline, attempt_results.append
+        )
+    gateway.turns()
+    assert gateway.dials.waiting == 1
+    assert [attempt.result for attempt in attempt_results] == [Result.NOT_SENT]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_halt_is_said_only_where_the_settings_allow_cancels(gate, cancel):
-    made = gate(nothing, clock=Handed(), settings=settings(cancel=cancel))
-    client = made.client()
+def test_cancellation_is_sent_to_the_host_only_if_the_settings_allow_it(gate, cancel):
+    gateway = gate(nothing, clock=Handed(), settings=make_settings(cancel=cancel))
+    client = gateway.client()
     client.ask(1)
-    made.until(made.came)
-    (other,) = [each for each in made.process.hosts.hosts["s-0"].connections if f"{1:016x}" in each.pending]
-    other.pending["z"] = connections.PendingRequest(
-        other, "z", None, 0, None, made.loop.now() + 9 * SECOND
-    )  # keeps it in use
+    gateway.until(gateway.came)
+    (connection,) = [
+        connection
+        for connection in gateway.process.hosts.hosts["s-0"].connections
+        if f"{1:016x}" in connection.pending
+    ]
+    connection.pending["z"] = connection_module.PendingRequest(
+        connection, "z", None, 0, None, gateway.loop.now() + 9 * SECOND
+    )  # keeps the connection in use
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
-    made.turns()
-    made.passes(3 * SECOND)
-    assert bool(made.hosts[0].seen("halt")) is cancel
-    assert not made.process.core.in_flight
+    gateway.turns()
+    gateway.passes(3 * SECOND)
+    assert bool(gateway.hosts[0].seen("halt")) is cancel
+    assert not gateway.process.core.in_flight
 
 
-def test_a_connection_that_carried_many_failures_takes_no_further_request(gate):
-    """Ids that may be answered once more are remembered; a long life must not hold them all."""
-    made = gate(lambda stream, command: made.hosts[0].reply(stream, command, "crashed"))
+def test_connection_with_many_failed_requests_takes_no_further_request(gate):
+    """Ids to which another reply may come are stored; a long-lived connection must not store them all."""
+    gateway = gate(lambda stream, command: gateway.hosts[0].reply(stream, command, "crashed"))
     for number in range(MAX_RETIRED_IDS + 3):
-        client = made.client()
+        client = gateway.client()
         client.ask(1, "repair-order", i=f"{number:016x}")
-        made.until(lambda client=client: client.answers)
-    held = [len(link.retired_ids) for host in made.process.hosts.hosts.values() for link in host.connections]
-    assert max(held) <= MAX_RETIRED_IDS
-    assert len(made.hosts[0].seen("go")) == MAX_RETIRED_IDS + 3
-
-
-def test_before_the_process_is_ended_what_it_holds_is_answered_as_its_class_allows(gate):
-    made = gate(nothing, clock=Handed(), settings=settings())
-    client = made.client()
+        gateway.until(lambda client=client: client.answers)
+    retired_counts = [
+        len(connection.retired_ids)
+        for host in gateway.process.hosts.hosts.values()
+        for connection in host.connections
+    ]
+    assert max(retired_counts) <= MAX_RETIRED_IDS
+    assert len(gateway.hosts[0].seen("go")) == MAX_RETIRED_IDS + 3
+
+
+def test_requests_in_flight_at_the_end_of_the_process_are_answered_by_request_class(gate):
+    gateway = gate(nothing, clock=Handed(), settings=make_settings())
+    client = gateway.client()
     client.ask(1)
     client.ask(2, "repair-order")
-    made.until(lambda: made.came() == 2)
-    made.process.core.end_by(made.loop.now() + SECOND)
-    made.passes(SECOND)
-    made.until(lambda: len(client.answers) == 2)
-    codes = {each["id"]: each["error"]["code"] for each in client.answers}
+    gateway.until(lambda: gateway.came() == 2)
+    gateway.process.core.end_by(gateway.loop.now() + SECOND)
+    gateway.passes(SECOND)
+    gateway.until(lambda: len(client.answers) == 2)
+    codes = {answer["id"]: answer["error"]["code"] for answer in client.answers}
     assert codes == {1: -32008, 2: -32000}, json.dumps(codes)
 
 
-def test_the_key_by_which_hosts_know_a_repeat_passes_unchanged(gate):
-    made = gate(settings=settings())
-    client = made.client()
+def test_idempotency_key_is_sent_to_the_host_unchanged(gate):
+    gateway = gate(settings=make_settings())
+    client = gateway.client()
     client.ask(1, "plan", k="00ff" * 8)
     client.ask(2)
-    made.until(lambda: len(client.answers) == 2)
-    assert {each["req"][-1]: each["meta"].get("nonce") for each in made.hosts[0].seen("go")} == {
+    gateway.until(lambda: len(client.answers) == 2)
+    assert {command["req"][-1]: command["meta"].get("nonce") for command in gateway.hosts[0].seen("go")} == {
         "1": "00ff" * 8,
         "2": None,
     }
 
 
-def test_the_results_of_a_removed_hosts_last_attempts_are_not_retained_for_ever(gate):
-    made = gate(nothing, hosts=2, clock=Handed())
-    client = made.client()
+def test_counters_of_a_removed_host_are_removed_after_its_last_attempts(gate):
+    gateway = gate(nothing, hosts=2, clock=Handed())
+    client = gateway.client()
     client.ask(1, "repair-order")
-    made.until(made.came)
-    name = "s-0" if made.hosts[0].seen("go") else "s-1"
-    (other,) = [each for each in made.process.hosts.hosts if each != name]
-    where = made.process.hosts.hosts[other].address_text
-    watch_event = event(2, (other, where, "Ready"), complete=True)
-    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
-    for host in made.hosts:
+    gateway.until(gateway.came)
+    name = "s-0" if gateway.hosts[0].seen("go") else "s-1"
+    (other_name,) = [host_name for host_name in gateway.process.hosts.hosts if host_name != name]
+    address = gateway.process.hosts.hosts[other_name].address_text
+    watch_event = event(2, (other_name, address, "Ready"), complete=True)
+    gateway.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
+    for host in gateway.hosts:
         for stream in host.streams:
             stream.abort()
-    made.until(lambda: client.answers)
+    gateway.until(lambda: client.answers)
     for _ in range(3):
-        made.passes(SECOND)
-    assert name not in made.process.hosts.hosts
-    assert not any(name in key for key in made.process.record.counts)
-
-
-def test_probes_and_orders_wear_no_connection_out(gate):
-    """Their ids never come again, so none of them needs to be remembered."""
-    made = gate()
-    made.until(lambda: any(link.replies_received for link in made.process.hosts.hosts["s-0"].connections))
-    done = []
-    made.process.hosts.order("s-0", "m", 1, lambda *result: done.append(result))
-    made.until(lambda: done)
-    assert made.hosts[0].seen("stat")
-    assert not any(link.retired_ids for link in made.process.hosts.hosts["s-0"].connections)
+        gateway.passes(SECOND)
+    assert name not in gateway.process.hosts.hosts
+    assert not any(name in key for key in gateway.process.record.counts)
+
+
+def test_probes_and_load_orders_add_no_retired_ids(gate):
+    """Their ids are never used again, so none of them needs to be stored."""
+    gateway = gate()
+    gateway.until(
+        lambda: any(
+            connection.replies_received for connection in gateway.process.hosts.hosts["s-0"].connections
+        )
+    )
+    order_results = []
+    gateway.process.hosts.order("s-0", "m", 1, lambda *result: order_results.append(result))
+    gateway.until(lambda: order_results)
+    assert gateway.hosts[0].seen("stat")
+    assert not any(connection.retired_ids for connection in gateway.process.hosts.hosts["s-0"].connections)
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -1,4 +1,4 @@
-"""Attempts, load orders and probes as lines on the connections to hosts, and when these are used again."""
+"""The JSON Lines client: attempts, load orders and probes, and which connections it reuses."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 from gaproute.standins.platform import ScriptedHost
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-SITE = SimpleNamespace(
+DEPLOYMENT_SETTINGS = SimpleNamespace(
     idle_time=15 * SECOND,
     connect_time=250 * MILLI,
     order_time=SECOND,
@@ -25,223 +25,235 @@
 CALL = Call("7f3a9c21e0b4d655", "", (), b"Ym9keQ==", "9b1f03aa5c7e2d41", "fault-check")
 
 
-class Bench:
-    def __init__(self, answer=None, room=8):
+class ClientSetup:
+    """A JSON Lines client with one scripted host."""
+
+    def __init__(self, answer=None, max_connections=8):
         self.loop = Loop()
         self.host = ScriptedHost(self.loop, answer)
-        self.hosts = JsonLinesClient(self.loop, Pooling(), SITE, room)
-        self.list(State.ACTIVE)
-        self.heard = []
+        self.client = JsonLinesClient(self.loop, Pooling(), DEPLOYMENT_SETTINGS, max_connections)
+        self.list_host(State.ACTIVE)
+        self.attempt_results = []
 
-    def list(self, state):
-        self.hosts.update([Endpoint(row("h", state=state), self.host.address)], complete=True)
+    def list_host(self, state):
+        self.client.update([Endpoint(row("h", state=state), self.host.address)], complete=True)
 
-    def send(self, idempotency=Idempotency.IDEMPOTENT, request_id=CALL.request_id, left=SECOND):
-        return self.hosts.send(
+    def send(self, idempotency=Idempotency.IDEMPOTENT, request_id=CALL.request_id, time_left=SECOND):
+        return self.client.send(
             "h",
             CALL._replace(request_id=request_id),
             idempotency,
             "t",
-            self.loop.now() + left,
-            self.loop.now() + left,
-            self.heard.append,
+            self.loop.now() + time_left,
+            self.loop.now() + time_left,
+            self.attempt_results.append,
         ).cancel
 
-    def until(self, condition):
+    def run_until(self, condition):
         turn_until(self.loop, condition)
 
-    def results(self, count):
-        self.until(lambda: len(self.heard) >= count)
-        return [heard.result for heard in self.heard]
+    def wait_for_results(self, count):
+        self.run_until(lambda: len(self.attempt_results) >= count)
+        return [attempt_result.result for attempt_result in self.attempt_results]
 
     def close(self):
-        self.hosts.close()
+        self.client.close()
         self.host.close()
         self.loop.close()
 
 
 @pytest.fixture
-def bench():
-    yield from makers(Bench)
+def make_setup():
+    yield from makers(ClientSetup)
 
 
-def test_an_attempt_passes_id_class_function_and_body_unchanged(bench):
-    made = bench()
-    made.send()
-    assert made.results(1) == [Result.OK]
-    assert made.heard[0].answer.body == CALL.body
-    sent = made.host.came[0]
+def test_attempt_sends_id_class_function_and_body_unchanged(make_setup):
+    setup = make_setup()
+    setup.send()
+    assert setup.wait_for_results(1) == [Result.OK]
+    assert setup.attempt_results[0].answer.body == CALL.body
+    sent = setup.host.came[0]
     assert (sent["req"], sent["data"]) == (CALL.request_id, "Ym9keQ==")
     assert sent["meta"]["cls"] == "fault-check"
     assert sent["meta"]["item"] == CALL.model
     assert 900 <= sent["meta"]["limit"] <= 1000
 
 
-def test_each_attempt_has_a_connection_of_its_own_while_there_is_room_then_they_share(bench):
-    made = bench(answer=lambda stream, command: None, room=2)
+def test_attempts_share_connections_only_at_the_connection_limit(make_setup):
+    setup = make_setup(answer=lambda stream, command: None, max_connections=2)
     for number in range(4):
-        made.send(request_id=f"{number:016x}")
-    made.until(lambda: len(made.host.came) == 4)
-    assert len(made.host.streams) == 2
-    assert made.hosts.requests_multiplexed == 2
-
-
-def test_a_second_attempt_of_a_request_never_shares_a_connection_with_the_first(bench):
-    made = bench(answer=lambda stream, command: None, room=1)
-    made.send()
-    made.send()
-    assert made.results(1) == [Result.NOT_SENT]
-    assert made.hosts.requests_multiplexed == 0
-    made.hosts.max_connections = 2
-    made.send()
-    made.until(lambda: len(made.host.came) == 2)
-    assert len(made.host.streams) == 2
-
-
-def test_a_late_answer_to_a_cancelled_attempt_is_ignored(bench):
-    made, late = bench(answer=lambda stream, command: late.append((stream, command))), []
-    cancel = made.send()
-    made.until(lambda: late)
+        setup.send(request_id=f"{number:016x}")
+    setup.run_until(lambda: len(setup.host.came) == 4)
+    assert len(setup.host.streams) == 2
+    assert setup.client.requests_multiplexed == 2
+
+
+def test_second_attempt_of_a_request_never_shares_a_connection_with_the_first(make_setup):
+    setup = make_setup(answer=lambda stream, command: None, max_connections=1)
+    setup.send()
+    setup.send()
+    assert setup.wait_for_results(1) == [Result.NOT_SENT]
+    assert setup.client.requests_multiplexed == 0
+    setup.client.max_connections = 2
+    setup.send()
+    setup.run_until(lambda: len(setup.host.came) == 2)
+    assert len(setup.host.streams) == 2
+
+
+def test_late_reply_to_a_cancelled_attempt_is_ignored(make_setup):
+    setup, received = make_setup(answer=lambda stream, command: received.append((stream, command))), []
+    cancel = setup.send()
+    setup.run_until(lambda: received)
     cancel()
-    made.until(lambda: len(late) == 2)
-    assert late[1][1] == {"type": "halt", "req": CALL.request_id}
-    made.send()  # the same id: on another connection
-    made.until(lambda: len(late) == 3)
-    assert late[2][0] is not late[0][0]
-    made.host.reply(late[0][0], late[0][1], "served", data="b2xk")
-    made.host.reply(late[2][0], late[2][1], "served", data="bmV3")
-    assert made.results(1) == [Result.OK]
-    assert made.heard[0].answer.body == b"bmV3"
-    made.until(lambda: made.hosts.unmatched_replies == 1)
-
-
-def test_a_copy_or_a_stranger_before_an_answer_harms_nothing(bench):
+    setup.run_until(lambda: len(received) == 2)
+    assert received[1][1] == {"type": "halt", "req": CALL.request_id}
+    setup.send()  # has the same id, so goes on another connection
+    setup.run_until(lambda: len(received) == 3)
+    assert received[2][0] is not received[0][0]
+    setup.host.reply(received[0][0], received[0][1], "served", data="b2xk")
+    setup.host.reply(received[2][0], received[2][1], "served", data="bmV3")
+    assert setup.wait_for_results(1) == [Result.OK]
+    assert setup.attempt_results[0].answer.body == b"bmV3"
+    setup.run_until(lambda: setup.client.unmatched_replies == 1)
+
+
+def test_duplicate_replies_and_replies_to_unknown_ids_are_ignored(make_setup):
     def answer(stream, command):
-        made.host.reply(stream, {"req": "ffffffffffffffff"}, "served", data="eA==")
-        made.host.serve(stream, command)
-        made.host.serve(stream, command)
-
-    made = bench(answer=answer)
-    made.send()
-    assert made.results(1) == [Result.OK]
-    assert made.heard[0].answer.body == CALL.body
-    made.until(lambda: made.hosts.unmatched_replies == 2)
-    made.send(request_id="1" * 16)
-    assert made.results(2) == [Result.OK, Result.OK]
-    assert len(made.host.streams) == 1
-
-
-def test_spoilt_lines_and_resets_may_have_run_and_a_refused_connection_never_ran(bench):
-    made = bench(answer=lambda stream, command: stream.write(b"noise\n"))
-    made.send()
-    assert made.results(1) == [Result.ERROR]
-    made.host.answer = lambda stream, command: stream.abort()
-    made.send()
-    assert made.results(2)[1] is Result.RESET
-    made.host.close()
-    made.send()
-    assert made.results(3)[2] is Result.CONNECT_FAILED
-
-
-def test_nothing_more_goes_to_a_host_that_drains_and_what_it_holds_runs_on(bench):
+        setup.host.reply(stream, {"req": "ffffffffffffffff"}, "served", data="eA==")
+        setup.host.serve(stream, command)
+        setup.host.serve(stream, command)
+
+    setup = make_setup(answer=answer)
+    setup.send()
+    assert setup.wait_for_results(1) == [Result.OK]
+    assert setup.attempt_results[0].answer.body == CALL.body
+    setup.run_until(lambda: setup.client.unmatched_replies == 2)
+    setup.send(request_id="1" * 16)
+    assert setup.wait_for_results(2) == [Result.OK, Result.OK]
+    assert len(setup.host.streams) == 1
+
+
+def test_malformed_line_or_reset_may_have_run_and_refused_connection_never_ran(make_setup):
+    setup = make_setup(answer=lambda stream, command: stream.write(b"noise\n"))
+    setup.send()
+    assert setup.wait_for_results(1) == [Result.ERROR]
+    setup.host.answer = lambda stream, command: stream.abort()
+    setup.send()
+    assert setup.wait_for_results(2)[1] is Result.RESET
+    setup.host.close()
+    setup.send()
+    assert setup.wait_for_results(3)[2] is Result.CONNECT_FAILED
+
+
+def test_draining_host_gets_no_further_request_and_completes_those_in_flight(make_setup):
     held = []
-    made = bench(answer=lambda stream, command: held.append((stream, command)))
-    made.send()
-    made.until(lambda: held)
-    made.send(request_id="1" * 16)  # its connection is still being opened
-    made.list(State.DRAINING)
-    made.send(request_id="2" * 16)
-    made.results(2)
-    made.host.serve(*held[0])
-    assert sorted(result.value for result in made.results(3)) == ["connect_failed", "connect_failed", "ok"]
+    setup = make_setup(answer=lambda stream, command: held.append((stream, command)))
+    setup.send()
+    setup.run_until(lambda: held)
+    setup.send(request_id="1" * 16)  # its connection is still being opened
+    setup.list_host(State.DRAINING)
+    setup.send(request_id="2" * 16)
+    setup.wait_for_results(2)
+    setup.host.serve(*held[0])
+    assert sorted(result.value for result in setup.wait_for_results(3)) == [
+        "connect_failed",
+        "connect_failed",
+        "ok",
+    ]
     assert [command["req"] for _, command in held] == [CALL.request_id]
 
 
-def test_a_gone_host_is_forgotten_with_its_connections_and_another_may_have_its_address(bench):
-    made = bench()
-    made.send()
-    made.results(1)
-    made.hosts.update([Endpoint(row("h2"), made.host.address)], complete=True)
-    made.until(lambda: "h" not in made.hosts.hosts)
-    made.hosts.send(
-        "h2", CALL, Idempotency.IDEMPOTENT, "t", made.loop.now() + SECOND, 1 << 62, made.heard.append
+def test_removed_host_is_forgotten_and_another_host_may_take_its_address(make_setup):
+    setup = make_setup()
+    setup.send()
+    setup.wait_for_results(1)
+    setup.client.update([Endpoint(row("h2"), setup.host.address)], complete=True)
+    setup.run_until(lambda: "h" not in setup.client.hosts)
+    setup.client.send(
+        "h2",
+        CALL,
+        Idempotency.IDEMPOTENT,
+        "t",
+        setup.loop.now() + SECOND,
+        1 << 62,
+        setup.attempt_results.append,
     )
-    assert made.results(2) == [Result.OK, Result.OK]
+    assert setup.wait_for_results(2) == [Result.OK, Result.OK]
 
 
-def test_a_connection_that_was_silent_when_an_attempt_was_given_up_is_not_used_again(bench):
-    made = bench(answer=lambda stream, command: None)
-    made.hosts.pooling.is_silent = lambda now, since: True
-    cancel = made.send()
-    made.until(lambda: made.host.came)
+def test_silent_connection_of_a_cancelled_attempt_is_closed(make_setup):
+    setup = make_setup(answer=lambda stream, command: None)
+    setup.client.pooling.is_silent = lambda now, since: True
+    cancel = setup.send()
+    setup.run_until(lambda: setup.host.came)
     cancel()
-    assert not made.hosts.connection_count()
+    assert not setup.client.connection_count()
 
 
-def test_a_non_idempotent_attempt_avoids_an_idle_connection_that_has_unrequested_bytes(bench):
-    made = bench()
-    made.send()
-    made.results(1)
-    made.host.streams[0].sock.send(b"x")  # unread: this loop has had no turn
-    made.send(Idempotency.NON_IDEMPOTENT, "1" * 16)
-    assert made.results(2) == [Result.OK, Result.OK]
-    assert len(made.host.streams) == 2
+def test_non_idempotent_attempt_avoids_an_idle_connection_with_unexpected_bytes(make_setup):
+    setup = make_setup()
+    setup.send()
+    setup.wait_for_results(1)
+    setup.host.streams[0].sock.send(b"x")  # still unread, as the loop has not run since
+    setup.send(Idempotency.NON_IDEMPOTENT, "1" * 16)
+    assert setup.wait_for_results(2) == [Result.OK, Result.OK]
+    assert len(setup.host.streams) == 2
 
 
-def test_orders_and_probes_under_tags_of_their_own(bench):
-    made, said = bench(), []
-    made.hosts.order("h", CALL.model, 2, lambda *result: said.append(result))
-    made.hosts.probe("h", lambda report, *, good: said.append((good, report)))
-    made.until(lambda: len(said) == 2)
-    assert (Result.OK, 2) in said
-    assert any(good is True and report.cpu_busy == 0.25 for good, report in said if good is True)
-    assert len({command["req"] for command in made.host.came}) == 2
+def test_load_orders_and_probes_have_ids_of_their_own(make_setup):
+    setup, callback_results = make_setup(), []
+    setup.client.order("h", CALL.model, 2, lambda *result: callback_results.append(result))
+    setup.client.probe("h", lambda report, *, good: callback_results.append((good, report)))
+    setup.run_until(lambda: len(callback_results) == 2)
+    assert (Result.OK, 2) in callback_results
+    assert any(good is True and report.cpu_busy == 0.25 for good, report in callback_results if good is True)
+    assert len({command["req"] for command in setup.host.came}) == 2
 
 
-def test_a_lost_order_ends_once_as_timed_out(bench):
-    made, said = bench(answer=lambda stream, command: None), []
-    made.hosts.order_timeout = 20 * MILLI
-    made.hosts.order("h", CALL.model, 2, lambda *result: said.append(result))
-    made.until(lambda: said)
-    assert said == [(Result.TIMEOUT, 0)]
+def test_load_order_without_a_reply_ends_once_as_timed_out(make_setup):
+    setup, callback_results = make_setup(answer=lambda stream, command: None), []
+    setup.client.order_timeout = 20 * MILLI
+    setup.client.order("h", CALL.model, 2, lambda *result: callback_results.append(result))
+    setup.run_until(lambda: callback_results)
+    assert callback_results == [(Result.TIMEOUT, 0)]
 
 
-def test_connections_that_end_at_rest_do_not_make_the_next_ones_distrusted(bench):
-    made = bench()
+def test_connections_closed_while_idle_do_not_prevent_reuse_of_later_ones(make_setup):
+    setup = make_setup()
     for number in range(3):
-        made.send(request_id=f"{number:016x}")
-        made.results(number + 1)
-        made.host.streams[-1].close()
-        made.until(lambda: not made.hosts.connection_count())
-    made.send(request_id="a" * 16)
-    made.results(4)
-    made.send(request_id="b" * 16)
-    made.results(5)
-    assert made.hosts.connections_opened == 4
-    assert made.hosts.connections_reused == 1
-
-
-def test_hosts_that_end_idle_connections_at_their_next_use_get_new_ones_for_a_while(bench):
+        setup.send(request_id=f"{number:016x}")
+        setup.wait_for_results(number + 1)
+        setup.host.streams[-1].close()
+        setup.run_until(lambda: not setup.client.connection_count())
+    setup.send(request_id="a" * 16)
+    setup.wait_for_results(4)
+    setup.send(request_id="b" * 16)
+    setup.wait_for_results(5)
+    assert setup.client.connections_opened == 4
+    assert setup.client.connections_reused == 1
+
+
+def test_host_that_resets_reused_connections_gets_new_ones_for_a_while(make_setup):
     def answer(stream, command):
-        if stream in used:
+        if stream in used_streams:
             stream.abort()
         else:
-            used.append(stream)
-            made.host.serve(stream, command)
-
-    used, made = [], bench(answer=answer)
-    for number in range(4):  # the first is served, the next ends an idle connection
-        made.send(request_id=f"{number:016x}")
-        made.results(number + 1)
-    made.send(Idempotency.NON_IDEMPOTENT, "e" * 16)
-    results = made.results(5)
+            used_streams.append(stream)
+            setup.host.serve(stream, command)
+
+    used_streams, setup = [], make_setup(answer=answer)
+    for number in range(4):  # the host serves the first and resets the reused connection at the next
+        setup.send(request_id=f"{number:016x}")
+        setup.wait_for_results(number + 1)
+    setup.send(Idempotency.NON_IDEMPOTENT, "e" * 16)
+    results = setup.wait_for_results(5)
     assert results.count(Result.RESET) == 2
     assert results[4] is Result.OK
-    made.send(request_id="f" * 16)
-    assert made.results(6)[5] is Result.OK
+    setup.send(request_id="f" * 16)
+    assert setup.wait_for_results(6)[5] is Result.OK
 
 
-def test_idle_connections_are_used_again_after_a_while_and_one_end_matters_to_non_idempotent_requests():
+def test_stale_ends_prevent_reuse_for_a_while_and_one_suffices_for_non_idempotent_requests():
     pooling = Pooling()
     pooling.record_stale_end(0, "h", 100 * MILLI, MILLI)
     assert pooling.allows_reuse(SECOND, "h", Idempotency.IDEMPOTENT)
@@ -252,42 +264,44 @@
     assert pooling.allows_reuse(11 * SECOND, "h", Idempotency.NON_IDEMPOTENT)
     assert not pooling.allows_reuse(
         SECOND, "other", Idempotency.NON_IDEMPOTENT
-    )  # what ends them stands before all hosts
+    )  # a proxy before all hosts may end them
     pooling = Pooling()
-    pooling.record_stale_end(0, "i", 100 * MILLI, SECOND)  # at work for a while: not for its rest
+    pooling.record_stale_end(
+        0, "i", 100 * MILLI, SECOND
+    )  # ended long after the request was sent, so it was not stale
     assert pooling.allows_reuse(SECOND, "i", Idempotency.NON_IDEMPOTENT)
 
 
 @pytest.mark.parametrize(
-    ("idempotency", "rest"), [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)]
+    ("idempotency", "max_idle_seconds"), [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)]
 )
-def test_a_connection_rests_as_long_as_the_host_says_it_keeps_one_and_far_less_where_nothing_may_go_twice(
-    idempotency, rest
+def test_max_idle_time_follows_the_announced_one_and_is_shorter_for_non_idempotent_requests(
+    idempotency, max_idle_seconds
 ):
-    assert Pooling().max_idle(0, "h", idempotency, 15 * SECOND) == rest * SECOND
+    assert Pooling().max_idle(0, "h", idempotency, 15 * SECOND) == max_idle_seconds * SECOND
     assert Pooling().max_idle(0, "h", idempotency, 0) == 0
 
 
-def test_an_order_that_a_silent_host_may_still_get_never_arrives(bench):
-    """The limit on load orders counts on it: an order comes within a bound or not at all."""
-    made, ends = bench(lambda stream, command: None), []
-    made.hosts.order_timeout = 20 * MILLI
-    made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
-    made.until(lambda: ends)
-    assert ends == [Result.TIMEOUT]
-    assert made.hosts.connection_count() == 0
+def test_load_order_timeout_closes_a_silent_connection(make_setup):
+    """The load order limiter depends on this: a load order arrives within a bounded time or never."""
+    setup, order_results = make_setup(lambda stream, command: None), []
+    setup.client.order_timeout = 20 * MILLI
+    setup.client.order("h", "f", 1, lambda result, instance_count: order_results.append(result))
+    setup.run_until(lambda: order_results)
+    assert order_results == [Result.TIMEOUT]
+    assert setup.client.connection_count() == 0
 
 
-def test_an_order_under_way_at_a_host_that_talks_leaves_its_connection(bench):
+def test_load_order_timeout_keeps_a_connection_on_which_the_host_replies(make_setup):
     def answer(stream, command):
         if command["type"] == "go":
-            made.host.serve(stream, command)
-
-    made, ends = bench(answer, room=1), []
-    made.hosts.order_timeout = 100 * MILLI
-    made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
-    made.until(lambda: made.host.seen("stage"))
-    made.send()
-    assert made.results(1) == [Result.OK]
-    made.until(lambda: ends)
-    assert made.hosts.connection_count() == 1
+            setup.host.serve(stream, command)
+
+    setup, order_results = make_setup(answer, max_connections=1), []
+    setup.client.order_timeout = 100 * MILLI
+    setup.client.order("h", "f", 1, lambda result, instance_count: order_results.append(result))
+    setup.run_until(lambda: setup.host.seen("stage"))
+    setup.send()
+    assert setup.wait_for_results(1) == [Result.OK]
+    setup.run_until(lambda: order_results)
+    assert setup.client.connection_count() == 1
