--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -37,7 +37,7 @@
         self.order_timeout = deployment.order_time or DEFAULT_ORDER_TIMEOUT
         self.same_function_counted = deployment.same_function_counted
         self.last_request_number = 0
-        self.unexpected_replies = 0  # replies to attempts that have the type of another reply
+        self.unexpected_replies = 0  # replies to attempts, of a type that attempts never get
 
     def send(
         self,
@@ -61,21 +61,21 @@
 
         def ended(outcome: Reply | Result) -> bool:
             if isinstance(outcome, Result):
-                attempt = AttemptResult(outcome, None)
+                attempt_result = AttemptResult(outcome, None)
             else:
-                attempt = self._attempt_result(outcome)
-            on_ended(attempt)
-            return attempt.result is Result.OK
+                attempt_result = self._decode_attempt_reply(outcome)
+            on_ended(attempt_result)
+            return attempt_result.result is Result.OK
 
         def encode(now: int) -> bytes:
             return messages.encode_attempt(call, deadline - now)
 
-        pending = self.submit(
+        pending_request = self.submit(
             host, call.request_id, encode, start_before, idempotency, ended, call.client_present
         )
-        return pending or UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
+        return pending_request or UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
 
-    def _attempt_result(self, reply: Reply) -> AttemptResult:
+    def _decode_attempt_reply(self, reply: Reply) -> AttemptResult:
         result = messages.decode_attempt_reply(reply, same_function_counted=self.same_function_counted)
         if result is None:
             self.unexpected_replies += 1
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,9 +1,8 @@
 """One connection to a host, and the requests on it.
 
 `decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` says what the
-end of a connection proves. A request has started once the kernel has taken its first byte. Until then the
-request waits here and not its bytes in a buffer, so that it is checked whether it may still start when it is
-written.
+end of a connection proves. A request has started once the kernel has taken its first byte. Until then its
+bytes stand in no buffer, and whether it may still start is checked when it is written.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 from gaproute.loop import Stream, connect
 
 # Time within which the kernel must take the rest of a request that has started. When the host can read the
-# request, the time limit in it is too long by no more than this.
+# request, the time limit in the request is too long by at most this.
 WRITE_TIMEOUT_NS = 100_000_000
 
 
@@ -55,10 +54,10 @@
         self.retired_ids: set[str] = set()  # ids of ended requests to which a reply may still come
         self.reader = LineReader()
         self.stream: Stream | None = None  # None until the connection is established
-        self.bytes_written = 0  # of all requests and cancellations
+        self.bytes_written = 0  # bytes of all requests and cancellations
         self.last_used = self.last_received = loop.now()
         self.reusable = True  # whether the connection takes further requests
-        self.replies_received = 0  # that belong to a request
+        self.replies_received = 0  # replies that belong to a request
         self.cancel_connect: Callable[[], object] | None = connect(
             loop, host.address, self.pool.connect_timeout, self._connected
         )
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -34,7 +34,7 @@
         # accident, which predicts nothing: a timeout learnt from such ends would open a new connection for
         # nearly every attempt.
         self.idle_timeout = deployment.idle_time or None
-        self.max_requests_per_connection = deployment.requests_per_connection  # on one connection
+        self.max_requests_per_connection = deployment.requests_per_connection
         self.cancel_allowed = deployment.cancel_allowed
         self.hosts: dict[str, Host] = {}
         # Requests sent on a new connection, on an idle one, and on one with other requests in flight.
@@ -44,7 +44,7 @@
         self.sweep()
 
     def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
-        """Takes over the endpoint list (`complete`), or changes of it.
+        """Takes over the complete endpoint list, or changes of it if `complete` is false.
 
         Hosts that drain or are gone get no further request; their requests in flight continue.
         """
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -15,7 +15,7 @@
 from gaproute.settings import read_report
 from gaproute.units import MILLI
 
-OK_STATUS = 200  # of each answer: this protocol has no statuses
+OK_STATUS = 200  # of every answer, as this protocol has no statuses
 RESULT_BY_REPLY_TYPE = {
     "served": Result.OK,
     "not_here": Result.NOT_LOADED,
@@ -123,7 +123,7 @@
 
 
 def decode_load_report(meta: Meta) -> Report | None:
-    """Decodes a load report, as `inflight:7;util:0.61`; a malformed figure counts as not reported."""
+    """Decodes a load report such as `inflight:7;util:0.61`; a malformed figure counts as not reported."""
     text = meta.get("meter")
     if not isinstance(text, str):
         return None
@@ -133,5 +133,5 @@
         figure = parse_figure(value)
         if figure is not None:
             figures[name] = figure
-    known: Report | None = read_report(figures)
-    return known
+    report: Report | None = read_report(figures)
+    return report
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -56,10 +56,10 @@
         self.sweep()
 
     def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
-        """Takes over the endpoint list (`complete`), or changes of it.
+        """Takes over the complete endpoint list, or changes of it if `complete` is false.
 
-        Hosts that drain or are gone get no further request, also none that waits for its connection. Their
-        requests in flight continue.
+        Hosts that drain or are gone get no further request, not even one that waits for its connection.
+        Their requests in flight continue.
         """
         named = set()
         for endpoint in endpoints:
