--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -1,11 +1,13 @@
-"""Load reports in the published ORCA form (Open Request Cost Aggregation): the `endpoint-load-metrics`
-header.
-
-`JSON {"cpu_utilization": 0.4, "named_metrics": {"queue": 2}}` or `TEXT
-cpu_utilization=0.4,named_metrics.queue=2`. Standard fields used: `cpu_utilization`, `mem_utilization`
-(shares). Named metrics used: `queue` (requests waiting), `in_hand` (requests at work or waiting), `copy`
-(what the request found: 1 a warm instance, 2 it began a load, 3 it waited for one), `alike` (requests of the
-same model in flight when it came). What cannot be read counts as not reported.
+"""Decodes load reports in the ORCA format (Open Request Cost Aggregation).
+
+The value of the `endpoint-load-metrics` header is
+`JSON {"cpu_utilization": 0.4, "named_metrics": {"queue": 2}}` or
+`TEXT cpu_utilization=0.4,named_metrics.queue=2`.
+
+Standard fields used: `cpu_utilization`, `mem_utilization` (shares). Named metrics used: `queue` (waiting
+requests), `in_hand` (running or waiting requests), `copy` (what the request found: 1 a warm instance, 2 it
+began a load, 3 it waited for a load, 4 the load failed), `alike` (requests of the same model that were in
+flight when the request arrived). A value that cannot be decoded counts as not reported.
 """
 
 from collections.abc import Mapping
@@ -16,53 +18,55 @@
 from gaproute.hosts.load_figures import bounded_count, valid_figure
 from gaproute.interface import Found, Report
 
-HEADER = b"endpoint-load-metrics"
-REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # requests a report
-NAMED_PREFIX = "named_metrics."
-FOUND: dict[float | None, Found] = {found.value: found for found in Found if found is not Found.UNKNOWN}
-NO_FIGURES = Report()
+REPORT_HEADER = b"endpoint-load-metrics"
+REPORT_REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # asks the host for a load report
+NAMED_METRIC_PREFIX = "named_metrics."
+FOUND_BY_COPY_METRIC: dict[float | None, Found] = {
+    found.value: found for found in Found if found is not Found.UNKNOWN
+}
+EMPTY_REPORT = Report()
 
 
-class LoadReport(msgspec.Struct):
-    """The fields of the header that are used."""
+class OrcaReport(msgspec.Struct):
+    """The fields of the header value that are used."""
 
     cpu_utilization: float | None = None
     mem_utilization: float | None = None
     named_metrics: dict[str, float] = {}
 
 
-class ReportedLoad(NamedTuple):
-    """What the headers of one answer report."""
+class ReportedMetrics(NamedTuple):
+    """The metrics that the headers of one response report."""
 
     report: Report | None
     found: Found
     same_function_requests: int | None
 
 
-NOTHING_REPORTED = ReportedLoad(None, Found.UNKNOWN, None)
+NO_METRICS = ReportedMetrics(None, Found.UNKNOWN, None)
 
-_decode_json = msgspec.json.Decoder(LoadReport).decode
+_decode_json = msgspec.json.Decoder(OrcaReport).decode
 
 
-def decode_value(value: bytes) -> LoadReport | None:
-    """The header's value, or None where it is not of the form."""
-    form, _, text = value.strip().partition(b" ")
+def decode_header_value(value: bytes) -> OrcaReport | None:
+    """Decodes the value of the header; None where it is malformed."""
+    encoding, _, text = value.strip().partition(b" ")
     try:
-        if form == b"JSON":
+        if encoding == b"JSON":
             return _decode_json(text)
-        if form == b"TEXT":
+        if encoding == b"TEXT":
             return _decode_text(text.decode())
     except (msgspec.MsgspecError, ValueError):
         pass
     return None
 
 
-def _decode_text(text: str) -> LoadReport:
-    report = LoadReport(named_metrics={})
+def _decode_text(text: str) -> OrcaReport:
+    report = OrcaReport(named_metrics={})
     for pair in text.split(","):
         name, _, figure = pair.strip().partition("=")
-        if name.startswith(NAMED_PREFIX):
-            report.named_metrics[name.removeprefix(NAMED_PREFIX)] = float(figure)
+        if name.startswith(NAMED_METRIC_PREFIX):
+            report.named_metrics[name.removeprefix(NAMED_METRIC_PREFIX)] = float(figure)
         elif name == "cpu_utilization":
             report.cpu_utilization = float(figure)
         elif name == "mem_utilization":
@@ -70,21 +74,21 @@
     return report
 
 
-def decode_headers(headers: Mapping[bytes, bytes]) -> ReportedLoad:
-    """What an answer's headers, by lower-case name, report of the host's load."""
-    value = headers.get(HEADER)
-    reported = decode_value(value) if value is not None else None
-    if reported is None:
-        return NOTHING_REPORTED
-    named = reported.named_metrics
+def decode_headers(headers: Mapping[bytes, bytes]) -> ReportedMetrics:
+    """Decodes the metrics in the headers of a response; `headers` are by lower-case name."""
+    value = headers.get(REPORT_HEADER)
+    decoded = decode_header_value(value) if value is not None else None
+    if decoded is None:
+        return NO_METRICS
+    named_metrics = decoded.named_metrics
     report = Report(
-        valid_figure(named.get("in_hand")),
-        valid_figure(named.get("queue")),
-        valid_figure(reported.cpu_utilization),
-        valid_figure(reported.mem_utilization),
+        valid_figure(named_metrics.get("in_hand")),
+        valid_figure(named_metrics.get("queue")),
+        valid_figure(decoded.cpu_utilization),
+        valid_figure(decoded.mem_utilization),
     )
-    return ReportedLoad(
-        report if report != NO_FIGURES else None,
-        FOUND.get(named.get("copy"), Found.UNKNOWN),
-        bounded_count(valid_figure(named.get("alike"))),
+    return ReportedMetrics(
+        report if report != EMPTY_REPORT else None,
+        FOUND_BY_COPY_METRIC.get(named_metrics.get("copy"), Found.UNKNOWN),
+        bounded_count(valid_figure(named_metrics.get("alike"))),
     )
