--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -40,7 +40,7 @@
 class TwoByChance:
     """Draws two of all hosts for each call and takes the one with the shorter queue by its last report."""
 
-    single = True  # as of `CellularGateway`: there are no cells
+    single_gateway = True  # as of `CellularGateway`: there are no cells
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
--- a/benchmarks/scale/cells/callers.py
+++ b/benchmarks/scale/cells/callers.py
@@ -59,7 +59,7 @@
         selector.demand = caller.demand
         now = self._world.clock.now
         caller.demand.record_arrival(now, function)
-        choices = islice(selector.cells(now, function), MAX_CELLS_TRIED)
+        choices = islice(selector.choices(now, function), MAX_CELLS_TRIED)
         self._forward(caller, function, [choice.cell for choice in choices], on_found)
 
     def _caller(self, number: int, location: GatewayLocation) -> Caller:
--- a/benchmarks/scale/cells/evenness.py
+++ b/benchmarks/scale/cells/evenness.py
@@ -147,7 +147,7 @@
         function = self._popularity.draw()
         work = self._works.get(function) or self._works.setdefault(function, work_of(function))
         selector.demand.record_arrival(now, function)
-        choice = next(selector.cells(now, function))
+        choice = next(selector.choices(now, function))
         self._loads.add(choice.cell, work)
         selector.demand.record_duration(function, int(work))
         selector.loads.record(now, choice.cell, self._loads.reported[choice.cell])
--- a/benchmarks/scale/cells/failure_kinds.py
+++ b/benchmarks/scale/cells/failure_kinds.py
@@ -42,7 +42,7 @@
         """Give gateways the lists of the hosts that are up."""
         for gateway in self.world.gateways.values():
             for cell in self.cells:
-                if cell in gateway.decisions.wanted():
+                if cell in gateway.decisions.cells_to_follow():
                     self.world.publish_hosts(gateway, cell)
 
 
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -115,7 +115,7 @@
     def adopt(self, gateway: CellGateway, table: CellTable) -> None:
         """Give a gateway a table, and the lists of the cells that it then wants."""
         gateway.decisions.adopt(self.clock.now, table)
-        for name in gateway.decisions.wanted():
+        for name in gateway.decisions.cells_to_follow():
             self.publish_hosts(gateway, name)
 
     def publish_hosts(self, gateway: CellGateway, cell: str) -> None:
@@ -197,7 +197,7 @@
             return
 
         def on_end(end: CallEnd, reason: str, found: face.Found) -> None:
-            report = entry.decisions.local.report(self.clock.now, action.forwarded.cell)
+            report = entry.decisions.local.load_report(self.clock.now, action.forwarded.cell)
             reply.send(ENTRY_RESULTS.get(end, face.Result.ERROR), found, report)
 
         request = reply.served.request
@@ -239,7 +239,7 @@
 
     def check(self, gateway: CellGateway, action: Any) -> None:
         """Check the invariants of an action."""
-        if self._checking and gateway.decisions.single is None:
+        if self._checking and gateway.decisions.single_gateway is None:
             self.violations += invariants.hops_bounded(action)
             if isinstance(action, face.Attempt):
                 self.violations += invariants.sent_to_known(gateway.decisions, action)
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -40,7 +40,7 @@
     holder = TableHolder("play", lambda cell: trim_entries(cell, stands.name))
     holder.replace(make_table(shape))
     gateway.adopt(0, table_of(holder))
-    for name in gateway.wanted():
+    for name in gateway.cells_to_follow():
         rows = [
             face.ListedHost(f"{name}-{host}", 0, 0, face.State.ACTIVE, 1.0, None) for host in range(HOSTS)
         ]
@@ -82,7 +82,7 @@
     The cost is CPU time in us by default.
     """
     gateway, _ = made(cells, gateways)
-    own = gateway.wanted()[0]
+    own = gateway.cells_to_follow()[0]
     costs: dict[str, list[float]] = {"known": [], "forwarded": []}
     for number in range(200):
         for kind, forwarded in (("known", Forwarded(own, 1)), ("forwarded", None)):
@@ -124,7 +124,7 @@
     gc.collect()
     before = resident()
     gateway, _ = made(490, gateways)
-    own = gateway.wanted()
+    own = gateway.cells_to_follow()
     homes = gateway.homes
     assert homes is not None
     popular: dict[str, list[str]] = {name: [] for name in own}
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -123,13 +123,13 @@
 
     def gateways(self) -> list[Gateway]:
         """The decisions of each known cell."""
-        single = self.gateway.single
+        single = self.gateway.single_gateway
         return [single] if single is not None else list(self.gateway.local.gateways.values())
 
     def can_forward(self) -> bool:
         """Whether requests can be forwarded to another gateway."""
         table = self._current_table()
-        return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
+        return table is not None and any(self.gateway.entries.ordered_entries(cell) for cell in table.cells)
 
     def status(self) -> JsonObject:
         """The status for operators; its keys are older than the names in the code."""
@@ -179,14 +179,14 @@
         table = self._current_table()
         if table is None:
             return
-        zones = {name: table.by_name[name].zone for name in self.gateway.wanted()}
+        zones = {name: table.by_name[name].zone for name in self.gateway.cells_to_follow()}
         if zones != self.lists.zones:
             self.lists.set_cells(zones)
         self._reapply_released_lists()
 
     def _reapply_released_lists(self) -> None:
         """Gives the decisions their lists again if they released a cell and want it again."""
-        if self.gateway.single is not None:
+        if self.gateway.single_gateway is not None:
             return
         known = self.gateway.local.gateways
         if all(cell in known for cell in self.applied_lists):
@@ -242,4 +242,4 @@
         return rejections
 
     def _load_report(self, cell: str) -> Report | None:
-        return self.gateway.local.report(self.loop.now(), cell)
+        return self.gateway.local.load_report(self.loop.now(), cell)
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -12,7 +12,7 @@
 from gaproute.appliance.cell_lists import ListsByCell
 from gaproute.appliance.json_object import JsonObject
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
-from gaproute.decisions.cells.bounds import MAX_HOSTS
+from gaproute.decisions.cells.bounds import MAX_HOSTS_PER_CELL
 from gaproute.discovery.cell_members import CellMembers, RejectedMember
 from gaproute.discovery.cell_reconciler import CellReconciler
 from gaproute.discovery.changelog.cell_watcher import CellWatcher, cell_path
@@ -22,7 +22,7 @@
 from gaproute.shared.randomness import RandomSource
 
 MAX_CELLS = 64  # followed at a time; a view of 512 hosts has fewer, unless its cells are tiny
-MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view has by its table
+MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS_PER_CELL  # of all cells: four times what a view has by its table
 MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
 
 
@@ -42,9 +42,9 @@
     def select_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """The rejected members to be logged: each one once, and a limited number for a connection."""
         unlogged = [member for member in rejected if self.rejected.get(member.host) != member.reason]
-        if len(self.rejected) + len(unlogged) > MAX_HOSTS:
+        if len(self.rejected) + len(unlogged) > MAX_HOSTS_PER_CELL:
             self.rejected = {}
-        self.rejected.update(unlogged[:MAX_HOSTS])
+        self.rejected.update(unlogged[:MAX_HOSTS_PER_CELL])
         return self.limit_for_log(unlogged)
 
     def limit_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
--- a/gaproute/config/cell_files.py
+++ b/gaproute/config/cell_files.py
@@ -9,7 +9,7 @@
 from gaproute.config.directives.fleet import CellsLine, HostLine
 from gaproute.config.errors import ConfigurationError, Mistake
 from gaproute.config.files import FilePath, read_hosts, read_text
-from gaproute.decisions.cells.bounds import MAX_HOSTS
+from gaproute.decisions.cells.bounds import MAX_HOSTS_PER_CELL
 from gaproute.decisions.cells.table import CellTable
 
 MAX_LIST_BYTES = 1 << 20  # of a host list: 1 KiB for each of the most hosts
@@ -46,10 +46,14 @@
 def read_cell_hosts(path: FilePath) -> list[HostLine]:
     """The `host` lines of a cell's file. Errors: `ConfigurationError`."""
     lines = read_hosts(path, _bounded_text(path, MAX_LIST_BYTES))
-    if len(lines) > MAX_HOSTS:
+    if len(lines) > MAX_HOSTS_PER_CELL:
         found = f"{len(lines)} hosts are more than a cell may have"
         raise ConfigurationError(
-            [Mistake(str(path), lines[MAX_HOSTS].line, "host", found, f"{MAX_HOSTS} at most")]
+            [
+                Mistake(
+                    str(path), lines[MAX_HOSTS_PER_CELL].line, "host", found, f"{MAX_HOSTS_PER_CELL} at most"
+                )
+            ]
         )
     return lines
 
--- a/gaproute/config/directives/cell_table.py
+++ b/gaproute/config/directives/cell_table.py
@@ -11,7 +11,7 @@
 
 LARGEST_VERSION = (1 << 63) - 1
 
-Named = Annotated[str, Field(min_length=1, max_length=bounds.MAX_NAME)]
+Named = Annotated[str, Field(min_length=1, max_length=bounds.MAX_NAME_LENGTH)]
 VersionPart = Annotated[int, Field(ge=0, le=LARGEST_VERSION)]
 
 
@@ -25,7 +25,9 @@
 
 
 def _points(value: str | Iterable[str]) -> tuple[PointRange, ...]:
-    return tuple(_point(part) for part in _parts(value, bounds.MAX_RANGES, "ranges of ring points"))
+    return tuple(
+        _point(part) for part in _parts(value, bounds.MAX_POINT_RANGES_PER_CELL, "ranges of ring points")
+    )
 
 
 def _point(part: str) -> PointRange:
@@ -41,7 +43,7 @@
 
 
 def _entries(value: str | Iterable[str]) -> tuple[EntryGateway, ...]:
-    return tuple(_entry(part) for part in _parts(value, bounds.MAX_ENTRIES, "entry gateways"))
+    return tuple(_entry(part) for part in _parts(value, bounds.MAX_ENTRIES_PER_CELL, "entry gateways"))
 
 
 def _entry(part: str) -> EntryGateway:
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -6,7 +6,7 @@
 
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Address, Duration, Name, StartTime, YesNo, split_commas
-from gaproute.decisions.cells.bounds import MAX_NAME
+from gaproute.decisions.cells.bounds import MAX_NAME_LENGTH
 from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.raft.messages import MAX_MEMBERS
 
@@ -62,11 +62,11 @@
     positional: ClassVar = ("fleet",)
     example: ClassVar = "cells north file cells.table look 50ms region west zone west-a gateways 12"
     once: ClassVar = True
-    fleet: str = Field(min_length=1, max_length=MAX_NAME)
+    fleet: str = Field(min_length=1, max_length=MAX_NAME_LENGTH)
     file: str
     look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
-    region: str = Field(min_length=1, max_length=MAX_NAME)  # where this gateway is
-    zone: str = Field(min_length=1, max_length=MAX_NAME)
+    region: str = Field(min_length=1, max_length=MAX_NAME_LENGTH)  # where this gateway is
+    zone: str = Field(min_length=1, max_length=MAX_NAME_LENGTH)
     gateways: int = Field(1, ge=1, le=100_000)  # of the whole fleet, about
     # The file in which the last valid table is stored.
     stored_table: str | None = Field(None, alias="kept")
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -24,7 +24,7 @@
     gateway: Gateway | None  # of the known cell, which chose the host; None: sent to an entry gateway
     function: str
     sent_at: int
-    own: bool  # whether the request came from a client of this gateway
+    from_own_client: bool  # whether the request came from a client of this gateway
 
 
 class AttemptRecorder:
@@ -47,7 +47,7 @@
         """Uses a newer table from now on."""
         self.table = table
 
-    def sent(self, request: str, number: int, attempt: CellAttempt) -> None:
+    def register_attempt(self, request: str, number: int, attempt: CellAttempt) -> None:
         """Registers an attempt that was sent."""
         self.attempts[request, number] = attempt
 
@@ -65,10 +65,10 @@
         if attempt.gateway is not None:
             attempt.gateway.attempt_ended(now, outcome)
         else:
-            self._record_entry(now, outcome, attempt)
+            self._record_entry_outcome(now, outcome, attempt)
         self._record_health(now, outcome, attempt)
         warm_or_unknown = outcome.found in (Found.WARM, Found.UNKNOWN)
-        if attempt.own and outcome.result is Result.OK and warm_or_unknown:
+        if attempt.from_own_client and outcome.result is Result.OK and warm_or_unknown:
             self.demand.record_duration(attempt.function, outcome.took)
         self._record_load(now, outcome, attempt.cell)
         return True
@@ -87,13 +87,13 @@
     def _record_health(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
         if not _shows_cell_state(outcome.result, attempt):
             return
-        pace = None
+        relative_duration = None
         if outcome.result is Result.OK and outcome.found is Found.WARM:
             mean = max(MIN_MEAN_DURATION, self.demand.mean_duration(attempt.function))
-            pace = outcome.took / mean
-        self.health.record_outcome(now, attempt.cell, outcome.result, pace)
+            relative_duration = outcome.took / mean
+        self.health.record_outcome(now, attempt.cell, outcome.result, relative_duration)
 
-    def _record_entry(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
+    def _record_entry_outcome(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
         if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
             self.entries.record_failure(now, outcome.host)
         elif outcome.result is Result.TIMEOUT:
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -23,12 +23,12 @@
 from gaproute.units import SECOND
 
 MAX_CELLS_TRIED = 3  # for one request: what three cells rejected, a fourth would probably reject too
-OVERDUE_FACTOR = 4  # mean durations after which an attempt is overdue
-OVERDUE_LOADS = 2  # load times that are added to them
+OVERDUE_MEAN_DURATIONS = 4  # mean durations after which an attempt is overdue
+OVERDUE_LOAD_TIMES = 2  # load times that are added to them
 DEFAULT_LOAD_TIME = SECOND  # where the request has none
 
 # Reasons of a cell for rejecting a request, other than its load.
-UNABLE_REASONS = (
+UNAVAILABLE_REASONS = (
     RejectReason.NO_HOST_AVAILABLE,
     RejectReason.CELL_UNREACHABLE,
     RejectReason.NO_ACTIVE_HOST,
@@ -59,23 +59,23 @@
 
     def serve(self, progress: RequestProgress, forwarded: Forwarded | None) -> Actions[None]:
         """The generator of one request, from acceptance to its one final answer."""
-        answer: FinalAnswer | None = self._without_cell(progress, forwarded)
-        for choice in self._choices(progress, forwarded):
-            answer = yield from self._in_cell(progress, choice)
+        answer: FinalAnswer | None = self._answer_without_cell(progress, forwarded)
+        for choice in self._cell_choices(progress, forwarded):
+            answer = yield from self._serve_in_cell(progress, choice)
             if answer is None or isinstance(answer, Fail):
                 break
-            if not progress.may_leave_cell() or not self._worth_leaving(answer):
+            if not progress.may_leave_cell() or not self._permits_next_cell(answer):
                 break
         if answer is not None:
             yield answer
 
-    def _without_cell(self, progress: RequestProgress, forwarded: Forwarded | None) -> Reject:
+    def _answer_without_cell(self, progress: RequestProgress, forwarded: Forwarded | None) -> Reject:
         """The final answer where there is no cell to which the request may go."""
         if forwarded is not None and forwarded.cell not in self.table.by_name:
             return CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
         return Reject(progress.retry_after, RejectReason.NO_CELL_AVAILABLE)
 
-    def _choices(self, progress: RequestProgress, forwarded: Forwarded | None) -> Iterator[CellChoice]:
+    def _cell_choices(self, progress: RequestProgress, forwarded: Forwarded | None) -> Iterator[CellChoice]:
         """The cells for a request, in turn; the cell of a forwarded request was chosen by its first
         gateway.
         """
@@ -85,10 +85,10 @@
             return
         self.demand.record_arrival(progress.now, function)
         self.spill.record_arrival()
-        choices = self.selector.cells(progress.now, function, may_repeat=progress.is_idempotent)
+        choices = self.selector.choices(progress.now, function, may_repeat=progress.is_idempotent)
         for choice in islice(choices, MAX_CELLS_TRIED):
             if choice.cell in self.table.by_name:  # a newer table may have come in the meantime
-                self.view.record_use(progress.now, choice.cell)
+                self.view.record_request(progress.now, choice.cell)
                 yield choice
 
     def _forwarded_choice(self, progress: RequestProgress, name: str) -> Iterator[CellChoice]:
@@ -107,31 +107,31 @@
         ):
             yield CellChoice(name, trial=True)
 
-    def _worth_leaving(self, answer: Reject) -> bool:
+    def _permits_next_cell(self, answer: Reject) -> bool:
         """Whether a rejected request may go to another cell: after a rejection for load only a bounded share
         may.
         """
-        return answer.reason in UNABLE_REASONS or self.spill.try_spend()
+        return answer.reason in UNAVAILABLE_REASONS or self.spill.try_spend()
 
-    def _in_cell(self, progress: RequestProgress, choice: CellChoice) -> Actions[FinalAnswer | None]:
+    def _serve_in_cell(self, progress: RequestProgress, choice: CellChoice) -> Actions[FinalAnswer | None]:
         """Serves the request in one cell; returns its final answer there, or None if it was given already."""
         name = choice.cell
         if choice.trial:
-            self.health.trial_sent(progress.now, name)
+            self.health.record_trial_sent(progress.now, name)
         gateway = self.local.gateways.get(name)
         if gateway is None:
             actions = self.remote.serve(progress, self.table.by_name[name])
-            return (yield from self._drive(progress, name, actions, None))
+            return (yield from self._run_actions(progress, name, actions, None))
         if not gateway.active_hosts:
             self.health.record_unreachable(progress.now, name)
             return CellUnknown(progress.retry_after, RejectReason.NO_ACTIVE_HOST)
         actions = gateway.serve(progress.now, progress.remaining_request())
-        answer = yield from self._drive(progress, name, actions, gateway)
+        answer = yield from self._run_actions(progress, name, actions, gateway)
         if isinstance(answer, Reject) and answer.reason in FULL_REASONS:
             self.health.record_outcome(progress.now, name, Result.FULL)
         return answer
 
-    def _drive(
+    def _run_actions(
         self, progress: RequestProgress, name: str, actions: Actions[None], gateway: Gateway | None
     ) -> Actions[FinalAnswer | None]:
         """Passes on the actions of a cell for the request, and tracks its attempts."""
@@ -150,24 +150,24 @@
                     return progress.final_answer(RejectReason.ATTEMPTS_EXHAUSTED)
                 value = yield action
                 assert isinstance(value, int)
-                self._attempt_sent(progress, name, value, action.host, gateway)
+                self._register_attempt(progress, name, value, action.host, gateway)
             elif isinstance(action, Wait):
-                value = yield from self._wait(progress, action)
+                value = yield from self._wait_and_check_overdue(progress, action)
             else:
                 yield action
 
-    def _attempt_sent(
+    def _register_attempt(
         self, progress: RequestProgress, name: str, number: int, host: str, gateway: Gateway | None
     ) -> None:
-        progress.attempt_sent(number, name, host, self._due(progress))
+        progress.register_attempt(number, name, host, self._overdue_time(progress))
         request = progress.request
-        own = progress.hops == 0
-        attempt = CellAttempt(name, gateway, request.function, progress.now, own)
-        self.recorder.sent(request.id, number, attempt)
+        from_own_client = progress.hops == 0
+        attempt = CellAttempt(name, gateway, request.function, progress.now, from_own_client)
+        self.recorder.register_attempt(request.id, number, attempt)
 
-    def _wait(self, progress: RequestProgress, action: Wait) -> Actions[Wakeup]:
+    def _wait_and_check_overdue(self, progress: RequestProgress, action: Wait) -> Actions[Wakeup]:
         """Waits, and checks attempts that become overdue."""
-        resumed = yield Wait(min(action.until, progress.next_look()))
+        resumed = yield Wait(min(action.until, progress.next_overdue_check()))
         wakeup = wakeup_of(resumed)
         progress.now = wakeup.now
         if wakeup.outcome is not None:
@@ -176,8 +176,8 @@
             self.recorder.record_overdue(progress.now, attempt)
         return wakeup
 
-    def _due(self, progress: RequestProgress) -> int:
+    def _overdue_time(self, progress: RequestProgress) -> int:
         """When an attempt that is sent now becomes overdue, ns."""
         load_time = progress.request.load_time or DEFAULT_LOAD_TIME
         mean = self.demand.mean_duration(progress.request.function)
-        return progress.now + int(OVERDUE_FACTOR * mean) + OVERDUE_LOADS * load_time
+        return progress.now + int(OVERDUE_MEAN_DURATIONS * mean) + OVERDUE_LOAD_TIMES * load_time
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -37,15 +37,16 @@
 class CellularGateway:
     """The decisions of one gateway; times are ns of the clock of `now`.
 
-    `single`: the gateway that decides while there is at most one cell, else None; `previous_single`: the one
-    before the fleet had several. `homes`, `selector` and `router` decide while `single` is None.
+    `single_gateway` decides while there is at most one cell, else it is None. `previous_single_gateway` is
+    the one that decided before the fleet had several cells. `homes`, `selector` and `router` decide while
+    `single_gateway` is None.
     """
 
     def __init__(self, seed: int, terms: Terms, now: int, location: GatewayLocation | None = None) -> None:
         """Without a `location` the gateway can never have several cells."""
         self.terms, self.location = terms, location
-        self.single: Gateway | None = Gateway(seed, terms, now)
-        self.previous_single: Gateway | None = None
+        self.single_gateway: Gateway | None = Gateway(seed, terms, now)
+        self.previous_single_gateway: Gateway | None = None
         self.table: CellTable | None = None
         self.chance = Chance(seed ^ CHANCE_SALT)
         self.local = LocalCells(seed, terms)
@@ -62,7 +63,7 @@
 
     def __getattr__(self, name: str) -> Any:
         # Other attributes that drivers and transports read are those of the gateway of the one cell.
-        single = self.__dict__.get("single")
+        single = self.__dict__.get("single_gateway")
         if single is None:
             raise AttributeError(f"{name!r} is of one cell's gateway, and there are several cells")
         return getattr(single, name)
@@ -74,20 +75,20 @@
         several = len(table.cells) > 1
         if several and self.view is None:
             raise ValueError("a gateway without a place cannot go by several cells")
-        if several and self.single is not None:
-            self._divide(table)
+        if several and self.single_gateway is not None:
+            self._switch_to_several_cells(table)
         self.table = table
         self.recorder.adopt(table)
         if self.router is not None:
             self.router.table = table
         if several:
-            self._adopt_cells(table)
-        elif self.single is None:
-            self._unite(now, table)
+            self._adopt_several_cells(table)
+        elif self.single_gateway is None:
+            self._switch_to_one_cell(now, table)
 
-    def wanted(self) -> tuple[str, ...]:
+    def cells_to_follow(self) -> tuple[str, ...]:
         """The cells whose host lists this gateway should be given."""
-        if self.single is not None:
+        if self.single_gateway is not None:
             return (self.table.cells[0].name,) if self.table else ()
         return self._cells_in_view()
 
@@ -95,15 +96,15 @@
         self, now: int, rows: Sequence[ListedHost], *, complete: bool, cell: str | None = None
     ) -> None:
         """Takes over the hosts of a cell, or those of the whole fleet while there is one cell."""
-        if self.single is not None:
-            self.single.update_hosts(now, rows, complete=complete)
+        if self.single_gateway is not None:
+            self.single_gateway.update_hosts(now, rows, complete=complete)
         elif cell is not None and cell in self._cells_in_view():
             self.local.update_hosts(now, cell, rows, complete=complete)
 
     def _cells_in_view(self) -> tuple[str, ...]:
-        return self.view.names() if self.view is not None else ()
+        return self.view.cell_names() if self.view is not None else ()
 
-    def _adopt_cells(self, table: CellTable) -> None:
+    def _adopt_several_cells(self, table: CellTable) -> None:
         assert self.location is not None  # `adopt` has checked it
         assert self.view is not None
         if self.homes is None:
@@ -118,7 +119,7 @@
         self.entries.adopt(table)
         self.loads.adopt(table.by_name)
         self.view.adopt(table)
-        self.local.retain(self.view.names())
+        self.local.retain(self.view.cell_names())
         self.demand.scope = self._fleet_scope(self.selector.regional_cells / len(table.cells))
         if self.router is None:
             self.router = CellRouter(
@@ -126,21 +127,21 @@
             )
         self.router.selector = self.selector
 
-    def _divide(self, table: CellTable) -> None:
+    def _switch_to_several_cells(self, table: CellTable) -> None:
         """Changes from one cell to several; the gateway of the one goes on if its cell is still there and in
         view.
         """
-        single = self.single
+        single = self.single_gateway
         if self.table is not None and self.table.cells[0].name in table.by_name and single is not None:
             self.local.add(self.table.cells[0].name, single)
             self.local.load_order_limiter = single.load_order_limiter
-        self.previous_single, self.single = single, None
+        self.previous_single_gateway, self.single_gateway = single, None
 
-    def _unite(self, now: int, table: CellTable) -> None:
+    def _switch_to_one_cell(self, now: int, table: CellTable) -> None:
         """Changes from several cells to one."""
         known = self.local.gateways.get(table.cells[0].name)
-        self.single = known if known is not None else self.local.new_gateway(now)
-        self.previous_single = self.homes = self.selector = None
+        self.single_gateway = known if known is not None else self.local.new_gateway(now)
+        self.previous_single_gateway = self.homes = self.selector = None
         self.local.retain(())
 
     def _fleet_scope(self, regional_share: float) -> FleetScope:
@@ -154,25 +155,27 @@
         """The generator of one request, up to its final answer; `forwarded`: set if another gateway sent
         it.
         """
-        if self.single is None:
+        if self.single_gateway is None:
             assert self.router is not None
             return self.router.serve(RequestProgress(now, request, self.terms, forwarded), forwarded)
         if forwarded is not None and not self._knows_hosts_of(forwarded.cell):
-            return self._reject_unknown(RequestProgress(now, request, self.terms, forwarded))
-        actions: Actions[None] = self.single.serve(now, request)
+            return self._reject_unknown_cell(RequestProgress(now, request, self.terms, forwarded))
+        actions: Actions[None] = self.single_gateway.serve(now, request)
         return actions
 
     def attempt_ended(self, now: int, outcome: Outcome) -> None:
         """Records the outcome of an attempt, whether or not its request is still in flight."""
         if self.recorder.record(now, outcome):
             return
-        gateway = self.single or self.previous_single  # the attempt was sent while there was one cell
+        gateway = (
+            self.single_gateway or self.previous_single_gateway
+        )  # the attempt was sent while there was one cell
         if gateway is not None:
             gateway.attempt_ended(now, outcome)
 
     def probe_ended(self, now: int, host: str, report: Report | None, *, good: bool) -> bytes | None:
         """Accounts for a health check; returns the message for all other gateways, or None."""
-        gateway = self.single or self.local.of_host(host)
+        gateway = self.single_gateway or self.local.gateway_of_host(host)
         if gateway is None:
             return None
         payload: bytes | None = gateway.probe_ended(now, host, report, good=good)
@@ -182,22 +185,24 @@
         self, now: int, host: str, function: str, result: Result | None, copies: int
     ) -> None:
         """Accounts for the end of a load order."""
-        gateway = self.single or self.local.of_host(host)
+        gateway = self.single_gateway or self.local.gateway_of_host(host)
         if gateway is not None:
             gateway.load_order_ended(now, host, function, result, copies)
 
     def peer_message_received(self, now: int, payload: bytes, cell: str | None = None) -> None:
         """Takes another gateway's message about the load of a host."""
-        gateway = self.single or (self.local.gateways.get(cell) if cell is not None else None)
+        gateway = self.single_gateway or (self.local.gateways.get(cell) if cell is not None else None)
         if gateway is not None:
             gateway.peer_message_received(now, payload)
 
     def _knows_hosts_of(self, cell: str) -> bool:
         """Whether the only cell is that one and a host of it is known."""
-        assert self.single is not None
-        return self.table is not None and cell in self.table.by_name and bool(self.single.active_hosts)
+        assert self.single_gateway is not None
+        return (
+            self.table is not None and cell in self.table.by_name and bool(self.single_gateway.active_hosts)
+        )
 
-    def _reject_unknown(self, progress: RequestProgress) -> Actions[None]:
+    def _reject_unknown_cell(self, progress: RequestProgress) -> Actions[None]:
         """Rejects a request that was forwarded here for a cell which this gateway does not know."""
         yield CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
 
@@ -206,14 +211,14 @@
     @property
     def end_by(self) -> int:
         """When every request must have its final answer, as the process ends (ns)."""
-        end_by: int = self.single.end_by if self.single is not None else self.local.end_by
+        end_by: int = self.single_gateway.end_by if self.single_gateway is not None else self.local.end_by
         return end_by
 
     @end_by.setter
     def end_by(self, when: int) -> None:
-        if self.single is not None:
-            self.single.end_by = when
-        self.local.set_end(when)
+        if self.single_gateway is not None:
+            self.single_gateway.end_by = when
+        self.local.set_end_by(when)
 
     def housekeep(self, now: int) -> Actions[None]:
         """The generator of health checks, lists and cleanup of all known cells, and of reviews of the
@@ -221,9 +226,9 @@
         """
         housekeeper: Housekeeper | None = None  # of the single cell
         while True:
-            if self.single is not None:
-                if housekeeper is None or housekeeper.gateway is not self.single:
-                    housekeeper = Housekeeper(self.single, now)
+            if self.single_gateway is not None:
+                if housekeeper is None or housekeeper.gateway is not self.single_gateway:
+                    housekeeper = Housekeeper(self.single_gateway, now)
                 yield from housekeeper.advance(now)
                 due = housekeeper.due
             else:
@@ -231,6 +236,6 @@
                 yield from self.local.housekeep(now)
                 due = self.local.next_housekeeping(now)
                 if self.view is not None and self.view.review(now):
-                    self.local.retain(self.view.names())
+                    self.local.retain(self.view.cell_names())
             resumed = yield Wait(due)
             now = wakeup_of(resumed).now
--- a/gaproute/decisions/cells/change.py
+++ b/gaproute/decisions/cells/change.py
@@ -51,8 +51,8 @@
     if change.base != table.version:
         raise FullTableNeededError(table.version, change.base)
     cells = dict(table.by_name)
-    _remove(cells, change)
-    rows = _set(cells, change)
+    _remove_cells(cells, change)
+    rows = _set_cells(cells, change)
     if not cells:
         raise TableError("the change removes every cell")
     if len(cells) > bounds.MAX_CELLS:
@@ -66,7 +66,7 @@
     return make_table(table.fleet, change.version, cells)
 
 
-def _remove(cells: dict[str, Cell], change: TableChange) -> None:
+def _remove_cells(cells: dict[str, Cell], change: TableChange) -> None:
     if len(change.removed) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
     for name in change.removed:
@@ -74,7 +74,7 @@
             raise TableError(f"the change removes cell {name!r:.80}, which is not in the table")
 
 
-def _set(cells: dict[str, Cell], change: TableChange) -> dict[str, int]:
+def _set_cells(cells: dict[str, Cell], change: TableChange) -> dict[str, int]:
     """Sets the cells of the change's rows; returns the row of each cell, counted from 1."""
     if len(change.rows) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
--- a/gaproute/decisions/cells/choice.py
+++ b/gaproute/decisions/cells/choice.py
@@ -20,8 +20,8 @@
 from gaproute.decisions.cells.table import CellTable
 from gaproute.shared.randomness import RandomSource
 
-FIRST_PART = 4  # cells of an order that are considered first
-PART_GROWTH = 4  # factor by which that number grows
+INITIAL_ORDER_LENGTH = 4  # cells of an order that are considered first
+ORDER_GROWTH_FACTOR = 4  # factor by which that number grows
 
 
 class CellChoice(NamedTuple):
@@ -58,40 +58,42 @@
         regional = sum(cell.capacity for cell in table.cells if cell.region == self.location.region)
         self.regional_cells = regional / mean
 
-    def cells(self, now: int, function: str, *, may_repeat: bool = True) -> Iterator[CellChoice]:
+    def choices(self, now: int, function: str, *, may_repeat: bool = True) -> Iterator[CellChoice]:
         """Yields the cells for a request of the function, in turn. `may_repeat`: the request may be sent
         again.
         """
         regional, count = self.placement(now, function)
         region = self.location.region if regional else None
         homes = self.homes.order(function, count, region)[:count]
-        first = self._first(now, function, homes, may_repeat=may_repeat)
+        first = self._first_choice(now, function, homes, may_repeat=may_repeat)
         given: set[str] = set()
         if first is not None:
             given.add(first.cell)
             yield first
-        yield from self._next(now, function, region, given, may_repeat=may_repeat)
+        yield from self._further_choices(now, function, region, given, may_repeat=may_repeat)
         if regional:
-            yield from self._next(now, function, None, given, may_repeat=may_repeat)
+            yield from self._further_choices(now, function, None, given, may_repeat=may_repeat)
         if not given:
-            yield from self._last_resort(function, region)
+            yield from self._last_resort_choice(function, region)
 
     def placement(self, now: int, function: str) -> Placement:
         """Where the function has its homes, as this gateway estimates it."""
         placement = self.demand.placement(now, function, len(self.capacities), self.regional_cells)
-        if not placement.regional and self._is_cut_off(now, function):
+        if not placement.regional and self._is_region_cut_off(now, function):
             return placement._replace(regional=True)
         return placement
 
-    def _is_cut_off(self, now: int, function: str) -> bool:
+    def _is_region_cut_off(self, now: int, function: str) -> bool:
         """Whether most other regions have a fault: then the own region serves all functions alone."""
         if self.regional_cells <= 0 or not self.health.faults:
             return False
         others = [region for region in self.regions if region != self.location.region]
-        unusable = sum(not self.health.region_usable(now, region, function) for region in others)
+        unusable = sum(not self.health.is_region_usable(now, region, function) for region in others)
         return 2 * unusable > len(others) > 0
 
-    def _first(self, now: int, function: str, homes: Sequence[str], *, may_repeat: bool) -> CellChoice | None:
+    def _first_choice(
+        self, now: int, function: str, homes: Sequence[str], *, may_repeat: bool
+    ) -> CellChoice | None:
         """One of the homes that are usable: one that needs a trial first, else one drawn by load; None: no
         home.
         """
@@ -109,11 +111,11 @@
             return None
         return CellChoice(self.loads.draw(now, homes, self.capacities, self.chance))
 
-    def _next(
+    def _further_choices(
         self, now: int, function: str, region: str | None, given: set[str], *, may_repeat: bool
     ) -> Iterator[CellChoice]:
         """The usable cells of the order, except those already given."""
-        count, start = FIRST_PART, 0
+        count, start = INITIAL_ORDER_LENGTH, 0
         while True:
             order = self.homes.order(function, count, region)
             for name in order[start:]:
@@ -125,9 +127,9 @@
                     yield CellChoice(name)
             if len(order) < count:
                 return
-            start, count = len(order), PART_GROWTH * count
+            start, count = len(order), ORDER_GROWTH_FACTOR * count
 
-    def _last_resort(self, function: str, region: str | None) -> Iterator[CellChoice]:
+    def _last_resort_choice(self, function: str, region: str | None) -> Iterator[CellChoice]:
         """The cell where no other is left.
 
         It is the first home that has recovered but where the function is not due yet, or else the first that
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -15,14 +15,15 @@
 
 from gaproute.units import SECOND
 
-SHORT_MEMORY = 60 * SECOND  # of the short count, which follows a function that becomes hot
+SHORT_DECAY_TIME = 60 * SECOND  # of the short count, which follows a function that becomes hot
 # Of the long count, which separates functions that are requested often from rare ones
-LONG_MEMORY = 1_800 * SECOND
-CAUTION = 1.5  # standard deviations by which a count is estimated low: up to two arrivals count as none
-HOME_SHARE = 0.01  # share of a mean cell's work that one home of a function may get
+LONG_DECAY_TIME = 1_800 * SECOND
+# Standard deviations by which a count is estimated low: up to two arrivals count as none
+ESTIMATE_MARGIN = 1.5
+MAX_WORK_SHARE_PER_HOME = 0.01  # share of a mean cell's work that one home of a function may get
 SHRINK_FACTOR = 4  # the homes are halved when this many times fewer are needed
 # Requests expected at each home within a keep-alive: then an instance is found unloaded once in 55 requests
-WARM_REQUESTS = 4.0
+REQUESTS_PER_KEEP_ALIVE = 4.0
 MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, except to more homes
 DEFAULT_DURATION = SECOND // 10  # of a request before any was measured
 DURATION_WEIGHT = 0.1  # of the newest request in the mean duration of a function
@@ -30,9 +31,9 @@
 MAX_FUNCTIONS = 32_768  # stored functions; the one that was seen longest ago is dropped first
 
 
-def counted_time(running_time: int, memory: int) -> float:
+def effective_count_time(running_time: int, decay_time: int) -> float:
     """The time over which a decaying count reaches back, `running_time` after its begin; ns."""
-    return memory * (1 - exp(-max(running_time, SECOND) / memory))
+    return decay_time * (1 - exp(-max(running_time, SECOND) / decay_time))
 
 
 class FleetScope(NamedTuple):
@@ -47,10 +48,10 @@
     """Where a function has its homes: how many, and whether within the own region."""
 
     regional: bool
-    homes: int
+    home_count: int
 
 
-RARE = Placement(regional=False, homes=1)
+RARE_PLACEMENT = Placement(regional=False, home_count=1)
 
 
 class DecayingCount:
@@ -65,8 +66,8 @@
     def add(self, now: int, amount: float) -> None:
         """Decays the counts until now and adds the amount."""
         passed = now - self.updated_at
-        self.short_term = self.short_term * exp(-passed / SHORT_MEMORY) + amount
-        self.long_term = self.long_term * exp(-passed / LONG_MEMORY) + amount
+        self.short_term = self.short_term * exp(-passed / SHORT_DECAY_TIME) + amount
+        self.long_term = self.long_term * exp(-passed / LONG_DECAY_TIME) + amount
         self.updated_at = now
 
 
@@ -78,7 +79,7 @@
     def __init__(self, now: int) -> None:
         super().__init__(now)
         self.duration = 0.0  # mean time that a request takes, ns; 0: none measured
-        self.placement, self.changed_at = RARE, now - MIN_PLACEMENT_TIME
+        self.placement, self.changed_at = RARE_PLACEMENT, now - MIN_PLACEMENT_TIME
 
 
 class Demand:
@@ -95,7 +96,7 @@
         demand = self.functions.pop(function, None) or FunctionDemand(now)
         self.functions[function] = demand
         demand.add(now, 1.0)
-        self.total_work.add(now, self._duration(demand))
+        self.total_work.add(now, self._mean_duration_of(demand))
         if len(self.functions) > self.max_functions:
             del self.functions[next(iter(self.functions))]
 
@@ -113,13 +114,13 @@
     def mean_duration(self, function: str) -> float:
         """The mean time that a request of the function takes, ns."""
         demand = self.functions.get(function)
-        return self._duration(demand) if demand is not None else self.fleet_duration
+        return self._mean_duration_of(demand) if demand is not None else self.fleet_duration
 
     def placement(self, now: int, function: str, cells: float, regional_cells: float) -> Placement:
         """The function's homes, given the cells of mean capacity in the fleet and in the own region."""
         demand = self.functions.get(function)
         if demand is None:
-            return RARE
+            return RARE_PLACEMENT
         current = demand.placement
         may_change = now - demand.changed_at >= MIN_PLACEMENT_TIME
         regional = self._is_regional(now, demand) and regional_cells > 0
@@ -128,39 +129,39 @@
                 current = Placement(regional, 1)
             else:
                 regional = current.regional
-        homes = self._homes(now, demand, current, regional_cells if regional else cells)
-        if homes < current.homes and not may_change:
-            homes = current.homes
+        homes = self._home_count(now, demand, current, regional_cells if regional else cells)
+        if homes < current.home_count and not may_change:
+            homes = current.home_count
         if (regional, homes) != demand.placement:
             demand.placement, demand.changed_at = Placement(regional, homes), now
         return demand.placement
 
-    def _duration(self, demand: FunctionDemand) -> float:
+    def _mean_duration_of(self, demand: FunctionDemand) -> float:
         return demand.duration or self.fleet_duration
 
     def _is_regional(self, now: int, demand: FunctionDemand) -> bool:
         """Whether the region's own requests keep an instance loaded; to become regional takes more than to
         stay so.
         """
-        count = demand.long_term * exp((demand.updated_at - now) / LONG_MEMORY)
-        counted = counted_time(now - self.started_at, LONG_MEMORY)
+        count = demand.long_term * exp((demand.updated_at - now) / LONG_DECAY_TIME)
+        counted = effective_count_time(now - self.started_at, LONG_DECAY_TIME)
         keep_alives = self.scope.regional_gateways * self.scope.keep_alive / counted
         if demand.placement.regional:
-            return count >= 1 and count * keep_alives >= WARM_REQUESTS
-        return _lower_estimate(count) * keep_alives >= WARM_REQUESTS
+            return count >= 1 and count * keep_alives >= REQUESTS_PER_KEEP_ALIVE
+        return _lower_estimate(count) * keep_alives >= REQUESTS_PER_KEEP_ALIVE
 
-    def _homes(self, now: int, demand: FunctionDemand, current: Placement, cells: float) -> int:
+    def _home_count(self, now: int, demand: FunctionDemand, current: Placement, cells: float) -> int:
         """How many homes the function's work needs, but no more than its requests keep loaded."""
         share, rate = self._share_and_rate(now, demand)
         gateways = self.scope.regional_gateways if current.regional else self.scope.gateways
-        kept_loaded = rate * gateways * self.scope.keep_alive / WARM_REQUESTS
+        kept_loaded = rate * gateways * self.scope.keep_alive / REQUESTS_PER_KEEP_ALIVE
         most = max(1, min(int(cells), int(kept_loaded)))
-        needed = min(share * cells / HOME_SHARE, most)
-        if needed > current.homes:
+        needed = min(share * cells / MAX_WORK_SHARE_PER_HOME, most)
+        if needed > current.home_count:
             return min(most, 1 << (int(needed) - 1).bit_length())
-        if current.homes > most or needed * SHRINK_FACTOR <= current.homes:
-            return max(1, current.homes // 2)
-        return current.homes
+        if current.home_count > most or needed * SHRINK_FACTOR <= current.home_count:
+            return max(1, current.home_count // 2)
+        return current.home_count
 
     def _share_and_rate(self, now: int, demand: FunctionDemand) -> tuple[float, float]:
         """The function's share of all own work, and its requests per nanosecond, by the larger of the two
@@ -168,16 +169,16 @@
         """
         total = self.total_work
         share, rate = 0.0, 0.0
-        for function_count, work, memory in (
-            (demand.short_term, total.short_term, SHORT_MEMORY),
-            (demand.long_term, total.long_term, LONG_MEMORY),
+        for function_count, work, decay_time in (
+            (demand.short_term, total.short_term, SHORT_DECAY_TIME),
+            (demand.long_term, total.long_term, LONG_DECAY_TIME),
         ):
-            count = _lower_estimate(function_count * exp((demand.updated_at - now) / memory))
-            work *= exp((total.updated_at - now) / memory)
-            share = max(share, count * self._duration(demand) / max(work, 1.0))
-            rate = max(rate, count / counted_time(now - self.started_at, memory))
+            count = _lower_estimate(function_count * exp((demand.updated_at - now) / decay_time))
+            work *= exp((total.updated_at - now) / decay_time)
+            share = max(share, count * self._mean_duration_of(demand) / max(work, 1.0))
+            rate = max(rate, count / effective_count_time(now - self.started_at, decay_time))
         return share, rate
 
 
 def _lower_estimate(count: float) -> float:
-    return max(0.0, count - CAUTION * sqrt(count))
+    return max(0.0, count - ESTIMATE_MARGIN * sqrt(count))
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -20,11 +20,11 @@
 
 # From the gateway that took the request to an entry, and once more if that does not know the cell
 MAX_HOPS = 2
-MAX_ENTRIES_PER_CELL = 4  # in this gateway's order: two are tried for one request
+MAX_ENTRIES_USED_PER_CELL = 4  # in this gateway's order: two are tried for one request
 # Stored backoffs and answers for each cell, above which entries that the table lacks are forgotten
-ENTRIES_KEPT_PER_CELL = 4
+MAX_ENTRY_STATES_PER_CELL = 4
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is avoided
-NEVER = -1  # the time of the last answer of an entry that has not answered
+NEVER_ANSWERED = -1  # the time of the last answer of an entry that has not answered
 
 Key = TypeVar("Key")
 
@@ -35,13 +35,13 @@
     It is given to `TableHolder` in a fleet whose gateways do not pass the table on to each other: entries are
     the largest part of a table, and their number grows with the gateways.
     """
-    if len(cell.entries) <= MAX_ENTRIES_PER_CELL:
+    if len(cell.entries) <= MAX_ENTRIES_USED_PER_CELL:
         return cell
     own = [entry for entry in cell.entries if entry.name == own_name]
-    return replace(cell, entries=tuple(own + _ordered(own_name, cell)[:MAX_ENTRIES_PER_CELL]))
+    return replace(cell, entries=tuple(own + _sort_entries(own_name, cell)[:MAX_ENTRIES_USED_PER_CELL]))
 
 
-def _ordered(own_name: str, cell: Cell) -> list[EntryGateway]:
+def _sort_entries(own_name: str, cell: Cell) -> list[EntryGateway]:
     """The cell's entries in this gateway's order, except itself."""
     return sorted(
         [entry for entry in cell.entries if entry.name != own_name],
@@ -106,26 +106,26 @@
         self.unknown_cells = {
             key: backoff for key, backoff in self.unknown_cells.items() if _is_entry(table, *key)
         }
-        if len(self.backoffs) + len(self.last_answered) > ENTRIES_KEPT_PER_CELL * len(table.cells):
+        if len(self.backoffs) + len(self.last_answered) > MAX_ENTRY_STATES_PER_CELL * len(table.cells):
             named = {entry.name for cell in table.cells for entry in cell.entries}
             self.backoffs = {name: backoff for name, backoff in self.backoffs.items() if name in named}
             self.last_answered = {name: at for name, at in self.last_answered.items() if name in named}
 
-    def order(self, cell: Cell) -> tuple[EntryGateway, ...]:
+    def ordered_entries(self, cell: Cell) -> tuple[EntryGateway, ...]:
         """The cell's entries in this gateway's order, except itself."""
         cached = self.orders.get(cell.name)
         if cached is None or cached.cell is not cell:
-            cached = self.orders[cell.name] = _CachedOrder(cell, tuple(_ordered(self.own_name, cell)))
+            cached = self.orders[cell.name] = _CachedOrder(cell, tuple(_sort_entries(self.own_name, cell)))
         return cached.entries
 
     def pick(self, now: int, cell: Cell, tried: Collection[str] = ()) -> EntryGateway | None:
         """The entry to use; None where all are avoided or were tried."""
-        for entry in self.order(cell):
+        for entry in self.ordered_entries(cell):
             if entry.name not in tried and self._is_usable(now, entry.name, cell.name):
                 return entry
         return None
 
-    def none_available(self, now: int, cell: Cell) -> bool:
+    def has_no_usable_entry(self, now: int, cell: Cell) -> bool:
         """Whether no entry of the cell can be used now."""
         return self.pick(now, cell) is None
 
@@ -138,11 +138,9 @@
         self.record_answer(now, name)
         _back_off(self.unknown_cells, (name, cell), now)
 
-    def record_overdue(self, now: int, name: str, sent: int) -> None:
-        """Notes that a request, sent at `sent`, is overdue: a failure unless the entry has answered another
-        request since.
-        """
-        if not self.has_answered_since(name, sent):
+    def record_overdue(self, now: int, name: str, sent_at: int) -> None:
+        """Records a failure of the entry for an overdue request, unless it answered another request since."""
+        if not self.has_answered_since(name, sent_at):
             self.record_failure(now, name)
 
     def record_answer(self, now: int, name: str, cell: str | None = None) -> None:
@@ -154,7 +152,7 @@
 
     def has_answered_since(self, name: str, time: int) -> bool:
         """Whether the entry answered any request at or after that time."""
-        return self.last_answered.get(name, NEVER) >= time
+        return self.last_answered.get(name, NEVER_ANSWERED) >= time
 
     def _is_usable(self, now: int, name: str, cell: str) -> bool:
         """Whether the entry is not avoided, neither for all cells nor for this one."""
--- a/gaproute/decisions/cells/errors.py
+++ b/gaproute/decisions/cells/errors.py
@@ -19,9 +19,9 @@
 class TooManyCellsError(TableError):
     """A table has more rows than allowed; reading stopped at the first row too many."""
 
-    def __init__(self, bound: int) -> None:
-        super().__init__(f"more than {bound} cells")
-        self.bound = bound
+    def __init__(self, max_cells: int) -> None:
+        super().__init__(f"more than {max_cells} cells")
+        self.max_cells = max_cells
 
 
 class OtherFleetError(TableError):
@@ -35,14 +35,14 @@
 class StaleVersionError(TableError):
     """The version is not above the current one: it is of an earlier term, or was seen before."""
 
-    def __init__(self, held: Version, offered: Version) -> None:
-        super().__init__(f"version {offered} is not above {held}")
-        self.held, self.offered = held, offered
+    def __init__(self, current: Version, rejected: Version) -> None:
+        super().__init__(f"version {rejected} is not above {current}")
+        self.current, self.rejected = current, rejected
 
 
 class FullTableNeededError(TableError):
     """The change starts from a version other than the current one, so the complete table is needed."""
 
-    def __init__(self, held: Version | None, base: Version) -> None:
-        super().__init__(f"a change from version {base}, but {held} is held: ask for the whole table")
-        self.held, self.base = held, base
+    def __init__(self, current: Version | None, base: Version) -> None:
+        super().__init__(f"a change from version {base}, but {current} is current: ask for the whole table")
+        self.current, self.base = current, base
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -8,7 +8,7 @@
 from gaproute.units import SECOND
 
 TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without an answer has failed
-OUTCOMES = 8  # last outcomes of a cell that are stored, by which rejections and slowness are judged
+STORED_OUTCOMES = 8  # last outcomes of a cell that are stored, by which rejections and slowness are judged
 
 
 class CircuitState(Enum):
@@ -56,7 +56,7 @@
     next_trial_at: int
     trial_sent_at: int | None = None  # when the trial that has no answer yet was sent
     recovered_at: int | None = None  # when a trial succeeded
-    ramp: int = 0  # the time over which the functions return
+    ramp_duration: int = 0  # the time over which the functions return
 
     def is_trial_due(self, now: int) -> bool:
         """Whether a trial may be sent at the time `now`, ns."""
@@ -65,37 +65,37 @@
         return self.trial_sent_at is None or now - self.trial_sent_at >= TRIAL_TIMEOUT
 
 
-class CallOutcome(NamedTuple):
+class RequestOutcome(NamedTuple):
     """Whether a request was rejected."""
 
     at: int
     rejected: bool
 
 
-class Pace(NamedTuple):
+class RelativeDuration(NamedTuple):
     """The time that a request took, divided by the mean of its function."""
 
     at: int
     ratio: float
 
 
-def _recent_outcomes() -> deque[CallOutcome]:
-    return deque(maxlen=OUTCOMES)
+def _recent_outcomes() -> deque[RequestOutcome]:
+    return deque(maxlen=STORED_OUTCOMES)
 
 
-def _recent_paces() -> deque[Pace]:
-    return deque(maxlen=OUTCOMES)
+def _recent_durations() -> deque[RelativeDuration]:
+    return deque(maxlen=STORED_OUTCOMES)
 
 
 @dataclass(slots=True)
 class CellRecord:
     """What has been received from a cell lately."""
 
-    last_heard: int = -1  # ns
+    last_answered: int = -1  # ns
     overdue: dict[str, int] = field(default_factory=dict)  # host or entry: when the overdue request was sent
-    outcomes: deque[CallOutcome] = field(default_factory=_recent_outcomes)
-    paces: deque[Pace] = field(default_factory=_recent_paces)
+    outcomes: deque[RequestOutcome] = field(default_factory=_recent_outcomes)
+    relative_durations: deque[RelativeDuration] = field(default_factory=_recent_durations)
 
-    def awaited_since(self, last_heard: int) -> bool:
+    def has_overdue_sent_after(self, last_answered: int) -> bool:
         """Whether a request is overdue that was sent after that time."""
-        return any(sent > last_heard for sent in self.overdue.values())
+        return any(sent > last_answered for sent in self.overdue.values())
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -17,15 +17,15 @@
 from xxhash import xxh3_64_intdigest
 
 from gaproute.decisions.cells.faults import (
-    OUTCOMES,
-    CallOutcome,
+    STORED_OUTCOMES,
     CellRecord,
     CircuitState,
     Fault,
     FaultDomain,
     FaultKind,
     FaultScope,
-    Pace,
+    RelativeDuration,
+    RequestOutcome,
 )
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.silence import MIN_SILENT_PARTS, SilenceDetector
@@ -40,7 +40,7 @@
 OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes do not count; to most cells a gateway sends twice in 5 s
 MAX_REJECTED_SHARE = 0.5  # of the last outcomes, above which the cell has a fault
 MIN_OUTCOMES = 4  # outcomes that are needed to judge rejections
-SLOW = 4.0  # a cell that is more times slower than usual has a fault
+SLOW_RATIO = 4.0  # a cell that is more times slower than usual has a fault
 MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # over which functions return
 RAMP_JITTER = 0.1  # share of the ramp by which gateways differ for one function
 HASH_RANGE = 1 << 64
@@ -79,7 +79,7 @@
         `may_repeat`: it may be sent again; a request that must not be avoids suspected domains.
         """
         cell = self.cells.get(name)
-        if cell is None or not may_repeat and self.silence.suspects(now, cell):
+        if cell is None or not may_repeat and self.silence.is_suspected(now, cell):
             return CircuitState.OPEN
         state = CircuitState.CLOSED
         for domain in self.silence.domains(cell) if self.faults else ():
@@ -94,9 +94,9 @@
         """Whether nothing has a fault, so that every request may go everywhere."""
         return not self.faults and not self.silence.suspected
 
-    def region_usable(self, now: int, name: str, function: str) -> bool:
+    def is_region_usable(self, now: int, name: str, function: str) -> bool:
         """Whether the region has no fault, or has recovered and the function is due there again."""
-        domains = (FaultScope.REGION, name), *self.silence.outside_by_region(name)
+        domains = (FaultScope.REGION, name), *self.silence.outside_domains_of_region(name)
         faults = [self.faults[domain] for domain in domains if domain in self.faults]
         return all(self._has_returned(now, fault, function) for fault in faults)
 
@@ -120,70 +120,72 @@
 
     # What was received
 
-    def trial_sent(self, now: int, name: str) -> None:
+    def record_trial_sent(self, now: int, name: str) -> None:
         """Notes that a trial goes to the cell; an earlier one had no answer."""
-        self._trial_failed(now, name)
+        self._record_trial_failure(now, name)
         for fault in self._current_faults(name):
             fault.trial_sent_at = now
 
     def record_unreachable(self, now: int, name: str) -> None:
         """Notes that no host or entry of the cell can be reached, or no host of it is active."""
         if name in self.cells:
-            self._fault_found(now, (FaultScope.CELL, name), FaultKind.UNREACHABLE)
-            self._trial_failed(now, name)
+            self._record_fault(now, (FaultScope.CELL, name), FaultKind.UNREACHABLE)
+            self._record_trial_failure(now, name)
 
-    def record_overdue(self, now: int, name: str, sent: int, via: str) -> None:
+    def record_overdue(self, now: int, name: str, sent_at: int, via: str) -> None:
         """Notes that a request to the cell, by way of the host or entry `via`, is overdue; once for each
         request.
         """
         if name not in self.cells:
             return
         record = self.records.setdefault(name, CellRecord())
-        if sent <= record.last_heard:
+        if sent_at <= record.last_answered:
             return
-        record.overdue[via] = sent
-        self.silence.record_overdue(now, self.cells[name], sent)
-        self._trial_failed(now, name)
+        record.overdue[via] = sent_at
+        self.silence.record_overdue(now, self.cells[name], sent_at)
+        self._record_trial_failure(now, name)
         if len(record.overdue) >= MIN_SILENT_PARTS:
-            self._fault_found(now, (FaultScope.CELL, name), FaultKind.SILENT)
-        for domain in self.silence.silent_around(self.cells[name], self.records):
-            self._fault_found(now, domain, FaultKind.SILENT)
+            self._record_fault(now, (FaultScope.CELL, name), FaultKind.SILENT)
+        for domain in self.silence.silent_domains_around(self.cells[name], self.records):
+            self._record_fault(now, domain, FaultKind.SILENT)
 
-    def record_outcome(self, now: int, name: str, result: Result, pace: float | None = None) -> None:
+    def record_outcome(
+        self, now: int, name: str, result: Result, relative_duration: float | None = None
+    ) -> None:
         """Records the outcome of a request.
 
-        `pace`: its time divided by the mean of its function, where an instance was warm.
+        `relative_duration`: its time divided by the mean of its function, where an instance was warm.
         """
         if name not in self.cells:
             return
         record = self.records.setdefault(name, CellRecord())
         answered, rejected = result in ANSWERS, result in REJECTIONS
         if answered or rejected:
-            record.last_heard = now
+            record.last_answered = now
             self.silence.record_answer(now, self.cells[name])
             record.overdue.clear()
-            record.outcomes.append(CallOutcome(now, rejected))
+            record.outcomes.append(RequestOutcome(now, rejected))
         if answered:
-            self._recover(now, name)
-        if pace is not None:
-            record.paces.append(Pace(now, pace))
+            self._record_recovery(now, name)
+        if relative_duration is not None:
+            record.relative_durations.append(RelativeDuration(now, relative_duration))
         if rejected or result in FAILURES:
-            self._trial_failed(now, name)
+            self._record_trial_failure(now, name)
         self._judge_cell(now, name, record)
 
     def _judge_cell(self, now: int, name: str, record: CellRecord) -> None:
         """Finds the faults that the last outcomes show: rejections and slowness."""
         rejected = [outcome.rejected for outcome in record.outcomes if now - outcome.at < OUTCOME_MAX_AGE]
-        ratios = [pace.ratio for pace in record.paces if now - pace.at < OUTCOME_MAX_AGE]
+        ratios = [each.ratio for each in record.relative_durations if now - each.at < OUTCOME_MAX_AGE]
         if len(rejected) >= MIN_OUTCOMES and sum(rejected) > MAX_REJECTED_SHARE * len(rejected):
             kind = FaultKind.REJECTING
-        elif len(ratios) == OUTCOMES and median(ratios) > SLOW:
+        elif len(ratios) == STORED_OUTCOMES and median(ratios) > SLOW_RATIO:
             kind = FaultKind.SLOW
         else:
             return
         record.outcomes.clear()
-        record.paces.clear()
-        self._fault_found(now, (FaultScope.CELL, name), kind)
+        record.relative_durations.clear()
+        self._record_fault(now, (FaultScope.CELL, name), kind)
 
     # Faults, trials and recovery
 
@@ -193,7 +195,7 @@
             return CircuitState.CLOSED
         if fault.recovered_at is None:
             return CircuitState.HALF_OPEN if fault.is_trial_due(now) else CircuitState.OPEN
-        if now >= fault.recovered_at + fault.ramp:
+        if now >= fault.recovered_at + fault.ramp_duration:
             del self.faults[domain]
             return CircuitState.CLOSED
         return CircuitState.CLOSED if self._has_returned(now, fault, function) else CircuitState.OPEN
@@ -203,7 +205,7 @@
         found = [self.faults.get(domain) for domain in self.silence.domains(self.cells[name])]
         return [fault for fault in found if fault is not None and fault.recovered_at is None]
 
-    def _fault_found(self, now: int, domain: FaultDomain, kind: FaultKind) -> None:
+    def _record_fault(self, now: int, domain: FaultDomain, kind: FaultKind) -> None:
         fault = self.faults.get(domain)
         if fault is None:
             self.faults[domain] = Fault(kind, now, MIN_BACKOFF, now + self._with_jitter(MIN_BACKOFF))
@@ -211,7 +213,7 @@
             fault.kind, fault.since, fault.recovered_at = kind, now, None
             self._back_off(now, fault)
 
-    def _trial_failed(self, now: int, name: str) -> None:
+    def _record_trial_failure(self, now: int, name: str) -> None:
         for fault in self._current_faults(name) if self.faults else ():
             if fault.trial_sent_at is not None:
                 self._back_off(now, fault)
@@ -223,22 +225,22 @@
     def _with_jitter(self, backoff: int) -> int:
         return backoff + self.chance.below(int(BACKOFF_JITTER * backoff))
 
-    def _recover(self, now: int, name: str) -> None:
+    def _record_recovery(self, now: int, name: str) -> None:
         """Ends faults after an answer: any answer ends silence, of zone and region too; other faults need a
         trial.
         """
         for fault in self._current_faults(name) if self.faults else ():
             if fault.kind is FaultKind.SILENT or fault.trial_sent_at is not None:
                 fault.recovered_at, fault.trial_sent_at = now, None
-                fault.ramp = min(MAX_RECOVERY_RAMP, max(MIN_RECOVERY_RAMP, now - fault.since))
+                fault.ramp_duration = min(MAX_RECOVERY_RAMP, max(MIN_RECOVERY_RAMP, now - fault.since))
 
     def _has_returned(self, now: int, fault: Fault, function: str) -> bool:
         """Whether the function is due again on the recovery ramp."""
         if fault.recovered_at is None:
             return False
-        return self._turn(function) * fault.ramp <= now - fault.recovered_at
+        return self._ramp_share(function) * fault.ramp_duration <= now - fault.recovered_at
 
-    def _turn(self, function: str) -> float:
+    def _ramp_share(self, function: str) -> float:
         """The share of a recovery ramp after which the function returns; nearly the same at all gateways."""
         shared = xxh3_64_intdigest(function.encode())
         own = xxh3_64_intdigest(f"{self.own_name}\0{function}".encode())
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.cells.table import Cell, CellTable
 from gaproute.decisions.cells.version import Version
 
-MAX_ORDERS = 8_192  # cached orders; computing one takes far less than a millisecond
+MAX_CACHED_ORDERS = 8_192  # cached orders; computing one takes far less than a millisecond
 MIN_ORDER_LENGTH = 4  # homes in a cached order: one for each usual reason to use the next cell
 
 
@@ -31,7 +31,9 @@
     `regions`: those that will be needed; the ring of any other is made when it is first used.
     """
 
-    def __init__(self, table: CellTable, max_orders: int = MAX_ORDERS, regions: Iterable[str] = ()) -> None:
+    def __init__(
+        self, table: CellTable, max_orders: int = MAX_CACHED_ORDERS, regions: Iterable[str] = ()
+    ) -> None:
         self.table = table
         self.max_orders = max_orders
         # By (function, region); the one used last comes last
@@ -47,10 +49,12 @@
         before, after = self.table.by_name, table.by_name
         names = {name for name, cell in after.items() if before.get(name) is not cell}
         names |= before.keys() - after.keys()
-        names = {name for name in names if not _same_on_ring(before.get(name), after.get(name))}
+        names = {name for name in names if not _has_same_ring_points(before.get(name), after.get(name))}
         for region, ring in self._rings.items():
-            inside = {name: after[name] for name in names & after.keys() if _is_in(after[name], region)}
-            ring.change(inside, names)
+            inside = {
+                name: after[name] for name in names & after.keys() if _is_in_region(after[name], region)
+            }
+            ring.update_cells(inside, names)
         self.table = table
 
     def order(self, function: str, count: int, region: str | None = None) -> tuple[str, ...]:
@@ -59,7 +63,7 @@
         version, order = self._orders.pop(key, _NO_ORDER)
         ring = self._ring(region)
         if version != self.table.version or len(order) < min(count, len(ring.cells)):
-            order = _compute(ring, function, max(count, MIN_ORDER_LENGTH))
+            order = _compute_order(ring, function, max(count, MIN_ORDER_LENGTH))
         self._orders[key] = _CachedOrder(self.table.version, order)
         if len(self._orders) > self.max_orders:
             del self._orders[next(iter(self._orders))]
@@ -70,13 +74,13 @@
         order = self.order(function, 1, region)
         return order[0] if order else None
 
-    def cached_orders(self) -> int:
+    def cached_order_count(self) -> int:
         """How many orders are cached."""
         return len(self._orders)
 
     def _ring(self, region: str | None) -> HashRing:
         if region not in self._rings:
-            self._rings[region] = HashRing(cell for cell in self.table.cells if _is_in(cell, region))
+            self._rings[region] = HashRing(cell for cell in self.table.cells if _is_in_region(cell, region))
         return self._rings[region]
 
 
@@ -86,7 +90,7 @@
     return sum(before.first(name) != after.first(name) for name in functions) / max(1, len(functions))
 
 
-def _compute(ring: HashRing, function: str, count: int) -> tuple[str, ...]:
+def _compute_order(ring: HashRing, function: str, count: int) -> tuple[str, ...]:
     """The ring's order, in which the second cell is the first one of another zone."""
     if not ring.cells:
         return ()
@@ -107,11 +111,11 @@
     return tuple(order[:count])
 
 
-def _is_in(cell: Cell, region: str | None) -> bool:
+def _is_in_region(cell: Cell, region: str | None) -> bool:
     return region is None or cell.region == region
 
 
-def _same_on_ring(before: Cell | None, after: Cell | None) -> bool:
+def _has_same_ring_points(before: Cell | None, after: Cell | None) -> bool:
     """Whether two rows of a cell give the same order of homes."""
     if before is None or after is None:
         return before is after
--- a/gaproute/decisions/cells/invariants.py
+++ b/gaproute/decisions/cells/invariants.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.demand import MAX_FUNCTIONS
 from gaproute.decisions.cells.entries import MAX_HOPS, ForwardAttempt
-from gaproute.decisions.cells.homes import MAX_ORDERS, HomeCells
+from gaproute.decisions.cells.homes import MAX_CACHED_ORDERS, HomeCells
 from gaproute.decisions.cells.table import CellTable
 from gaproute.interface import Attempt
 
@@ -16,13 +16,13 @@
     view = gateway.view
     assert view is not None
     assert gateway.homes is not None
-    if view.hosts() > view.max_hosts and len(view.names()) > 1:
-        yield f"{view.hosts()} hosts are in view, {view.max_hosts} at most"
-    for name in gateway.local.gateways.keys() - set(view.names()):
+    if view.host_count() > view.max_hosts and len(view.cell_names()) > 1:
+        yield f"{view.host_count()} hosts are in view, {view.max_hosts} at most"
+    for name in gateway.local.gateways.keys() - set(view.cell_names()):
         yield f"the hosts of {name} are held, which is not in view"
     for what, count, most in (
         ("functions remembered", len(gateway.demand.functions), MAX_FUNCTIONS),
-        ("orders cached", gateway.homes.cached_orders(), MAX_ORDERS),
+        ("orders cached", gateway.homes.cached_order_count(), MAX_CACHED_ORDERS),
         ("cells' loads", len(gateway.loads.cells), MAX_CELLS),
         ("cells' records", len(gateway.health.records), MAX_CELLS),
         ("entry orders", len(gateway.entries.orders), MAX_CELLS),
@@ -59,7 +59,7 @@
             yield f"forwarded to {attempt.forwarded.cell}, which is not in the table"
         elif attempt.host not in {entry.name for entry in cell.entries}:
             yield f"forwarded to {attempt.host}, which is no entry of {cell.name}"
-    elif (owner := gateway.local.of_host(attempt.host)) is None:
+    elif (owner := gateway.local.gateway_of_host(attempt.host)) is None:
         yield f"sent to {attempt.host}, which is in no cell known"
     elif not owner.hosts_by_id[attempt.host].active:
         yield f"sent to {attempt.host}, which is not active"
@@ -77,7 +77,7 @@
         yield f"version {after.version} came after {before.version}"
 
 
-def check(gateway: CellularGateway, functions: Iterable[str] = ()) -> list[str]:
+def find_violations(gateway: CellularGateway, functions: Iterable[str] = ()) -> list[str]:
     """The violations of all invariants of a gateway with several cells, as text; empty if there are none."""
     return [
         *view_bounded(gateway),
--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -14,13 +14,13 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-LOAD_MEMORY = 10 * SECOND  # time over which the reports of a cell are averaged
+LOAD_DECAY_TIME = 10 * SECOND  # time over which the reports of a cell are averaged
 LOAD_MAX_AGE = 60 * SECOND  # an older load does not count
 MIN_REPORT_INTERVAL = SECOND // 10  # shorter intervals between reports count as this
-MEAN_WEIGHT = 1 / 256  # weight of one report in the mean of all
+MEAN_REPORT_WEIGHT = 1 / 256  # weight of one report in the mean of all
 # Of the probability by the difference of two loads divided by the mean: a tenth shifts it by 0.6
-SLOPE = 12.0
-MIN_PROBABILITY = 0.05  # of taking the more loaded one, so that its reports still come
+PROBABILITY_SLOPE = 12.0
+MIN_HIGHER_LOAD_PROBABILITY = 0.05  # of taking the more loaded one, so that its reports still come
 MAX_DRAWS = 8  # draws by capacity before one is taken anyway
 
 
@@ -54,9 +54,9 @@
             self.mean = self.mean or value
         else:
             interval = max(now - load.reported_at, MIN_REPORT_INTERVAL)
-            load.value += (value - load.value) * (1 - exp(-interval / LOAD_MEMORY))
+            load.value += (value - load.value) * (1 - exp(-interval / LOAD_DECAY_TIME))
             load.reported_at = now
-        self.mean += (load.value - self.mean) * MEAN_WEIGHT
+        self.mean += (load.value - self.mean) * MEAN_REPORT_WEIGHT
 
     def relative_load(self, now: int, name: str) -> float:
         """The cell's load divided by the mean; 1 where nothing is known."""
@@ -76,8 +76,8 @@
         second = _draw_by_capacity(names, capacities, largest, chance)
         if first == second:
             return first
-        shift = SLOPE * (self.relative_load(now, second) - self.relative_load(now, first)) / 2
-        probability = min(1 - MIN_PROBABILITY, max(MIN_PROBABILITY, 0.5 + shift))
+        shift = PROBABILITY_SLOPE * (self.relative_load(now, second) - self.relative_load(now, first)) / 2
+        probability = min(1 - MIN_HIGHER_LOAD_PROBABILITY, max(MIN_HIGHER_LOAD_PROBABILITY, 0.5 + shift))
         return first if chance.below(SECOND) < probability * SECOND else second
 
 
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -14,8 +14,8 @@
 from gaproute.interface import Action, ListedHost, Report, Terms
 from gaproute.units import SECOND
 
-LOAD_MAX_AGE = SECOND  # for which the sum of the loads of a cell's hosts is cached
-HOUSEKEEPING_INTERVAL = SECOND  # the longest time between two checks for housekeeping that is due
+LOAD_CACHE_TIME = SECOND  # for which the sum of the loads of a cell's hosts is cached
+MAX_HOUSEKEEPING_INTERVAL = SECOND  # the longest time between two checks for housekeeping that is due
 
 
 class _CachedLoad(NamedTuple):
@@ -68,13 +68,13 @@
         """Adds a cell with a gateway that was made for it."""
         self.gateways[name] = gateway
 
-    def set_end(self, when: int) -> None:
+    def set_end_by(self, when: int) -> None:
         """Sets the time by which every request must have its answer, as the process ends."""
         self.end_by = when
         for gateway in self.gateways.values():
             gateway.end_by = when
 
-    def of_host(self, host: str) -> Gateway | None:
+    def gateway_of_host(self, host: str) -> Gateway | None:
         """The gateway that knows the host, or None."""
         for gateway in self.gateways.values():
             if host in gateway.hosts_by_id:
@@ -84,13 +84,13 @@
     def load(self, now: int, name: str) -> float:
         """Requests in flight at the hosts of a known cell, as far as this gateway knows."""
         cached = self.loads.get(name)
-        if cached is None or now - cached.counted_at >= LOAD_MAX_AGE:
+        if cached is None or now - cached.counted_at >= LOAD_CACHE_TIME:
             gateway = self.gateways[name]
             load = float(sum(gateway.queued(host, 1, now) for host in gateway.active_hosts))
             cached = self.loads[name] = _CachedLoad(now, load)
         return cached.load
 
-    def report(self, now: int, name: str) -> Report | None:
+    def load_report(self, now: int, name: str) -> Report | None:
         """The load of the cell, which an entry sends with each answer; None for a cell that it does not
         know.
         """
@@ -108,4 +108,4 @@
     def next_housekeeping(self, now: int) -> int:
         """When `housekeep` is due again, ns."""
         due = (housekeeper.due for housekeeper in self.housekeepers.values())
-        return min(now + HOUSEKEEPING_INTERVAL, min(due, default=now + HOUSEKEEPING_INTERVAL))
+        return min(now + MAX_HOUSEKEEPING_INTERVAL, min(due, default=now + MAX_HOUSEKEEPING_INTERVAL))
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -68,11 +68,11 @@
                 return
             if self.health.is_faulty(cell.name) or not _may_repeat(progress, outcome.result):
                 break
-        yield from self._give_up(progress, cell)
+        yield from self._answer_without_entry(progress, cell)
 
-    def _give_up(self, progress: RequestProgress, cell: Cell) -> Actions[None]:
+    def _answer_without_entry(self, progress: RequestProgress, cell: Cell) -> Actions[None]:
         """The final answer where no further entry can be used."""
-        if self.entries.none_available(progress.now, cell):
+        if self.entries.has_no_usable_entry(progress.now, cell):
             self.health.record_unreachable(progress.now, cell.name)
         answer = progress.final_answer(RejectReason.CELL_UNREACHABLE)
         if isinstance(answer, Reject) and not (progress.may_have_run or progress.in_flight):
@@ -97,7 +97,7 @@
             resumed = yield Wait(answer_by if progress.now < answer_by else progress.now + SECOND)
             now, outcome = wakeup_of(resumed)
             if outcome is not None and outcome.result is Result.STREAM_STARTED:
-                yield from _await_end(now, outcome)
+                yield from _await_stream_end(now, outcome)
                 return None
             if outcome is not None and outcome.ended:
                 if number in progress.in_flight and self.cancel_allowed:
@@ -106,7 +106,7 @@
             if outcome is not None:
                 return outcome
             too_late = now >= self._answer_by(progress)
-            given_up = too_late or self._is_lost(cell) and progress.is_idempotent
+            given_up = too_late or self._is_unresponsive(cell) and progress.is_idempotent
             if given_up and self.cancel_allowed and not cancelled:
                 cancelled = True
                 yield Cancel(number)
@@ -114,7 +114,7 @@
                 yield progress.final_answer(RejectReason.NO_TIME_LEFT)
                 return None
 
-    def _is_lost(self, cell: Cell) -> bool:
+    def _is_unresponsive(self, cell: Cell) -> bool:
         """Whether no answer can be expected from the cell."""
         return self.health.is_faulty(cell.name) and not self.health.is_only_slow(cell.name)
 
@@ -132,7 +132,7 @@
     return progress.deadline + MAX_TRANSIT_TIME <= forgotten_at
 
 
-def _await_end(now: int, outcome: Outcome | None) -> Actions[None]:
+def _await_stream_end(now: int, outcome: Outcome | None) -> Actions[None]:
     """Waits for the end of a streamed answer, which has no deadline."""
     while outcome is None or not outcome.ended:
         resumed = yield Wait(now + SECOND)
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -23,7 +23,7 @@
 )
 from gaproute.units import MILLI
 
-LOOK_INTERVAL = 500 * MILLI  # between checks of a request with an overdue attempt
+OVERDUE_CHECK_INTERVAL = 500 * MILLI  # between checks of a request with an overdue attempt
 
 
 class AttemptInFlight(NamedTuple):
@@ -32,7 +32,7 @@
     cell: str
     host: str  # the name of the host, or of the entry gateway
     sent_at: int
-    due: int  # when it is overdue
+    overdue_at: int  # when it is overdue
 
 
 class RequestProgress:
@@ -62,12 +62,12 @@
             return self.request
         return self.request._replace(time_left=max(0, self.deadline - self.now))
 
-    def attempt_sent(self, number: int, cell: str, host: str, due: int) -> None:
+    def register_attempt(self, number: int, cell: str, host: str, overdue_at: int) -> None:
         """Registers an attempt that was sent."""
         self.attempts += 1
         if self.first_sent_at is None:
             self.first_sent_at = self.now
-        self.in_flight[number] = AttemptInFlight(cell, host, self.now, due)
+        self.in_flight[number] = AttemptInFlight(cell, host, self.now, overdue_at)
 
     def record_outcome(self, outcome: Outcome) -> None:
         """Records the outcome of one attempt, or of the whole request."""
@@ -77,16 +77,16 @@
             self.overdue.discard(outcome.attempt)
             self.may_have_run |= outcome.result not in NEVER_RAN
 
-    def next_look(self) -> int:
+    def next_overdue_check(self) -> int:
         """When to check the attempts in flight: when one becomes overdue, and at intervals after that."""
         if self.overdue:
-            return self.now + LOOK_INTERVAL
-        return min((attempt.due for attempt in self.in_flight.values()), default=NEVER)
+            return self.now + OVERDUE_CHECK_INTERVAL
+        return min((attempt.overdue_at for attempt in self.in_flight.values()), default=NEVER)
 
     def newly_overdue(self) -> Iterator[AttemptInFlight]:
         """The attempts that have become overdue since the last call."""
         for number, attempt in self.in_flight.items():
-            if attempt.due <= self.now and number not in self.overdue:
+            if attempt.overdue_at <= self.now and number not in self.overdue:
                 self.overdue.add(number)
                 yield attempt
 
--- a/gaproute/decisions/cells/ring.py
+++ b/gaproute/decisions/cells/ring.py
@@ -1,9 +1,10 @@
 """A hash ring with several probes for each key (Appleton and O'Reilly, Multi-probe consistent hashing, 2015).
 
-A cell owns points on the ring. A function is hashed to `PROBES` positions. The cell with the point that
-follows one of them at the least distance is its first home, the cell at the next distance the second, and so
-on. The probes make the load even, so few points for each cell are enough; the cost is that of the probes, and
-grows with the fleet only by the logarithm of the points.
+A cell owns points on the ring. A function is hashed to `PROBES_PER_ROUND` positions, and the distance from
+each position to the next point on the ring is computed. The cell that owns the point at the smallest distance
+is the function's first home, the cell at the next distance the second, and so on. The probes make the load
+even, so few points for each cell are enough. The cost is that of the probes, and grows with the fleet only by
+the logarithm of the number of points.
 
 Invariants: equal cells give equal orders, however the ring was made; a cell that is added or removed leaves
 the order of all others as it was, within one round of probes; a split leaves every point where it was.
@@ -17,8 +18,8 @@
 
 from gaproute.decisions.cells.table import Cell
 
-PROBES = 21  # positions of a function; the fullest point then has about 1.05 of the mean
-ROUNDS = 4  # rounds of so many probes, before the cells that no probe has met are ordered one by one
+PROBES_PER_ROUND = 21  # positions of a function; the fullest point then has about 1.05 of the mean
+MAX_ROUNDS = 4  # rounds of so many probes, before the cells that no probe has met are ordered one by one
 RING_SIZE = 1 << 64  # positions on the ring
 
 
@@ -39,7 +40,7 @@
         self.positions = [position for position, _ in points]
         self.owners = [owner for _, owner in points]
 
-    def change(self, cells: Mapping[str, Cell], names: Iterable[str]) -> None:
+    def update_cells(self, cells: Mapping[str, Cell], names: Iterable[str]) -> None:
         """Takes over the named cells as they are in `cells`; those missing there are removed."""
         names = sorted(names)
         for name in names:
@@ -48,13 +49,13 @@
         for name in names:
             if name in cells:
                 self._add_points(cells[name], self.cells.get(name))
-            self._replace(name, cells.get(name))
+            self._replace_cell(name, cells.get(name))
 
     def order(self, function: str) -> Iterator[str]:
         """All cells, in the function's order."""
         key, given = function.encode(), set()
-        for start in range(0, ROUNDS * PROBES, PROBES):
-            for _, name in sorted(self._probe(key, seed) for seed in range(start, start + PROBES)):
+        for start in range(0, MAX_ROUNDS * PROBES_PER_ROUND, PROBES_PER_ROUND):
+            for _, name in sorted(self._probe(key, seed) for seed in range(start, start + PROBES_PER_ROUND)):
                 if name not in given:
                     given.add(name)
                     yield name
@@ -72,7 +73,7 @@
             at = 0
         return (self.positions[at] - position) % RING_SIZE, self.owners[at]
 
-    def _replace(self, name: str, cell: Cell | None) -> None:
+    def _replace_cell(self, name: str, cell: Cell | None) -> None:
         """Stores the new row of a cell, or removes it (None)."""
         if name in self.cells:
             self.zones -= Counter((self.cells.pop(name).zone,))  # a zone without cells is dropped
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -28,7 +28,7 @@
 MIN_SILENT_PARTS = 2
 # From which the own zone or region is cut off: another region that fails has two or three zones
 MIN_SILENT_ZONES = 3
-NEVER = -1  # the time of the last answer where there was none
+NEVER_ANSWERED = -1  # the time of the last answer where there was none
 
 
 class _KnownCell(NamedTuple):
@@ -39,70 +39,79 @@
 
 
 class SilenceDetector:
-    """Judges domains by the records of their cells. `own`: where this gateway is, if that is known.
+    """Decides from the records of cells which domains are silent or suspected.
 
-    `last_heard` and `suspected` have, by zone and by what lies outside the own zone or region, when the last
-    answer came from there, and when a request to it was found overdue.
+    `own_location` is the location of this gateway, or None if it is unknown. For each zone, and for all that
+    lies outside the own zone or region, `last_answered` has the time of the last answer from there, and
+    `suspected` the time at which a request to it was found overdue.
     """
 
-    def __init__(self, own: GatewayLocation | None) -> None:
-        self.own = own
+    def __init__(self, own_location: GatewayLocation | None) -> None:
+        self.own_location = own_location
         self.cells: Mapping[str, Cell] = {}
-        self.last_heard: dict[FaultDomain, int] = {}
+        self.last_answered: dict[FaultDomain, int] = {}
         self.suspected: dict[FaultDomain, int] = {}
-        self._zones: dict[FaultDomain, set[str]] | None = None  # by domain; None until it is first needed
+        # Zones by domain; None until first needed
+        self._cached_zones: dict[FaultDomain, set[str]] | None = None
 
     def adopt(self, cells: Mapping[str, Cell]) -> None:
         """Uses a newer table from now on. The cost depends on the cells only while something is suspected."""
-        self.cells, self._zones = cells, None
-        if self.suspected or len(self.last_heard) > MAX_DOMAINS:
+        self.cells, self._cached_zones = cells, None
+        if self.suspected or len(self.last_answered) > MAX_DOMAINS:
             known = self._zones_by_domain()
-            self.last_heard = {domain: at for domain, at in self.last_heard.items() if domain in known}
+            self.last_answered = {domain: at for domain, at in self.last_answered.items() if domain in known}
             self.suspected = {domain: at for domain, at in self.suspected.items() if domain in known}
 
-    def outside(self, region: str, zone: str) -> tuple[FaultDomain, ...]:
+    def outside_domains(self, region: str, zone: str) -> tuple[FaultDomain, ...]:
         """The domains outside the own zone and the own region to which a zone belongs."""
-        if self.own is None or zone == self.own.zone:
+        if self.own_location is None or zone == self.own_location.zone:
             return ()
-        return self.outside_by_region(region) or ((FaultScope.OTHER_ZONES, self.own.zone),)
+        return self.outside_domains_of_region(region) or ((FaultScope.OTHER_ZONES, self.own_location.zone),)
 
-    def outside_by_region(self, region: str) -> tuple[FaultDomain, ...]:
+    def outside_domains_of_region(self, region: str) -> tuple[FaultDomain, ...]:
         """The same for all zones of a region; empty for the own one."""
-        if self.own is None or region == self.own.region:
+        if self.own_location is None or region == self.own_location.region:
             return ()
-        return (FaultScope.OTHER_ZONES, self.own.zone), (FaultScope.OTHER_REGIONS, self.own.region)
+        return (FaultScope.OTHER_ZONES, self.own_location.zone), (
+            FaultScope.OTHER_REGIONS,
+            self.own_location.region,
+        )
 
     def domains(self, cell: Cell) -> tuple[FaultDomain, ...]:
         """All domains to which a cell belongs, and the cell itself."""
         around = (FaultScope.REGION, cell.region), (FaultScope.ZONE, cell.zone), (FaultScope.CELL, cell.name)
-        return *self.outside(cell.region, cell.zone), *around
+        return *self.outside_domains(cell.region, cell.zone), *around
 
     def record_answer(self, now: int, cell: Cell) -> None:
         """Notes an answer from the cell."""
-        for domain in self._wide_domains(cell):
-            self.last_heard[domain] = now
+        for domain in self._zone_and_outside_domains(cell):
+            self.last_answered[domain] = now
             self.suspected.pop(domain, None)
 
-    def record_overdue(self, now: int, cell: Cell, sent: int) -> None:
-        """Notes that a request to the cell, sent at the time `sent`, is overdue."""
-        for domain in self._wide_domains(cell):
-            if sent > self.last_heard.get(domain, NEVER):
+    def record_overdue(self, now: int, cell: Cell, sent_at: int) -> None:
+        """Notes that a request to the cell, sent at the time `sent_at`, is overdue."""
+        for domain in self._zone_and_outside_domains(cell):
+            if sent_at > self.last_answered.get(domain, NEVER_ANSWERED):
                 self.suspected[domain] = now
 
-    def suspects(self, now: int, cell: Cell) -> bool:
+    def is_suspected(self, now: int, cell: Cell) -> bool:
         """Whether the cell's zone, or a domain around it, is suspected."""
         if not self.suspected:
             return False
-        found = [self.suspected[domain] for domain in self._wide_domains(cell) if domain in self.suspected]
+        found = [
+            self.suspected[domain]
+            for domain in self._zone_and_outside_domains(cell)
+            if domain in self.suspected
+        ]
         return any(now - at < MAX_SUSPICION for at in found)
 
-    def silent_around(self, cell: Cell, records: Mapping[str, CellRecord]) -> Iterator[FaultDomain]:
+    def silent_domains_around(self, cell: Cell, records: Mapping[str, CellRecord]) -> Iterator[FaultDomain]:
         """The domains around a cell with an overdue request that are silent."""
-        for domain in self.outside(cell.region, cell.zone):
+        for domain in self.outside_domains(cell.region, cell.zone):
             if self._is_cut_off_from(domain, records):
                 yield domain
         zone = self._known_cells(FaultScope.ZONE, cell.zone, records)
-        if _silent_cells(zone, _last_heard(zone)) < MIN_SILENT_PARTS:
+        if _silent_cells(zone, _last_answered(zone)) < MIN_SILENT_PARTS:
             return
         yield FaultScope.ZONE, cell.zone
         if self._is_silent_region(cell.region, records):
@@ -112,31 +121,33 @@
         zones: dict[str, list[_KnownCell]] = {}
         for known in self._known_cells(FaultScope.REGION, region, records):
             zones.setdefault(known.cell.zone, []).append(known)
-        last_heard = max(map(_last_heard, zones.values()))
-        silent = [zone for zone in zones.values() if _silent_cells(zone, last_heard) >= MIN_SILENT_PARTS]
+        last_answered = max(map(_last_answered, zones.values()))
+        silent = [zone for zone in zones.values() if _silent_cells(zone, last_answered) >= MIN_SILENT_PARTS]
         return len(silent) >= MIN_SILENT_PARTS
 
     def _is_cut_off_from(self, domain: FaultDomain, records: Mapping[str, CellRecord]) -> bool:
-        last_heard = self.last_heard.get(domain, NEVER)
+        last_answered = self.last_answered.get(domain, NEVER_ANSWERED)
         silent_zones = set()
         for name, record in records.items():
             cell = self.cells[name]
-            if record.awaited_since(last_heard) and domain in self.outside(cell.region, cell.zone):
+            if record.has_overdue_sent_after(last_answered) and domain in self.outside_domains(
+                cell.region, cell.zone
+            ):
                 silent_zones.add(cell.zone)
         zones = len(self._zones_by_domain()[domain])
         return len(silent_zones) >= max(MIN_SILENT_PARTS, min(MIN_SILENT_ZONES, zones))
 
-    def _wide_domains(self, cell: Cell) -> tuple[FaultDomain, ...]:
+    def _zone_and_outside_domains(self, cell: Cell) -> tuple[FaultDomain, ...]:
         """The cell's zone, and the domains outside the own zone and region to which it belongs."""
-        return *self.outside(cell.region, cell.zone), (FaultScope.ZONE, cell.zone)
+        return *self.outside_domains(cell.region, cell.zone), (FaultScope.ZONE, cell.zone)
 
     def _zones_by_domain(self) -> dict[FaultDomain, set[str]]:
-        if self._zones is None:
-            self._zones = {}
+        if self._cached_zones is None:
+            self._cached_zones = {}
             for cell in self.cells.values():
-                for domain in self._wide_domains(cell):
-                    self._zones.setdefault(domain, set()).add(cell.zone)
-        return self._zones
+                for domain in self._zone_and_outside_domains(cell):
+                    self._cached_zones.setdefault(domain, set()).add(cell.zone)
+        return self._cached_zones
 
     def _known_cells(
         self, scope: FaultScope, name: str, records: Mapping[str, CellRecord]
@@ -146,10 +157,10 @@
         return [each for each in known if getattr(each.cell, scope.value) == name]
 
 
-def _last_heard(known: list[_KnownCell]) -> int:
-    return max(each.record.last_heard for each in known)
+def _last_answered(known: list[_KnownCell]) -> int:
+    return max(each.record.last_answered for each in known)
 
 
-def _silent_cells(known: list[_KnownCell], last_heard: int) -> int:
+def _silent_cells(known: list[_KnownCell], last_answered: int) -> int:
     """How many of the cells have requests overdue that were sent after that time."""
-    return sum(each.record.awaited_since(last_heard) for each in known)
+    return sum(each.record.has_overdue_sent_after(last_answered) for each in known)
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -60,8 +60,8 @@
 
 def initial_points(name: str, capacity: float, mean_capacity: float) -> tuple[PointRange, ...]:
     """The ring points of a new cell, in proportion to its capacity."""
-    count = round(bounds.POINTS_PER_MEAN_CELL * capacity / mean_capacity)
-    return (PointRange(name, 0, min(max(1, count), bounds.MAX_CELL_POINTS)),)
+    count = round(bounds.RING_POINTS_PER_MEAN_CELL * capacity / mean_capacity)
+    return (PointRange(name, 0, min(max(1, count), bounds.MAX_RING_POINTS_PER_CELL)),)
 
 
 def split_cell(cell: Cell, name: str, entries: tuple[EntryGateway, ...] = ()) -> tuple[Cell, Cell]:
@@ -99,7 +99,7 @@
 
 def validate(fleet: str, version: Version, rows: Iterable[Cell]) -> CellTable:
     """The table of these rows. Errors: `TableError`; a `RowError` names the row by its number, from 1 on."""
-    _check_head(fleet, version)
+    _check_fleet_and_version(fleet, version)
     cells: dict[str, Cell] = {}
     row_numbers: dict[str, int] = {}
     for number, cell in enumerate(rows, start=1):
@@ -122,7 +122,7 @@
     return CellTable(fleet, version, tuple(ordered.values()), MappingProxyType(ordered))
 
 
-def _check_head(fleet: object, version: object) -> None:
+def _check_fleet_and_version(fleet: object, version: object) -> None:
     if not _is_name(fleet):
         raise TableError(f"the fleet's name {fleet!r:.80} is empty, too long or no text")
     if not (isinstance(version, Version) and all(type(part) is int and part >= 0 for part in version)):
@@ -131,25 +131,25 @@
 
 def check_cell(row: int, cell: Cell) -> None:
     """Checks one cell by itself; `row` counts from 1. Errors: `RowError`."""
-    reason = _wrong_names(cell) or _wrong_sizes(cell) or _wrong_points(cell) or _wrong_entries(cell)
+    reason = _name_error(cell) or _size_error(cell) or _ring_point_error(cell) or _entry_error(cell)
     if reason is not None:
-        raise RowError(row, str(cell.name)[: bounds.MAX_NAME], reason)
+        raise RowError(row, str(cell.name)[: bounds.MAX_NAME_LENGTH], reason)
 
 
 def _is_name(name: object) -> bool:
-    return isinstance(name, str) and 0 < len(name) <= bounds.MAX_NAME and name.isprintable()
+    return isinstance(name, str) and 0 < len(name) <= bounds.MAX_NAME_LENGTH and name.isprintable()
 
 
-def _wrong_names(cell: Cell) -> str | None:
+def _name_error(cell: Cell) -> str | None:
     for what in ("name", "region", "zone"):
         if not _is_name(getattr(cell, what)):
             return f"the {what} is empty, too long or no printable text"
     return None
 
 
-def _wrong_sizes(cell: Cell) -> str | None:
-    if type(cell.hosts) is not int or not 0 < cell.hosts <= bounds.MAX_HOSTS:
-        return f"{cell.hosts!r:.40} hosts are not 1 to {bounds.MAX_HOSTS}"
+def _size_error(cell: Cell) -> str | None:
+    if type(cell.hosts) is not int or not 0 < cell.hosts <= bounds.MAX_HOSTS_PER_CELL:
+        return f"{cell.hosts!r:.40} hosts are not 1 to {bounds.MAX_HOSTS_PER_CELL}"
     capacity = cell.capacity
     if (
         type(capacity) not in (int, float)
@@ -160,9 +160,9 @@
     return None
 
 
-def _wrong_points(cell: Cell) -> str | None:
-    if not 0 < len(cell.points) <= bounds.MAX_RANGES:
-        return f"{len(cell.points)} ranges of ring points are not 1 to {bounds.MAX_RANGES}"
+def _ring_point_error(cell: Cell) -> str | None:
+    if not 0 < len(cell.points) <= bounds.MAX_POINT_RANGES_PER_CELL:
+        return f"{len(cell.points)} ranges of ring points are not 1 to {bounds.MAX_POINT_RANGES_PER_CELL}"
     total = 0
     for points in cell.points:
         if not _is_name(points.origin):
@@ -172,14 +172,14 @@
         total += points.size
         if points.first < 0 or points.size < 1 or points.first + points.size > bounds.MAX_RING_POINTS:
             return f"the ring points {points.first}+{points.size} are out of range"
-    if total > bounds.MAX_CELL_POINTS:
-        return f"{total} ring points are more than {bounds.MAX_CELL_POINTS}"
+    if total > bounds.MAX_RING_POINTS_PER_CELL:
+        return f"{total} ring points are more than {bounds.MAX_RING_POINTS_PER_CELL}"
     return None
 
 
-def _wrong_entries(cell: Cell) -> str | None:
-    if len(cell.entries) > bounds.MAX_ENTRIES:
-        return f"{len(cell.entries)} entry gateways are more than {bounds.MAX_ENTRIES}"
+def _entry_error(cell: Cell) -> str | None:
+    if len(cell.entries) > bounds.MAX_ENTRIES_PER_CELL:
+        return f"{len(cell.entries)} entry gateways are more than {bounds.MAX_ENTRIES_PER_CELL}"
     if not all(_is_name(entry.name) and _is_name(entry.address) for entry in cell.entries):
         return "an entry gateway's name or address is empty, too long or no printable text"
     if len({entry.name for entry in cell.entries}) < len(cell.entries):
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -14,7 +14,12 @@
 
 from xxhash import xxh3_64_intdigest
 
-from gaproute.decisions.cells.demand import LONG_MEMORY, SHORT_MEMORY, DecayingCount, counted_time
+from gaproute.decisions.cells.demand import (
+    LONG_DECAY_TIME,
+    SHORT_DECAY_TIME,
+    DecayingCount,
+    effective_count_time,
+)
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import Cell, CellTable
 from gaproute.units import SECOND
@@ -22,7 +27,8 @@
 # Of the own zone; with a thousand gateways and 38 cells in a zone, 50 gateways know a cell
 ASSIGNED_CELLS = 2
 MAX_HOSTS_IN_VIEW = 512  # whatever the fleet's size
-ADD_RATE = 10.0  # requests per second to a cell above which its host list is worth following
+# Requests to a cell above which its host list is worth following
+MIN_ADD_REQUESTS_PER_SECOND = 10.0
 REMOVE_FACTOR = 4  # a cell is removed at that many times fewer requests
 REVIEW_INTERVAL = 10 * SECOND  # between two reviews of the view
 
@@ -42,30 +48,32 @@
         self.cells: Mapping[str, Cell] = {}  # of the table
         self.assigned: tuple[str, ...] = ()
         self.extra: tuple[str, ...] = ()
-        self.used: dict[str, DecayingCount] = {}  # by cell: own requests
+        self.request_counts: dict[str, DecayingCount] = {}  # by cell: own requests
         self.reviewed_at = now
 
     def adopt(self, table: CellTable) -> None:
         """Uses a newer table from now on."""
         self.cells = table.by_name
-        self.used = {name: count for name, count in self.used.items() if name in self.cells}
-        self.assigned = self._assigned(table)
+        self.request_counts = {
+            name: count for name, count in self.request_counts.items() if name in self.cells
+        }
+        self.assigned = self._assigned_cells(table)
         extra = [name for name in self.extra if name in self.cells and name not in self.assigned]
-        self.extra = self._within_bound(extra)
+        self.extra = self._fitting_cells(extra)
 
-    def names(self) -> tuple[str, ...]:
+    def cell_names(self) -> tuple[str, ...]:
         """All cells in the view."""
         return self.assigned + self.extra
 
-    def hosts(self) -> int:
+    def host_count(self) -> int:
         """The number of hosts of all cells in the view, by the table."""
-        return sum(self.cells[name].hosts for name in self.names())
+        return sum(self.cells[name].hosts for name in self.cell_names())
 
-    def record_use(self, now: int, name: str) -> None:
+    def record_request(self, now: int, name: str) -> None:
         """Counts an own request to the cell."""
-        count = self.used.get(name)
+        count = self.request_counts.get(name)
         if count is None:
-            count = self.used[name] = DecayingCount(now)
+            count = self.request_counts[name] = DecayingCount(now)
         count.add(now, 1.0)
 
     def review(self, now: int) -> bool:
@@ -73,36 +81,40 @@
         if not self.cells or now - self.reviewed_at < REVIEW_INTERVAL:
             return False
         self.reviewed_at, before = now, self.extra
-        retained = [name for name in self.extra if max(self._rates(now, name)) >= ADD_RATE / REMOVE_FACTOR]
-        self.extra = self._within_bound(retained + self._worth_adding(now, {*self.assigned, *retained}))
+        retained = [
+            name
+            for name in self.extra
+            if max(self._request_rates(now, name)) >= MIN_ADD_REQUESTS_PER_SECOND / REMOVE_FACTOR
+        ]
+        self.extra = self._fitting_cells(retained + self._cells_to_add(now, {*self.assigned, *retained}))
         return self.extra != before
 
-    def _worth_adding(self, now: int, known: set[str]) -> list[str]:
+    def _cells_to_add(self, now: int, known: set[str]) -> list[str]:
         """Further cells in steady use, those with the most requests per host first."""
         ranked = [
-            (-min(self._rates(now, name)) / self.cells[name].hosts, name)
-            for name in self.used
-            if name not in known and min(self._rates(now, name)) >= ADD_RATE
+            (-min(self._request_rates(now, name)) / self.cells[name].hosts, name)
+            for name in self.request_counts
+            if name not in known and min(self._request_rates(now, name)) >= MIN_ADD_REQUESTS_PER_SECOND
         ]
         return [name for _, name in sorted(ranked)]
 
-    def _rates(self, now: int, name: str) -> RequestRates:
-        count = self.used.get(name)
+    def _request_rates(self, now: int, name: str) -> RequestRates:
+        count = self.request_counts.get(name)
         if count is None:
             return RequestRates(0.0, 0.0)
         return RequestRates(
-            self._rate(now, count.updated_at, count.short_term, SHORT_MEMORY),
-            self._rate(now, count.updated_at, count.long_term, LONG_MEMORY),
+            self._request_rate(now, count.updated_at, count.short_term, SHORT_DECAY_TIME),
+            self._request_rate(now, count.updated_at, count.long_term, LONG_DECAY_TIME),
         )
 
-    def _rate(self, now: int, updated_at: int, count: float, memory: int) -> float:
-        """Requests per second, from a count that decays over the time `memory` (ns)."""
-        decayed = count * exp((updated_at - now) / memory)
-        return decayed / counted_time(now - self.started_at, memory) * SECOND
+    def _request_rate(self, now: int, updated_at: int, count: float, decay_time: int) -> float:
+        """Requests per second, from a count that decays over the time `decay_time` (ns)."""
+        decayed = count * exp((updated_at - now) / decay_time)
+        return decayed / effective_count_time(now - self.started_at, decay_time) * SECOND
 
-    def _assigned(self, table: CellTable) -> tuple[str, ...]:
+    def _assigned_cells(self, table: CellTable) -> tuple[str, ...]:
         own_zone = [cell for cell in table.cells if cell.zone == self.location.zone]
-        own_zone.sort(key=lambda cell: (-_rank(self.location.name, cell.name), cell.name))
+        own_zone.sort(key=lambda cell: (-_rendezvous_hash(self.location.name, cell.name), cell.name))
         as_entry = [
             cell for cell in own_zone if any(entry.name == self.location.name for entry in cell.entries)
         ]
@@ -114,7 +126,7 @@
                 hosts += cell.hosts
         return tuple(chosen)
 
-    def _within_bound(self, names: Iterable[str]) -> tuple[str, ...]:
+    def _fitting_cells(self, names: Iterable[str]) -> tuple[str, ...]:
         """The first of the names that fit in the view beside the assigned cells."""
         left = self.max_hosts - sum(self.cells[name].hosts for name in self.assigned)
         fitting = []
@@ -125,5 +137,5 @@
         return tuple(fitting)
 
 
-def _rank(gateway: str, cell: str) -> int:
+def _rendezvous_hash(gateway: str, cell: str) -> int:
     return xxh3_64_intdigest(f"{gateway}\0{cell}".encode())
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -11,7 +11,7 @@
 from pydantic import ValidationError
 
 from gaproute.config.directives.fleet import HostLine
-from gaproute.decisions.cells.bounds import MAX_HOSTS
+from gaproute.decisions.cells.bounds import MAX_HOSTS_PER_CELL
 from gaproute.discovery.changelog.events import FleetUpdate
 from gaproute.discovery.changelog.member_records import (
     DECODING_ERRORS,
@@ -53,14 +53,14 @@
     def __init__(self) -> None:
         self.reported: dict[str, HostLine] = {}
 
-    def apply(self, update: FleetUpdate, max_hosts: int = MAX_HOSTS) -> list[RejectedMember]:
+    def apply(self, update: FleetUpdate, max_hosts: int = MAX_HOSTS_PER_CELL) -> list[RejectedMember]:
         """Applies an event, after which the cell has at most `max_hosts` hosts; returns the rejected
         members.
         """
         if update.complete and not update.members:
             return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST)]
         after = {} if update.complete else dict(self.reported)
-        max_hosts = min(max_hosts, MAX_HOSTS)
+        max_hosts = min(max_hosts, MAX_HOSTS_PER_CELL)
         applied = [self._apply_member(raw, after, max_hosts) for raw in update.members]
         self.reported = after
         return [rejected for rejected in applied if rejected is not None]
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -76,7 +76,7 @@
         view = self.cellular.view
         assert view is not None
         if view.review(now):
-            self.cellular.local.retain(view.names())
+            self.cellular.local.retain(view.cell_names())
         self._update_lists()
         if now >= self._cleanup_at:
             self._cleanup_at = now + CLEANUP_INTERVAL
@@ -86,7 +86,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether the host lists of all wanted cells are there."""
-        wanted = self.cellular.wanted() if self.cellular.table is not None else ()
+        wanted = self.cellular.cells_to_follow() if self.cellular.table is not None else ()
         return bool(wanted) and all(cell in self.cellular.local.gateways for cell in wanted)
 
     def counters(self) -> dict[str, int]:
@@ -102,7 +102,7 @@
 
     def _update_lists(self) -> None:
         """Give the decisions the lists that they want and lack, or that have changed."""
-        lists = {cell: self._environment.host_rows(cell) for cell in self.cellular.wanted()}
+        lists = {cell: self._environment.host_rows(cell) for cell in self.cellular.cells_to_follow()}
         changed = {cell: rows for cell, rows in lists.items() if self._lists.get(cell) is not rows}
         any_change = changed or lists.keys() != self._lists.keys()
         self._lists = lists
--- a/gaproute/hollow/cells/route_sampler.py
+++ b/gaproute/hollow/cells/route_sampler.py
@@ -50,7 +50,7 @@
         return table.cells[0].name
 
     def _route(self, now: int, cell: str | None) -> Route:
-        if self._cellular.single is not None or cell in self._cellular.local.gateways:
+        if self._cellular.single_gateway is not None or cell in self._cellular.local.gateways:
             return Route.KNOWN
         assert cell is not None
         assert self._cellular.table is not None
--- a/gaproute/hosts/forwarding.py
+++ b/gaproute/hosts/forwarding.py
@@ -12,12 +12,12 @@
 from collections.abc import Mapping
 from urllib.parse import quote, unquote
 
-from gaproute.decisions.cells.bounds import MAX_NAME
+from gaproute.decisions.cells.bounds import MAX_NAME_LENGTH
 from gaproute.decisions.cells.entries import MAX_HOPS, Forwarded
 
 HEADER = b"gaproute-forwarded"
 ORIGIN_HEADER, ORIGIN_PATTERN = b"gaproute-task", re.compile(rb"[!-~]{1,256}")
-MAX_HEADER_BYTES = 3 + 12 * MAX_NAME  # each character takes 12 at most when it is percent-encoded
+MAX_HEADER_BYTES = 3 + 12 * MAX_NAME_LENGTH  # each character takes 12 at most when it is percent-encoded
 MAX_HOP_DIGITS = 2
 
 
@@ -38,7 +38,7 @@
         name = unquote(cell.decode("ascii"), errors="strict")
     except UnicodeDecodeError:
         return None
-    if not 0 < len(name) <= MAX_NAME or not name.isprintable():
+    if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
         return None
     return Forwarded(name, min(int(hops), MAX_HOPS))
 
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -6,7 +6,7 @@
 import msgspec
 from msgspec import Meta
 
-from gaproute.decisions.cells.bounds import MAX_NAME
+from gaproute.decisions.cells.bounds import MAX_NAME_LENGTH
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import ANSWER_BYTES, MAX_DOCUMENT_BYTES, PART_BYTES, PUSH_BYTES
 from gaproute.shared.dissemination.messages import (
@@ -25,7 +25,7 @@
 
 Decoded = TypeVar("Decoded")
 
-Text = Annotated[str, Meta(min_length=1, max_length=MAX_NAME)]
+Text = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 VersionPart = Annotated[int, Meta(ge=-1, le=MAX_INTEGER)]
 WireVersion = tuple[VersionPart, VersionPart]
 Offset = Annotated[int, Meta(ge=0, le=MAX_DOCUMENT_BYTES)]
--- a/tests/benchmarks/test_cells_world.py
+++ b/tests/benchmarks/test_cells_world.py
@@ -59,7 +59,7 @@
             for name in world.hosts_of[cell]:
                 world.hosts[name].go_down()
             for gateway in gateways:
-                if cell in gateway.decisions.wanted():
+                if cell in gateway.decisions.cells_to_follow():
                     world.publish_hosts(gateway, cell)
         case 3:
             zones = set(random.sample(sorted(world.network.regions), 2))
@@ -96,7 +96,7 @@
     world.clock.run(world.clock.now + 3 * CALL_TIME)
     assert not world.violations, world.violations[:3]
     for gateway in gateways:
-        assert not invariants.check(gateway.decisions, ["f1", "f2"])
+        assert not invariants.find_violations(gateway.decisions, ["f1", "f2"])
         if gateway.name not in ever_down:
             assert ended[gateway.name] == asked[gateway.name]
             assert not gateway.requests
@@ -111,7 +111,7 @@
     world = CellWorld(shape, make_table(shape, 1, rows), range(6), 20 * SECOND, checking=True)
     ended = []
     for name in ("gateway2", "gateway5"):
-        assert world.gateways[name].decisions.wanted() == ()
+        assert world.gateways[name].decisions.cells_to_follow() == ()
         world.call(world.gateways[name], "f", on_end=lambda *end: ended.append(end))
     world.clock.run(3 * CALL_TIME)
     assert [ending for ending, _ in ended] == ["declined", "declined"]
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -8,7 +8,7 @@
 from gaproute.config import ConfigurationError, read_configuration
 from gaproute.config.cell_files import path_of, read_cell_hosts, read_table
 from gaproute.config.cell_table import MAX_BYTES
-from gaproute.decisions.cells.bounds import MAX_HOSTS
+from gaproute.decisions.cells.bounds import MAX_HOSTS_PER_CELL
 from gaproute.decisions.cells.table import EntryGateway, PointRange
 from gaproute.decisions.cells.version import Version
 
@@ -165,8 +165,10 @@
 
 def test_a_list_of_more_hosts_than_a_cell_may_have_is_refused_by_line(tmp_path):
     path = tmp_path / "a1.hosts"
-    path.write_text("".join(f"host h{number} 127.0.0.1:{number + 1}\n" for number in range(MAX_HOSTS + 1)))
-    assert mistakes_of(read_cell_hosts, str(path))[0].startswith(f"{path}:{MAX_HOSTS + 1}: ")
+    path.write_text(
+        "".join(f"host h{number} 127.0.0.1:{number + 1}\n" for number in range(MAX_HOSTS_PER_CELL + 1))
+    )
+    assert mistakes_of(read_cell_hosts, str(path))[0].startswith(f"{path}:{MAX_HOSTS_PER_CELL + 1}: ")
 
 
 def check(folder, lists, table=TABLE, place="region west zone west-a", source=None):
--- a/tests/decisions/cells/test_all_slow.py
+++ b/tests/decisions/cells/test_all_slow.py
@@ -6,7 +6,7 @@
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.faults import OUTCOMES, FaultKind, FaultScope
+from gaproute.decisions.cells.faults import STORED_OUTCOMES, FaultKind, FaultScope
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.interface import Result
 
@@ -23,8 +23,8 @@
     )
     made.adopt(0, table(cells(8, entries=2)))
     for name in made.table.by_name:
-        for _ in range(OUTCOMES):
-            made.health.record_outcome(NOW, name, Result.OK, pace=9.0)
+        for _ in range(STORED_OUTCOMES):
+            made.health.record_outcome(NOW, name, Result.OK, relative_duration=9.0)
     assert all(
         made.health.faults[FaultScope.CELL, name].kind is FaultKind.SLOW for name in made.table.by_name
     )
@@ -32,7 +32,7 @@
 
 
 def choices(made, function="f", *, may_repeat=False):
-    return [choice.cell for choice in made.selector.cells(NOW, function, may_repeat=may_repeat)]
+    return [choice.cell for choice in made.selector.choices(NOW, function, may_repeat=may_repeat)]
 
 
 @pytest.mark.parametrize("may_repeat", [True, False])
--- a/tests/decisions/cells/test_cell_router.py
+++ b/tests/decisions/cells/test_cell_router.py
@@ -134,7 +134,7 @@
     assert drive.ended
     assert not drive.sent
     for name in ("cell0", "cell1"):  # the trial of the other has no answer yet
-        made.health.trial_sent(600 * SECOND, name)
+        made.health.record_trial_sent(600 * SECOND, name)
     made.health.record_outcome(600 * SECOND, "cell1", face.Result.OK)
     for number in range(20):
         drive = Drive(made, task(f"t{number}", f"f{number}", NON_IDEMPOTENT), now=600 * SECOND)
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -120,7 +120,7 @@
     bare = Script(CellularGateway(7, terms, 0), seed, False).play(2500)
     made = CellularGateway(7, terms, 0, PLACE)
     made.adopt(0, table([cell("only")]))
-    assert made.wanted() == ("only",)
+    assert made.cells_to_follow() == ("only",)
     celled = Script(made, seed, True).play(2500)
     assert len(plain) > 2000
     for at, (one, other, third) in enumerate(zip(plain, bare, celled, strict=True)):
@@ -130,7 +130,7 @@
 def test_what_carriers_ask_of_one_cell_is_answered():
     made = CellularGateway(7, TERMS, 0)
     made.update_hosts(0, [row("a"), row("b")], complete=True)
-    assert made.active_hosts == made.single.active_hosts
+    assert made.active_hosts == made.single_gateway.active_hosts
     assert made.hint_instance("a", "f", 4, 5)
     with pytest.raises(ValueError, match="without a place"):
         made.adopt(0, table(cells(2)))
@@ -147,7 +147,7 @@
     made.adopt(0, one)
     drive.hears(2 * MILLI, face.Result.OK, 1)
     assert drive.ended
-    assert made.wanted() == ("only",)
+    assert made.cells_to_follow() == ("only",)
     made.adopt(0, table(cells(26), number=4))
     assert Drive(made, task("n", function_of(made, "cell7"))).sent
 
@@ -158,16 +158,16 @@
     made.update_hosts(0, [row("a"), row("b")], complete=True, cell="cell0")
     drive = Drive(made, task("t"))
     made.adopt(0, table(cells(26), number=2))
-    assert "cell0" in made.local.gateways or "cell0" not in made.wanted()
+    assert "cell0" in made.local.gateways or "cell0" not in made.cells_to_follow()
     drive.hears(MILLI, face.Result.OK)
     assert drive.ended
-    assert not made.previous_single.tracker.in_flight
+    assert not made.previous_single_gateway.tracker.in_flight
 
 
 def test_all_known_cells_share_one_ration():
     made = fleet(own=("cell0", "cell13"))
-    made.update_hosts(0, [row("x")], complete=True, cell=made.wanted()[0])
-    made.update_hosts(0, [row("y")], complete=True, cell=made.wanted()[1])
+    made.update_hosts(0, [row("x")], complete=True, cell=made.cells_to_follow()[0])
+    made.update_hosts(0, [row("y")], complete=True, cell=made.cells_to_follow()[1])
     limiters = {id(gateway.load_order_limiter) for gateway in made.local.gateways.values()}
     assert len(made.local.gateways) == 2
     assert limiters == {id(made.local.load_order_limiter)}
@@ -175,7 +175,7 @@
 
 def test_housekeeping_probes_the_hosts_of_all_known_cells():
     made = fleet(reports_by_probe=True, reported_figures=("in_hand",))
-    for name in made.wanted():
+    for name in made.cells_to_follow():
         made.update_hosts(0, [row(f"{name}-{host}") for host in "ab"], complete=True, cell=name)
     housekeeping, now, probed = made.housekeep(0), 0, set()
     wish = next(housekeeping)
@@ -186,4 +186,4 @@
         else:
             probed.add(wish.host)
             wish = housekeeping.send(None)
-    assert {worker.rsplit("-", 1)[0] for worker in probed} == set(made.wanted())
+    assert {worker.rsplit("-", 1)[0] for worker in probed} == set(made.cells_to_follow())
--- a/tests/decisions/cells/test_cut_off.py
+++ b/tests/decisions/cells/test_cut_off.py
@@ -78,8 +78,8 @@
     assert set(health.faults) == {OTHER_REGIONS}
     assert health.circuit_state(NOW, "cell10", "f") is CircuitState.CLOSED
     assert health.circuit_state(NOW, "cell4", "f") is CircuitState.OPEN
-    assert health.region_usable(NOW, "region0", "f")
-    assert not health.region_usable(NOW, "region4", "f")
+    assert health.is_region_usable(NOW, "region0", "f")
+    assert not health.is_region_usable(NOW, "region4", "f")
 
 
 def test_with_two_other_zones_both_must_be_silent():
@@ -102,7 +102,7 @@
     health = cut_off(1, 2, 3)
     later = NOW + 2 * SECOND
     assert health.circuit_state(later, "cell5", "f") is CircuitState.HALF_OPEN
-    health.trial_sent(later, "cell5")
+    health.record_trial_sent(later, "cell5")
     assert health.circuit_state(later, "cell6", "f") is CircuitState.OPEN
 
 
@@ -117,7 +117,9 @@
             CircuitState.CLOSED
         )
         assert abs(back / len(functions) - part / 10) < 0.1
-        assert back == [health.region_usable(at, "region3", function) for function in functions].count(True)
+        assert back == [health.is_region_usable(at, "region3", function) for function in functions].count(
+            True
+        )
     assert not health.faults
 
 
--- a/tests/decisions/cells/test_demand.py
+++ b/tests/decisions/cells/test_demand.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from gaproute.decisions.cells.demand import MIN_PLACEMENT_TIME, RARE, Demand, FleetScope, Placement
+from gaproute.decisions.cells.demand import MIN_PLACEMENT_TIME, RARE_PLACEMENT, Demand, FleetScope, Placement
 from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.chance import Chance
 from gaproute.units import SECOND
@@ -33,12 +33,12 @@
 
 def test_what_was_seen_once_has_one_home_in_the_fleet():
     demand = Demand(0, SCOPE)
-    assert placed(demand, SECOND) == RARE
+    assert placed(demand, SECOND) == RARE_PLACEMENT
     demand.record_arrival(5 * SECOND, "f")
     for now in (5 * SECOND, 6 * SECOND, 11 * 86_400 * SECOND):
-        assert placed(demand, now) == RARE
+        assert placed(demand, now) == RARE_PLACEMENT
     demand.record_arrival(11 * 86_400 * SECOND, "f")
-    assert placed(demand, 11 * 86_400 * SECOND) == RARE
+    assert placed(demand, 11 * 86_400 * SECOND) == RARE_PLACEMENT
 
 
 def test_once_a_minute_in_the_whole_fleet_stays_rare_at_all_gateways():
@@ -46,7 +46,7 @@
     for seed in range(300):
         demand = Demand(0, SCOPE)
         now = play(demand, {"f": 1 / 60 / 16_000, "g": 1.0}, 1000, seed)
-        assert placed(demand, now) == RARE
+        assert placed(demand, now) == RARE_PLACEMENT
 
 
 def test_a_small_fleet_knows_what_is_rare():
@@ -54,7 +54,7 @@
     demand = Demand(0, FleetScope(4, 1, 600 * SECOND))
     seen = set()
     play(demand, {"f": 4 / 3600, "g": 1.0}, 20_000, each=lambda now, name: seen.add(placed(demand, now)))
-    assert seen == {RARE}
+    assert seen == {RARE_PLACEMENT}
 
 
 def test_what_the_region_keeps_loaded_goes_to_the_region():
@@ -70,10 +70,10 @@
         for _ in range(30):
             demand.record_duration(name, 100 * MILLI)
     hot, warm, cool = [placed(demand, now, name) for name in ("hot", "warm", "cool")]
-    assert hot.homes == int(REGIONAL)
+    assert hot.home_count == int(REGIONAL)
     assert hot.regional
-    assert 16 <= warm.homes <= 64
-    assert warm.homes.bit_count() == 1
+    assert 16 <= warm.home_count <= 64
+    assert warm.home_count.bit_count() == 1
     assert cool == Placement(True, 1)
 
 
@@ -84,7 +84,7 @@
         demand.record_duration("long", SECOND)
         demand.record_duration("short", 100 * MILLI)
         demand.record_duration("rest", 100 * MILLI)
-    assert placed(demand, now, "long").homes >= 4 * placed(demand, now, "short").homes
+    assert placed(demand, now, "long").home_count >= 4 * placed(demand, now, "short").home_count
 
 
 def test_a_steady_function_does_not_flap():
@@ -108,13 +108,13 @@
 def test_shrinking_waits_and_goes_by_halves():
     demand = Demand(0, SCOPE)
     now = play(demand, {"f": 1.0, "g": 50.0}, 300)
-    homes = placed(demand, now).homes
+    homes = placed(demand, now).home_count
     assert homes >= 16
     before, steps = (now, homes), 0
     for second in range(1, 20_000, 5):
         at = now + second * SECOND
         demand.record_arrival(at, "g")
-        found = placed(demand, at).homes
+        found = placed(demand, at).home_count
         if found != before[1]:
             assert found == before[1] // 2
             assert steps == 0 or at - before[0] >= MIN_PLACEMENT_TIME
@@ -127,7 +127,7 @@
     now = play(demand, {"g": 190.0}, 1800)
     for arrival in range(200):
         demand.record_arrival(now + arrival * SECOND // 20, "f")
-    assert placed(demand, now + 10 * SECOND).homes >= 32
+    assert placed(demand, now + 10 * SECOND).home_count >= 32
 
 
 def test_functions_remembered_are_bounded():
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -127,9 +127,9 @@
     ignorant, other = drive.sent
     drive.hears(20 * MILLI, face.Result.OK, 1)
     assert Drive(made, task("u", again), now=30 * MILLI).sent == [other]
-    assert made.entries.pick(30 * MILLI, rows[20]) == made.entries.order(rows[20])[0]
+    assert made.entries.pick(30 * MILLI, rows[20]) == made.entries.ordered_entries(rows[20])[0]
     late = Drive(made, task("v", again), now=2 * SECOND)
-    assert late.sent == [made.entries.order(rows[7])[0].name]
+    assert late.sent == [made.entries.ordered_entries(rows[7])[0].name]
     if late.sent == [ignorant]:
         late.hears(2 * SECOND, face.Result.OK)
         assert not made.entries.unknown_cells
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -6,7 +6,7 @@
 from cell_fleet import models
 from cells_tables import cell
 
-from gaproute.decisions.cells.bounds import MAX_NAME
+from gaproute.decisions.cells.bounds import MAX_NAME_LENGTH
 from gaproute.decisions.cells.entries import MAX_HOPS, EntrySelector, Forwarded
 from gaproute.decisions.cells.table import EntryGateway
 from gaproute.hosts import forwarding
@@ -16,7 +16,9 @@
 CELLS = {"a1": ("a1", ("ga", "gx")), "b1": ("b1", ("gb",))}
 
 
-@pytest.mark.parametrize("cell", ["a1", "a cell, 100%", "ħall/7", "x" * MAX_NAME, "\U0001f600" * MAX_NAME])
+@pytest.mark.parametrize(
+    "cell", ["a1", "a cell, 100%", "ħall/7", "x" * MAX_NAME_LENGTH, "\U0001f600" * MAX_NAME_LENGTH]
+)
 def test_the_header_holds_every_name_of_a_cell(cell):
     name, value = forwarding.encode(Forwarded(cell, 2))
     assert forwarding.decode({name.lower(): value}) == Forwarded(cell, 2)
@@ -38,7 +40,7 @@
         b"1 %0a",
         b"1 %00",
     ]
-    + [b"1 " + b"x" * (MAX_NAME + 1), b"1 " + b"%41" * 4096, b"1 a1, 1 a1" + b"x" * 4096],
+    + [b"1 " + b"x" * (MAX_NAME_LENGTH + 1), b"1 " + b"%41" * 4096, b"1 a1, 1 a1" + b"x" * 4096],
 )
 def test_a_malformed_header_is_ignored(value):
     assert forwarding.decode({forwarding.HEADER: value}) is None
@@ -145,7 +147,7 @@
 def ranks_before(gateway, one, other):
     """Whether the gateway asks the one entry before the other."""
     ways = (EntryGateway(one, ""), EntryGateway(other, ""))
-    return EntrySelector(gateway).order(replace(cell("b1"), entries=ways))[0].name == one
+    return EntrySelector(gateway).ordered_entries(replace(cell("b1"), entries=ways))[0].name == one
 
 
 def test_forwarded_answers_report_what_the_call_found_at_the_host(cells):
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -2,7 +2,13 @@
 
 from cells_tables import cells, table
 
-from gaproute.decisions.cells.faults import OUTCOMES, TRIAL_TIMEOUT, CircuitState, FaultKind, FaultScope
+from gaproute.decisions.cells.faults import (
+    STORED_OUTCOMES,
+    TRIAL_TIMEOUT,
+    CircuitState,
+    FaultKind,
+    FaultScope,
+)
 from gaproute.decisions.cells.health import (
     MAX_BACKOFF,
     MAX_RECOVERY_RAMP,
@@ -106,7 +112,7 @@
     for number in range(50):
         health.record_outcome(number * SECOND, "cell2", Result.OK if number % 3 else Result.FULL)
     assert not fault_of(health, "cell2")
-    for number in range(OUTCOMES):
+    for number in range(STORED_OUTCOMES):
         health.record_outcome(40 * number * SECOND, "cell3", Result.FULL)
     assert not fault_of(health, "cell3")
 
@@ -118,7 +124,7 @@
         health.record_outcome(number, "cell1", Result.OK)  # loads: they show no pace
         health.record_outcome(number, "cell2", Result.OK, 3.0)
     assert not health.faults
-    for number in range(OUTCOMES):
+    for number in range(STORED_OUTCOMES):
         health.record_outcome(number, "cell3", Result.OK, 5.0)
     assert fault_of(health, "cell3").kind is FaultKind.SLOW
 
@@ -133,7 +139,7 @@
             assert health.circuit_state(now, "cell0", "f") is CircuitState.OPEN
             now += SECOND // 10
         rests.append(now - begun)
-        health.trial_sent(now, "cell0")
+        health.record_trial_sent(now, "cell0")
         assert set(circuit_states(health, now)) == {CircuitState.OPEN}
         now += SECOND // 10
         health.record_outcome(now, "cell0", Result.CONNECT_FAILED)
@@ -145,17 +151,17 @@
 def test_a_trial_without_answer_makes_way_for_the_next():
     health = made()
     health.record_unreachable(0, "cell0")
-    health.trial_sent(2 * SECOND, "cell0")
+    health.record_trial_sent(2 * SECOND, "cell0")
     assert health.circuit_state(2 * SECOND + TRIAL_TIMEOUT - 1, "cell0", "f") is CircuitState.OPEN
     assert health.circuit_state(2 * SECOND + TRIAL_TIMEOUT, "cell0", "f") is CircuitState.HALF_OPEN
-    health.trial_sent(2 * SECOND + TRIAL_TIMEOUT, "cell0")
+    health.record_trial_sent(2 * SECOND + TRIAL_TIMEOUT, "cell0")
     assert fault_of(health).backoff == 2 * SECOND
     assert fault_of(health).trial_sent_at == 2 * SECOND + TRIAL_TIMEOUT
 
 
 def healed(health, after):
     health.record_unreachable(0, "cell0")
-    health.trial_sent(after, "cell0")
+    health.record_trial_sent(after, "cell0")
     health.record_outcome(after, "cell0", Result.OK)
     return after
 
--- a/tests/decisions/cells/test_homes.py
+++ b/tests/decisions/cells/test_homes.py
@@ -81,7 +81,7 @@
     homes = HomeCells(table(cells(13)), max_orders=100)
     for name in FUNCTIONS[:1000]:
         homes.order(name, 2)
-    assert homes.cached_orders() == 100
+    assert homes.cached_order_count() == 100
 
 
 @pytest.mark.parametrize("region", [None, "region2"])
--- a/tests/decisions/cells/test_views.py
+++ b/tests/decisions/cells/test_views.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.cells.change import TableChange, TableHolder
 from gaproute.decisions.cells.entries import (
     MAX_BACKOFF,
-    MAX_ENTRIES_PER_CELL,
+    MAX_ENTRIES_USED_PER_CELL,
     MIN_BACKOFF,
     EntrySelector,
     trim_entries,
@@ -16,7 +16,12 @@
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import EntryGateway
 from gaproute.decisions.cells.version import Version
-from gaproute.decisions.cells.views import ADD_RATE, ASSIGNED_CELLS, MAX_HOSTS_IN_VIEW, CellView
+from gaproute.decisions.cells.views import (
+    ASSIGNED_CELLS,
+    MAX_HOSTS_IN_VIEW,
+    MIN_ADD_REQUESTS_PER_SECOND,
+    CellView,
+)
 from gaproute.units import SECOND
 
 
@@ -28,7 +33,7 @@
 
 def test_each_cell_of_a_zone_has_tens_of_gateways():
     """1,230 gateways in a zone of 38 cells."""
-    counts = Counter(name for number in range(1230) for name in view(f"gateway{number}").names())
+    counts = Counter(name for number in range(1230) for name in view(f"gateway{number}").cell_names())
     assert len(counts) == 38
     assert min(counts.values()) >= 32
     assert max(counts.values()) <= 110
@@ -55,15 +60,15 @@
 def send(made, name, rate, begin, seconds):
     for step in range(int(rate * seconds)):
         now = int((begin + step / rate) * SECOND)
-        made.record_use(now, name)
+        made.record_request(now, name)
         made.review(now)
 
 
 def test_steady_demand_adopts_and_disuse_lets_go():
     made = view()
-    send(made, "cell1", 2 * ADD_RATE, 0, 120)
+    send(made, "cell1", 2 * MIN_ADD_REQUESTS_PER_SECOND, 0, 120)
     assert made.extra == ("cell1",)
-    assert made.names() == made.assigned + ("cell1",)
+    assert made.cell_names() == made.assigned + ("cell1",)
     send(made, "cell2", 0.5, 120, 200)  # reviews go on
     assert made.extra == ("cell1",)  # the long count still shows use
     send(made, "cell2", 0.5, 320, 7200)
@@ -73,8 +78,8 @@
 def test_a_rate_at_the_threshold_does_not_flap():
     made, seen = view(), []
     for step in range(40_000):
-        now = int(step / ADD_RATE * SECOND) + (step * 7919 % 50) * SECOND // 100
-        made.record_use(now, "cell1")
+        now = int(step / MIN_ADD_REQUESTS_PER_SECOND * SECOND) + (step * 7919 % 50) * SECOND // 100
+        made.record_request(now, "cell1")
         if made.review(now):
             seen.append(now)
     assert len(seen) <= 2
@@ -84,23 +89,23 @@
     made = view()
     for step in range(60_000):
         now = step * SECOND // 400
-        made.record_use(now, f"cell{1 + step % 20}")
+        made.record_request(now, f"cell{1 + step % 20}")
         made.review(now)
-    assert MAX_HOSTS_IN_VIEW - 51 < made.hosts() <= MAX_HOSTS_IN_VIEW
+    assert MAX_HOSTS_IN_VIEW - 51 < made.host_count() <= MAX_HOSTS_IN_VIEW
 
 
 def test_one_cell_larger_than_the_bound_is_attended_to():
     made = CellView(0, GatewayLocation("g", "region0", "zone0"), max_hosts=100)
     made.adopt(table([cell("a", hosts=900), cell("b", hosts=900)]))
-    assert len(made.names()) == 1
+    assert len(made.cell_names()) == 1
 
 
 def test_a_cell_that_left_the_table_leaves_the_view():
     made = view()
-    send(made, "cell1", 2 * ADD_RATE, 0, 120)
+    send(made, "cell1", 2 * MIN_ADD_REQUESTS_PER_SECOND, 0, 120)
     made.adopt(table([row for row in cells(490) if row.name != "cell1"], number=2))
     assert made.extra == ()
-    assert "cell1" not in made.used
+    assert "cell1" not in made.request_counts
 
 
 WAYS = tuple(EntryGateway(f"entry{number}", f"address{number}") for number in range(32))
@@ -125,7 +130,7 @@
 
 def test_an_entry_in_doubt_is_passed_over_for_a_while():
     ways = EntrySelector("gateway1")
-    first, second = ways.order(CELL)[:2]
+    first, second = ways.ordered_entries(CELL)[:2]
     ways.record_failure(0, first.name)
     assert ways.pick(0, CELL) == second
     assert ways.pick(MIN_BACKOFF, CELL) == first
@@ -141,9 +146,9 @@
 def test_late_answers_are_no_proof_against_an_entry_that_answers_others():
     ways = EntrySelector("gateway1")
     ways.record_answer(5, "entry1")
-    ways.record_overdue(9, "entry1", sent=4)
+    ways.record_overdue(9, "entry1", sent_at=4)
     assert not ways.backoffs
-    ways.record_overdue(9, "entry1", sent=6)
+    ways.record_overdue(9, "entry1", sent_at=6)
     assert "entry1" in ways.backoffs
 
 
@@ -151,7 +156,7 @@
     ways = EntrySelector("entry0")
     one = replace(CELL, entries=WAYS[:1])
     assert ways.pick(0, one) is None
-    assert ways.none_available(0, one)
+    assert ways.has_no_usable_entry(0, one)
     for way in WAYS:
         ways.record_failure(0, way.name)
     assert ways.pick(0, CELL) is None
@@ -168,11 +173,14 @@
 
 
 def test_a_trimmed_row_has_the_entries_that_would_be_used():
-    whole, less = EntrySelector("gateway1").order(CELL), trim_entries(CELL, "gateway1")
-    assert EntrySelector("gateway1").order(less) == whole[:MAX_ENTRIES_PER_CELL]
+    whole, less = EntrySelector("gateway1").ordered_entries(CELL), trim_entries(CELL, "gateway1")
+    assert EntrySelector("gateway1").ordered_entries(less) == whole[:MAX_ENTRIES_USED_PER_CELL]
     own = trim_entries(CELL, "entry7")
     assert WAYS[7] in own.entries
-    assert EntrySelector("entry7").order(own) == EntrySelector("entry7").order(CELL)[:MAX_ENTRIES_PER_CELL]
+    assert (
+        EntrySelector("entry7").ordered_entries(own)
+        == EntrySelector("entry7").ordered_entries(CELL)[:MAX_ENTRIES_USED_PER_CELL]
+    )
     assert trim_entries(less, "gateway1") is less
 
 
@@ -181,7 +189,7 @@
     holder.replace(table([CELL, cell("cell1")]))
     row = replace(cell("cell2"), entries=WAYS)
     holder.apply(TableChange(FLEET, holder.table.version, Version(1, 2), (row,)))
-    assert all(len(each.entries) <= MAX_ENTRIES_PER_CELL for each in holder.table.cells)
+    assert all(len(each.entries) <= MAX_ENTRIES_USED_PER_CELL for each in holder.table.cells)
     again = TableHolder(FLEET, lambda cell: trim_entries(cell, "gateway1"))
     again.replace(table([CELL, cell("cell1"), row], number=2))
     assert again.table == holder.table
--- a/tests/support/cellular_gateways.py
+++ b/tests/support/cellular_gateways.py
@@ -14,7 +14,7 @@
     """A gateway of zone 0 that knows some cells' hosts."""
     made = CellularGateway(7, TERMS._replace(**{"hedging_allowed": False, **terms}), 0, PLACE)
     made.adopt(0, table(cells(count)))
-    for name in made.wanted():
+    for name in made.cells_to_follow():
         if name in own:
             made.update_hosts(0, [row(f"{name}-{host}") for host in "abc"], complete=True, cell=name)
     return made
