--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -51,7 +51,7 @@
         """Registers an attempt that was sent."""
         self.attempts[request, number] = attempt
 
-    def record(self, now: int, outcome: Outcome) -> bool:
+    def record_outcome(self, now: int, outcome: Outcome) -> bool:
         """Records the outcome of an attempt, whether or not its request is still in flight.
 
         Returns whether the attempt was sent by way of cells.
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -165,7 +165,7 @@
 
     def attempt_ended(self, now: int, outcome: Outcome) -> None:
         """Records the outcome of an attempt, whether or not its request is still in flight."""
-        if self.recorder.record(now, outcome):
+        if self.recorder.record_outcome(now, outcome):
             return
         gateway = (
             self.single_gateway or self.previous_single_gateway
