--- a/gaproute/decisions/cells/actions.py
+++ b/gaproute/decisions/cells/actions.py
@@ -1,12 +1,12 @@
-"""The type of the generators of the decisions on cells."""
+"""The types of the generators that yield the actions of the decisions on cells."""
 
 from collections.abc import Generator
 from typing import NamedTuple, TypeVar
 
 from gaproute.interface import Action, Fail, Outcome, Reject
 
-# A generator is resumed with the number of an attempt, with (now, outcome or None) after a wait, else with
-# None.
+# The value with which a generator is resumed: the number of the attempt after an `Attempt`, (now, outcome or
+# None) after a `Wait`, None after every other action
 Resumption = int | tuple[int, Outcome | None] | None
 Returned = TypeVar("Returned")
 Actions = Generator[Action, Resumption, Returned]
@@ -14,13 +14,13 @@
 
 
 class Wakeup(NamedTuple):
-    """The end of a wait: when it ended (ns), and the outcome that ended it, None if the time did."""
+    """The end of a wait: its time (ns), and the outcome that ended it, or None if the time ran out."""
 
     now: int
     outcome: Outcome | None
 
 
 def wakeup_of(resumption: Resumption) -> Wakeup:
-    """What a wait was resumed with."""
+    """The value with which a generator was resumed after a `Wait`."""
     assert isinstance(resumption, tuple)
     return Wakeup(*resumption)
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""Records what the outcomes of attempts show about cells and entries: health, demand and loads."""
+"""Records what the outcomes of attempts show about cells and entry gateways: health, demand and load."""
 
 from typing import NamedTuple
 
@@ -13,22 +13,23 @@
 from gaproute.interface import Found, Outcome, Result
 from gaproute.units import MILLI
 
-# Shortest mean time by which paces are measured, so that a stall of this gateway is not taken for a slow cell
+# Lower bound of the mean duration by which a duration is divided. Without it, a stall of this gateway would
+# make a cell that answers within a few milliseconds look slow.
 MIN_MEAN_DURATION = 25 * MILLI
 
 
 class CellAttempt(NamedTuple):
-    """An attempt without an outcome so far."""
+    """An attempt that has no outcome yet."""
 
     cell: str
-    gateway: Gateway | None  # of the known cell, which chose the host; None: sent to an entry gateway
+    gateway: Gateway | None  # chose the host, in a cell whose hosts are known; None: sent to an entry gateway
     function: str
     sent_at: int
     from_own_client: bool  # whether the request came from a client of this gateway
 
 
 class AttemptRecorder:
-    """Records the outcomes of `attempts`, which has those in flight by (request id, attempt number)."""
+    """Records the outcomes of attempts; `attempts` are those in flight, by (request id, attempt number)."""
 
     def __init__(
         self,
@@ -44,17 +45,17 @@
         self.attempts: dict[tuple[str, int], CellAttempt] = {}
 
     def adopt(self, table: CellTable) -> None:
-        """Uses a newer table from now on."""
+        """Replaces the cell table by a newer one."""
         self.table = table
 
     def register_attempt(self, request: str, number: int, attempt: CellAttempt) -> None:
-        """Registers an attempt that was sent."""
+        """Adds an attempt that was sent to those in flight."""
         self.attempts[request, number] = attempt
 
     def record_outcome(self, now: int, outcome: Outcome) -> bool:
         """Records the outcome of an attempt, whether or not its request is still in flight.
 
-        Returns whether the attempt was sent by way of cells.
+        Returns whether the attempt is one of those that were registered here.
         """
         key = outcome.request, outcome.attempt
         attempt = self.attempts.pop(key, None)
@@ -74,13 +75,13 @@
         return True
 
     def record_overdue(self, now: int, attempt: AttemptInFlight) -> None:
-        """Records that an attempt is overdue; called once for each."""
+        """Records that an attempt is overdue; called once for each attempt."""
         via = attempt.host
         if attempt.cell not in self.local.gateways:
             self.entries.record_overdue(now, attempt.host, attempt.sent_at)
             if self.entries.has_answered_since(attempt.host, attempt.sent_at):
-                # The entry has answered other requests, so the cell is silent, and each attempt counts by
-                # itself.
+                # The entry has answered other requests, so it is the cell that is silent. The key is unique
+                # to this attempt, so that each overdue attempt counts separately.
                 via = f"{attempt.host} at {attempt.sent_at}"
         self.health.record_overdue(now, attempt.cell, attempt.sent_at, via)
 
@@ -114,8 +115,9 @@
 
 
 def _shows_cell_state(result: Result, attempt: CellAttempt) -> bool:
-    """Whether a result shows something about the state of its cell.
+    """Whether the result of an attempt shows something about the state of its cell.
 
-    A full host does not mean a full cell, and an entry that does not know the cell shows nothing about it.
+    A full host does not mean that its cell is full, and an entry that does not know the cell shows nothing
+    about it.
     """
     return result is not (Result.NOT_LOADED if attempt.gateway is None else Result.FULL)
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -1,7 +1,7 @@
-"""The path of one request through the cells of a fleet, from acceptance to its one final answer.
+"""Routes a request through the cells of a fleet, from its acceptance to its one final answer.
 
-Invariants: a request is in one cell at a time and enters each at most once; no request is forwarded more than
-`MAX_HOPS` times.
+Invariants: a request has attempts in one cell at a time, and is sent to each cell at most once; no request is
+forwarded more than `MAX_HOPS` times.
 """
 
 from collections.abc import Iterator
@@ -22,25 +22,26 @@
 from gaproute.interface import Attempt, Fail, Reject, RejectReason, Result, Wait
 from gaproute.units import SECOND
 
-MAX_CELLS_TRIED = 3  # for one request: what three cells rejected, a fourth would probably reject too
-OVERDUE_MEAN_DURATIONS = 4  # mean durations after which an attempt is overdue
-OVERDUE_LOAD_TIMES = 2  # load times that are added to them
-DEFAULT_LOAD_TIME = SECOND  # where the request has none
+MAX_CELLS_TRIED = 3  # for one request: a fourth cell would probably reject what three cells rejected
+# An attempt is overdue after this many mean durations of its function, plus this many load times
+OVERDUE_MEAN_DURATIONS = 4
+OVERDUE_LOAD_TIMES = 2
+DEFAULT_LOAD_TIME = SECOND  # of a request that does not state its load time
 
-# Reasons of a cell for rejecting a request, other than its load.
+# Reasons other than load for which a cell rejects a request
 UNAVAILABLE_REASONS = (
     RejectReason.NO_HOST_AVAILABLE,
     RejectReason.CELL_UNREACHABLE,
     RejectReason.NO_ACTIVE_HOST,
 )
-# Reasons of a known cell that count as a rejection by the whole cell.
+# Reasons of the gateway of a known cell that count as a rejection by the whole cell
 FULL_REASONS = (RejectReason.NO_HOST_AVAILABLE, RejectReason.HOST_FULL)
 
 
 class CellRouter:
-    """Routes requests; each step uses the table that is the newest then.
+    """Routes requests. Each step of a request uses the newest table of that time.
 
-    `selector` chooses the cells for requests that clients of this gateway sent.
+    `selector` chooses the cells for requests from clients of this gateway.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         self.demand, self.health = selector.demand, selector.health
 
     def serve(self, progress: RequestProgress, forwarded: Forwarded | None) -> Actions[None]:
-        """The generator of one request, from acceptance to its one final answer."""
+        """Yields the actions for one request, from its acceptance to its one final answer."""
         answer: FinalAnswer | None = self._answer_without_cell(progress, forwarded)
         for choice in self._cell_choices(progress, forwarded):
             answer = yield from self._serve_in_cell(progress, choice)
@@ -70,15 +71,13 @@
             yield answer
 
     def _answer_without_cell(self, progress: RequestProgress, forwarded: Forwarded | None) -> Reject:
-        """The final answer where there is no cell to which the request may go."""
+        """The final answer if there is no cell to which the request may be sent."""
         if forwarded is not None and forwarded.cell not in self.table.by_name:
             return CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
         return Reject(progress.retry_after, RejectReason.NO_CELL_AVAILABLE)
 
     def _cell_choices(self, progress: RequestProgress, forwarded: Forwarded | None) -> Iterator[CellChoice]:
-        """The cells for a request, in turn; the cell of a forwarded request was chosen by its first
-        gateway.
-        """
+        """Yields the cells to try for a request; the first gateway chose the cell of a forwarded request."""
         function = progress.request.function
         if forwarded is not None:
             yield from self._forwarded_choice(progress, forwarded.cell)
@@ -87,14 +86,12 @@
         self.spill.record_arrival()
         choices = self.selector.choices(progress.now, function, may_repeat=progress.is_idempotent)
         for choice in islice(choices, MAX_CELLS_TRIED):
-            if choice.cell in self.table.by_name:  # a newer table may have come in the meantime
+            if choice.cell in self.table.by_name:  # a newer table may have arrived since the cell was chosen
                 self.view.record_request(progress.now, choice.cell)
                 yield choice
 
     def _forwarded_choice(self, progress: RequestProgress, name: str) -> Iterator[CellChoice]:
-        """The cell that a forwarded request names, unless this gateway knows the cell and found a fault in
-        it.
-        """
+        """Yields the cell that a forwarded request names, unless it is a known cell with a fault."""
         if name not in self.local.gateways:
             if name in self.table.by_name:
                 yield CellChoice(name)
@@ -108,13 +105,15 @@
             yield CellChoice(name, trial=True)
 
     def _permits_next_cell(self, answer: Reject) -> bool:
-        """Whether a rejected request may go to another cell: after a rejection for load only a bounded share
-        may.
+        """Whether a rejected request may go to another cell.
+
+        After a rejection for load, this takes a token of the spill budget, which bounds the share of such
+        moves.
         """
         return answer.reason in UNAVAILABLE_REASONS or self.spill.try_spend()
 
     def _serve_in_cell(self, progress: RequestProgress, choice: CellChoice) -> Actions[FinalAnswer | None]:
-        """Serves the request in one cell; returns its final answer there, or None if it was given already."""
+        """Serves the request in one cell; returns its final answer, or None if that was yielded already."""
         name = choice.cell
         if choice.trial:
             self.health.record_trial_sent(progress.now, name)
@@ -134,7 +133,7 @@
     def _run_actions(
         self, progress: RequestProgress, name: str, actions: Actions[None], gateway: Gateway | None
     ) -> Actions[FinalAnswer | None]:
-        """Passes on the actions of a cell for the request, and tracks its attempts."""
+        """Yields the actions that serve the request in a cell, and tracks its attempts."""
         value: Resumption = None
         while True:
             try:
@@ -166,7 +165,7 @@
         self.recorder.register_attempt(request.id, number, attempt)
 
     def _wait_and_check_overdue(self, progress: RequestProgress, action: Wait) -> Actions[Wakeup]:
-        """Waits, and checks attempts that become overdue."""
+        """Waits, and records the attempts that became overdue meanwhile."""
         resumed = yield Wait(min(action.until, progress.next_overdue_check()))
         wakeup = wakeup_of(resumed)
         progress.now = wakeup.now
@@ -177,7 +176,7 @@
         return wakeup
 
     def _overdue_time(self, progress: RequestProgress) -> int:
-        """When an attempt that is sent now becomes overdue, ns."""
+        """The time at which an attempt that is sent now becomes overdue, ns."""
         load_time = progress.request.load_time or DEFAULT_LOAD_TIME
         mean = self.demand.mean_duration(progress.request.function)
         return progress.now + int(OVERDUE_MEAN_DURATIONS * mean) + OVERDUE_LOAD_TIMES * load_time
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -1,8 +1,8 @@
-"""A gateway of a fleet of cells: it picks the cell of each request, then leaves the request to that cell.
+"""The decisions of a gateway in a fleet of cells: chooses the cell of each request, then the host within it.
 
 `CellularGateway` has the interface of `gaproute.decisions.routing.Gateway`. While its table has at most one
-cell it passes requests to one such gateway. With several cells it has a `routing.Gateway` for each cell that
-it knows, and forwards the requests of all other cells to their entry gateways.
+cell, it delegates to one such gateway. With several cells, it has a `routing.Gateway` for each cell whose
+host list it has (a known cell), and forwards requests for all other cells to their entry gateways.
 
 Invariant: all known cells share one limit on load orders.
 """
@@ -31,7 +31,8 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import ListedHost, Outcome, RejectReason, Report, Request, Result, Terms, Wait
 
-CHANCE_SALT = 0x63656C6C  # makes the random numbers that pick cells differ from those that pick hosts
+# Combined with the seed, so that the random numbers for cells differ from those for hosts
+CHANCE_SALT = 0x63656C6C
 
 
 class CellularGateway:
@@ -43,7 +44,7 @@
     """
 
     def __init__(self, seed: int, terms: Terms, now: int, location: GatewayLocation | None = None) -> None:
-        """Without a `location` the gateway can never have several cells."""
+        """Without a `location`, tables with several cells are rejected."""
         self.terms, self.location = terms, location
         self.single_gateway: Gateway | None = Gateway(seed, terms, now)
         self.previous_single_gateway: Gateway | None = None
@@ -62,19 +63,22 @@
         self.router: CellRouter | None = None
 
     def __getattr__(self, name: str) -> Any:
-        # Other attributes that drivers and transports read are those of the gateway of the one cell.
+        # Drivers and transports read attributes of `routing.Gateway`: these are delegated to the single
+        # gateway.
         single = self.__dict__.get("single_gateway")
         if single is None:
-            raise AttributeError(f"{name!r} is of one cell's gateway, and there are several cells")
+            raise AttributeError(
+                f"{name!r} is an attribute of a single cell's gateway; there are several cells"
+            )
         return getattr(single, name)
 
     # The table and the host lists
 
     def adopt(self, now: int, table: CellTable) -> None:
-        """Uses a newer cell table from now on. Errors: ValueError for several cells without a location."""
+        """Replaces the cell table by a newer one. Errors: ValueError for several cells without a location."""
         several = len(table.cells) > 1
         if several and self.view is None:
-            raise ValueError("a gateway without a place cannot go by several cells")
+            raise ValueError("a gateway without a location cannot use a table with several cells")
         if several and self.single_gateway is not None:
             self._switch_to_several_cells(table)
         self.table = table
@@ -87,7 +91,7 @@
             self._switch_to_one_cell(now, table)
 
     def cells_to_follow(self) -> tuple[str, ...]:
-        """The cells whose host lists this gateway should be given."""
+        """The cells whose host lists the caller has to follow for this gateway."""
         if self.single_gateway is not None:
             return (self.table.cells[0].name,) if self.table else ()
         return self._cells_in_view()
@@ -95,7 +99,7 @@
     def update_hosts(
         self, now: int, rows: Sequence[ListedHost], *, complete: bool, cell: str | None = None
     ) -> None:
-        """Takes over the hosts of a cell, or those of the whole fleet while there is one cell."""
+        """Updates the hosts of a cell, or those of the whole fleet while it has at most one cell."""
         if self.single_gateway is not None:
             self.single_gateway.update_hosts(now, rows, complete=complete)
         elif cell is not None and cell in self._cells_in_view():
@@ -128,8 +132,9 @@
         self.router.selector = self.selector
 
     def _switch_to_several_cells(self, table: CellTable) -> None:
-        """Changes from one cell to several; the gateway of the one goes on if its cell is still there and in
-        view.
+        """Changes from one cell to several.
+
+        The gateway of the single cell stays in use if its cell is still in the table and in the view.
         """
         single = self.single_gateway
         if self.table is not None and self.table.cells[0].name in table.by_name and single is not None:
@@ -152,8 +157,9 @@
     # Requests
 
     def serve(self, now: int, request: Request, forwarded: Forwarded | None = None) -> Actions[None]:
-        """The generator of one request, up to its final answer; `forwarded`: set if another gateway sent
-        it.
+        """Yields the actions for one request, up to its final answer.
+
+        `forwarded` is set if another gateway forwarded the request to this one.
         """
         if self.single_gateway is None:
             assert self.router is not None
@@ -167,14 +173,12 @@
         """Records the outcome of an attempt, whether or not its request is still in flight."""
         if self.recorder.record_outcome(now, outcome):
             return
-        gateway = (
-            self.single_gateway or self.previous_single_gateway
-        )  # the attempt was sent while there was one cell
+        gateway = self.single_gateway or self.previous_single_gateway  # sent while there was one cell
         if gateway is not None:
             gateway.attempt_ended(now, outcome)
 
     def probe_ended(self, now: int, host: str, report: Report | None, *, good: bool) -> bytes | None:
-        """Accounts for a health check; returns the message for all other gateways, or None."""
+        """Records the result of a health check; returns the message for all other gateways, or None."""
         gateway = self.single_gateway or self.local.gateway_of_host(host)
         if gateway is None:
             return None
@@ -184,33 +188,33 @@
     def load_order_ended(
         self, now: int, host: str, function: str, result: Result | None, copies: int
     ) -> None:
-        """Accounts for the end of a load order."""
+        """Records the end of a load order."""
         gateway = self.single_gateway or self.local.gateway_of_host(host)
         if gateway is not None:
             gateway.load_order_ended(now, host, function, result, copies)
 
     def peer_message_received(self, now: int, payload: bytes, cell: str | None = None) -> None:
-        """Takes another gateway's message about the load of a host."""
+        """Processes another gateway's message about the load of a host."""
         gateway = self.single_gateway or (self.local.gateways.get(cell) if cell is not None else None)
         if gateway is not None:
             gateway.peer_message_received(now, payload)
 
     def _knows_hosts_of(self, cell: str) -> bool:
-        """Whether the only cell is that one and a host of it is known."""
+        """Whether that cell is the only one and it has an active host."""
         assert self.single_gateway is not None
         return (
             self.table is not None and cell in self.table.by_name and bool(self.single_gateway.active_hosts)
         )
 
     def _reject_unknown_cell(self, progress: RequestProgress) -> Actions[None]:
-        """Rejects a request that was forwarded here for a cell which this gateway does not know."""
+        """Rejects a request that was forwarded to this gateway for a cell that it does not know."""
         yield CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
 
-    # Upkeep
+    # Housekeeping and shutdown
 
     @property
     def end_by(self) -> int:
-        """When every request must have its final answer, as the process ends (ns)."""
+        """The time by which every request must have its final answer, because the process ends (ns)."""
         end_by: int = self.single_gateway.end_by if self.single_gateway is not None else self.local.end_by
         return end_by
 
@@ -221,8 +225,9 @@
         self.local.set_end_by(when)
 
     def housekeep(self, now: int) -> Actions[None]:
-        """The generator of health checks, lists and cleanup of all known cells, and of reviews of the
-        view.
+        """Yields the actions of the housekeeping of all known cells, and reviews the view.
+
+        The housekeeping of a cell consists of health checks, list updates and cleanup.
         """
         housekeeper: Housekeeper | None = None  # of the single cell
         while True:
--- a/gaproute/decisions/cells/change.py
+++ b/gaproute/decisions/cells/change.py
@@ -1,7 +1,7 @@
-"""Changes to the cell table, and the one table that a gateway uses.
+"""Changes to the cell table, and the holder of a gateway's current table.
 
-Invariants: within one fleet the current version only grows; a table or change that is rejected leaves the
-current table as it was; a change is applied completely or not at all.
+Invariants: the version of the current table only grows; a rejected table or change leaves the current table
+as it was; a change is applied completely or not at all.
 """
 
 from collections.abc import Callable
@@ -29,8 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChange:
-    """The difference between the tables of versions `base` and `version`: rows that are set, and removed
-    cells.
+    """The difference between the tables of versions `base` and `version`.
+
+    `rows` are the cells to add or replace, `removed` the names of the cells to remove.
     """
 
     fleet: str
@@ -43,7 +44,7 @@
 def apply_change(
     table: CellTable, change: TableChange, trim: Callable[[Cell], Cell] | None = None
 ) -> CellTable:
-    """The table after the change. Errors: `TableError` where it cannot be applied completely."""
+    """The table after the change, with `trim` applied to the new rows. Errors: `TableError`."""
     if change.fleet != table.fleet:
         raise OtherFleetError(table.fleet, change.fleet)
     if change.version <= table.version:
@@ -54,7 +55,7 @@
     _remove_cells(cells, change)
     rows = _set_cells(cells, change)
     if not cells:
-        raise TableError("the change removes every cell")
+        raise TableError("the change removes every cell of the table")
     if len(cells) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
     regions = {cell.zone: cell.region for cell in table.cells if cells.get(cell.name) is cell}
@@ -75,7 +76,7 @@
 
 
 def _set_cells(cells: dict[str, Cell], change: TableChange) -> dict[str, int]:
-    """Sets the cells of the change's rows; returns the row of each cell, counted from 1."""
+    """Adds or replaces the cells of the change; returns the row number of each cell, from 1."""
     if len(change.rows) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
     rows: dict[str, int] = {}
@@ -90,19 +91,19 @@
 
 
 class TableHolder:
-    """The table by which a gateway decides: `table` is the last good one, None before the first.
+    """Holds the current cell table: `table` is the last valid one, or None before the first.
 
-    `needs_full_table`: no table has come yet, or a change did not fit.
+    `needs_full_table`: no table has been received yet, or a change could not be applied.
     """
 
     def __init__(self, fleet: str, trim: Callable[[Cell], Cell] | None = None) -> None:
-        """`trim` makes the row that is stored of a checked row."""
+        """`trim` reduces a checked row to what this gateway stores of it."""
         self.fleet, self.trim = fleet, trim
         self.table: CellTable | None = None
         self.needs_full_table = True
 
     def replace(self, table: CellTable) -> None:
-        """Takes over a complete table, as `validate` made it. Errors: `TableError` where it is rejected."""
+        """Replaces the table by one that `validate` returned. Errors: `TableError` if it is rejected."""
         if table.fleet != self.fleet:
             raise OtherFleetError(self.fleet, table.fleet)
         if self.table is not None and table.version <= self.table.version:
@@ -113,9 +114,9 @@
         self.table, self.needs_full_table = table, False
 
     def apply(self, change: TableChange) -> None:
-        """Applies a change.
+        """Applies a change to the current table.
 
-        Errors: `TableError`; `FullTableNeededError` where the complete table must be requested.
+        Errors: `TableError`; `FullTableNeededError` if the complete table must be requested.
         """
         if change.fleet != self.fleet:
             raise OtherFleetError(self.fleet, change.fleet)
--- a/gaproute/decisions/cells/choice.py
+++ b/gaproute/decisions/cells/choice.py
@@ -1,11 +1,12 @@
-"""Chooses the cell for a request, and the further cells in turn.
+"""Chooses the cell for a request, and the cells to try after it.
 
-The function's home cells come first, one of them drawn by load; then the next cells in the function's order,
-for requests that provably did not run. A home with a fault is left out, except for its one trial request.
-Requests that must not run twice also avoid a suspected home, unless no other is left.
+The first choice is one of the function's home cells, drawn by load. The next choices, for requests that
+provably did not run, are the cells that follow in the function's order. A home with a fault is left out,
+except for one trial request at a time. Requests that must not run twice also avoid a suspected home, unless
+no other cell is left.
 
-Invariants: a cell is given at most once for a request; a trial goes to one of the function's own homes only;
-without fault or suspicion the first cell is one of the homes.
+Invariants: each cell is chosen at most once for a request; a trial goes to one of the function's own homes
+only; without fault or suspicion the first choice is one of the homes.
 """
 
 from collections.abc import Iterator, Sequence
@@ -20,19 +21,19 @@
 from gaproute.decisions.cells.table import CellTable
 from gaproute.shared.randomness import RandomSource
 
-INITIAL_ORDER_LENGTH = 4  # cells of an order that are considered first
-ORDER_GROWTH_FACTOR = 4  # factor by which that number grows
+INITIAL_ORDER_LENGTH = 4  # cells of the order that are computed at first
+ORDER_GROWTH_FACTOR = 4  # by which that number grows while more cells are needed
 
 
 class CellChoice(NamedTuple):
-    """A cell for a request. `trial`: the request is the one trial of a domain with a fault."""
+    """A cell for a request. `trial`: the request is the trial request for a domain with a fault."""
 
     cell: str
     trial: bool = False
 
 
 class CellSelector:
-    """Combines homes, demand, loads and health, which all use one table."""
+    """Chooses cells by homes, demand, loads and health, which all use the same table."""
 
     def __init__(
         self,
@@ -47,11 +48,11 @@
         self.loads, self.health, self.chance = loads, health, chance
         self.capacities: dict[str, float] = {}  # by cell
         self.regions: set[str] = set()
-        self.regional_cells = 0.0  # capacity of the own region, in cells of mean capacity
+        self.regional_cells = 0.0  # capacity of the own region divided by the mean capacity of a cell
         self.adopt(homes.table)
 
     def adopt(self, table: CellTable) -> None:
-        """Uses a newer table from now on; `homes` has adopted it before."""
+        """Replaces the table by a newer one, which `homes` must have adopted already."""
         self.capacities = {cell.name: cell.capacity for cell in table.cells}
         self.regions = {cell.region for cell in table.cells}
         mean = sum(self.capacities.values()) / len(self.capacities)
@@ -59,9 +60,7 @@
         self.regional_cells = regional / mean
 
     def choices(self, now: int, function: str, *, may_repeat: bool = True) -> Iterator[CellChoice]:
-        """Yields the cells for a request of the function, in turn. `may_repeat`: the request may be sent
-        again.
-        """
+        """Yields the cells to try for a request of the function. `may_repeat`: the request may run twice."""
         regional, count = self.placement(now, function)
         region = self.location.region if regional else None
         homes = self.homes.order(function, count, region)[:count]
@@ -77,14 +76,14 @@
             yield from self._last_resort_choice(function, region)
 
     def placement(self, now: int, function: str) -> Placement:
-        """Where the function has its homes, as this gateway estimates it."""
+        """The placement of the function's homes, as this gateway estimates it."""
         placement = self.demand.placement(now, function, len(self.capacities), self.regional_cells)
         if not placement.regional and self._is_region_cut_off(now, function):
             return placement._replace(regional=True)
         return placement
 
     def _is_region_cut_off(self, now: int, function: str) -> bool:
-        """Whether most other regions have a fault: then the own region serves all functions alone."""
+        """Whether most other regions have a fault: the own region then serves all functions alone."""
         if self.regional_cells <= 0 or not self.health.faults:
             return False
         others = [region for region in self.regions if region != self.location.region]
@@ -94,9 +93,7 @@
     def _first_choice(
         self, now: int, function: str, homes: Sequence[str], *, may_repeat: bool
     ) -> CellChoice | None:
-        """One of the homes that are usable: one that needs a trial first, else one drawn by load; None: no
-        home.
-        """
+        """A usable home: one that is due for a trial, else one drawn by load; None if no home is usable."""
         if not self.health.is_fault_free():
             states = {
                 name: self.health.circuit_state(now, name, function, may_repeat=may_repeat) for name in homes
@@ -114,7 +111,7 @@
     def _further_choices(
         self, now: int, function: str, region: str | None, given: set[str], *, may_repeat: bool
     ) -> Iterator[CellChoice]:
-        """The usable cells of the order, except those already given."""
+        """Yields the usable cells of the function's order, except those in `given`, and adds them to it."""
         count, start = INITIAL_ORDER_LENGTH, 0
         while True:
             order = self.homes.order(function, count, region)
@@ -130,10 +127,10 @@
             start, count = len(order), ORDER_GROWTH_FACTOR * count
 
     def _last_resort_choice(self, function: str, region: str | None) -> Iterator[CellChoice]:
-        """The cell where no other is left.
+        """Yields the cell to use if no other is left.
 
-        It is the first home that has recovered but where the function is not due yet, or else the first that
-        is slow: a late answer is better than none.
+        It is the first cell of the order that has recovered although the function has not returned there yet,
+        or else the first that is slow: a late answer is better than none.
         """
         slow = None
         for name in self.homes.order(function, len(self.capacities), region):
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -1,13 +1,14 @@
-"""How many homes a function has, and whether they lie in the own region, from this gateway's requests alone.
+"""Estimates how many homes a function has and whether they lie in the own region.
 
-Arrivals are counted with exponential decay, over a short and a long time. Counts are estimated low, by a few
-standard deviations, so that a function that was seen once or twice counts as rare, as most functions are: it
-has one home in the whole fleet, where the requests of all gateways meet at one instance. A function that the
-own region alone keeps loaded has its homes in that region. A function with a large share of the work has more
-homes, in powers of two, so that gateways with slightly different estimates mostly agree.
+The estimate uses this gateway's own requests alone. Arrivals are counted with exponential decay, with a short
+and a long decay time. Counts are estimated `ESTIMATE_MARGIN` standard deviations low, so that a function with
+one or two requests counts as rare, as most functions are: a rare function has one home in the whole fleet, so
+that the requests of all gateways go to the same instance. A function that the requests of the own region
+alone keep loaded has its homes in that region. A function with a large share of the work has more homes, in
+powers of two, so that gateways with slightly different estimates mostly agree.
 
-Invariants: the placement of a function changes at most once in `MIN_PLACEMENT_TIME`, except to grow; the
-threshold for growing lies well above that for shrinking; the number of stored functions is bounded.
+Invariants: the placement of a function changes at most once in `MIN_PLACEMENT_TIME`, except to more homes;
+the threshold for more homes lies well above that for fewer; the number of stored functions is bounded.
 """
 
 from math import exp, sqrt
@@ -15,37 +16,37 @@
 
 from gaproute.units import SECOND
 
-SHORT_DECAY_TIME = 60 * SECOND  # of the short count, which follows a function that becomes hot
-# Of the long count, which separates functions that are requested often from rare ones
+SHORT_DECAY_TIME = 60 * SECOND  # of the short count, which soon shows a function that becomes hot
+# Of the long count, which separates rare functions from those that are requested often
 LONG_DECAY_TIME = 1_800 * SECOND
 # Standard deviations by which a count is estimated low: up to two arrivals count as none
 ESTIMATE_MARGIN = 1.5
-MAX_WORK_SHARE_PER_HOME = 0.01  # share of a mean cell's work that one home of a function may get
-SHRINK_FACTOR = 4  # the homes are halved when this many times fewer are needed
-# Requests expected at each home within a keep-alive: then an instance is found unloaded once in 55 requests
+MAX_WORK_SHARE_PER_HOME = 0.01  # of a mean cell's work, that a function may bring to one home
+SHRINK_FACTOR = 4  # the homes are halved when the number needed is smaller by this factor
+# Expected requests at a home within the keep-alive time: an instance is then unloaded for 1 of 55 requests
 REQUESTS_PER_KEEP_ALIVE = 4.0
 MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, except to more homes
-DEFAULT_DURATION = SECOND // 10  # of a request before any was measured
+DEFAULT_DURATION = SECOND // 10  # of a request, until one was measured
 DURATION_WEIGHT = 0.1  # of the newest request in the mean duration of a function
 FLEET_DURATION_WEIGHT = DURATION_WEIGHT / 10  # the same in the mean of all functions
-MAX_FUNCTIONS = 32_768  # stored functions; the one that was seen longest ago is dropped first
+MAX_FUNCTIONS = 32_768  # the one whose last request is the oldest is dropped first
 
 
 def effective_count_time(running_time: int, decay_time: int) -> float:
-    """The time over which a decaying count reaches back, `running_time` after its begin; ns."""
+    """The time by which to divide a decaying count for its rate, `running_time` after its start; ns."""
     return decay_time * (1 - exp(-max(running_time, SECOND) / decay_time))
 
 
 class FleetScope(NamedTuple):
-    """What a gateway knows of the fleet to which it belongs."""
+    """The size and settings of the fleet that a gateway belongs to."""
 
     gateways: int  # in the whole fleet
     regional_gateways: int  # in the own region
-    keep_alive: int  # an idle instance stays loaded at least this long, ns
+    keep_alive: int  # the least time for which an idle instance stays loaded, ns
 
 
 class Placement(NamedTuple):
-    """Where a function has its homes: how many, and whether within the own region."""
+    """How many homes a function has, and whether they lie within the own region."""
 
     regional: bool
     home_count: int
@@ -55,7 +56,7 @@
 
 
 class DecayingCount:
-    """Arrivals, or their work, that decay over two times."""
+    """A count of arrivals, or the sum of their work, with a short and a long decay time."""
 
     __slots__ = ("long_term", "short_term", "updated_at")
 
@@ -72,22 +73,22 @@
 
 
 class FunctionDemand(DecayingCount):
-    """What is stored of one function: its arrivals, its work and its homes."""
+    """The state of one function: arrivals, mean duration and placement."""
 
     __slots__ = ("changed_at", "duration", "placement")
 
     def __init__(self, now: int) -> None:
         super().__init__(now)
-        self.duration = 0.0  # mean time that a request takes, ns; 0: none measured
+        self.duration = 0.0  # mean duration of a request, ns; 0: none measured
         self.placement, self.changed_at = RARE_PLACEMENT, now - MIN_PLACEMENT_TIME
 
 
 class Demand:
-    """Own arrivals by function. `now`: when this gateway begins to count."""
+    """Own requests by function. `now`: the time at which counting starts."""
 
     def __init__(self, now: int, scope: FleetScope, max_functions: int = MAX_FUNCTIONS) -> None:
         self.started_at, self.scope, self.max_functions = now, scope, max_functions
-        self.functions: dict[str, FunctionDemand] = {}  # by name; the one seen last comes last
+        self.functions: dict[str, FunctionDemand] = {}  # by name, the one with the latest request last
         self.total_work = DecayingCount(now)
         self.fleet_duration = float(DEFAULT_DURATION)  # mean of all functions, ns
 
@@ -101,7 +102,7 @@
             del self.functions[next(iter(self.functions))]
 
     def record_duration(self, function: str, duration: int) -> None:
-        """Records that a request was answered after that time, ns."""
+        """Records how long a request of the function took, ns."""
         self.fleet_duration += FLEET_DURATION_WEIGHT * (duration - self.fleet_duration)
         demand = self.functions.get(function)
         if demand is None:
@@ -112,12 +113,15 @@
             demand.duration = float(duration)
 
     def mean_duration(self, function: str) -> float:
-        """The mean time that a request of the function takes, ns."""
+        """The mean duration of a request of the function, ns."""
         demand = self.functions.get(function)
         return self._mean_duration_of(demand) if demand is not None else self.fleet_duration
 
     def placement(self, now: int, function: str, cells: float, regional_cells: float) -> Placement:
-        """The function's homes, given the cells of mean capacity in the fleet and in the own region."""
+        """The placement of the function.
+
+        `cells`, `regional_cells`: capacity of the fleet and of the own region, in cells of mean capacity.
+        """
         demand = self.functions.get(function)
         if demand is None:
             return RARE_PLACEMENT
@@ -140,8 +144,9 @@
         return demand.duration or self.fleet_duration
 
     def _is_regional(self, now: int, demand: FunctionDemand) -> bool:
-        """Whether the region's own requests keep an instance loaded; to become regional takes more than to
-        stay so.
+        """Whether the requests of the own region keep an instance loaded.
+
+        The threshold to become regional is higher than that to stay regional.
         """
         count = demand.long_term * exp((demand.updated_at - now) / LONG_DECAY_TIME)
         counted = effective_count_time(now - self.started_at, LONG_DECAY_TIME)
@@ -151,22 +156,20 @@
         return _lower_estimate(count) * keep_alives >= REQUESTS_PER_KEEP_ALIVE
 
     def _home_count(self, now: int, demand: FunctionDemand, current: Placement, cells: float) -> int:
-        """How many homes the function's work needs, but no more than its requests keep loaded."""
+        """The number of homes for the function's work, but no more than its requests keep loaded."""
         share, rate = self._share_and_rate(now, demand)
         gateways = self.scope.regional_gateways if current.regional else self.scope.gateways
         kept_loaded = rate * gateways * self.scope.keep_alive / REQUESTS_PER_KEEP_ALIVE
-        most = max(1, min(int(cells), int(kept_loaded)))
-        needed = min(share * cells / MAX_WORK_SHARE_PER_HOME, most)
+        max_homes = max(1, min(int(cells), int(kept_loaded)))
+        needed = min(share * cells / MAX_WORK_SHARE_PER_HOME, max_homes)
         if needed > current.home_count:
-            return min(most, 1 << (int(needed) - 1).bit_length())
-        if current.home_count > most or needed * SHRINK_FACTOR <= current.home_count:
+            return min(max_homes, 1 << (int(needed) - 1).bit_length())
+        if current.home_count > max_homes or needed * SHRINK_FACTOR <= current.home_count:
             return max(1, current.home_count // 2)
         return current.home_count
 
     def _share_and_rate(self, now: int, demand: FunctionDemand) -> tuple[float, float]:
-        """The function's share of all own work, and its requests per nanosecond, by the larger of the two
-        counts.
-        """
+        """The function's share of all own work and its requests per ns, each by the count that gives more."""
         total = self.total_work
         share, rate = 0.0, 0.0
         for function_count, work, decay_time in (
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -1,11 +1,11 @@
 """Chooses the entry gateway for a request to a cell whose hosts this gateway does not know.
 
-Each gateway has its own order of a cell's entries (rendezvous hashing of its name and the entry's), so that
-the gateways of a fleet use different entries, and one gateway mostly the same entry of each cell: it needs
-few connections, and these are in use. An entry that cannot be reached or is silent is avoided for a while; an
-entry that does not know a cell is avoided for that cell.
+Each gateway has its own order of a cell's entries, by rendezvous hashing of its name and the entry's. So the
+gateways of a fleet use different entries, while one gateway mostly uses the same entry of a cell: it needs
+few connections, and these stay in use. An entry that cannot be reached or is silent is avoided for a while;
+an entry that does not know a cell is avoided for that cell.
 
-Invariants: a request goes to an entry at most once; it is forwarded `MAX_HOPS` times at most.
+Invariants: a request is sent to an entry at most once; it is forwarded at most `MAX_HOPS` times.
 """
 
 from collections.abc import Collection
@@ -18,22 +18,22 @@
 from gaproute.interface import Attempt, Reject
 from gaproute.units import SECOND
 
-# From the gateway that took the request to an entry, and once more if that does not know the cell
+# One from the gateway that accepted the request to an entry, one more if that entry does not know the cell
 MAX_HOPS = 2
-MAX_ENTRIES_USED_PER_CELL = 4  # in this gateway's order: two are tried for one request
-# Stored backoffs and answers for each cell, above which entries that the table lacks are forgotten
+MAX_ENTRIES_USED_PER_CELL = 4  # the first in this gateway's order; two are tried for one request
+# Stored backoffs and answer times per cell, above which those of entries outside the table are dropped
 MAX_ENTRY_STATES_PER_CELL = 4
-MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is avoided
-NEVER_ANSWERED = -1  # the time of the last answer of an entry that has not answered
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # time for which an entry is avoided
+NEVER_ANSWERED = -1  # time of the last answer of an entry that has not answered yet
 
 Key = TypeVar("Key")
 
 
 def trim_entries(cell: Cell, own_name: str) -> Cell:
-    """The row with only those entries that this gateway may use, and itself if it is one.
+    """The row of a cell with only the entries that this gateway may use, and the gateway itself if it is one.
 
-    It is given to `TableHolder` in a fleet whose gateways do not pass the table on to each other: entries are
-    the largest part of a table, and their number grows with the gateways.
+    This is the `trim` of a `TableHolder` in fleets whose gateways do not send the table to each other:
+    entries are the largest part of a table, and their number grows with the number of gateways.
     """
     if len(cell.entries) <= MAX_ENTRIES_USED_PER_CELL:
         return cell
@@ -42,7 +42,7 @@
 
 
 def _sort_entries(own_name: str, cell: Cell) -> list[EntryGateway]:
-    """The cell's entries in this gateway's order, except itself."""
+    """The cell's entries in this gateway's order, without this gateway itself."""
     return sorted(
         [entry for entry in cell.entries if entry.name != own_name],
         key=lambda entry: (-xxh3_64_intdigest(f"{own_name}\0{entry.name}".encode()), entry.name),
@@ -50,58 +50,56 @@
 
 
 class Forwarded(NamedTuple):
-    """The data of a forwarded request beside its content."""
+    """The data that a forwarded request carries in addition to the request itself."""
 
     cell: str
-    hops: int  # how often the request has been forwarded
+    hops: int  # number of times that the request has been forwarded
 
 
 class ForwardAttempt(Attempt):
-    """An attempt by way of an entry gateway. `host` is the entry's name."""
+    """An attempt through an entry gateway. `host` is the name of the entry."""
 
     address: str
     forwarded: Forwarded
 
     def __new__(cls, entry: EntryGateway, until: int, forwarded: Forwarded) -> Self:
-        """Makes an action like `Attempt`, with the data for the other gateway."""
+        """Makes an `Attempt` with the address of the entry and the data for it."""
         attempt = super().__new__(cls, entry.name, until)
         attempt.address, attempt.forwarded = entry.address, forwarded
         return attempt
 
 
 class CellUnknown(Reject):
-    """The rejection by a gateway that cannot reach the cell: nothing ran, and another entry may know the
-    cell.
-    """
+    """A rejection because this gateway cannot reach the cell. Nothing ran; another entry may know it."""
 
 
 @dataclass(frozen=True, slots=True)
 class EntryBackoff:
-    """Until when an entry that failed or does not know a cell is avoided; ns."""
+    """The end and the duration of the time for which an entry is avoided; ns."""
 
     retry_at: int
     duration: int
 
 
 class _CachedOrder(NamedTuple):
-    """A cell's entries in order, and the row of the table from which the order was computed."""
+    """A cell's entries in order, and the row of the cell from which the order was computed."""
 
     cell: Cell
     entries: tuple[EntryGateway, ...]
 
 
 class EntrySelector:
-    """Which entry of a cell to use, for the gateway `own_name`."""
+    """Chooses the entries of cells for the gateway `own_name`."""
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
         self.backoffs: dict[str, EntryBackoff] = {}  # by entry
-        self.unknown_cells: dict[tuple[str, str], EntryBackoff] = {}  # by (entry, cell that it lacks)
+        self.unknown_cells: dict[tuple[str, str], EntryBackoff] = {}  # by (entry, cell that it does not know)
         self.last_answered: dict[str, int] = {}  # by entry, ns
         self.orders: dict[str, _CachedOrder] = {}  # by cell
 
     def adopt(self, table: CellTable) -> None:
-        """Forgets entries and cells that the table lacks."""
+        """Drops the state of entries and cells that are not in the newer table."""
         self.orders = {name: order for name, order in self.orders.items() if name in table.by_name}
         self.unknown_cells = {
             key: backoff for key, backoff in self.unknown_cells.items() if _is_entry(table, *key)
@@ -112,29 +110,29 @@
             self.last_answered = {name: at for name, at in self.last_answered.items() if name in named}
 
     def ordered_entries(self, cell: Cell) -> tuple[EntryGateway, ...]:
-        """The cell's entries in this gateway's order, except itself."""
+        """The cell's entries in this gateway's order, without this gateway itself."""
         cached = self.orders.get(cell.name)
         if cached is None or cached.cell is not cell:
             cached = self.orders[cell.name] = _CachedOrder(cell, tuple(_sort_entries(self.own_name, cell)))
         return cached.entries
 
     def pick(self, now: int, cell: Cell, tried: Collection[str] = ()) -> EntryGateway | None:
-        """The entry to use; None where all are avoided or were tried."""
+        """The first usable entry that is not in `tried`, or None."""
         for entry in self.ordered_entries(cell):
             if entry.name not in tried and self._is_usable(now, entry.name, cell.name):
                 return entry
         return None
 
     def has_no_usable_entry(self, now: int, cell: Cell) -> bool:
-        """Whether no entry of the cell can be used now."""
+        """Whether all entries of the cell are avoided now."""
         return self.pick(now, cell) is None
 
     def record_failure(self, now: int, name: str) -> None:
-        """Notes that the entry could not be reached, broke the connection, or is silent."""
+        """Records that the entry could not be reached, broke the connection, or is silent."""
         _back_off(self.backoffs, name, now)
 
     def record_cell_unknown(self, now: int, name: str, cell: str) -> None:
-        """Notes that the entry answers, but does not know the cell of that name."""
+        """Records that the entry answered that it does not know the cell."""
         self.record_answer(now, name)
         _back_off(self.unknown_cells, (name, cell), now)
 
@@ -144,7 +142,7 @@
             self.record_failure(now, name)
 
     def record_answer(self, now: int, name: str, cell: str | None = None) -> None:
-        """Notes an answer of the entry; `cell`: one that the entry has shown to know."""
+        """Records an answer of the entry; `cell`: a cell that the answer shows it to know."""
         self.last_answered[name] = now
         self.backoffs.pop(name, None)
         if cell is not None:
@@ -155,13 +153,13 @@
         return self.last_answered.get(name, NEVER_ANSWERED) >= time
 
     def _is_usable(self, now: int, name: str, cell: str) -> bool:
-        """Whether the entry is not avoided, neither for all cells nor for this one."""
+        """Whether the entry is avoided neither for all cells nor for this cell."""
         backoffs = self.backoffs.get(name), self.unknown_cells.get((name, cell))
         return all(backoff is None or now >= backoff.retry_at for backoff in backoffs)
 
 
 def _back_off(backoffs: dict[Key, EntryBackoff], key: Key, now: int) -> None:
-    """Avoids the entry that the key names, for longer each time."""
+    """Starts a backoff of the entry that the key names; each is longer than the one before."""
     backoff = backoffs.get(key)
     if backoff is None:
         backoffs[key] = EntryBackoff(now + MIN_BACKOFF, MIN_BACKOFF)
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -1,4 +1,4 @@
-"""The records of cells, zones and regions that have a fault or may have one."""
+"""The records from which faults of cells, zones and regions are found, and the records of these faults."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -7,20 +7,20 @@
 
 from gaproute.units import SECOND
 
-TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without an answer has failed
-STORED_OUTCOMES = 8  # last outcomes of a cell that are stored, by which rejections and slowness are judged
+TRIAL_TIMEOUT = 5 * SECOND  # after which a trial request without an answer counts as failed
+STORED_OUTCOMES = 8  # of a cell; the latest ones, by which rejections and slowness are judged
 
 
 class CircuitState(Enum):
-    """Whether requests of a function may go to a cell now."""
+    """Whether requests of a function may be sent to a cell now."""
 
     CLOSED = "closed"
-    HALF_OPEN = "half-open"  # one request may go, as a trial
+    HALF_OPEN = "half-open"  # one request may be sent, as a trial
     OPEN = "open"
 
 
 class FaultKind(Enum):
-    """What proved the fault."""
+    """The kind of evidence by which a fault was found."""
 
     UNREACHABLE = "unreachable"
     SILENT = "silent"
@@ -29,51 +29,51 @@
 
 
 class FaultScope(Enum):
-    """The kinds of fault domains: named by a field of `Cell`, or all that lies outside the own zone or
-    region.
+    """The kinds of fault domains.
+
+    A domain is a region, a zone or a cell, for which the value is the field of `Cell` with its name, or all
+    that lies outside the own zone or region.
     """
 
     REGION = "region"
     ZONE = "zone"
     CELL = "name"
-    OTHER_ZONES = "other zones"  # named by the gateway's own zone
-    OTHER_REGIONS = "other regions"  # named by its own region
+    OTHER_ZONES = "other zones"  # the domain has the name of the own zone, which is not in it
+    OTHER_REGIONS = "other regions"  # the domain has the name of the own region, which is not in it
 
 
-# Hosts that fail together; a plain tuple, as many are made for each outcome
+# A set of hosts that may fail together. A plain tuple for speed, as several are made for each outcome
 FaultDomain = tuple[FaultScope, str]
 
 
 @dataclass(slots=True)
 class Fault:
-    """The fault of a domain, and its recovery, during which its functions return one by one. All times are
-    ns.
-    """
+    """The fault of a domain, and its recovery, during which functions return one by one. Times are in ns."""
 
     kind: FaultKind
     since: int
     backoff: int
     next_trial_at: int
-    trial_sent_at: int | None = None  # when the trial that has no answer yet was sent
-    recovered_at: int | None = None  # when a trial succeeded
-    ramp_duration: int = 0  # the time over which the functions return
+    trial_sent_at: int | None = None  # of the trial that has no answer yet
+    recovered_at: int | None = None  # time of the answer that ended the fault
+    ramp_duration: int = 0  # time over which the functions return
 
     def is_trial_due(self, now: int) -> bool:
-        """Whether a trial may be sent at the time `now`, ns."""
+        """Whether a trial request may be sent now."""
         if now < self.next_trial_at:
             return False
         return self.trial_sent_at is None or now - self.trial_sent_at >= TRIAL_TIMEOUT
 
 
 class RequestOutcome(NamedTuple):
-    """Whether a request was rejected."""
+    """Whether an answered request was rejected."""
 
     at: int
     rejected: bool
 
 
 class RelativeDuration(NamedTuple):
-    """The time that a request took, divided by the mean of its function."""
+    """The duration of a request divided by the mean duration of its function."""
 
     at: int
     ratio: float
@@ -89,13 +89,13 @@
 
 @dataclass(slots=True)
 class CellRecord:
-    """What has been received from a cell lately."""
+    """The latest answers of a cell, and the overdue requests to it."""
 
-    last_answered: int = -1  # ns
-    overdue: dict[str, int] = field(default_factory=dict)  # host or entry: when the overdue request was sent
+    last_answered: int = -1  # time of the last answer, ns; -1: none
+    overdue: dict[str, int] = field(default_factory=dict)  # by host or entry: time of an overdue request
     outcomes: deque[RequestOutcome] = field(default_factory=_recent_outcomes)
     relative_durations: deque[RelativeDuration] = field(default_factory=_recent_durations)
 
     def has_overdue_sent_after(self, last_answered: int) -> bool:
-        """Whether a request is overdue that was sent after that time."""
+        """Whether a request that was sent after that time is overdue."""
         return any(sent > last_answered for sent in self.overdue.values())
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -1,14 +1,16 @@
-"""Circuit breakers for cells: which cells may be sent requests, judged by this gateway's own requests alone.
+"""Circuit breakers for cells: which cells may be sent requests, decided from own requests alone.
 
-A cell has a fault when none of its hosts or entries can be reached, when requests by way of two of them are
-overdue and nothing came from the cell since, when it rejects most requests, or when its warm instances are
-far slower than usual. A zone, a region, or all outside the own zone or region has a fault when it is silent
-(`silence`). Errors prove nothing: a function may fail everywhere.
+A cell has a fault if none of its hosts or entries can be reached, if requests through two of them are overdue
+and the cell has not answered since, if it rejects most requests, or if its warm instances are far slower than
+usual. A zone, a region, or all that lies outside the own zone or region has a fault if it is silent (see
+`silence`). Errors are not evidence of a fault: a function may fail everywhere.
 
-A domain with a fault gets one trial request at a time, each after a longer backoff. After a successful trial
-its functions return one by one over a recovery ramp, in an order that all gateways nearly share.
+A domain with a fault is sent one trial request at a time, each after a longer backoff. After a successful
+trial, functions return to the domain one by one over a recovery ramp, in nearly the same order at all
+gateways.
 
-Invariants: one trial of a domain at a time; backoffs up to `MAX_BACKOFF`; messages make or end no fault.
+Invariants: a domain has one trial at a time; a backoff is at most `MAX_BACKOFF`; messages of other gateways
+neither cause nor end a fault.
 """
 
 from collections.abc import Mapping
@@ -34,15 +36,15 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials
-BACKOFF_JITTER = 0.25  # share of a backoff that is added at random, so that gateways differ
-IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request as a trial; after that any request is used
-OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes do not count; to most cells a gateway sends twice in 5 s
-MAX_REJECTED_SHARE = 0.5  # of the last outcomes, above which the cell has a fault
-MIN_OUTCOMES = 4  # outcomes that are needed to judge rejections
-SLOW_RATIO = 4.0  # a cell that is more times slower than usual has a fault
-MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # over which functions return
-RAMP_JITTER = 0.1  # share of the ramp by which gateways differ for one function
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # time before a trial
+BACKOFF_JITTER = 0.25  # at most this share of a backoff is added at random, so that gateways differ
+IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request to use as a trial; then any request is used
+OUTCOME_MAX_AGE = 30 * SECOND  # older ones do not count; a gateway sends to most cells twice in 5 s
+MAX_REJECTED_SHARE = 0.5  # of the latest outcomes; above it the cell has a fault
+MIN_OUTCOMES = 4  # needed to judge rejections
+SLOW_RATIO = 4.0  # a cell whose median relative duration is above it has a fault
+MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # time over which functions return
+RAMP_JITTER = 0.1  # at most this share of the ramp lies between the returns of a function at two gateways
 HASH_RANGE = 1 << 64
 
 ANSWERS = (Result.OK, Result.ERROR, Result.STREAM_STARTED)
@@ -51,7 +53,7 @@
 
 
 class CellHealth:
-    """The `faults` of regions, zones and cells. Times are ns of the clock of `now`."""
+    """Finds and ends the `faults` of cells, zones and regions. Times are ns of the clock of `now`."""
 
     def __init__(
         self, own_name: str, chance: RandomSource, own_location: GatewayLocation | None = None
@@ -63,7 +65,7 @@
         self.faults: dict[FaultDomain, Fault] = {}
 
     def adopt(self, table: CellTable) -> None:
-        """Uses a newer table from now on; what it lacks is forgotten."""
+        """Replaces the table by a newer one; drops the state of cells and domains that it does not have."""
         self.cells = table.by_name
         self.silence.adopt(table.by_name)
         self.records = {name: record for name, record in self.records.items() if name in self.cells}
@@ -71,12 +73,12 @@
             domains = {domain for cell in table.cells for domain in self.silence.domains(cell)}
             self.faults = {domain: fault for domain, fault in self.faults.items() if domain in domains}
 
-    # What may be sent
+    # Where requests may be sent
 
     def circuit_state(self, now: int, name: str, function: str, *, may_repeat: bool = True) -> CircuitState:
-        """Whether a request of the function may go to the cell.
+        """Whether a request of the function may be sent to the cell.
 
-        `may_repeat`: it may be sent again; a request that must not be avoids suspected domains.
+        `may_repeat`: the request may run twice; one that must not run twice avoids suspected domains.
         """
         cell = self.cells.get(name)
         if cell is None or not may_repeat and self.silence.is_suspected(now, cell):
@@ -91,11 +93,11 @@
         return state
 
     def is_fault_free(self) -> bool:
-        """Whether nothing has a fault, so that every request may go everywhere."""
+        """Whether no domain has a fault or is suspected, so that requests may be sent to all cells."""
         return not self.faults and not self.silence.suspected
 
     def is_region_usable(self, now: int, name: str, function: str) -> bool:
-        """Whether the region has no fault, or has recovered and the function is due there again."""
+        """Whether the region has no fault, or has recovered so far that the function has returned there."""
         domains = (FaultScope.REGION, name), *self.silence.outside_domains_of_region(name)
         faults = [self.faults[domain] for domain in domains if domain in self.faults]
         return all(self._has_returned(now, fault, function) for fault in faults)
@@ -110,32 +112,30 @@
         return bool(self.faults) and name in self.cells and bool(self._current_faults(name))
 
     def is_only_slow(self, name: str) -> bool:
-        """Whether the cell answers, though slowly, and its zone and region have no fault."""
+        """Whether slowness is the only fault of the cell, and its zone and region have none."""
         faults = self._current_faults(name) if name in self.cells else []
         return bool(faults) and all(fault.kind is FaultKind.SLOW for fault in faults)
 
     def accepts_any_trial(self, now: int, name: str) -> bool:
-        """Whether a trial is long overdue because no idempotent request has come for it."""
+        """Whether no idempotent request came for a trial in time, so that any request may be used for it."""
         return all(now >= fault.next_trial_at + IDEMPOTENT_TRIAL_WAIT for fault in self._current_faults(name))
 
-    # What was received
+    # What attempts show
 
     def record_trial_sent(self, now: int, name: str) -> None:
-        """Notes that a trial goes to the cell; an earlier one had no answer."""
+        """Records that a trial is sent to the cell; an earlier trial without an answer counts as failed."""
         self._record_trial_failure(now, name)
         for fault in self._current_faults(name):
             fault.trial_sent_at = now
 
     def record_unreachable(self, now: int, name: str) -> None:
-        """Notes that no host or entry of the cell can be reached, or no host of it is active."""
+        """Records that no host or entry of the cell can be reached, or that none of its hosts is active."""
         if name in self.cells:
             self._record_fault(now, (FaultScope.CELL, name), FaultKind.UNREACHABLE)
             self._record_trial_failure(now, name)
 
     def record_overdue(self, now: int, name: str, sent_at: int, via: str) -> None:
-        """Notes that a request to the cell, by way of the host or entry `via`, is overdue; once for each
-        request.
-        """
+        """Records that a request sent through the host or entry `via` is overdue; called once per request."""
         if name not in self.cells:
             return
         record = self.records.setdefault(name, CellRecord())
@@ -154,7 +154,8 @@
     ) -> None:
         """Records the outcome of a request.
 
-        `relative_duration`: its time divided by the mean of its function, where an instance was warm.
+        `relative_duration`: its duration divided by the mean of its function; None unless an instance was
+        warm.
         """
         if name not in self.cells:
             return
@@ -174,7 +175,7 @@
         self._judge_cell(now, name, record)
 
     def _judge_cell(self, now: int, name: str, record: CellRecord) -> None:
-        """Finds the faults that the last outcomes show: rejections and slowness."""
+        """Records a fault if the latest outcomes show that the cell rejects most requests or is slow."""
         rejected = [outcome.rejected for outcome in record.outcomes if now - outcome.at < OUTCOME_MAX_AGE]
         ratios = [each.ratio for each in record.relative_durations if now - each.at < OUTCOME_MAX_AGE]
         if len(rejected) >= MIN_OUTCOMES and sum(rejected) > MAX_REJECTED_SHARE * len(rejected):
@@ -226,8 +227,9 @@
         return backoff + self.chance.below(int(BACKOFF_JITTER * backoff))
 
     def _record_recovery(self, now: int, name: str) -> None:
-        """Ends faults after an answer: any answer ends silence, of zone and region too; other faults need a
-        trial.
+        """Ends the faults that an answer of the cell disproves, its zone's and region's too.
+
+        Any answer ends silence; other faults end with the answer to a trial.
         """
         for fault in self._current_faults(name) if self.faults else ():
             if fault.kind is FaultKind.SILENT or fault.trial_sent_at is not None:
@@ -235,13 +237,13 @@
                 fault.ramp_duration = min(MAX_RECOVERY_RAMP, max(MIN_RECOVERY_RAMP, now - fault.since))
 
     def _has_returned(self, now: int, fault: Fault, function: str) -> bool:
-        """Whether the function is due again on the recovery ramp."""
+        """Whether the function may be sent to the domain again, by the time since its recovery."""
         if fault.recovered_at is None:
             return False
         return self._ramp_share(function) * fault.ramp_duration <= now - fault.recovered_at
 
     def _ramp_share(self, function: str) -> float:
-        """The share of a recovery ramp after which the function returns; nearly the same at all gateways."""
+        """The share of the recovery ramp after which a function returns; nearly the same at all gateways."""
         shared = xxh3_64_intdigest(function.encode())
         own = xxh3_64_intdigest(f"{self.own_name}\0{function}".encode())
         return ((1 - RAMP_JITTER) * shared + RAMP_JITTER * own) / HASH_RANGE
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -1,7 +1,7 @@
-"""The home cells of a function: an order that every gateway computes alone from the cell table.
+"""The home cells of a function: the first of an order that each gateway computes from the cell table alone.
 
-Invariants: gateways with equal tables agree on every order, whatever they saw before; the second home lies in
-another zone than the first if the table has one; an order names each cell once.
+Invariants: gateways with equal tables compute equal orders, whichever tables they had before; the second home
+lies in another zone than the first if the table has another zone; an order has each cell once.
 """
 
 from collections.abc import Iterable
@@ -11,12 +11,12 @@
 from gaproute.decisions.cells.table import Cell, CellTable
 from gaproute.decisions.cells.version import Version
 
-MAX_CACHED_ORDERS = 8_192  # cached orders; computing one takes far less than a millisecond
-MIN_ORDER_LENGTH = 4  # homes in a cached order: one for each usual reason to use the next cell
+MAX_CACHED_ORDERS = 8_192  # computing an order takes far less than a millisecond
+MIN_ORDER_LENGTH = 4  # cells in a cached order, one for each usual reason to use the next cell
 
 
 class _CachedOrder(NamedTuple):
-    """An order, and the version of the table it was computed from; None: not computed yet."""
+    """An order, and the version of the table from which it was computed; None: not computed yet."""
 
     version: Version | None
     cells: tuple[str, ...]
@@ -26,9 +26,9 @@
 
 
 class HomeCells:
-    """Orders by one table, over the whole fleet or within one region; a bounded number is cached.
+    """Computes and caches orders by one table, over the whole fleet or within one region.
 
-    `regions`: those that will be needed; the ring of any other is made when it is first used.
+    `regions`: regions whose rings are made at once; the ring of any other region is made at its first use.
     """
 
     def __init__(
@@ -36,15 +36,16 @@
     ) -> None:
         self.table = table
         self.max_orders = max_orders
-        # By (function, region); the one used last comes last
+        # By (function, region), the most recently used last
         self._orders: dict[tuple[str, str | None], _CachedOrder] = {}
         self._rings: dict[str | None, HashRing] = {None: HashRing(table.cells)}  # None: the whole fleet
         for region in regions:
             self._ring(region)
 
     def adopt(self, table: CellTable) -> None:
-        """Uses a newer table from now on. The cost is that of the changes; orders are computed again when
-        needed.
+        """Replaces the table by a newer one.
+
+        The cost depends on the number of changed cells. Cached orders are computed again when they are used.
         """
         before, after = self.table.by_name, table.by_name
         names = {name for name, cell in after.items() if before.get(name) is not cell}
@@ -58,7 +59,7 @@
         self.table = table
 
     def order(self, function: str, count: int, region: str | None = None) -> tuple[str, ...]:
-        """The first `count` homes, or more if more are cached; fewer if there are no more cells."""
+        """At least the first `count` cells of the function's order, or all if there are fewer."""
         key = function, region
         version, order = self._orders.pop(key, _NO_ORDER)
         ring = self._ring(region)
@@ -75,7 +76,7 @@
         return order[0] if order else None
 
     def cached_order_count(self) -> int:
-        """How many orders are cached."""
+        """The number of cached orders."""
         return len(self._orders)
 
     def _ring(self, region: str | None) -> HashRing:
@@ -85,13 +86,13 @@
 
 
 def moved_share(before: HomeCells, after: HomeCells, functions: Iterable[str]) -> float:
-    """The share of the functions whose first home differs."""
+    """The share of the functions whose first home differs between the two."""
     functions = list(functions)
     return sum(before.first(name) != after.first(name) for name in functions) / max(1, len(functions))
 
 
 def _compute_order(ring: HashRing, function: str, count: int) -> tuple[str, ...]:
-    """The ring's order, in which the second cell is the first one of another zone."""
+    """The ring's order, changed so that the second cell is the first one that lies in another zone."""
     if not ring.cells:
         return ()
     several_zones = len(ring.zones) > 1
@@ -116,7 +117,7 @@
 
 
 def _has_same_ring_points(before: Cell | None, after: Cell | None) -> bool:
-    """Whether two rows of a cell give the same order of homes."""
+    """Whether two rows of a cell lead to the same orders."""
     if before is None or after is None:
         return before is after
     return (before.points, before.zone, before.region) == (after.points, after.zone, after.region)
--- a/gaproute/decisions/cells/housekeeping.py
+++ b/gaproute/decisions/cells/housekeeping.py
@@ -1,4 +1,4 @@
-"""The housekeeping of one `routing.Gateway`, as a part of the housekeeping of a gateway of cells."""
+"""Runs the housekeeping of one `routing.Gateway` as part of the housekeeping of a `CellularGateway`."""
 
 from collections.abc import Iterator
 
@@ -8,7 +8,7 @@
 
 
 class Housekeeper:
-    """Advances a gateway's housekeeping generator. `due`: when it is to be advanced next, ns."""
+    """Advances the housekeeping generator of a gateway. `due`: the time of the next `advance`, ns."""
 
     def __init__(self, gateway: Gateway, now: int) -> None:
         self.gateway, self.due = gateway, now
@@ -16,7 +16,7 @@
         self._started = False
 
     def advance(self, now: int) -> Iterator[Action]:
-        """Yields the generator's actions until it waits again."""
+        """Yields the actions of the generator up to its next wait."""
         action = self._generator.send((now, None) if self._started else None)
         self._started = True
         while not isinstance(action, Wait):
--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -1,11 +1,11 @@
-"""How loaded the cells are, by the reports of the last seconds, and the draw between two of them.
+"""The loads of cells by their latest reports, and the draw of a cell by load.
 
-For each request of a function with several homes, two homes are drawn in proportion to capacity. The less
-loaded one is taken, the more likely the more their loads differ (the power of two choices, Mitzenmacher 2001,
-with a slope because loads may be old). Bounded loads (Mirrokni and others, 2018) would need a count of the
-requests at each home that all gateways share.
+For each request of a function with several homes, two homes are drawn in proportion to capacity. Of these
+two, the less loaded one is chosen with a probability that grows with the difference of their loads (the power
+of two choices, Mitzenmacher 2001, with a slope instead of a step because loads may be old). Bounded loads
+(Mirrokni and others, 2018) would need a count of the requests at each home that all gateways share.
 
-Invariant: a load is forgotten `LOAD_MAX_AGE` after it was reported, and then counts as the mean.
+Invariant: a load is ignored `LOAD_MAX_AGE` after it was reported; the cell then counts as one of mean load.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -14,18 +14,18 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-LOAD_DECAY_TIME = 10 * SECOND  # time over which the reports of a cell are averaged
-LOAD_MAX_AGE = 60 * SECOND  # an older load does not count
-MIN_REPORT_INTERVAL = SECOND // 10  # shorter intervals between reports count as this
-MEAN_REPORT_WEIGHT = 1 / 256  # weight of one report in the mean of all
-# Of the probability by the difference of two loads divided by the mean: a tenth shifts it by 0.6
+LOAD_DECAY_TIME = 10 * SECOND  # over which the reports of a cell are averaged
+LOAD_MAX_AGE = 60 * SECOND  # after which a load is ignored
+MIN_REPORT_INTERVAL = SECOND // 10  # shorter intervals between two reports of a cell count as this
+MEAN_REPORT_WEIGHT = 1 / 256  # weight of one report in the mean over all cells
+# Change of the probability by the difference of two loads over the mean: a difference of 0.1 shifts it by 0.6
 PROBABILITY_SLOPE = 12.0
-MIN_HIGHER_LOAD_PROBABILITY = 0.05  # of taking the more loaded one, so that its reports still come
-MAX_DRAWS = 8  # draws by capacity before one is taken anyway
+MIN_HIGHER_LOAD_PROBABILITY = 0.05  # so that reports of the more loaded cell still arrive
+MAX_DRAWS = 8  # by capacity; the last one is taken in any case
 
 
 class _CellLoad:
-    """The load of one cell divided by its capacity, and when it was reported."""
+    """The load of one cell divided by its capacity, and the time of its last report."""
 
     __slots__ = ("reported_at", "value")
 
@@ -34,20 +34,18 @@
 
 
 class CellLoads:
-    """Loads by cell, for the cells of one table. `mean`: of all reports, so cells that report often count
-    more.
-    """
+    """The loads of the cells of one table. `mean` is over all reports: cells that report often count more."""
 
     def __init__(self) -> None:
         self.cells: dict[str, _CellLoad] = {}  # by name
         self.mean = 0.0
 
     def adopt(self, names: Collection[str]) -> None:
-        """Forgets cells that the table lacks."""
+        """Drops the loads of cells that are not among the names of the newer table."""
         self.cells = {name: load for name, load in self.cells.items() if name in names}
 
     def record(self, now: int, name: str, value: float) -> None:
-        """A report of the cell's load, in any unit that is the same for all cells."""
+        """Records a report of the cell's load, in a unit that is the same for all cells."""
         load = self.cells.get(name)
         if load is None:
             load = self.cells[name] = _CellLoad(now, value)
@@ -59,7 +57,7 @@
         self.mean += (load.value - self.mean) * MEAN_REPORT_WEIGHT
 
     def relative_load(self, now: int, name: str) -> float:
-        """The cell's load divided by the mean; 1 where nothing is known."""
+        """The load of the cell divided by the mean, or 1 if its load is unknown."""
         load = self.cells.get(name)
         if load is None or now - load.reported_at > LOAD_MAX_AGE or self.mean <= 0:
             return 1.0
@@ -68,7 +66,7 @@
     def draw(
         self, now: int, names: Sequence[str], capacities: Mapping[str, float], chance: RandomSource
     ) -> str:
-        """Draws one of the named cells. `capacities`: by name."""
+        """Draws one of the named cells by capacity and load. `capacities`: by name."""
         if len(names) == 1:
             return names[0]
         largest = max(capacities[name] for name in names[:MAX_DRAWS])
@@ -84,7 +82,7 @@
 def _draw_by_capacity(
     names: Sequence[str], capacities: Mapping[str, float], largest: float, chance: RandomSource
 ) -> str:
-    """Draws a cell, about in proportion to its capacity; `largest`: the largest capacity among them."""
+    """Draws a cell, nearly in proportion to capacity. `largest`: the largest capacity among them."""
     for _ in range(MAX_DRAWS):
         name = names[chance.below(len(names))]
         if chance.below(SECOND) * largest < capacities[name] * SECOND:
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -1,7 +1,8 @@
-"""The cells whose hosts this gateway knows: a `routing.Gateway` for each.
+"""The known cells, whose host lists this gateway has: a `routing.Gateway` for each.
 
-Invariants: all of them share one limit on load orders, so that knowing more cells does not allow more loads;
-the outcome of an attempt goes to the gateway that sent it, even after its cell has left the view.
+Invariants: all known cells share one limit on load orders, so that knowing more cells does not allow more
+loads; the outcome of an attempt goes to the gateway that sent the attempt, even after its cell has left the
+view.
 """
 
 from collections.abc import Collection, Iterator, Sequence
@@ -14,21 +15,21 @@
 from gaproute.interface import Action, ListedHost, Report, Terms
 from gaproute.units import SECOND
 
-LOAD_CACHE_TIME = SECOND  # for which the sum of the loads of a cell's hosts is cached
-MAX_HOUSEKEEPING_INTERVAL = SECOND  # the longest time between two checks for housekeeping that is due
+LOAD_CACHE_TIME = SECOND  # for the sum of the loads of the hosts of a cell
+MAX_HOUSEKEEPING_INTERVAL = SECOND  # between two checks for due housekeeping
 
 
 class _CachedLoad(NamedTuple):
-    """Requests in flight at a cell's hosts, and when they were counted."""
+    """The number of requests in flight at the hosts of a cell, and the time at which they were counted."""
 
     counted_at: int
     load: float
 
 
 class LocalCells:
-    """Gateways by cell. A cell counts as known once its complete host list has come.
+    """The gateways of known cells. A cell is known once its complete host list has been received.
 
-    `end_by`: when every request must have its answer as the process ends, ns; `NEVER` while it does not end.
+    `end_by`: the time by which every request must have its answer because the process ends, ns, or `NEVER`.
     """
 
     def __init__(self, seed: int, terms: Terms) -> None:
@@ -40,15 +41,16 @@
         self.end_by: int = NEVER
 
     def retain(self, names: Collection[str]) -> None:
-        """Forgets all other cells."""
+        """Drops all cells except the named ones."""
         for name in [name for name in self.gateways if name not in names]:
             del self.gateways[name]
             self.housekeepers.pop(name, None)
             self.loads.pop(name, None)
 
     def update_hosts(self, now: int, name: str, rows: Sequence[ListedHost], *, complete: bool) -> None:
-        """Takes over the host list of a cell in view, or changes to it; changes before the first list are
-        ignored.
+        """Updates the hosts of a cell in view, by its complete list or by changes to it.
+
+        Changes that arrive before the first complete list are ignored.
         """
         gateway = self.gateways.get(name)
         if gateway is None:
@@ -59,30 +61,30 @@
         gateway.update_hosts(now, rows, complete=complete)
 
     def new_gateway(self, now: int) -> Gateway:
-        """Makes a gateway that shares the limit on load orders and the end of the process."""
+        """Makes a gateway for a cell, with the shared limit on load orders and the current `end_by`."""
         gateway = Gateway(self.seed, self.terms, now, self.load_order_limiter)
         gateway.end_by = self.end_by
         return gateway
 
     def add(self, name: str, gateway: Gateway) -> None:
-        """Adds a cell with a gateway that was made for it."""
+        """Adds a known cell and its gateway."""
         self.gateways[name] = gateway
 
     def set_end_by(self, when: int) -> None:
-        """Sets the time by which every request must have its answer, as the process ends."""
+        """Sets the time by which every request must have its answer because the process ends, ns."""
         self.end_by = when
         for gateway in self.gateways.values():
             gateway.end_by = when
 
     def gateway_of_host(self, host: str) -> Gateway | None:
-        """The gateway that knows the host, or None."""
+        """The gateway of the cell that has the host, or None."""
         for gateway in self.gateways.values():
             if host in gateway.hosts_by_id:
                 return gateway
         return None
 
     def load(self, now: int, name: str) -> float:
-        """Requests in flight at the hosts of a known cell, as far as this gateway knows."""
+        """The number of requests in flight at the hosts of a known cell, as this gateway estimates it."""
         cached = self.loads.get(name)
         if cached is None or now - cached.counted_at >= LOAD_CACHE_TIME:
             gateway = self.gateways[name]
@@ -91,13 +93,11 @@
         return cached.load
 
     def load_report(self, now: int, name: str) -> Report | None:
-        """The load of the cell, which an entry sends with each answer; None for a cell that it does not
-        know.
-        """
+        """The load of a known cell, which an entry gateway sends with each answer; None for other cells."""
         return Report(in_hand=self.load(now, name)) if name in self.gateways else None
 
     def housekeep(self, now: int) -> Iterator[Action]:
-        """Advances the housekeeping of every cell where it is due; yields its actions."""
+        """Yields the actions of the housekeeping that is due, over all known cells."""
         for name, gateway in list(self.gateways.items()):
             housekeeper = self.housekeepers.get(name)
             if housekeeper is None:
@@ -106,6 +106,6 @@
                 yield from housekeeper.advance(now)
 
     def next_housekeeping(self, now: int) -> int:
-        """When `housekeep` is due again, ns."""
+        """The time at which `housekeep` is due again, ns."""
         due = (housekeeper.due for housekeeper in self.housekeepers.values())
         return min(now + MAX_HOUSEKEEPING_INTERVAL, min(due, default=now + MAX_HOUSEKEEPING_INTERVAL))
--- a/gaproute/decisions/cells/location.py
+++ b/gaproute/decisions/cells/location.py
@@ -1,4 +1,4 @@
-"""Where a gateway is within the fleet."""
+"""The location of a gateway within the fleet."""
 
 from typing import NamedTuple
 
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -1,15 +1,15 @@
-"""The path of a request into a cell that this gateway knows by its entry gateways alone.
-
-The entry decides within the cell, with the retries that the rules allow, so little is left to decide here:
-another entry is used where one cannot be reached or does not know the cell (NOT_LOADED); a rejection (FULL)
-means that the cell rejected the request, and the caller tries the next cell.
-
-A request that may have run is repeated only if it is idempotent, or has an idempotency key that all hosts
-share and still remember: then it goes to one more entry of the cell if the connection to the first entry
-broke. That entry, or one to which it forwarded the request, may still be sending it to hosts, so the deadline
-of the request must lie within the time for which hosts remember a key since it was first sent. A key that
-only the hosts of a zone or a rack share is not enough: a cell has several racks, and two tables may have the
-cell in different zones.
+"""Serves requests for a cell whose hosts this gateway does not know, through its entry gateways.
+
+The entry chooses the hosts within the cell and makes the allowed retries there, so few decisions are left to
+this gateway. It uses another entry if one cannot be reached or does not know the cell (NOT_LOADED). A
+rejection (FULL) means that the cell rejected the request: `CellRouter` then tries the next cell.
+
+A request that may have run is repeated only if it is idempotent, or if it has an idempotency key that all
+hosts share and still remember. In the second case it is sent to one more entry of the cell if the connection
+to the first entry broke. The first entry, or an entry to which it forwarded the request, may still be sending
+the request to hosts, so the deadline of the request must lie within the time for which hosts remember a key,
+counted from when the request was first sent. A key that only the hosts of a zone or a rack share is not
+enough: a cell has several racks, and two tables may have the cell in different zones.
 """
 
 from gaproute.decisions.cells.actions import Actions, wakeup_of
@@ -29,15 +29,15 @@
 from gaproute.units import MILLI, SECOND
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
-# Of a request between two gateways; by so much the deadline at the entry may be later than at the sender
+# Of a request between two gateways: the deadline at the entry may be later than at the sender by this time
 MAX_TRANSIT_TIME = 100 * MILLI
 
 
 class RemoteCells:
-    """Serves requests by way of entry gateways.
+    """Serves requests through entry gateways.
 
-    `local` knows when every request must have its answer as the process ends. `cancel_allowed`: attempts for
-    which nobody waits may be cancelled.
+    `local` has the time by which every request must have its answer because the process ends.
+    `cancel_allowed`: attempts whose answer is no longer needed may be cancelled.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.cancel_allowed = cancel_allowed
 
     def serve(self, progress: RequestProgress, cell: Cell) -> Actions[None]:
-        """Yields actions as `routing.Gateway.serve` does; ends without a final answer if one was given."""
+        """Yields actions as `routing.Gateway.serve` does; no final answer if the request is over."""
         if progress.hops >= MAX_HOPS:
             yield CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
             return
@@ -71,7 +71,7 @@
         yield from self._answer_without_entry(progress, cell)
 
     def _answer_without_entry(self, progress: RequestProgress, cell: Cell) -> Actions[None]:
-        """The final answer where no further entry can be used."""
+        """Yields the final answer if no further entry can be used."""
         if self.entries.has_no_usable_entry(progress.now, cell):
             self.health.record_unreachable(progress.now, cell.name)
         answer = progress.final_answer(RejectReason.CELL_UNREACHABLE)
@@ -80,16 +80,15 @@
         yield answer
 
     def _answer_by(self, progress: RequestProgress) -> int:
-        """When the request must have its answer here: by its deadline and by the end of the process (ns)."""
+        """The time by which this gateway must answer: the deadline or the end of the process, ns."""
         end: int = min(progress.deadline, self.local.end_by)
         return end - ANSWER_BY
 
     def _await_outcome(self, progress: RequestProgress, number: int, cell: Cell) -> Actions[Outcome | None]:
-        """The outcome of the attempt, or None if the request is over.
+        """Waits for the outcome of the attempt; returns None if the request is over.
 
-        An idempotent request that waits for a cell in which a fault was found is cancelled, to be sent
-        elsewhere, unless the cell is only slow: then it has already waited there for a part of the usual
-        time.
+        An idempotent request that waits for a cell with a fault is cancelled, to be sent elsewhere. It is not
+        cancelled if the cell is only slow: part of the usual duration has then passed already.
         """
         cancelled = False
         while True:
@@ -115,12 +114,12 @@
                 return None
 
     def _is_unresponsive(self, cell: Cell) -> bool:
-        """Whether no answer can be expected from the cell."""
+        """Whether the cell has a fault other than slowness, so that no answer can be expected from it."""
         return self.health.is_faulty(cell.name) and not self.health.is_only_slow(cell.name)
 
 
 def _may_repeat(progress: RequestProgress, result: Result) -> bool:
-    """Whether the request may be sent to another entry of the cell after this result."""
+    """Whether the request may be sent to another entry of the cell after an attempt with this result."""
     if not progress.may_have_run or progress.is_idempotent:
         return True
     request_class = progress.request_class
@@ -133,7 +132,7 @@
 
 
 def _await_stream_end(now: int, outcome: Outcome | None) -> Actions[None]:
-    """Waits for the end of a streamed answer, which has no deadline."""
+    """Waits for the end of a streamed answer; a stream has no deadline."""
     while outcome is None or not outcome.ended:
         resumed = yield Wait(now + SECOND)
         now, outcome = wakeup_of(resumed)
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -1,7 +1,8 @@
-"""The state of one request on its way through cells: its attempts, what may have run, what may still be done.
+"""The state of one request that is routed through cells: its attempts, and whether it may have run.
 
-Invariants: the request has attempts in flight in one cell at a time; a cell is left only when nothing is in
-flight; a request that must not run twice leaves a cell only if every attempt of it provably did not run.
+Invariants: the request has attempts in flight in one cell at a time; it is sent to another cell only when no
+attempt is in flight; a request that must not run twice is sent to another cell only if all its attempts
+provably did not run.
 """
 
 from collections.abc import Iterator
@@ -23,20 +24,20 @@
 )
 from gaproute.units import MILLI
 
-OVERDUE_CHECK_INTERVAL = 500 * MILLI  # between checks of a request with an overdue attempt
+OVERDUE_CHECK_INTERVAL = 500 * MILLI  # between checks of a request that has an overdue attempt
 
 
 class AttemptInFlight(NamedTuple):
-    """An attempt without an outcome so far; times are ns."""
+    """An attempt that has no outcome yet; times are in ns."""
 
     cell: str
     host: str  # the name of the host, or of the entry gateway
     sent_at: int
-    overdue_at: int  # when it is overdue
+    overdue_at: int  # time at which the attempt becomes overdue
 
 
 class RequestProgress:
-    """The state of one request. `now` is the time of its last event."""
+    """The state of one request. `now` is the time of the last event of the request, ns."""
 
     def __init__(self, now: int, request: Request, terms: Terms, forwarded: Forwarded | None = None) -> None:
         self.request, self.now = request, now
@@ -53,24 +54,24 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether the request may run twice anywhere."""
+        """Whether the request may run any number of times, at any hosts."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def remaining_request(self) -> Request:
-        """The request as the next cell gets it, with the time that is left."""
+        """The request to send to the next cell, with the time left until the deadline."""
         if not self.attempts:
             return self.request
         return self.request._replace(time_left=max(0, self.deadline - self.now))
 
     def register_attempt(self, number: int, cell: str, host: str, overdue_at: int) -> None:
-        """Registers an attempt that was sent."""
+        """Adds an attempt that was sent to those in flight."""
         self.attempts += 1
         if self.first_sent_at is None:
             self.first_sent_at = self.now
         self.in_flight[number] = AttemptInFlight(cell, host, self.now, overdue_at)
 
     def record_outcome(self, outcome: Outcome) -> None:
-        """Records the outcome of one attempt, or of the whole request."""
+        """Records the outcome of an attempt; the start of a stream is no outcome yet."""
         if outcome.result is Result.STREAM_STARTED:
             return
         if self.in_flight.pop(outcome.attempt, None) is not None:
@@ -78,13 +79,13 @@
             self.may_have_run |= outcome.result not in NEVER_RAN
 
     def next_overdue_check(self) -> int:
-        """When to check the attempts in flight: when one becomes overdue, and at intervals after that."""
+        """The time of the next check: when an attempt becomes overdue, and at intervals after that."""
         if self.overdue:
             return self.now + OVERDUE_CHECK_INTERVAL
         return min((attempt.overdue_at for attempt in self.in_flight.values()), default=NEVER)
 
     def newly_overdue(self) -> Iterator[AttemptInFlight]:
-        """The attempts that have become overdue since the last call."""
+        """Yields the attempts that have become overdue since the last call."""
         for number, attempt in self.in_flight.items():
             if attempt.overdue_at <= self.now and number not in self.overdue:
                 self.overdue.add(number)
@@ -97,7 +98,7 @@
         return self.attempts < self.attempt_limit and self.now < self.deadline
 
     def final_answer(self, reason: RejectReason) -> FinalAnswer:
-        """The final answer where nothing more can be tried."""
+        """The final answer if nothing more can be tried; a rejection only if the request may run again."""
         if self.is_idempotent or not (self.may_have_run or self.in_flight):
             return Reject(self.retry_after, reason)
         return Fail()
--- a/gaproute/decisions/cells/ring.py
+++ b/gaproute/decisions/cells/ring.py
@@ -6,8 +6,8 @@
 even, so few points for each cell are enough. The cost is that of the probes, and grows with the fleet only by
 the logarithm of the number of points.
 
-Invariants: equal cells give equal orders, however the ring was made; a cell that is added or removed leaves
-the order of all others as it was, within one round of probes; a split leaves every point where it was.
+Invariants: rings of equal cells give equal orders, whichever updates led to them; adding or removing a cell
+does not change the order of the other cells within one round of probes; a split does not move any point.
 """
 
 from bisect import bisect_left
@@ -18,22 +18,22 @@
 
 from gaproute.decisions.cells.table import Cell
 
-PROBES_PER_ROUND = 21  # positions of a function; the fullest point then has about 1.05 of the mean
-MAX_ROUNDS = 4  # rounds of so many probes, before the cells that no probe has met are ordered one by one
-RING_SIZE = 1 << 64  # positions on the ring
+PROBES_PER_ROUND = 21  # the point with the most functions then has about 1.05 times the mean
+MAX_ROUNDS = 4  # after these, cells that no probe found are ordered by a hash of function and cell
+RING_SIZE = 1 << 64  # number of positions on the ring
 
 
 def point_position(origin: str, index: int) -> int:
-    """Where a cell's point lies on the ring."""
+    """The position of a point on the ring."""
     return xxh3_64_intdigest(origin.encode(), index)
 
 
 class HashRing:
-    """Points in the order of their `positions`, and the cell that owns each; `cells` by name."""
+    """The ring: points in the order of their `positions`, `owners` with the cell of each; `cells` by name."""
 
     def __init__(self, cells: Iterable[Cell] = ()) -> None:
         self.cells = {cell.name: cell for cell in cells}
-        self.zones = Counter(cell.zone for cell in self.cells.values())  # cells by zone
+        self.zones = Counter(cell.zone for cell in self.cells.values())  # number of cells by zone
         points = sorted(
             (position, cell.name) for cell in self.cells.values() for position in _positions(cell)
         )
@@ -41,7 +41,7 @@
         self.owners = [owner for _, owner in points]
 
     def update_cells(self, cells: Mapping[str, Cell], names: Iterable[str]) -> None:
-        """Takes over the named cells as they are in `cells`; those missing there are removed."""
+        """Adds or replaces the named cells that are in `cells`, and removes the named cells that are not."""
         names = sorted(names)
         for name in names:
             if name in self.cells:
@@ -52,7 +52,7 @@
             self._replace_cell(name, cells.get(name))
 
     def order(self, function: str) -> Iterator[str]:
-        """All cells, in the function's order."""
+        """Yields all cells in the order of the function."""
         key, given = function.encode(), set()
         for start in range(0, MAX_ROUNDS * PROBES_PER_ROUND, PROBES_PER_ROUND):
             for _, name in sorted(self._probe(key, seed) for seed in range(start, start + PROBES_PER_ROUND)):
@@ -66,7 +66,7 @@
         yield from others
 
     def _probe(self, key: bytes, seed: int) -> tuple[int, str]:
-        """(distance to the next point, its owner) of one of the key's positions."""
+        """The distance from one of the key's positions to the next point, and the owner of that point."""
         position = xxh3_64_intdigest(key, seed)
         at = bisect_left(self.positions, position)
         if at == len(self.positions):
@@ -74,7 +74,7 @@
         return (self.positions[at] - position) % RING_SIZE, self.owners[at]
 
     def _replace_cell(self, name: str, cell: Cell | None) -> None:
-        """Stores the new row of a cell, or removes it (None)."""
+        """Stores the new row of a cell, or removes the cell (None)."""
         if name in self.cells:
             self.zones -= Counter((self.cells.pop(name).zone,))  # a zone without cells is dropped
         if cell is not None:
@@ -82,7 +82,7 @@
             self.zones[cell.zone] += 1
 
     def _add_points(self, cell: Cell, before: Cell | None) -> None:
-        """Adds the points that the cell did not have before."""
+        """Adds the points of the cell that its earlier row does not have."""
         for position in _positions(cell) - _positions(before):
             at = bisect_left(self.positions, position)
             while at < len(self.positions) and self.positions[at] == position and self.owners[at] < cell.name:
@@ -91,7 +91,7 @@
             self.owners.insert(at, cell.name)
 
     def _remove_points(self, cell: Cell, after: Cell | None) -> None:
-        """Removes the points that the cell does not have any more."""
+        """Removes the points of the cell that its new row does not have."""
         for position in _positions(cell) - _positions(after):
             at = bisect_left(self.positions, position)
             while self.owners[at] != cell.name:
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -1,16 +1,18 @@
-"""Detects silent zones and regions, by overdue requests to their cells.
+"""Detects silent zones and regions from overdue requests to their cells.
 
-If requests to two cells of a zone are overdue and nothing has come from the zone since, the zone is silent;
-if two zones of a region are, the region is. Otherwise each of their cells would cost requests of its own. In
-the same way, overdue requests to three zones, with no answer from any zone but the own one since, show that
-the own zone is cut off; three zones of other regions, with no answer from any of these, that the own region
-is. One domain may fail by itself; if all fall silent at one moment, the own side has the fault.
+A zone is silent if requests to two of its cells are overdue and the zone has not answered since; a region is
+silent if two of its zones are. Without this, requests would be lost in each of their cells before its fault
+is found. In the same way, the own zone is cut off if requests to three other zones are overdue and no other
+zone has answered since; the own region is cut off if requests to three zones of other regions are overdue and
+none of these has answered since. One domain may fail alone, but if all other domains fall silent at once, the
+fault is on the own side.
 
-A single overdue request makes its zone, and all outside the own zone or region, suspected until an answer
-comes from there. Requests that must not run twice avoid a suspected domain, as they could be lost in it; the
-other requests prove whether it is silent.
+A single overdue request makes its zone, and all that lies outside the own zone or region, suspected until an
+answer arrives from there. Requests that must not run twice avoid a suspected domain, because they could be
+lost in it; the other requests show whether it is silent.
 
-Invariant: any answer from a domain ends its suspicion, which lasts `MAX_SUSPICION` at most after a request.
+Invariant: any answer from a domain ends its suspicion, which lasts at most `MAX_SUSPICION` after the last
+request was found overdue.
 """
 
 from collections.abc import Iterator, Mapping
@@ -21,18 +23,18 @@
 from gaproute.decisions.cells.table import Cell
 from gaproute.units import SECOND
 
-# After an overdue request; also ends the suspicion of a domain to which no request is sent that could end it
+# After the last overdue request; without it, a domain to which no request is sent would stay suspected
 MAX_SUSPICION = 10 * SECOND
-MAX_DOMAINS = 256  # stored times of last answers, above which domains that the table lacks are forgotten
-# Hosts or entries of a cell, cells of a zone, zones of a region: one alone may just have slow work
+MAX_DOMAINS = 256  # stored times of last answers, above which those of domains outside the table are dropped
+# Hosts or entries of a cell, cells of a zone, or zones of a region: one alone may just run slow requests
 MIN_SILENT_PARTS = 2
-# From which the own zone or region is cut off: another region that fails has two or three zones
+# Silent zones that show that the own side is cut off: another region that fails has two or three zones
 MIN_SILENT_ZONES = 3
-NEVER_ANSWERED = -1  # the time of the last answer where there was none
+NEVER_ANSWERED = -1  # time of the last answer if there was none
 
 
 class _KnownCell(NamedTuple):
-    """A cell that has answered or has an overdue request."""
+    """A cell that has answered or has an overdue request, with its record."""
 
     cell: Cell
     record: CellRecord
@@ -55,7 +57,7 @@
         self._cached_zones: dict[FaultDomain, set[str]] | None = None
 
     def adopt(self, cells: Mapping[str, Cell]) -> None:
-        """Uses a newer table from now on. The cost depends on the cells only while something is suspected."""
+        """Replaces the table by a newer one; the cost grows with its cells only if a domain is suspected."""
         self.cells, self._cached_zones = cells, None
         if self.suspected or len(self.last_answered) > MAX_DOMAINS:
             known = self._zones_by_domain()
@@ -63,13 +65,13 @@
             self.suspected = {domain: at for domain, at in self.suspected.items() if domain in known}
 
     def outside_domains(self, region: str, zone: str) -> tuple[FaultDomain, ...]:
-        """The domains outside the own zone and the own region to which a zone belongs."""
+        """The domains to which a zone belongs because it lies outside the own zone or region."""
         if self.own_location is None or zone == self.own_location.zone:
             return ()
         return self.outside_domains_of_region(region) or ((FaultScope.OTHER_ZONES, self.own_location.zone),)
 
     def outside_domains_of_region(self, region: str) -> tuple[FaultDomain, ...]:
-        """The same for all zones of a region; empty for the own one."""
+        """The domains to which all zones of a region belong because they lie outside the own region."""
         if self.own_location is None or region == self.own_location.region:
             return ()
         return (FaultScope.OTHER_ZONES, self.own_location.zone), (
@@ -78,24 +80,24 @@
         )
 
     def domains(self, cell: Cell) -> tuple[FaultDomain, ...]:
-        """All domains to which a cell belongs, and the cell itself."""
+        """All domains to which a cell belongs, the last of which is the cell itself."""
         around = (FaultScope.REGION, cell.region), (FaultScope.ZONE, cell.zone), (FaultScope.CELL, cell.name)
         return *self.outside_domains(cell.region, cell.zone), *around
 
     def record_answer(self, now: int, cell: Cell) -> None:
-        """Notes an answer from the cell."""
+        """Records an answer from the cell."""
         for domain in self._zone_and_outside_domains(cell):
             self.last_answered[domain] = now
             self.suspected.pop(domain, None)
 
     def record_overdue(self, now: int, cell: Cell, sent_at: int) -> None:
-        """Notes that a request to the cell, sent at the time `sent_at`, is overdue."""
+        """Records that a request to the cell that was sent at `sent_at` is overdue."""
         for domain in self._zone_and_outside_domains(cell):
             if sent_at > self.last_answered.get(domain, NEVER_ANSWERED):
                 self.suspected[domain] = now
 
     def is_suspected(self, now: int, cell: Cell) -> bool:
-        """Whether the cell's zone, or a domain around it, is suspected."""
+        """Whether the zone of the cell, or an outside domain to which the cell belongs, is suspected."""
         if not self.suspected:
             return False
         found = [
@@ -106,7 +108,7 @@
         return any(now - at < MAX_SUSPICION for at in found)
 
     def silent_domains_around(self, cell: Cell, records: Mapping[str, CellRecord]) -> Iterator[FaultDomain]:
-        """The domains around a cell with an overdue request that are silent."""
+        """Yields the silent domains that contain a cell to which a request is overdue."""
         for domain in self.outside_domains(cell.region, cell.zone):
             if self._is_cut_off_from(domain, records):
                 yield domain
@@ -138,7 +140,7 @@
         return len(silent_zones) >= max(MIN_SILENT_PARTS, min(MIN_SILENT_ZONES, zones))
 
     def _zone_and_outside_domains(self, cell: Cell) -> tuple[FaultDomain, ...]:
-        """The cell's zone, and the domains outside the own zone and region to which it belongs."""
+        """The domains outside the own zone and region to which a cell belongs, and its zone."""
         return *self.outside_domains(cell.region, cell.zone), (FaultScope.ZONE, cell.zone)
 
     def _zones_by_domain(self) -> dict[FaultDomain, set[str]]:
@@ -162,5 +164,5 @@
 
 
 def _silent_cells(known: list[_KnownCell], last_answered: int) -> int:
-    """How many of the cells have requests overdue that were sent after that time."""
+    """The number of cells to which a request that was sent after that time is overdue."""
     return sum(each.record.has_overdue_sent_after(last_answered) for each in known)
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -1,7 +1,7 @@
-"""The cell table: which cells the fleet has, where they lie, and which gateways take requests for them.
+"""The cell table: the cells of the fleet, their locations and their entry gateways.
 
-A table is immutable and has a version, so that gateways can say by which one they decided. `validate` is the
-only way to make one from rows that came from outside.
+A table is immutable and has a version, so that gateways can state which table they decided by. Rows from
+outside this process become a table through `validate` only.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -17,10 +17,10 @@
 
 
 class PointRange(NamedTuple):
-    """`size` ring points from number `first` on, of the sequence that the name `origin` defines.
+    """`size` ring points, from number `first` on, of the sequence of points that the name `origin` defines.
 
-    A new cell has points of its own name. The origin stays when a split gives points to a new cell, so that
-    no point moves on the ring.
+    The origin of a new cell's points is its name. Points that a split gives to a new cell keep their origin,
+    so that they do not move on the ring.
     """
 
     origin: str
@@ -29,7 +29,7 @@
 
 
 class EntryGateway(NamedTuple):
-    """A gateway that knows the hosts of a cell and takes requests for it from other gateways."""
+    """A gateway that knows the hosts of a cell and accepts requests for it from other gateways."""
 
     name: str
     address: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One cell. `capacity` is in any unit that is the same for all cells."""
+    """One cell. `capacity` is in a unit that is the same for all cells of the fleet."""
 
     name: str
     region: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellTable:
-    """A complete valid table: `cells` in the order of their names; `by_name`."""
+    """A complete, valid table. `cells` are in the order of their names."""
 
     fleet: str
     version: Version
@@ -65,13 +65,13 @@
 
 
 def split_cell(cell: Cell, name: str, entries: tuple[EntryGateway, ...] = ()) -> tuple[Cell, Cell]:
-    """The cell, and a new one that takes half of its ring points, hosts and capacity.
+    """The rows of a cell and of a new cell that takes half of its ring points, hosts and capacity.
 
-    Functions move only from the old cell to the new one, and about half of them do.
+    Functions move only from the old cell to the new one; about half of them do.
     """
     total = sum(points.size for points in cell.points)
     if total < 2 or cell.hosts < 2:
-        raise TableError(f"cell {cell.name!r} has too few hosts or ring points to be split")
+        raise TableError(f"cell {cell.name!r} cannot be split: it has fewer than 2 hosts or 2 ring points")
     retained, given = _split_points(cell.points, total - total // 2)
     half = cell.hosts // 2
     capacity = cell.capacity * half / cell.hosts
@@ -83,7 +83,7 @@
 def _split_points(
     points: Iterable[PointRange], count: int
 ) -> tuple[tuple[PointRange, ...], tuple[PointRange, ...]]:
-    """The first `count` points, and the others."""
+    """The ranges of the first `count` points, and the ranges of the others."""
     first, others = [], []
     for points_range in points:
         stay = min(count, points_range.size)
@@ -98,7 +98,7 @@
 
 
 def validate(fleet: str, version: Version, rows: Iterable[Cell]) -> CellTable:
-    """The table of these rows. Errors: `TableError`; a `RowError` names the row by its number, from 1 on."""
+    """Checks the rows and makes a table of them. Errors: `TableError`; a `RowError` has the row number."""
     _check_fleet_and_version(fleet, version)
     cells: dict[str, Cell] = {}
     row_numbers: dict[str, int] = {}
@@ -117,20 +117,20 @@
 
 
 def make_table(fleet: str, version: Version, cells: dict[str, Cell]) -> CellTable:
-    """Makes a table of cells that have been checked."""
+    """Makes a table of cells that have been checked already."""
     ordered = dict(sorted(cells.items()))
     return CellTable(fleet, version, tuple(ordered.values()), MappingProxyType(ordered))
 
 
 def _check_fleet_and_version(fleet: object, version: object) -> None:
     if not _is_name(fleet):
-        raise TableError(f"the fleet's name {fleet!r:.80} is empty, too long or no text")
+        raise TableError(f"the fleet name {fleet!r:.80} is empty, too long or not printable text")
     if not (isinstance(version, Version) and all(type(part) is int and part >= 0 for part in version)):
-        raise TableError(f"the version {version!r:.80} is not two integers from 0 on")
+        raise TableError(f"the version {version!r:.80} is not a pair of integers from 0 up")
 
 
 def check_cell(row: int, cell: Cell) -> None:
-    """Checks one cell by itself; `row` counts from 1. Errors: `RowError`."""
+    """Checks the fields of one cell. `row`: its row number, from 1. Errors: `RowError`."""
     reason = _name_error(cell) or _size_error(cell) or _ring_point_error(cell) or _entry_error(cell)
     if reason is not None:
         raise RowError(row, str(cell.name)[: bounds.MAX_NAME_LENGTH], reason)
@@ -143,13 +143,13 @@
 def _name_error(cell: Cell) -> str | None:
     for what in ("name", "region", "zone"):
         if not _is_name(getattr(cell, what)):
-            return f"the {what} is empty, too long or no printable text"
+            return f"the {what} is empty, too long or not printable text"
     return None
 
 
 def _size_error(cell: Cell) -> str | None:
     if type(cell.hosts) is not int or not 0 < cell.hosts <= bounds.MAX_HOSTS_PER_CELL:
-        return f"{cell.hosts!r:.40} hosts are not 1 to {bounds.MAX_HOSTS_PER_CELL}"
+        return f"{cell.hosts!r:.40} hosts are not an integer from 1 to {bounds.MAX_HOSTS_PER_CELL}"
     capacity = cell.capacity
     if (
         type(capacity) not in (int, float)
@@ -162,26 +162,26 @@
 
 def _ring_point_error(cell: Cell) -> str | None:
     if not 0 < len(cell.points) <= bounds.MAX_POINT_RANGES_PER_CELL:
-        return f"{len(cell.points)} ranges of ring points are not 1 to {bounds.MAX_POINT_RANGES_PER_CELL}"
+        return f"{len(cell.points)} ranges of ring points: not from 1 to {bounds.MAX_POINT_RANGES_PER_CELL}"
     total = 0
     for points in cell.points:
         if not _is_name(points.origin):
-            return "the origin of ring points is empty, too long or no printable text"
+            return "the origin of ring points is empty, too long or not printable text"
         if type(points.first) is not int or type(points.size) is not int:
-            return "ring points are not counted by integers"
+            return "the first number or the size of a range of ring points is not an integer"
         total += points.size
         if points.first < 0 or points.size < 1 or points.first + points.size > bounds.MAX_RING_POINTS:
-            return f"the ring points {points.first}+{points.size} are out of range"
+            return f"the range of ring points {points.first}+{points.size} is out of bounds"
     if total > bounds.MAX_RING_POINTS_PER_CELL:
-        return f"{total} ring points are more than {bounds.MAX_RING_POINTS_PER_CELL}"
+        return f"{total} ring points in the cell are more than {bounds.MAX_RING_POINTS_PER_CELL}"
     return None
 
 
 def _entry_error(cell: Cell) -> str | None:
     if len(cell.entries) > bounds.MAX_ENTRIES_PER_CELL:
-        return f"{len(cell.entries)} entry gateways are more than {bounds.MAX_ENTRIES_PER_CELL}"
+        return f"{len(cell.entries)} entry gateways of the cell are more than {bounds.MAX_ENTRIES_PER_CELL}"
     if not all(_is_name(entry.name) and _is_name(entry.address) for entry in cell.entries):
-        return "an entry gateway's name or address is empty, too long or no printable text"
+        return "the name or address of an entry gateway is empty, too long or not printable text"
     if len({entry.name for entry in cell.entries}) < len(cell.entries):
         return "an entry gateway is named twice"
     return None
@@ -192,18 +192,18 @@
 ) -> None:
     """Checks that no zone lies in two regions. Errors: `RowError`.
 
-    `rows`: by cell, its row; `regions`: of the zones that are known already.
+    `rows`: row numbers by cell, for the error; `regions`: known regions by zone.
     """
     region_of = dict(regions or {})
     for cell in cells:
         region = region_of.setdefault(cell.zone, cell.region)
         if region != cell.region:
-            reason = f"zone {cell.zone!r} lies in region {region!r}, not {cell.region!r}"
+            reason = f"zone {cell.zone!r} lies in region {region!r} by another cell, not in {cell.region!r}"
             raise RowError(rows[cell.name], cell.name, reason)
 
 
 class _TakenRange(NamedTuple):
-    """The ring points of one origin that a cell has."""
+    """A range of ring points of one origin, and the cell that has it."""
 
     first: int
     size: int
@@ -213,10 +213,10 @@
 def check_points(
     rows: Mapping[str, int], cells: Iterable[Cell], origins: Collection[str] | None = None
 ) -> None:
-    """Checks that no two cells have the same ring point and that there are not too many. Errors:
-    `TableError`.
+    """Checks that no two cells have the same ring point and that the number of points is within its bound.
 
-    `rows`: by cell, its row; `origins`: only points of these are checked.
+    `rows`: row numbers by cell, for the error; `origins`: only their points are compared. Errors:
+    `TableError`.
     """
     ranges: dict[str, list[_TakenRange]] = {}
     total = 0
@@ -233,11 +233,9 @@
 
 
 def _check_overlaps(rows: Mapping[str, int], origin: str, ranges: list[_TakenRange]) -> None:
-    """Checks that no two ranges overlap; `ranges` are sorted. Errors: `RowError` for the later row of the
-    two.
-    """
+    """Checks that no two of the sorted ranges overlap. Errors: `RowError` for the later row of the two."""
     for taken, following in pairwise(ranges):
         if following.first < taken.first + taken.size:
-            owner, blamed = sorted((taken.cell, following.cell), key=lambda name: rows.get(name, 0))
-            reason = f"ring point {following.first} of {origin!r} is also of cell {owner!r}"
-            raise RowError(rows.get(blamed, 0), blamed, reason)
+            owner, later = sorted((taken.cell, following.cell), key=lambda name: rows.get(name, 0))
+            reason = f"ring point {following.first} of origin {origin!r} also belongs to cell {owner!r}"
+            raise RowError(rows.get(later, 0), later, reason)
--- a/gaproute/decisions/cells/version.py
+++ b/gaproute/decisions/cells/version.py
@@ -4,7 +4,7 @@
 
 
 class Version(NamedTuple):
-    """Versions are ordered; a new term is above all versions of earlier terms."""
+    """A version; all versions of a term are above those of earlier terms."""
 
     term: int
     number: int
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -1,11 +1,12 @@
-"""Which cells a gateway knows by their hosts; it reaches all others through their entry gateways.
+"""The view of a gateway: the cells whose hosts it knows. It reaches all others through their entry gateways.
 
-It is assigned a few cells of its own zone, by rendezvous hashing of its name, and those that name it as an
-entry: so each cell has some tens of gateways that know its hosts well. It adds further cells to which it
-sends many requests, and removes them when it sends few.
+A gateway is assigned a few cells of its own zone by rendezvous hashing of its name, and the cells of its zone
+that have it as an entry; so each cell has some tens of gateways that know its hosts. The gateway adds further
+cells to which it sends many requests, and removes them when it sends few.
 
-Invariants: the hosts of all cells in the view number at most `MAX_HOSTS_IN_VIEW`, except that one assigned
-cell always stays; the rates for adding and for removing a cell differ, so that the view is steady.
+Invariants: the cells in the view have at most `MAX_HOSTS_IN_VIEW` hosts together, except that one assigned
+cell always stays; the request rates for adding and for removing a cell differ, so that the view rarely
+changes.
 """
 
 from collections.abc import Iterable, Mapping
@@ -24,35 +25,35 @@
 from gaproute.decisions.cells.table import Cell, CellTable
 from gaproute.units import SECOND
 
-# Of the own zone; with a thousand gateways and 38 cells in a zone, 50 gateways know a cell
+# In the own zone; with a thousand gateways and 38 cells in a zone, about 50 gateways know each cell
 ASSIGNED_CELLS = 2
-MAX_HOSTS_IN_VIEW = 512  # whatever the fleet's size
+MAX_HOSTS_IN_VIEW = 512  # independent of the size of the fleet
 # Requests to a cell above which its host list is worth following
 MIN_ADD_REQUESTS_PER_SECOND = 10.0
-REMOVE_FACTOR = 4  # a cell is removed at that many times fewer requests
+REMOVE_FACTOR = 4  # a cell is removed below the rate for adding divided by this
 REVIEW_INTERVAL = 10 * SECOND  # between two reviews of the view
 
 
 class RequestRates(NamedTuple):
-    """Own requests per second to a cell."""
+    """The requests per second that this gateway sends to a cell."""
 
     recent: float
     long_term: float
 
 
 class CellView:
-    """The cells that this gateway should know: names `assigned` and `extra`, in a stable order."""
+    """The cells that this gateway should know: names of `assigned` and of added (`extra`) cells."""
 
     def __init__(self, now: int, location: GatewayLocation, max_hosts: int = MAX_HOSTS_IN_VIEW) -> None:
         self.started_at, self.location, self.max_hosts = now, location, max_hosts
         self.cells: Mapping[str, Cell] = {}  # of the table
         self.assigned: tuple[str, ...] = ()
         self.extra: tuple[str, ...] = ()
-        self.request_counts: dict[str, DecayingCount] = {}  # by cell: own requests
+        self.request_counts: dict[str, DecayingCount] = {}  # own requests by cell
         self.reviewed_at = now
 
     def adopt(self, table: CellTable) -> None:
-        """Uses a newer table from now on."""
+        """Replaces the table by a newer one."""
         self.cells = table.by_name
         self.request_counts = {
             name: count for name, count in self.request_counts.items() if name in self.cells
@@ -62,22 +63,22 @@
         self.extra = self._fitting_cells(extra)
 
     def cell_names(self) -> tuple[str, ...]:
-        """All cells in the view."""
+        """The names of all cells in the view, in a stable order."""
         return self.assigned + self.extra
 
     def host_count(self) -> int:
-        """The number of hosts of all cells in the view, by the table."""
+        """The number of hosts that the table states for all cells in the view."""
         return sum(self.cells[name].hosts for name in self.cell_names())
 
     def record_request(self, now: int, name: str) -> None:
-        """Counts an own request to the cell."""
+        """Counts a request of this gateway to the cell."""
         count = self.request_counts.get(name)
         if count is None:
             count = self.request_counts[name] = DecayingCount(now)
         count.add(now, 1.0)
 
     def review(self, now: int) -> bool:
-        """Adds and removes cells; returns whether the view changed. Cheap unless a review is due."""
+        """Adds and removes cells if a review is due; returns whether the view changed."""
         if not self.cells or now - self.reviewed_at < REVIEW_INTERVAL:
             return False
         self.reviewed_at, before = now, self.extra
@@ -90,7 +91,7 @@
         return self.extra != before
 
     def _cells_to_add(self, now: int, known: set[str]) -> list[str]:
-        """Further cells in steady use, those with the most requests per host first."""
+        """Cells to add: those whose recent and long-term rates are high, the most requests per host first."""
         ranked = [
             (-min(self._request_rates(now, name)) / self.cells[name].hosts, name)
             for name in self.request_counts
@@ -108,7 +109,7 @@
         )
 
     def _request_rate(self, now: int, updated_at: int, count: float, decay_time: int) -> float:
-        """Requests per second, from a count that decays over the time `decay_time` (ns)."""
+        """Requests per second, from a count with the decay time `decay_time` (ns)."""
         decayed = count * exp((updated_at - now) / decay_time)
         return decayed / effective_count_time(now - self.started_at, decay_time) * SECOND
 
@@ -127,7 +128,7 @@
         return tuple(chosen)
 
     def _fitting_cells(self, names: Iterable[str]) -> tuple[str, ...]:
-        """The first of the names that fit in the view beside the assigned cells."""
+        """The first of the named cells that fit into the view in addition to the assigned cells."""
         left = self.max_hosts - sum(self.cells[name].hosts for name in self.assigned)
         fitting = []
         for name in names:
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -132,7 +132,7 @@
     made.update_hosts(0, [row("a"), row("b")], complete=True)
     assert made.active_hosts == made.single_gateway.active_hosts
     assert made.hint_instance("a", "f", 4, 5)
-    with pytest.raises(ValueError, match="without a place"):
+    with pytest.raises(ValueError, match="without a location"):
         made.adopt(0, table(cells(2)))
 
 
