--- a/tests/decisions/cells/test_cell_router.py
+++ b/tests/decisions/cells/test_cell_router.py
@@ -1,4 +1,4 @@
-"""Which cells a request goes to in turn: when it goes on to the next cell, and when it never does."""
+"""Which cells a request is sent to, and when it is or is not sent to the next cell."""
 
 from dataclasses import replace
 
@@ -8,9 +8,9 @@
     IDEMPOTENT,
     IDEMPOTENT_WITH_KEY,
     NON_IDEMPOTENT,
-    fleet,
-    function_of,
-    functions,
+    function_with_home,
+    functions_with_home,
+    make_gateway,
 )
 from helpers import Drive, task
 
@@ -21,157 +21,157 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 
-def test_a_known_cell_is_served_at_its_hosts():
-    made = fleet()
-    drive = Drive(made, task("t", function_of(made, "cell0")))
+def test_a_request_for_a_known_cell_is_sent_to_a_host_of_it():
+    gateway = make_gateway()
+    drive = Drive(gateway, task("t", function_with_home(gateway, "cell0")))
     assert drive.sent[0].startswith("cell0-")
     drive.hears(100 * MILLI, face.Result.OK)
     assert drive.ended
-    assert not made.recorder.attempts
+    assert not gateway.recorder.attempts
 
 
-@pytest.mark.parametrize("track", [IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
-def test_what_provably_did_not_run_goes_to_another_entry_and_then_to_the_next_home(track):
-    made = fleet()
-    name = function_of(made, "cell7")
-    drive = Drive(made, task("t", name, track), now=0)
-    for relay in range(2):
+@pytest.mark.parametrize("request_class", [IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
+def test_a_request_that_did_not_run_goes_to_another_entry_and_then_to_the_next_home(request_class):
+    gateway = make_gateway()
+    name = function_with_home(gateway, "cell7")
+    drive = Drive(gateway, task("t", name, request_class), now=0)
+    for attempt in range(2):
         assert drive.wishes[0].forwarded.cell == "cell7"
-        drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
-    second = made.homes.order(name, 2)[1]
+        drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, attempt)
+    second = gateway.homes.order(name, 2)[1]
     assert drive.wishes[0].forwarded.cell == second
     assert len(set(drive.sent)) == 3
-    assert made.health.is_faulty("cell7")  # both of its entries failed
+    assert gateway.health.is_faulty("cell7")  # both of its entries failed
 
 
-@pytest.mark.parametrize("track", [IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
+@pytest.mark.parametrize("request_class", [IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
 @pytest.mark.parametrize("result", [face.Result.ERROR, face.Result.RESET, face.Result.TIMEOUT])
-def test_what_may_have_run_is_not_sent_again(track, result):
-    made = fleet()
-    drive = Drive(made, task("t", function_of(made, "cell7"), track))
-    wishes = drive.hears(10 * MILLI, result)
-    assert [type(wish) for wish in wishes] == [face.Fail]
+def test_a_request_that_may_have_run_is_not_sent_again_unless_idempotent(request_class, result):
+    gateway = make_gateway()
+    drive = Drive(gateway, task("t", function_with_home(gateway, "cell7"), request_class))
+    actions = drive.hears(10 * MILLI, result)
+    assert [type(action) for action in actions] == [face.Fail]
 
 
-def test_pure_work_that_may_have_run_goes_on():
-    made = fleet()
-    drive = Drive(made, task("t", function_of(made, "cell7"), IDEMPOTENT))
+def test_an_idempotent_request_that_may_have_run_is_sent_again():
+    gateway = make_gateway()
+    drive = Drive(gateway, task("t", function_with_home(gateway, "cell7"), IDEMPOTENT))
     drive.hears(10 * MILLI, face.Result.RESET)
     drive.hears(20 * MILLI, face.Result.RESET, 1)
     assert len(drive.sent) == 3
     assert not drive.ended
 
 
-def test_what_a_cell_refuses_moves_within_a_budget():
-    made, moved = fleet(), 0
-    for number, name in enumerate(functions(made, ("cell7",), 300)):
+def test_requests_that_a_cell_rejects_move_within_the_spill_budget():
+    gateway, moved = make_gateway(), 0
+    for number, name in enumerate(functions_with_home(gateway, ("cell7",), 300)):
         now = number * MILLI
-        drive = Drive(made, task(f"t{number}", name), now)
+        drive = Drive(gateway, task(f"t{number}", name), now)
         drive.hears(now, face.Result.FULL)
         moved += len(drive.sent) > 1
-        made.health.faults.clear()
+        gateway.health.faults.clear()
         while not drive.ended:
             drive.hears(now, face.Result.OK, len(drive.sent) - 1)
     assert 20 <= moved <= 20 + 30
 
 
-def test_a_full_cell_is_passed_over_until_a_trial_succeeds():
-    made = fleet()
-    *names, after, trial, beside = functions(made, ("cell7",), 8)
+def test_a_full_cell_is_avoided_until_a_trial_succeeds():
+    gateway = make_gateway()
+    *names, after, trial, second_trial = functions_with_home(gateway, ("cell7",), 8)
     for number, name in enumerate(names):
-        drive = Drive(made, task(f"t{number}", name), now=0)
+        drive = Drive(gateway, task(f"t{number}", name), now=0)
         drive.hears(0, face.Result.FULL)
-    assert Drive(made, task("after", after), now=MILLI).wishes[0].forwarded.cell != "cell7"
-    drives = [Drive(made, task(name, name), now=2 * SECOND) for name in (trial, beside)]
+    assert Drive(gateway, task("after", after), now=MILLI).wishes[0].forwarded.cell != "cell7"
+    drives = [Drive(gateway, task(name, name), now=2 * SECOND) for name in (trial, second_trial)]
     assert drives[0].wishes[0].forwarded.cell == "cell7"
     assert drives[1].wishes[0].forwarded.cell != "cell7"
 
 
-def test_a_trial_is_not_made_of_what_must_not_run_twice():
-    made = fleet()
-    name = function_of(made, "cell7")
-    made.health.record_unreachable(0, "cell7")
-    drive = Drive(made, task("t", name, NON_IDEMPOTENT), now=2 * SECOND)
+def test_a_request_that_must_not_run_twice_becomes_a_trial_only_after_a_long_wait():
+    gateway = make_gateway()
+    name = function_with_home(gateway, "cell7")
+    gateway.health.record_unreachable(0, "cell7")
+    drive = Drive(gateway, task("t", name, NON_IDEMPOTENT), now=2 * SECOND)
     assert drive.wishes[0].forwarded.cell != "cell7"
-    # But where no pure call comes for long, any call is better than none: the cell would stay out for good.
+    # Without idempotent requests the cell would stay excluded forever, so any request becomes the trial.
     late = 2 * SECOND + IDEMPOTENT_TRIAL_WAIT
-    drive = Drive(made, task("u", name, NON_IDEMPOTENT), now=late)
+    drive = Drive(gateway, task("u", name, NON_IDEMPOTENT), now=late)
     assert drive.wishes[0].forwarded.cell == "cell7"
-    drive = Drive(made, task("v", name, NON_IDEMPOTENT), now=late)
+    drive = Drive(gateway, task("v", name, NON_IDEMPOTENT), now=late)
     assert drive.wishes[0].forwarded.cell != "cell7"
 
 
-def test_relays_and_cells_for_one_task_are_bounded():
-    made = fleet(attempt_limit=4)
-    drive = Drive(made, task("t", function_of(made, "cell7")))
-    for relay in range(4):
-        drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
+def test_attempts_and_cells_for_one_request_are_bounded():
+    gateway = make_gateway(attempt_limit=4)
+    drive = Drive(gateway, task("t", function_with_home(gateway, "cell7")))
+    for attempt in range(4):
+        drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, attempt)
     assert drive.ended
     assert isinstance(drive.wishes[-1], face.Reject)
     assert len(drive.sent) == 4
-    made = fleet(attempt_limit=50)
-    drive = Drive(made, task("t", function_of(made, "cell7")))
-    for relay in range(2 * MAX_CELLS_TRIED):
-        drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
+    gateway = make_gateway(attempt_limit=50)
+    drive = Drive(gateway, task("t", function_with_home(gateway, "cell7")))
+    for attempt in range(2 * MAX_CELLS_TRIED):
+        drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, attempt)
     assert drive.ended
     assert len(drive.sent) == 2 * MAX_CELLS_TRIED
 
 
-def test_a_known_cell_without_hosts_sends_its_calls_to_the_next_home():
-    made = fleet()
-    name = function_of(made, "cell0")
-    made.update_hosts(0, [], complete=True, cell="cell0")
-    drive = Drive(made, task("t", name))
-    assert drive.wishes[0].forwarded.cell == made.homes.order(name, 2)[1]
-    assert made.health.is_faulty("cell0")
+def test_requests_for_a_known_cell_without_hosts_go_to_the_next_home():
+    gateway = make_gateway()
+    name = function_with_home(gateway, "cell0")
+    gateway.update_hosts(0, [], complete=True, cell="cell0")
+    drive = Drive(gateway, task("t", name))
+    assert drive.wishes[0].forwarded.cell == gateway.homes.order(name, 2)[1]
+    assert gateway.health.is_faulty("cell0")
 
 
-def test_where_nothing_else_is_left_a_home_that_is_well_again_is_used():
-    made = fleet(count=2)
+def test_a_recovered_home_is_used_if_no_other_cell_is_left():
+    gateway = make_gateway(count=2)
     for name in ("cell0", "cell1"):
-        made.health.record_unreachable(0, name)
-    drive = Drive(made, task("t", "f", NON_IDEMPOTENT), now=SECOND)
+        gateway.health.record_unreachable(0, name)
+    drive = Drive(gateway, task("t", "f", NON_IDEMPOTENT), now=SECOND)
     assert drive.ended
     assert not drive.sent
-    for name in ("cell0", "cell1"):  # the trial of the other has no answer yet
-        made.health.record_trial_sent(600 * SECOND, name)
-    made.health.record_outcome(600 * SECOND, "cell1", face.Result.OK)
+    for name in ("cell0", "cell1"):  # the trial of cell0 has no answer yet
+        gateway.health.record_trial_sent(600 * SECOND, name)
+    gateway.health.record_outcome(600 * SECOND, "cell1", face.Result.OK)
     for number in range(20):
-        drive = Drive(made, task(f"t{number}", f"f{number}", NON_IDEMPOTENT), now=600 * SECOND)
+        drive = Drive(gateway, task(f"t{number}", f"f{number}", NON_IDEMPOTENT), now=600 * SECOND)
         assert drive.wishes[0].forwarded.cell == "cell1"
 
 
-def test_overdue_calls_by_two_entries_prove_a_cell_silent_and_free_pure_work():
-    made = fleet()
-    first, *rest = functions(made, ("cell7",), 4)
-    drives = [Drive(made, task("t0", first), now=0)]
-    drives[0].late(4 * SECOND - 100 * MILLI)  # overdue: its entry is in doubt
-    drives += [Drive(made, task(f"u{n}", name), now=4 * SECOND) for n, name in enumerate(rest)]
+def test_overdue_requests_through_two_entries_make_a_cell_silent_and_are_cancelled_if_idempotent():
+    gateway = make_gateway()
+    first, *rest = functions_with_home(gateway, ("cell7",), 4)
+    drives = [Drive(gateway, task("t0", first), now=0)]
+    drives[0].late(4 * SECOND - 100 * MILLI)  # overdue: its entry is avoided
+    drives += [Drive(gateway, task(f"u{n}", name), now=4 * SECOND) for n, name in enumerate(rest)]
     assert drives[1].sent != drives[0].sent
-    assert not made.health.is_faulty("cell7")
-    wishes = drives[1].late(7 * SECOND)
-    assert made.health.is_faulty("cell7")
-    assert wishes[0] == face.Cancel(0)
-    wishes = drives[1].hears(7 * SECOND, face.Result.CANCELLED)
-    assert wishes[0].forwarded.cell != "cell7"
+    assert not gateway.health.is_faulty("cell7")
+    actions = drives[1].late(7 * SECOND)
+    assert gateway.health.is_faulty("cell7")
+    assert actions[0] == face.Cancel(0)
+    actions = drives[1].hears(7 * SECOND, face.Result.CANCELLED)
+    assert actions[0].forwarded.cell != "cell7"
 
 
-def test_an_entry_that_answers_for_another_cell_proves_with_two_calls_that_the_cell_is_silent():
-    """Else a gateway would go on by that one entry, as nothing speaks against it."""
+def test_two_overdue_requests_through_an_entry_that_answers_for_another_cell_make_the_cell_silent():
+    """Otherwise the gateway would keep using that entry, as the answers for the other cell clear it."""
     rows = cells(26)
-    both = rows[7].entries
-    rows[20] = replace(rows[20], entries=both)  # cells 7 and 20 lie in one zone
-    made = fleet()
-    made.adopt(0, table(rows, number=2))
-    for turn, name in enumerate(functions(made, ("cell7",), 2)):
+    shared_entries = rows[7].entries
+    rows[20] = replace(rows[20], entries=shared_entries)  # cells 7 and 20 lie in the same zone
+    gateway = make_gateway()
+    gateway.adopt(0, table(rows, number=2))
+    for turn, name in enumerate(functions_with_home(gateway, ("cell7",), 2)):
         now = 10 * turn * SECOND
-        assert not made.health.is_faulty("cell7")
-        drive = Drive(made, task(f"t{turn}", name, time_left=8 * SECOND), now)
+        assert not gateway.health.is_faulty("cell7")
+        drive = Drive(gateway, task(f"t{turn}", name, time_left=8 * SECOND), now)
         entry = drive.sent[0]
-        for number, other in enumerate(functions(made, ("cell20",), 3)):
-            beside = Drive(made, task(f"u{turn}.{number}", other), now + SECOND)
-            if beside.sent[0] == entry:
-                beside.hears(now + 2 * SECOND, face.Result.OK)
+        for number, other in enumerate(functions_with_home(gateway, ("cell20",), 3)):
+            other_drive = Drive(gateway, task(f"u{turn}.{number}", other), now + SECOND)
+            if other_drive.sent[0] == entry:
+                other_drive.hears(now + 2 * SECOND, face.Result.OK)
         drive.late(now + 4 * SECOND)
-    assert made.health.is_faulty("cell7")
-    assert not made.entries.backoffs
+    assert gateway.health.is_faulty("cell7")
+    assert not gateway.entries.backoffs
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -1,4 +1,4 @@
-"""What gateways send each other with forwarded calls: the header, and the statuses that prove something."""
+"""Forwarded requests between gateways: the header, and what the statuses and fields of the answers state."""
 
 from dataclasses import replace
 
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     "cell", ["a1", "a cell, 100%", "ħall/7", "x" * MAX_NAME_LENGTH, "\U0001f600" * MAX_NAME_LENGTH]
 )
-def test_the_header_holds_every_name_of_a_cell(cell):
+def test_the_header_can_carry_every_cell_name(cell):
     name, value = forwarding.encode(Forwarded(cell, 2))
     assert forwarding.decode({name.lower(): value}) == Forwarded(cell, 2)
 
@@ -46,42 +46,42 @@
     assert forwarding.decode({forwarding.HEADER: value}) is None
 
 
-def test_a_call_that_came_too_far_goes_no_further():
+def test_a_request_with_too_many_hops_counts_as_one_with_the_most():
     assert forwarding.decode({forwarding.HEADER: b"9 a1"}) == Forwarded("a1", MAX_HOPS)
 
 
-def test_the_status_of_a_forwarded_call_proves_that_it_never_ran_only_where_that_is_known(cells):
+def test_the_status_of_a_forwarded_request_states_that_it_never_ran_only_if_that_is_known(cells):
     fleet = cells(CELLS)
     fleet.write_table()
     fleet.start("ga", "a1")
     fleet.up("ga")
     sent = "Gaproute-Forwarded: 1 a1\r\n"
 
-    def end(trouble, model, fields=sent, wheres=fleet.entries):
+    def outcome_of(fault, model, fields=sent, addresses=fleet.entries):
         for name in ("a1-h0", "a1-h1"):
-            fleet.hosts[name].model_server.faults.replace(trouble)
-        answer = fleet.wait(fleet.ask("ga", model, f"{trouble} {model}", fields, wheres))
+            fleet.hosts[name].model_server.faults.replace(fault)
+        answer = fleet.wait(fleet.ask("ga", model, f"{fault} {model}", fields, addresses))
         return answer.status, answer.headers[b"gaproute-outcome"]
 
     order, check = fleet.homed("order", "a1"), fleet.homed("check", "a1")
-    assert end("fail", order) == (504, b"scrapped")
-    assert end("fail", check) == (503, b"declined")  # it may have run
-    assert end("refuse", order) == (429, b"declined")
-    assert end("refuse", check) == (429, b"declined")
-    assert end("refuse", check, wheres=fleet.clients) == (
+    assert outcome_of("fail", order) == (504, b"scrapped")
+    assert outcome_of("fail", check) == (503, b"declined")  # it may have run
+    assert outcome_of("refuse", order) == (429, b"declined")
+    assert outcome_of("refuse", check) == (429, b"declined")
+    assert outcome_of("refuse", check, addresses=fleet.clients) == (
         503,
         b"declined",
-    )  # a client that says so chooses nothing
-    assert end("refuse", check, "Gaproute-Forwarded: many a1\r\n") == (503, b"declined")
+    )  # the header of a client is ignored
+    assert outcome_of("refuse", check, "Gaproute-Forwarded: many a1\r\n") == (503, b"declined")
     answer = fleet.wait(fleet.ask("ga", check, "known", "Gaproute-Forwarded: 1 moon\r\n", fleet.entries))
     assert (answer.status, answer.headers[b"gaproute-outcome"]) == (404, b"declined")  # no such cell here
     assert fleet.came("known") == []
 
 
-def test_a_forwarded_call_reports_the_cells_load_and_retains_its_limit(cells):
+def test_a_forwarded_request_reports_the_load_of_the_cell_and_keeps_its_deadline(cells):
     fleet = cells(CELLS)
     fleet.write_table()
-    fleet.start("ga", "a1", more="clients way-back 400ms\n")  # a busy machine's share of the limit
+    fleet.start("ga", "a1", more="clients way-back 400ms\n")  # time for the answer on a busy machine
     fleet.up("ga")
     model = fleet.homed("order", "a1")
     answer = fleet.wait(fleet.ask("ga", model, "t1", "Gaproute-Forwarded: 1 a1\r\n", fleet.entries))
@@ -89,48 +89,48 @@
     assert b'"in_hand"' in answer.headers[b"endpoint-load-metrics"]
     for name in ("a1-h0", "a1-h1"):
         fleet.hosts[name].model_server.faults.replace("hang")
-    began = fleet.loop.now()
+    started_at = fleet.loop.now()
     answer = fleet.wait(
         fleet.ask("ga", model, "t2", "Gaproute-Forwarded: 1 a1\r\nGaproute-Limit-Ms: 600\r\n")
     )
     assert answer.status == 504
-    assert fleet.loop.now() - began < 600_000_000
+    assert fleet.loop.now() - started_at < 600_000_000
 
 
 FORWARDED = "Gaproute-Forwarded: 1 {}\r\n"
 
 
-def test_an_entry_without_a_table_says_that_it_does_not_know_the_cell(cells):
+def test_an_entry_without_a_table_answers_that_it_does_not_know_the_cell(cells):
     fleet = cells(CELLS)
     fleet.written = fleet.table_text(number=1)
-    fleet.start("gb", "b1")  # no table is there
+    fleet.start("gb", "b1")  # there is no table file
     fleet.until(lambda: fleet.status("gb"))
     model = fleet.homed("order", "b1")
     answer = fleet.wait(fleet.ask("gb", model, "t", FORWARDED.format("b1"), fleet.entries))
     assert (answer.status, answer.headers[b"gaproute-outcome"]) == (404, b"declined")
     assert int(answer.headers[b"gaproute-retry-after-ms"]) > 0
     assert fleet.came("t") == []
-    assert fleet.wait(fleet.ask("gb", model, "u")).status == 503  # a client is declined as ever
+    assert fleet.wait(fleet.ask("gb", model, "u")).status == 503  # a client is rejected as usual
 
 
-class Unknowing:
-    """An entry that knows no cell: it answers each call with 404."""
+class UnknowingEntry:
+    """An entry that knows no cell: it answers each request with 404."""
 
     def __init__(self, fleet, name):
-        self.came = 0
+        self.request_count = 0
         fleet.close_also(Server(fleet.loop, address(fleet.entries[name]), self.handle))
 
     def handle(self, request):
-        self.came += 1
+        self.request_count += 1
         request.connection.server.answer(request, 404, (), b"")
 
 
 @pytest.mark.parametrize("others", [1, 0])
-def test_calls_pass_an_entry_that_does_not_know_the_cell(cells, others):
-    """By the next entry into the same cell, or where there is none to the next cell."""
-    first = next(name for name in map("e{}".format, range(99)) if ranks_before("ga", name, "gb"))
+def test_requests_avoid_an_entry_that_does_not_know_the_cell(cells, others):
+    """They go to the next entry of the same cell, or to the next cell if there is none."""
+    first = next(name for name in map("e{}".format, range(99)) if is_ranked_before("ga", name, "gb"))
     fleet = cells({"a1": ("a1", ("ga",)), "b1": ("b1", (first, "gb")[: 1 + others])})
-    unknowing = Unknowing(fleet, first)
+    unknowing_entry = UnknowingEntry(fleet, first)
     fleet.write_table()
     names = ["ga", *["gb"] * others]
     for name in names:
@@ -141,17 +141,17 @@
         answer = fleet.wait(fleet.ask("ga", model, model))
         assert answer.status == 200
         assert [host[:2] for host in fleet.came(model)] == ["b1" if others else "a1"]
-    assert unknowing.came == 1  # passed over from then on
+    assert unknowing_entry.request_count == 1  # avoided after the first answer
 
 
-def ranks_before(gateway, one, other):
-    """Whether the gateway asks the one entry before the other."""
-    ways = (EntryGateway(one, ""), EntryGateway(other, ""))
-    return EntrySelector(gateway).ordered_entries(replace(cell("b1"), entries=ways))[0].name == one
+def is_ranked_before(gateway, one, other):
+    """Whether the gateway tries entry `one` before entry `other`."""
+    entries = (EntryGateway(one, ""), EntryGateway(other, ""))
+    return EntrySelector(gateway).ordered_entries(replace(cell("b1"), entries=entries))[0].name == one
 
 
-def test_forwarded_answers_report_what_the_call_found_at_the_host(cells):
-    """Also where an entry that does not know the cell forwarded it once more."""
+def test_forwarded_answers_report_what_the_request_found_at_the_host(cells):
+    """Also if an entry that does not know the cell forwarded the request once more."""
     fleet = cells(CELLS)
     fleet.write_table()
     for name in ("ga", "gb"):
@@ -183,23 +183,23 @@
         (b"x" * 257, ""),
     ],
 )
-def test_the_mark_of_a_forwarded_call_is_passed_on_or_ignored_where_it_is_malformed(mark, origin):
+def test_the_request_id_of_a_forwarded_request_is_kept_or_ignored_if_malformed(mark, origin):
     assert forwarding.decode_origin({b"gaproute-task": mark}) == origin
 
 
-def test_only_a_gateway_names_the_mark_of_a_call(cells):
+def test_only_another_gateway_can_set_the_request_id_of_a_request(cells):
     fleet = cells(CELLS)
     fleet.write_table()
     fleet.start("ga", "a1")
     fleet.up("ga")
     model = fleet.homed("check", "a1")
     mark = "Gaproute-Task: other-1\r\n"
-    for call, fields, wheres in (
+    for call, fields, addresses in (
         ("client", FORWARDED.format("a1") + mark, fleet.clients),
         ("peer", mark, fleet.entries),
         ("forwarded", FORWARDED.format("a1") + mark, fleet.entries),
     ):
-        assert fleet.wait(fleet.ask("ga", model, call, fields, wheres)).status == 200
+        assert fleet.wait(fleet.ask("ga", model, call, fields, addresses)).status == 200
         marks = {
             event["mark"]
             for tap in fleet.taps.values()
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -1,4 +1,4 @@
-"""Which cells may be sent to: proofs, trials, and the way back."""
+"""Circuit breakers of cells: evidence of faults, trials, and recovery."""
 
 from cells_tables import cells, table
 
@@ -23,7 +23,7 @@
 FUNCTIONS = [f"f{number}" for number in range(400)]
 
 
-def made(count=65, name="gateway1"):
+def make_health(count=65, name="gateway1"):
     health = CellHealth(name, Chance(5))
     health.adopt(table(cells(count)))
     return health
@@ -37,70 +37,70 @@
     return [health.circuit_state(now, name, function) for function in FUNCTIONS]
 
 
-def test_one_overdue_call_proves_nothing():
-    health = made()
-    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "way1")
-    health.record_overdue(11 * SECOND, "cell0", 9 * SECOND, "way1")
+def test_overdue_requests_through_one_entry_cause_no_fault():
+    health = make_health()
+    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "entry1")
+    health.record_overdue(11 * SECOND, "cell0", 9 * SECOND, "entry1")
     assert not health.faults
 
 
-def test_two_ways_silent_prove_a_cell_silent():
-    health = made()
+def test_overdue_requests_through_two_entries_make_a_cell_silent():
+    health = make_health()
     health.record_outcome(7 * SECOND, "cell0", Result.OK)
-    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "way1")
-    health.record_overdue(10 * SECOND, "cell0", 9 * SECOND, "way2")
+    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "entry1")
+    health.record_overdue(10 * SECOND, "cell0", 9 * SECOND, "entry2")
     assert fault_of(health).kind is FaultKind.SILENT
     assert set(circuit_states(health, 10 * SECOND)) == {CircuitState.OPEN}
     assert set(circuit_states(health, 10 * SECOND, "cell1")) == {CircuitState.CLOSED}
 
 
-def test_what_was_heard_since_disproves_silence():
-    health = made()
-    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "way1")
+def test_an_answer_between_two_overdue_requests_prevents_the_fault():
+    health = make_health()
+    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "entry1")
     health.record_outcome(10 * SECOND, "cell0", Result.ERROR)
-    health.record_overdue(11 * SECOND, "cell0", 9 * SECOND, "way2")
+    health.record_overdue(11 * SECOND, "cell0", 9 * SECOND, "entry2")
     assert not health.faults
 
 
-def test_two_cells_of_a_zone_and_two_zones_of_a_region():
+def test_two_silent_cells_make_a_zone_silent_and_two_silent_zones_a_region():
     """Cells 0 and 13 lie in zone 0, cells 5 and 18 in zone 5; both zones lie in region 0."""
-    health = made()
+    health = make_health()
     for number, name in enumerate(("cell0", "cell13")):
-        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "way")
+        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "entry")
     assert health.has_fault(FaultScope.ZONE, "zone0")
     assert not health.has_fault(FaultScope.REGION, "region0")
     assert health.circuit_state(10 * SECOND, "cell26", "f") is CircuitState.OPEN
     assert health.circuit_state(10 * SECOND, "cell5", "f") is CircuitState.CLOSED
     for number, name in enumerate(("cell5", "cell18")):
-        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "way")
+        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "entry")
     assert health.has_fault(FaultScope.REGION, "region0")
     assert health.circuit_state(10 * SECOND, "cell10", "f") is CircuitState.OPEN
     assert health.circuit_state(10 * SECOND, "cell1", "f") is CircuitState.CLOSED
 
 
-def test_a_zone_heard_of_since_is_not_silent():
-    health = made()
-    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "way")
+def test_a_zone_that_answered_since_is_not_silent():
+    health = make_health()
+    health.record_overdue(10 * SECOND, "cell0", 8 * SECOND, "entry")
     health.record_outcome(9 * SECOND, "cell26", Result.OK)
-    health.record_overdue(10 * SECOND, "cell13", 8 * SECOND, "way")
+    health.record_overdue(10 * SECOND, "cell13", 8 * SECOND, "entry")
     assert not health.faults
 
 
-def test_a_region_of_which_one_zone_is_heard_is_not_silent():
-    """Else a zone that is cut off with its gateways would take its own cells for lost."""
-    health = made()
+def test_a_region_of_which_one_zone_answers_is_not_silent():
+    """Otherwise the gateways of a zone that is cut off would find a fault in their own cells."""
+    health = make_health()
     for number, name in enumerate(("cell0", "cell13", "cell5", "cell18")):
         health.record_outcome(9 * SECOND, "cell10", Result.OK)
-        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "way")
+        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "entry")
     assert health.has_fault(FaultScope.ZONE, "zone0")
     assert health.has_fault(FaultScope.ZONE, "zone5")
     assert not health.has_fault(FaultScope.REGION, "region0")
     assert health.circuit_state(10 * SECOND, "cell10", "f") is CircuitState.CLOSED
 
 
-def test_refusals_of_most_calls():
-    """Also at a call in five seconds, as gateways send to most cells; half of the last eight is too few."""
-    health = made()
+def test_a_cell_that_rejects_most_requests_has_a_fault():
+    """Also at one request in five seconds, as gateways send to most cells; half of the last 8 are too few."""
+    health = make_health()
     for number in range(MIN_OUTCOMES - 1):
         health.record_outcome(5 * number * SECOND, "cell0", Result.FULL)
     assert not health.faults
@@ -117,11 +117,11 @@
     assert not fault_of(health, "cell3")
 
 
-def test_slow_by_many_functions_and_not_by_errors_or_loads():
-    health = made()
+def test_slow_warm_instances_make_a_cell_slow_but_errors_and_loads_do_not():
+    health = make_health()
     for number in range(50):
         health.record_outcome(number, "cell0", Result.ERROR)
-        health.record_outcome(number, "cell1", Result.OK)  # loads: they show no pace
+        health.record_outcome(number, "cell1", Result.OK)  # with a load: no relative duration
         health.record_outcome(number, "cell2", Result.OK, 3.0)
     assert not health.faults
     for number in range(STORED_OUTCOMES):
@@ -129,27 +129,27 @@
     assert fault_of(health, "cell3").kind is FaultKind.SLOW
 
 
-def test_one_trial_at_a_time_and_longer_rests():
-    health, now = made(), 0
+def test_one_trial_is_sent_at_a_time_after_ever_longer_backoffs():
+    health, now = make_health(), 0
     health.record_unreachable(now, "cell0")
-    rests = []
+    backoffs = []
     for _ in range(9):
-        begun = now
+        started_at = now
         while health.circuit_state(now, "cell0", "f") is not CircuitState.HALF_OPEN:
             assert health.circuit_state(now, "cell0", "f") is CircuitState.OPEN
             now += SECOND // 10
-        rests.append(now - begun)
+        backoffs.append(now - started_at)
         health.record_trial_sent(now, "cell0")
         assert set(circuit_states(health, now)) == {CircuitState.OPEN}
         now += SECOND // 10
         health.record_outcome(now, "cell0", Result.CONNECT_FAILED)
-    assert rests[0] <= 1.4 * SECOND
-    assert rests[3] > 4 * rests[0]
-    assert MAX_BACKOFF <= rests[-1] <= 1.3 * MAX_BACKOFF
+    assert backoffs[0] <= 1.4 * SECOND
+    assert backoffs[3] > 4 * backoffs[0]
+    assert MAX_BACKOFF <= backoffs[-1] <= 1.3 * MAX_BACKOFF
 
 
-def test_a_trial_without_answer_makes_way_for_the_next():
-    health = made()
+def test_a_trial_without_an_answer_ends_so_that_the_next_can_be_sent():
+    health = make_health()
     health.record_unreachable(0, "cell0")
     health.record_trial_sent(2 * SECOND, "cell0")
     assert health.circuit_state(2 * SECOND + TRIAL_TIMEOUT - 1, "cell0", "f") is CircuitState.OPEN
@@ -159,30 +159,30 @@
     assert fault_of(health).trial_sent_at == 2 * SECOND + TRIAL_TIMEOUT
 
 
-def healed(health, after):
+def recover(health, after):
     health.record_unreachable(0, "cell0")
     health.record_trial_sent(after, "cell0")
     health.record_outcome(after, "cell0", Result.OK)
     return after
 
 
-def test_functions_come_back_one_by_one():
-    health = made()
-    now = healed(health, 600 * SECOND)
+def test_functions_return_one_by_one():
+    health = make_health()
+    now = recover(health, 600 * SECOND)
     before = 0
     for part in range(11):
-        back = circuit_states(health, now + part * MAX_RECOVERY_RAMP // 10).count(CircuitState.CLOSED)
-        assert before <= back <= before + len(FUNCTIONS) // 5
-        assert abs(back / len(FUNCTIONS) - part / 10) < 0.1
-        before = back
+        returned = circuit_states(health, now + part * MAX_RECOVERY_RAMP // 10).count(CircuitState.CLOSED)
+        assert before <= returned <= before + len(FUNCTIONS) // 5
+        assert abs(returned / len(FUNCTIONS) - part / 10) < 0.1
+        before = returned
     assert not health.faults
 
 
-def test_gateways_nearly_agree_on_the_way_back_but_do_not_move_at_one_moment():
+def test_functions_return_at_nearly_but_not_exactly_the_same_time_at_all_gateways():
     times = {}
     for number in range(20):
-        health = made(name=f"gateway{number}")
-        now = healed(health, 600 * SECOND)
+        health = make_health(name=f"gateway{number}")
+        now = recover(health, 600 * SECOND)
         for function in FUNCTIONS[:50]:
             for step in range(61):
                 if health.circuit_state(now + step * SECOND, "cell0", function) is CircuitState.CLOSED:
@@ -193,26 +193,26 @@
     assert sorted(spans)[25] >= 3
 
 
-def test_a_short_illness_is_over_soon():
-    health = made()
-    now = healed(health, 2 * SECOND)
+def test_recovery_from_a_short_fault_is_short():
+    health = make_health()
+    now = recover(health, 2 * SECOND)
     assert CircuitState.OPEN in circuit_states(health, now)
     assert set(circuit_states(health, now + MIN_RECOVERY_RAMP)) == {CircuitState.CLOSED}
 
 
-def test_falling_ill_again_on_the_way_back_rests_longer():
-    health = made()
-    now = healed(health, 600 * SECOND)
+def test_a_new_fault_during_recovery_has_a_longer_backoff():
+    health = make_health()
+    now = recover(health, 600 * SECOND)
     health.record_unreachable(now + SECOND, "cell0")
     assert fault_of(health).recovered_at is None
     assert fault_of(health).backoff == 2 * SECOND
     assert set(circuit_states(health, now + SECOND)) == {CircuitState.OPEN}
 
 
-def test_an_answer_heals_the_silent_region_at_once():
-    health = made()
+def test_an_answer_ends_the_fault_of_a_silent_region_at_once():
+    health = make_health()
     for number, name in enumerate(("cell0", "cell13", "cell5", "cell18")):
-        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "way")
+        health.record_overdue(10 * SECOND, name, 8 * SECOND + number, "entry")
     assert health.has_fault(FaultScope.REGION, "region0")
     health.record_outcome(20 * SECOND, "cell10", Result.OK)
     assert not health.has_fault(FaultScope.REGION, "region0")
@@ -222,15 +222,15 @@
     assert not health.has_fault(FaultScope.ZONE, "zone5")
 
 
-def test_what_left_the_table_is_forgotten():
-    health = made()
+def test_the_state_of_cells_that_left_the_table_is_dropped():
+    health = make_health()
     health.record_unreachable(0, "cell0")
     health.record_outcome(0, "cell0", Result.OK)
     health.adopt(table(cells(65)[1:], number=2))
     assert not fault_of(health)
     assert "cell0" not in health.records
     health.record_unreachable(0, "cell0")
-    health.record_overdue(0, "cell0", 0, "way")
+    health.record_overdue(0, "cell0", 0, "entry")
     health.record_outcome(0, "cell0", Result.OK)
     assert not fault_of(health)
     assert "cell0" not in health.records
--- a/tests/decisions/cells/test_table.py
+++ b/tests/decisions/cells/test_table.py
@@ -1,11 +1,10 @@
-"""The cell table: what is refused and how it is named, changes, splits."""
+"""The cell table: rejected tables and rows with their errors, changes, and splits."""
 
 from dataclasses import replace
 
 import pytest
 from cells_tables import FLEET, cell, cells, table
-from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import given, settings, strategies
 
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
@@ -21,12 +20,12 @@
 from gaproute.decisions.cells.version import Version
 
 
-def test_cells_come_in_a_stable_order():
+def test_cells_have_an_order_that_does_not_depend_on_the_rows_order():
     rows = cells(20)
     assert table(rows) == table(rows[::-1])
 
 
-def test_a_table_has_a_fleet_a_version_and_cells():
+def test_a_table_without_a_valid_fleet_version_or_cells_is_rejected():
     for fleet, version, rows in (
         ("", Version(1, 1), cells(2)),
         (FLEET, (1, 1), cells(2)),
@@ -38,7 +37,7 @@
             validate(fleet, version, rows)
 
 
-WRONG_ROWS = {
+INVALID_ROWS = {
     "twice": cell("cell0"),
     "no name": replace(cell("x"), name=""),
     "a name that is no text": replace(cell("x"), name=7),
@@ -48,39 +47,39 @@
     "a zone in two regions": replace(cell("x", zone=1), region="region4"),
     "no hosts": replace(cell("x"), hosts=0),
     "too many hosts": replace(cell("x"), hosts=bounds.MAX_HOSTS_PER_CELL + 1),
-    "hosts by halves": replace(cell("x"), hosts=1.5),
+    "a fraction of hosts": replace(cell("x"), hosts=1.5),
     "no capacity": replace(cell("x"), capacity=0.0),
-    "no number": replace(cell("x"), capacity=float("nan")),
-    "endless capacity": replace(cell("x"), capacity=float("inf")),
+    "capacity that is not a number": replace(cell("x"), capacity=float("nan")),
+    "infinite capacity": replace(cell("x"), capacity=float("inf")),
     "capacity as text": replace(cell("x"), capacity="9"),
     "no points": replace(cell("x"), points=()),
-    "points of another": replace(cell("x"), points=(PointRange("cell0", 15, 2),)),
-    "its points twice": replace(cell("x"), points=(PointRange("x", 0, 9), PointRange("x", 8, 2))),
+    "points of another cell": replace(cell("x"), points=(PointRange("cell0", 15, 2),)),
+    "the same points twice": replace(cell("x"), points=(PointRange("x", 0, 9), PointRange("x", 8, 2))),
     "negative points": replace(cell("x"), points=(PointRange("x", -1, 9),)),
-    "a range of none": replace(cell("x"), points=(PointRange("x", 0, 0),)),
+    "an empty range": replace(cell("x"), points=(PointRange("x", 0, 0),)),
     "too many points": replace(cell("x"), points=(PointRange("x", 0, bounds.MAX_RING_POINTS_PER_CELL + 1),)),
     "too many ranges": replace(cell("x"), points=tuple(PointRange("x", n, 1) for n in range(99))),
     "too many entries": replace(cell("x"), entries=tuple(EntryGateway(f"g{n}", "a") for n in range(33))),
     "an entry twice": replace(cell("x"), entries=(EntryGateway("g", "a"), EntryGateway("g", "b"))),
-    "an entry nowhere": replace(cell("x"), entries=(EntryGateway("g", ""),)),
+    "an entry without address": replace(cell("x"), entries=(EntryGateway("g", ""),)),
 }
 
 
-@pytest.mark.parametrize("wrong", WRONG_ROWS.values(), ids=WRONG_ROWS.keys())
-def test_a_wrong_row_is_named_by_its_place(wrong):
+@pytest.mark.parametrize("row", INVALID_ROWS.values(), ids=INVALID_ROWS.keys())
+def test_the_error_for_an_invalid_row_has_its_row_number(row):
     with pytest.raises(RowError) as error:
-        table([*cells(3), wrong, *cells(3)[:0]])
+        table([*cells(3), row, *cells(3)[:0]])
     assert error.value.row == 4
     assert "row 4" in str(error.value)
     assert len(str(error.value)) < 400
 
 
-@pytest.mark.parametrize("wrong", WRONG_ROWS.values(), ids=WRONG_ROWS.keys())
-def test_a_wrong_row_of_a_change_leaves_the_table(wrong):
+@pytest.mark.parametrize("row", INVALID_ROWS.values(), ids=INVALID_ROWS.keys())
+def test_a_change_with_an_invalid_row_leaves_the_table_unchanged(row):
     before = table(cells(3))
-    if wrong.name == "cell0":
-        wrong = replace(wrong, points=(PointRange("cell1", 0, 1),))
-    change = TableChange(FLEET, before.version, Version(1, 2), (cell("new"), wrong))
+    if row.name == "cell0":
+        row = replace(row, points=(PointRange("cell1", 0, 1),))
+    change = TableChange(FLEET, before.version, Version(1, 2), (cell("new"), row))
     holder = TableHolder(FLEET)
     holder.replace(before)
     with pytest.raises(RowError) as error:
@@ -90,7 +89,7 @@
     assert holder.needs_full_table
 
 
-def test_a_million_rows_are_refused_after_the_bound():
+def test_reading_of_a_million_rows_stops_after_the_bound():
     read = []
 
     def rows():
@@ -103,39 +102,39 @@
     assert len(read) == bounds.MAX_CELLS + 1
 
 
-def test_ring_points_are_bounded_in_all():
+def test_the_ring_points_of_a_table_are_bounded():
     rows = [replace(cell(f"c{n}"), points=(PointRange(f"c{n}", 0, 1024),)) for n in range(257)]
     with pytest.raises(TableError, match="ring points in all"):
         table(rows)
 
 
-def test_the_holder_takes_higher_versions_of_its_fleet_only():
+def test_the_holder_accepts_only_higher_versions_of_its_fleet():
     holder = TableHolder(FLEET)
     with pytest.raises(FullTableNeededError):
         holder.apply(TableChange(FLEET, Version(1, 1), Version(1, 2)))
     holder.replace(table(cells(3), number=5, term=2))
-    held = holder.table
+    current = holder.table
     for offered in (table(cells(4), number=5, term=2), table(cells(4), number=9, term=1)):
         with pytest.raises(StaleVersionError):
             holder.replace(offered)
     with pytest.raises(OtherFleetError):
         holder.replace(replace(table(cells(4), number=9, term=9), fleet="south"))
     with pytest.raises(OtherFleetError):
-        holder.apply(TableChange("south", held.version, Version(9, 9)))
+        holder.apply(TableChange("south", current.version, Version(9, 9)))
     with pytest.raises(StaleVersionError):
         holder.apply(TableChange(FLEET, Version(2, 4), Version(2, 5)))
-    assert holder.table is held
+    assert holder.table is current
     assert not holder.needs_full_table
     with pytest.raises(FullTableNeededError):
         holder.apply(TableChange(FLEET, Version(2, 4), Version(2, 6)))
-    assert holder.table is held
+    assert holder.table is current
     assert holder.needs_full_table
     holder.replace(table(cells(4), number=0, term=3))
     assert len(holder.table.cells) == 4
     assert not holder.needs_full_table
 
 
-def test_a_change_is_the_same_as_the_whole_table():
+def test_a_change_gives_the_same_table_as_the_complete_rows():
     before = table(cells(30))
     rows = (replace(cell("cell3", zone=3), capacity=7.0), cell("new", zone=4))
     after = apply_change(before, TableChange(FLEET, before.version, Version(1, 2), rows, ("cell8",)))
@@ -144,7 +143,7 @@
     assert before == table(cells(30))
 
 
-def test_a_change_may_not_remove_what_is_not_there_nor_all():
+def test_a_change_may_not_remove_missing_cells_or_all_cells():
     before = table(cells(2))
     for removed in (("cell9",), ("cell0", "cell0"), ("cell0", "cell1")):
         with pytest.raises(TableError):
@@ -169,28 +168,30 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(some.data())
-def test_any_row_of_changes_leads_to_the_same_table_as_the_whole(data):
-    """Random changes, good and bad: the holder always has a table that `validate` takes as it is."""
+@given(strategies.data())
+def test_after_any_sequence_of_changes_the_table_is_valid(data):
+    """Random changes, valid and invalid: the holder always has a table that `validate` accepts unchanged."""
     holder, number = TableHolder(FLEET), 1
     holder.replace(table(cells(5)))
-    for _ in range(data.draw(some.integers(1, 8))):
+    for _ in range(data.draw(strategies.integers(1, 8))):
         number += 1
-        names = some.sampled_from([f"cell{n}" for n in range(9)])
-        chosen = data.draw(some.lists(names, max_size=4))
+        names = strategies.sampled_from([f"cell{n}" for n in range(9)])
+        chosen = data.draw(strategies.lists(names, max_size=4))
         rows = tuple(
-            cell(name, zone=data.draw(some.integers(0, 20)), hosts=data.draw(some.integers(0, 60)))
+            cell(
+                name, zone=data.draw(strategies.integers(0, 20)), hosts=data.draw(strategies.integers(0, 60))
+            )
             for name in chosen
         )
-        removed = tuple(data.draw(some.lists(names, max_size=3)))
-        base = data.draw(some.sampled_from([holder.table.version, Version(1, number - 2)]))
-        held = holder.table
+        removed = tuple(data.draw(strategies.lists(names, max_size=3)))
+        base = data.draw(strategies.sampled_from([holder.table.version, Version(1, number - 2)]))
+        current = holder.table
         try:
             holder.apply(TableChange(FLEET, base, Version(1, number), rows, removed))
         except TableError:
-            assert holder.table is held
+            assert holder.table is current
             holder.needs_full_table = False
         else:
-            assert holder.table.version > held.version
+            assert holder.table.version > current.version
         again = validate(FLEET, holder.table.version, holder.table.cells)
         assert again == holder.table
--- a/tests/support/cellular_gateways.py
+++ b/tests/support/cellular_gateways.py
@@ -1,30 +1,30 @@
-"""Gateways of a fleet of cells for tests, and functions by their home cells."""
+"""Cellular gateways for tests, and names of functions by their home cells."""
 
-from cells_tables import cells, table
+import cells_tables
 from helpers import TERMS, row
 
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.location import GatewayLocation
 
 IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
-PLACE = GatewayLocation("gateway1", "region0", "zone0")
+LOCATION = GatewayLocation("gateway1", "region0", "zone0")
 
 
-def fleet(count=26, own=("cell0",), **terms):
-    """A gateway of zone 0 that knows some cells' hosts."""
-    made = CellularGateway(7, TERMS._replace(**{"hedging_allowed": False, **terms}), 0, PLACE)
-    made.adopt(0, table(cells(count)))
-    for name in made.cells_to_follow():
-        if name in own:
-            made.update_hosts(0, [row(f"{name}-{host}") for host in "abc"], complete=True, cell=name)
-    return made
+def make_gateway(count=26, known=("cell0",), **terms):
+    """A gateway in zone 0 of a fleet of `count` cells, with host lists of the `known` cells in its view."""
+    gateway = CellularGateway(7, TERMS._replace(**{"hedging_allowed": False, **terms}), 0, LOCATION)
+    gateway.adopt(0, cells_tables.table(cells_tables.cells(count)))
+    for name in gateway.cells_to_follow():
+        if name in known:
+            gateway.update_hosts(0, [row(f"{name}-{host}") for host in "abc"], complete=True, cell=name)
+    return gateway
 
 
-def functions(made, wanted, number=1):
-    """Functions whose first home is one of the cells wanted."""
-    found = (f"f{place}" for place in range(100_000) if made.homes.first(f"f{place}") in wanted)
-    return [next(found) for _ in range(number)]
+def functions_with_home(gateway, cells, count=1):
+    """Names of functions whose first home is one of the cells."""
+    found = (f"f{place}" for place in range(100_000) if gateway.homes.first(f"f{place}") in cells)
+    return [next(found) for _ in range(count)]
 
 
-def function_of(made, name):
-    return functions(made, (name,))[0]
+def function_with_home(gateway, name):
+    return functions_with_home(gateway, (name,))[0]
