--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -39,7 +39,7 @@
 
 
 class CellRouter:
-    """Routes requests. Each step of a request uses the newest table of that time.
+    """Routes requests. Each step of a request uses the table that is current at that time.
 
     `selector` chooses the cells for requests from clients of this gateway.
     """
--- a/gaproute/decisions/cells/choice.py
+++ b/gaproute/decisions/cells/choice.py
@@ -65,14 +65,14 @@
         region = self.location.region if regional else None
         homes = self.homes.order(function, count, region)[:count]
         first = self._first_choice(now, function, homes, may_repeat=may_repeat)
-        given: set[str] = set()
+        chosen: set[str] = set()
         if first is not None:
-            given.add(first.cell)
+            chosen.add(first.cell)
             yield first
-        yield from self._further_choices(now, function, region, given, may_repeat=may_repeat)
+        yield from self._further_choices(now, function, region, chosen, may_repeat=may_repeat)
         if regional:
-            yield from self._further_choices(now, function, None, given, may_repeat=may_repeat)
-        if not given:
+            yield from self._further_choices(now, function, None, chosen, may_repeat=may_repeat)
+        if not chosen:
             yield from self._last_resort_choice(function, region)
 
     def placement(self, now: int, function: str) -> Placement:
@@ -109,18 +109,18 @@
         return CellChoice(self.loads.draw(now, homes, self.capacities, self.chance))
 
     def _further_choices(
-        self, now: int, function: str, region: str | None, given: set[str], *, may_repeat: bool
+        self, now: int, function: str, region: str | None, chosen: set[str], *, may_repeat: bool
     ) -> Iterator[CellChoice]:
-        """Yields the usable cells of the function's order, except those in `given`, and adds them to it."""
+        """Yields the usable cells of the function's order, except those in `chosen`, and adds them to it."""
         count, start = INITIAL_ORDER_LENGTH, 0
         while True:
             order = self.homes.order(function, count, region)
             for name in order[start:]:
-                if name in given:
+                if name in chosen:
                     continue
                 state = self.health.circuit_state(now, name, function, may_repeat=may_repeat)
                 if state is CircuitState.CLOSED:
-                    given.add(name)
+                    chosen.add(name)
                     yield CellChoice(name)
             if len(order) < count:
                 return
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -133,11 +133,11 @@
                 current = Placement(regional, 1)
             else:
                 regional = current.regional
-        homes = self._home_count(now, demand, current, regional_cells if regional else cells)
-        if homes < current.home_count and not may_change:
-            homes = current.home_count
-        if (regional, homes) != demand.placement:
-            demand.placement, demand.changed_at = Placement(regional, homes), now
+        home_count = self._home_count(now, demand, current, regional_cells if regional else cells)
+        if home_count < current.home_count and not may_change:
+            home_count = current.home_count
+        if (regional, home_count) != demand.placement:
+            demand.placement, demand.changed_at = Placement(regional, home_count), now
         return demand.placement
 
     def _mean_duration_of(self, demand: FunctionDemand) -> float:
@@ -149,8 +149,8 @@
         The threshold to become regional is higher than that to stay regional.
         """
         count = demand.long_term * exp((demand.updated_at - now) / LONG_DECAY_TIME)
-        counted = effective_count_time(now - self.started_at, LONG_DECAY_TIME)
-        keep_alives = self.scope.regional_gateways * self.scope.keep_alive / counted
+        counting_time = effective_count_time(now - self.started_at, LONG_DECAY_TIME)
+        keep_alives = self.scope.regional_gateways * self.scope.keep_alive / counting_time
         if demand.placement.regional:
             return count >= 1 and count * keep_alives >= REQUESTS_PER_KEEP_ALIVE
         return _lower_estimate(count) * keep_alives >= REQUESTS_PER_KEEP_ALIVE
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -29,10 +29,9 @@
 
 
 class FaultScope(Enum):
-    """The kinds of fault domains.
+    """The kinds of fault domains: a region, a zone, a cell, or all that lies outside the own zone or region.
 
-    A domain is a region, a zone or a cell, for which the value is the field of `Cell` with its name, or all
-    that lies outside the own zone or region.
+    The value for a region, a zone or a cell is the name of the field of `Cell` that has the domain's name.
     """
 
     REGION = "region"
@@ -42,7 +41,7 @@
     OTHER_REGIONS = "other regions"  # the domain has the name of the own region, which is not in it
 
 
-# A set of hosts that may fail together. A plain tuple for speed, as several are made for each outcome
+# A set of hosts that may fail together, as a plain tuple, because many are made for each outcome
 FaultDomain = tuple[FaultScope, str]
 
 
@@ -51,7 +50,7 @@
     """The fault of a domain, and its recovery, during which functions return one by one. Times are in ns."""
 
     kind: FaultKind
-    since: int
+    since: int  # time at which the fault was found
     backoff: int
     next_trial_at: int
     trial_sent_at: int | None = None  # of the trial that has no answer yet
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -50,7 +50,7 @@
         before, after = self.table.by_name, table.by_name
         names = {name for name, cell in after.items() if before.get(name) is not cell}
         names |= before.keys() - after.keys()
-        names = {name for name in names if not _has_same_ring_points(before.get(name), after.get(name))}
+        names = {name for name in names if not _leads_to_same_orders(before.get(name), after.get(name))}
         for region, ring in self._rings.items():
             inside = {
                 name: after[name] for name in names & after.keys() if _is_in_region(after[name], region)
@@ -116,7 +116,7 @@
     return region is None or cell.region == region
 
 
-def _has_same_ring_points(before: Cell | None, after: Cell | None) -> bool:
+def _leads_to_same_orders(before: Cell | None, after: Cell | None) -> bool:
     """Whether two rows of a cell lead to the same orders."""
     if before is None or after is None:
         return before is after
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -149,7 +149,7 @@
 
 def _size_error(cell: Cell) -> str | None:
     if type(cell.hosts) is not int or not 0 < cell.hosts <= bounds.MAX_HOSTS_PER_CELL:
-        return f"{cell.hosts!r:.40} hosts are not an integer from 1 to {bounds.MAX_HOSTS_PER_CELL}"
+        return f"{cell.hosts!r:.40} hosts are not a whole number from 1 to {bounds.MAX_HOSTS_PER_CELL}"
     capacity = cell.capacity
     if (
         type(capacity) not in (int, float)
