--- a/tests/appliance/test_cell_faults.py
+++ b/tests/appliance/test_cell_faults.py
@@ -91,11 +91,12 @@
     fleet.write_table({"a1": ("a1", ("ga",)), "b1": ("b1", ("ge",)), "c1": ("c1", ())}, path=old)
     fleet.write_table(path=new)
     fleet.write_table(path=fleet.table)
-    fleet.start("ga", "a1", table=old)  # for it `ge` leads into b1
     for name, zone in (("gc", "b1"), ("gd", "b1"), ("ge", "c1")):
         fleet.start(name, zone, table=new)
-    fleet.up("ga", version="1.1")
     fleet.up("gc", "gd", "ge", version="1.2")
+    # `ga` starts last: within a second of its start the other gateways send it the newer table.
+    fleet.start("ga", "a1", table=old)  # in the old table `ge` is the entry gateway of b1
+    fleet.up("ga", version="1.1")
     call = fleet.ask("ga", fleet.homed("order", "b1"), "t1")
     assert fleet.wait(call).status == OK
     assert len(fleet.came("t1")) == 1
