--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -22,7 +22,7 @@
 
 from benchmarks.host_processes import HostsProcess, serve_hosts
 from benchmarks.rows import write
-from gaproute.decisions.connections.pooling import MAX_IDLE, Pooling
+from gaproute.decisions.connections.pooling import MAX_IDLE_TIME, ConnectionReusePolicy
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import Limits, Request
@@ -41,35 +41,41 @@
 Row = dict[str, Any]
 
 
-class AnyIdleTime(Pooling):
+class AnyIdleTime(ConnectionReusePolicy):
     """The common way: an idle connection is used as long as it looks open."""
 
-    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
-        """See `Pooling`."""
-        return MAX_IDLE
+    def max_idle_time(
+        self, now: int, host: str, idempotency: Idempotency, announced_idle_time: int | None
+    ) -> int:
+        """See `ConnectionReusePolicy`."""
+        return MAX_IDLE_TIME
 
 
-class AlwaysNew(Pooling):
+class AlwaysNew(ConnectionReusePolicy):
     """A new connection for every non-idempotent request."""
 
-    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
-        """See `Pooling`."""
-        return MAX_IDLE if idempotency is Idempotency.IDEMPOTENT else -1
+    def max_idle_time(
+        self, now: int, host: str, idempotency: Idempotency, announced_idle_time: int | None
+    ) -> int:
+        """See `ConnectionReusePolicy`."""
+        return MAX_IDLE_TIME if idempotency is Idempotency.IDEMPOTENT else -1
 
 
-class ObservedOnly(Pooling):
+class ObservedOnly(ConnectionReusePolicy):
     """Half the shortest rest after which the host was seen to close one, and nothing known beforehand."""
 
-    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
-        """See `Pooling`."""
-        return super().max_idle(now, host, Idempotency.IDEMPOTENT, announced)
+    def max_idle_time(
+        self, now: int, host: str, idempotency: Idempotency, announced_idle_time: int | None
+    ) -> int:
+        """See `ConnectionReusePolicy`."""
+        return super().max_idle_time(now, host, Idempotency.IDEMPOTENT, announced_idle_time)
 
 
 class Way(NamedTuple):
     """A way to choose connections, and whether hosts say when they close them."""
 
     name: str
-    pooling: type[Pooling]
+    pooling: type[ConnectionReusePolicy]
     announced: bool
 
 
@@ -77,8 +83,8 @@
     Way("any rest", AnyIdleTime, False),
     Way("always new", AlwaysNew, False),
     Way("half of what was seen", ObservedOnly, False),
-    Way("gaproute: calm ones only", Pooling, False),
-    Way("gaproute, host tells its time", Pooling, True),
+    Way("gaproute: calm ones only", ConnectionReusePolicy, False),
+    Way("gaproute, host tells its time", ConnectionReusePolicy, True),
 )
 
 
@@ -100,7 +106,9 @@
 class Play:
     """Requests to each host, one after the other, on the connections that `pooling` chooses."""
 
-    def __init__(self, pooling: Pooling, addresses: list[str], idempotency: Idempotency) -> None:
+    def __init__(
+        self, pooling: ConnectionReusePolicy, addresses: list[str], idempotency: Idempotency
+    ) -> None:
         self._loop, self._random = Loop(), random.Random(SEED)
         self._idempotency = idempotency
         self.results: Counter[Result] = Counter()
@@ -132,7 +140,7 @@
 
 
 def play(
-    pooling: Pooling,
+    pooling: ConnectionReusePolicy,
     count: int,
     seconds: float,
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT,
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -4,7 +4,7 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, cpu_seconds_once, retained_bytes
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
 from gaproute.hosts.kserve.client import KServeClient
@@ -28,7 +28,7 @@
         self.loop = Loop()
         self.ready = 0  # probes that found their host ready
         self.waiting, self.ended = 0, Promise()  # probes in flight, and what is set once none is
-        self.hosts = KServeClient(self.loop, Pooling())
+        self.hosts = KServeClient(self.loop, ConnectionReusePolicy())
         self.names = [f"host-{number:04}" for number in range(count)]
         rows = [Endpoint(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
         self.hosts.update(rows, complete=True)
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds_once
 from gaproute.config.directives.fleet import HostLine
 from gaproute.config.errors import Mistake
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.hosts.kserve.client import KServeClient
@@ -48,7 +48,7 @@
         self.path.write_text(host_list(hosts, seed))
         self.loop = Loop()
         self.listing = HostLineConverter(self.loop)
-        self.connections = KServeClient(self.loop, Pooling())
+        self.connections = KServeClient(self.loop, ConnectionReusePolicy())
         self.lists = 0
         self.watch: FileWatch | None = None
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -77,8 +77,8 @@
                 connections.states[fd] = QUEUED
                 connections.new_queue.append((fd, seen))
 
-    def next_queue(admission: Any, returning: int, new: int, *, arriving: bool) -> AdmissionQueue | None:
-        if arriving:
+    def next_queue(admission: Any, returning: int, new: int, *, has_arriving: bool) -> AdmissionQueue | None:
+        if has_arriving:
             return AdmissionQueue.ARRIVING
         return AdmissionQueue.NEW if new else None
 
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -20,7 +20,7 @@
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.cell_members import RejectedMember
 from gaproute.fronts.kserve.entry import EntryFront
@@ -69,7 +69,7 @@
         location = GatewayLocation(configuration.name, self.cells_line.region, self.cells_line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
         self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
-        self.hosts = CellHostClient(loop, Pooling(), client_settings, configuration.name)
+        self.hosts = CellHostClient(loop, ConnectionReusePolicy(), client_settings, configuration.name)
         self.entries = EntryGateways(loop, client_settings, configuration.name)
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entries
--- a/gaproute/appliance/request_path.py
+++ b/gaproute/appliance/request_path.py
@@ -7,7 +7,7 @@
 from gaproute.appliance.cells import CellServices
 from gaproute.config.configuration import Configuration
 from gaproute.core.core import Core
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.decisions.routing import Gateway
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
@@ -41,6 +41,6 @@
         cells = CellServices(loop, configuration, record, seed, settings, run_name, hosts_changed)
         return RequestPath(cells.placeholder_gateway, cells.hosts, cells.core, cells)
     gateway = configuration.decisions(seed, configuration.terms, loop.now())
-    hosts = KServeClient(loop, Pooling(), settings, configuration.name)
+    hosts = KServeClient(loop, ConnectionReusePolicy(), settings, configuration.name)
     core = Core(loop, gateway, configuration.terms, hosts, record, run_name)
     return RequestPath(gateway, hosts, core)
--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -17,12 +17,12 @@
 from gaproute.connections.owner import ConnectionOwner
 from gaproute.connections.parked import NOT_PARKED, PARKED, QUEUED, ParkedConnections
 from gaproute.decisions.admission.admission import (
-    EVICTION_SAMPLE,
-    FULL_RETRY_PAUSE,
+    EVICTION_RETRY_DELAY,
+    EVICTION_SAMPLE_SIZE,
     Admission,
+    AdmissionDecision,
     AdmissionQueue,
     IdleConnection,
-    Verdict,
 )
 from gaproute.decisions.chance import Chance
 from gaproute.loop.faults import is_transient
@@ -31,10 +31,10 @@
 
 READ_SIZE = 65536  # bytes read from a connection that is resumed
 MIN_READ_DELAY = 5_000_000  # shortest wait that is counted, ns: a turn of the loop may take as long
-MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries that are read to find a sample of idle connections
+MAX_SCANNED = 4 * EVICTION_SAMPLE_SIZE  # entries that are read to find a sample of idle connections
 UNLIMITED = 1 << 30
 # Looked up once: they are compared for each connection, and a member of an enum is slow to reach.
-RETURNING, ARRIVING, ACCEPT = AdmissionQueue.RETURNING, AdmissionQueue.ARRIVING, Verdict.ACCEPT
+RETURNING, ARRIVING, ACCEPT = AdmissionQueue.RETURNING, AdmissionQueue.ARRIVING, AdmissionDecision.ACCEPT
 
 Waiting = tuple[int, int]  # a parked connection that has sent something: its descriptor, when that was seen
 
@@ -65,7 +65,7 @@
         listener, owner = next(iter(self.ready_listeners.items()))
         del self.ready_listeners[listener]
         if self.admission.queue_when_full and owner.counted and not self.has_capacity():
-            listener.pause(FULL_RETRY_PAUSE)
+            listener.pause(EVICTION_RETRY_DELAY)
             return
         accepted = listener.accept()
         if accepted is None:
@@ -93,10 +93,10 @@
 
     def _admits_client(self, address: str) -> bool:
         address_count = self.address_counts.count(address)
-        verdict = self.admission.admit(self.client_count, address_count, can_evict=True)
-        if verdict is ACCEPT:
+        decision = self.admission.decide_admission(self.client_count, address_count, can_evict=True)
+        if decision is ACCEPT:
             return True
-        if verdict is Verdict.REJECT:
+        if decision is AdmissionDecision.REJECT:
             return False
         # With `queue_when_full`, `has_capacity` was true before the accept: the idle connection that could
         # have been closed has sent something since.
@@ -107,7 +107,7 @@
     def evict_idle(self) -> None:
         """Closes some idle connections, the longest idle first, to free descriptors."""
         self._poll_all()  # a connection that has just sent something is not idle
-        for fd in self.admission.oldest_idle(self.loop.now(), self._idle_sample()):
+        for fd in self.admission.longest_idle_descriptors(self.loop.now(), self._idle_sample()):
             self.evicted += self._close_idle(fd)
 
     def _evict_one(self) -> bool:
@@ -148,7 +148,7 @@
             for fd in scanned
             if self.states[fd] == PARKED and self.owners[self.owner_ids[fd]].counted
         ]
-        return idle if scan_all else idle[:EVICTION_SAMPLE]
+        return idle if scan_all else idle[:EVICTION_SAMPLE_SIZE]
 
     def _close_idle(self, fd: int) -> bool:
         """Closes a parked connection, unless it has sent something, which a close would lose."""
@@ -181,7 +181,7 @@
         """Serves the queues until that time, at least one connection; returns whether some still wait."""
         while True:
             queue = self.admission.next_queue(
-                len(self.returning_queue), len(self.new_queue), arriving=bool(self.ready_listeners)
+                len(self.returning_queue), len(self.new_queue), has_arriving=bool(self.ready_listeners)
             )
             if queue is None:
                 return bool(self.ready_listeners)
--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -16,27 +16,34 @@
 from gaproute.units import MILLI, SECOND
 
 # Idle time after which no connection is used: most servers close between 5 and 75 s.
-MAX_IDLE = 20 * SECOND
+MAX_IDLE_TIME = 20 * SECOND
 # The same for a non-idempotent request: shorter than the idle time of any common server (1 s and more), long
 # beside the gaps under load.
-MAX_IDLE_NON_IDEMPOTENT = 500 * MILLI
-OBSERVED_IDLE_SHARE = 0.5  # of the shortest idle time after which this host closed a connection by itself
+MAX_IDLE_TIME_NON_IDEMPOTENT = 500 * MILLI
+OBSERVED_IDLE_TIME_SHARE = (
+    0.5  # of the shortest idle time after which this host closed a connection by itself
+)
 # Of the idle time that the host announces, for an idempotent request: a request that meets the close is
 # retried, which costs less than the handshakes that are saved.
-ANNOUNCED_IDLE_SHARE = 0.9
+ANNOUNCED_IDLE_TIME_SHARE = 0.9
 # The same for a non-idempotent request: long before the close, even if clocks differ or the host is slow.
-ANNOUNCED_IDLE_SHARE_NON_IDEMPOTENT = 0.25
-OBSERVATIONS = 8  # closes and stale ends remembered for each host
-CLOSE_MEMORY = 300 * SECOND  # after which a close does not count: the host may have been reconfigured
+ANNOUNCED_IDLE_TIME_SHARE_NON_IDEMPOTENT = 0.25
+MAX_OBSERVATIONS_PER_HOST = 8  # closes and stale ends remembered for each host
+OBSERVED_CLOSE_LIFETIME = (
+    300 * SECOND
+)  # after which a close does not count: the host may have been reconfigured
 
 # A connection on which nothing was received for so long counts as dead when a request on it is abandoned.
 # Answers take some tenths of a second, loads longer; to be wrong costs a handshake.
 SILENCE_TIMEOUT = SECOND
 # A connection that ends so soon after a request was sent, without a reply, was stale: the host had closed it
 # before. (A process that crashes ends its connections at any time.)
-STALE_END_TIME = 50 * MILLI
-STALE_MEMORY = 10 * SECOND  # after which a stale end does not count, so that idle connections are tried again
-# Stale ends among the last `OBSERVATIONS` at a host above which idempotent requests too use new connections.
+MAX_STALE_END_DELAY = 50 * MILLI
+STALE_END_LIFETIME = (
+    10 * SECOND
+)  # after which a stale end does not count, so that idle connections are tried again
+# Stale ends among the last `MAX_OBSERVATIONS_PER_HOST` at a host above which idempotent requests too use new
+# connections.
 MAX_STALE_ENDS = 1
 # Ended requests of a connection to which a reply may still come, until the connection takes no further
 # requests: a long-lived one would store the ids of all of them. One handshake for 64 requests is cheap.
@@ -46,8 +53,8 @@
 class ObservedClose(NamedTuple):
     """A connection that the host closed by itself."""
 
-    at: int  # ns
-    idle: int  # ns for which it had been idle
+    closed_at: int  # ns
+    idle_time: int  # ns for which it had been idle
 
 
 class PooledConnection(Protocol):
@@ -73,30 +80,31 @@
 Connection = TypeVar("Connection", bound=PooledConnection)
 
 
-class Pooling:
+class ConnectionReusePolicy:
     """What was observed of hosts that close connections, and which connection a request may use."""
 
     def __init__(self) -> None:
         self._closes: dict[str, deque[ObservedClose]] = {}  # by host
         self._stale_ends: dict[str, deque[int]] = {}  # by host: when connections turned out to be stale
 
-    def record_close(self, now: int, host: str, idle: int) -> None:
-        """Record that the host closed a connection that had been idle for `idle` ns."""
-        closes = self._closes.setdefault(host, deque(maxlen=OBSERVATIONS))
-        closes.append(ObservedClose(now, idle))
+    def record_close(self, now: int, host: str, idle_time: int) -> None:
+        """Record that the host closed a connection that had been idle for `idle_time` ns."""
+        closes = self._closes.setdefault(host, deque(maxlen=MAX_OBSERVATIONS_PER_HOST))
+        closes.append(ObservedClose(now, idle_time))
 
     def forget_host(self, host: str) -> None:
         """Forget what was observed of a host, which has left the host list."""
         self._closes.pop(host, None)
         self._stale_ends.pop(host, None)
 
-    def record_stale_end(self, now: int, host: str, idle: int, since_sent: int) -> None:
-        """Record that a connection ended `since_sent` ns after a request was sent on it, without any reply.
+    def record_stale_end(self, now: int, host: str, idle_time: int, time_since_sending: int) -> None:
+        """Record that a connection ended `time_since_sending` ns after a request was sent on it, without any
+        reply.
 
-        `idle`: for how long the connection had been idle before the request; negative if it was in use.
+        `idle_time`: for how long the connection had been idle before the request; negative if it was in use.
         """
-        if idle >= 0 and since_sent < STALE_END_TIME:
-            self._stale_ends.setdefault(host, deque(maxlen=OBSERVATIONS)).append(now)
+        if idle_time >= 0 and time_since_sending < MAX_STALE_END_DELAY:
+            self._stale_ends.setdefault(host, deque(maxlen=MAX_OBSERVATIONS_PER_HOST)).append(now)
 
     def allows_reuse(self, now: int, host: str, idempotency: Idempotency) -> bool:
         """Whether idle connections to that host may be used at all.
@@ -107,24 +115,31 @@
         """
         if idempotency is not Idempotency.IDEMPOTENT:
             # A stale end at any host counts: a proxy before the hosts would end connections to all of them.
-            return not any(ends and now - ends[-1] < STALE_MEMORY for ends in self._stale_ends.values())
-        return sum([now - at < STALE_MEMORY for at in self._stale_ends.get(host, ())]) <= MAX_STALE_ENDS
+            return not any(ends and now - ends[-1] < STALE_END_LIFETIME for ends in self._stale_ends.values())
+        return sum([now - at < STALE_END_LIFETIME for at in self._stale_ends.get(host, ())]) <= MAX_STALE_ENDS
 
-    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
+    def max_idle_time(
+        self, now: int, host: str, idempotency: Idempotency, announced_idle_time: int | None
+    ) -> int:
         """For how long a connection may have been idle if it is to be used, ns.
 
-        `announced`: the idle time after which the host says that it closes connections, None if it does not.
+        `announced_idle_time`: the idle time after which the host says that it closes connections, None if it
+        does not.
         """
-        observed = [close.idle for close in self._closes.get(host, ()) if now - close.at < CLOSE_MEMORY]
-        longest = MAX_IDLE if idempotency is Idempotency.IDEMPOTENT else MAX_IDLE_NON_IDEMPOTENT
-        if announced is not None:
+        observed = [
+            close.idle_time
+            for close in self._closes.get(host, ())
+            if now - close.closed_at < OBSERVED_CLOSE_LIFETIME
+        ]
+        longest = MAX_IDLE_TIME if idempotency is Idempotency.IDEMPOTENT else MAX_IDLE_TIME_NON_IDEMPOTENT
+        if announced_idle_time is not None:
             share = (
-                ANNOUNCED_IDLE_SHARE
+                ANNOUNCED_IDLE_TIME_SHARE
                 if idempotency is Idempotency.IDEMPOTENT
-                else ANNOUNCED_IDLE_SHARE_NON_IDEMPOTENT
+                else ANNOUNCED_IDLE_TIME_SHARE_NON_IDEMPOTENT
             )
-            longest = min(MAX_IDLE, int(announced * share))
-        return min(longest, int(min(observed) * OBSERVED_IDLE_SHARE)) if observed else longest
+            longest = min(MAX_IDLE_TIME, int(announced_idle_time * share))
+        return min(longest, int(min(observed) * OBSERVED_IDLE_TIME_SHARE)) if observed else longest
 
     # Connections that carry several requests at once
 
@@ -132,15 +147,15 @@
         """Whether the connection of an abandoned request counts as dead."""
         return now - last_received > SILENCE_TIMEOUT
 
-    def choose(
+    def choose_connection(
         self,
         now: int,
         host: str,
         idempotency: Idempotency,
         connections: Iterable[Connection],
         request_id: str,
-        max_open: int,
-        announced: int | None,
+        max_pending: int,
+        announced_idle_time: int | None,
     ) -> Connection | None:
         """The connection for a request of that id; None: open a new one.
 
@@ -150,18 +165,26 @@
         attempt would be taken for the reply to this one.
         """
         free: Connection | None = None
-        shared: Connection | None = None
+        busy: Connection | None = None
         if not self.allows_reuse(now, host, idempotency):
-            announced = 0
-        for each in connections:
-            if not each.reusable or request_id in each.pending or request_id in each.retired_ids:
+            announced_idle_time = 0
+        for connection in connections:
+            if (
+                not connection.reusable
+                or request_id in connection.pending
+                or request_id in connection.retired_ids
+            ):
                 continue
-            if len(each.retired_ids) >= MAX_RETIRED_IDS:
+            if len(connection.retired_ids) >= MAX_RETIRED_IDS:
                 continue
-            if not each.pending:
-                is_latest = free is None or each.last_used > free.last_used
-                if is_latest and now - each.last_used <= self.max_idle(now, host, idempotency, announced):
-                    free = each
-            elif len(each.pending) < max_open and (shared is None or len(each.pending) < len(shared.pending)):
-                shared = each
-        return free or shared
+            if not connection.pending:
+                is_latest = free is None or connection.last_used > free.last_used
+                if is_latest and now - connection.last_used <= self.max_idle_time(
+                    now, host, idempotency, announced_idle_time
+                ):
+                    free = connection
+            elif len(connection.pending) < max_pending and (
+                busy is None or len(connection.pending) < len(busy.pending)
+            ):
+                busy = connection
+        return free or busy
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -18,7 +18,7 @@
 
 from gaproute.connections.acceptor import Acceptor
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
+from gaproute.decisions.admission.admission import EVICTION_RETRY_DELAY
 from gaproute.fronts.jsonrpc import cancellation, responses
 from gaproute.fronts.jsonrpc.connection import ClientConnection
 from gaproute.fronts.jsonrpc.connection_owner import OpenRequest
@@ -208,7 +208,7 @@
         ) is not None:
             self.accept_connection(*accepted)
         if not has_capacity:
-            self.drain_timer = self.loop.after(FULL_RETRY_PAUSE, self.stop_accepting)
+            self.drain_timer = self.loop.after(EVICTION_RETRY_DELAY, self.stop_accepting)
         elif not self.listener.backlog_empty:
             self.drain_timer = self.loop.after(ACCEPT_RETRY_PAUSE, self.stop_accepting)
         else:
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -6,7 +6,7 @@
 from gaproute.config.configuration import Configuration
 from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import IDLE_JITTER
+from gaproute.decisions.admission.admission import IDLE_JITTER_SHARE
 from gaproute.fronts.kserve.responses import JSON_TYPE, encode_error
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.http1 import HttpError, Limits, Server
@@ -48,7 +48,7 @@
         read_time=clients.read,
         idle_time=clients.idle,
         connections=clients.connections,
-        spread=IDLE_JITTER,
+        spread=IDLE_JITTER_SHARE,
     )
 
 
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -9,7 +9,7 @@
 from gaproute.core.in_flight import AttemptHandle
 from gaproute.decisions.cells.entries import ForwardAttempt
 from gaproute.decisions.cells.table import CellTable
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts import forwarding
 from gaproute.hosts.attempts import OnAttemptEnded, UnsentAttempt
 from gaproute.hosts.endpoints import Endpoint
@@ -77,7 +77,7 @@
 
     def __init__(self, loop: Loop, settings: ClientSettings, gateway: str) -> None:
         self.loop = loop
-        self.hosts = EntryGatewayClient(loop, Pooling(), settings, gateway)
+        self.hosts = EntryGatewayClient(loop, ConnectionReusePolicy(), settings, gateway)
 
     def client_for(self, forward: ForwardAttempt) -> ForwardingClient:
         """What sends the call that is to be forwarded."""
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -10,7 +10,7 @@
 
 from gaproute.core.in_flight import AttemptHandle, AttemptResult
 from gaproute.core.ports import OnProbeEnded
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts.attempts import OnAttemptEnded, OnLoadOrderEnded, UnsentAttempt
 from gaproute.hosts.jsonlines import messages
 from gaproute.hosts.jsonlines.connection_pool import ConnectionPool
@@ -30,7 +30,7 @@
     """Sends to hosts by name, on the connections of the pool."""
 
     def __init__(
-        self, loop: Loop, pooling: Pooling, deployment: DeploymentSettings, max_connections: int
+        self, loop: Loop, pooling: ConnectionReusePolicy, deployment: DeploymentSettings, max_connections: int
     ) -> None:
         super().__init__(loop, pooling, deployment, max_connections)
         self.probe_timeout = self.connect_timeout
--- a/gaproute/hosts/jsonlines/connection_owner.py
+++ b/gaproute/hosts/jsonlines/connection_owner.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol, TypeVar
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 
@@ -19,7 +19,7 @@
     """
 
     loop: Loop
-    pooling: Pooling
+    pooling: ConnectionReusePolicy
     connect_timeout: int
     cancel_allowed: bool
     malformed: int
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Iterable
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.connection import Connection
 from gaproute.hosts.jsonlines.host import Host
@@ -24,7 +24,7 @@
     """The hosts by name; finds or opens the connection for each request."""
 
     def __init__(
-        self, loop: Loop, pooling: Pooling, deployment: DeploymentSettings, max_connections: int
+        self, loop: Loop, pooling: ConnectionReusePolicy, deployment: DeploymentSettings, max_connections: int
     ) -> None:
         """`max_connections`: to all hosts together."""
         self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
@@ -106,7 +106,7 @@
         unexpected bytes have come is closed, and the next is picked.
         """
         while True:
-            connection: Connection | None = self.pooling.choose(
+            connection: Connection | None = self.pooling.choose_connection(
                 now,
                 host.name,
                 idempotency,
@@ -147,7 +147,7 @@
         now = self.loop.now()
         for host in list(self.hosts.values()):
             for connection in list(host.connections):
-                if not connection.pending and now - connection.last_used > self.pooling.max_idle(
+                if not connection.pending and now - connection.last_used > self.pooling.max_idle_time(
                     now, host.name, Idempotency.IDEMPOTENT, self.idle_timeout
                 ):
                     connection.drop()
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -10,7 +10,7 @@
 
 from gaproute.core.in_flight import AttemptHandle
 from gaproute.core.ports import OnProbeEnded
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts import orca, results
 from gaproute.hosts.attempts import OnAttemptEnded, OnLoadOrderEnded, UnsentAttempt
 from gaproute.hosts.endpoints import Endpoint
@@ -41,7 +41,7 @@
     def __init__(
         self,
         loop: Loop,
-        pooling: Pooling,
+        pooling: ConnectionReusePolicy,
         settings: ClientSettings = DEFAULT_SETTINGS,
         gateway: str = "gaproute",
     ) -> None:
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -1,6 +1,6 @@
 """The connections to one host: which of them are idle, and which idle one may be used."""
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.http1 import ClientConnection, Exchange
 from gaproute.interface import Idempotency
 from gaproute.loop import Loop
@@ -25,7 +25,7 @@
         "active",
     )
 
-    def __init__(self, loop: Loop, pooling: Pooling, name: str, address_text: str) -> None:
+    def __init__(self, loop: Loop, pooling: ConnectionReusePolicy, name: str, address_text: str) -> None:
         self.loop, self.pooling, self.name = loop, pooling, name
         self.active = True  # by the endpoint list
         self.idle: list[ClientConnection] = []  # the one that has been idle longest first
@@ -43,7 +43,7 @@
         while self.idle:
             link = self.idle[-1]
             idle_time = now - link.last_used
-            if idle_time > self.pooling.max_idle(now, self.name, idempotency, link.keep_alive_timeout):
+            if idle_time > self.pooling.max_idle_time(now, self.name, idempotency, link.keep_alive_timeout):
                 return None
             self.idle.pop()
             link.on_idle_end = None
@@ -91,7 +91,9 @@
         """Close connections that have been idle too long for any request, before the host does."""
         now, remaining = self.loop.now(), []
         for link in self.idle:
-            longest = self.pooling.max_idle(now, self.name, Idempotency.IDEMPOTENT, link.keep_alive_timeout)
+            longest = self.pooling.max_idle_time(
+                now, self.name, Idempotency.IDEMPOTENT, link.keep_alive_timeout
+            )
             if now - link.last_used <= longest:
                 remaining.append(link)
             else:
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Generator
 from typing import Any, Protocol
 
-from gaproute.decisions.admission.admission import ADMISSION_TIME
+from gaproute.decisions.admission.admission import MAX_ADMISSION_TIME
 from gaproute.loop.descriptors import READ, DescriptorWatcher
 from gaproute.loop.polling import Events, wait
 from gaproute.loop.promises import Coroutine, Promise
@@ -191,7 +191,7 @@
             self.guard(call, *args)
         self._run_callbacks()
         if self.admission_pending and self.connections is not None:
-            self.admission_pending = self.connections.serve(self.clock() + ADMISSION_TIME)
+            self.admission_pending = self.connections.serve(self.clock() + MAX_ADMISSION_TIME)
 
     def _dispatch_late(self, ready: Events, late: int) -> None:
         """Dispatches the events of a turn that is `late` ns late: all that is readable, before the timers."""
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -6,10 +6,14 @@
 from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import MIN_IDLE_WITH_RETRIES, Admission, response_margin
+from gaproute.decisions.admission.admission import (
+    MIN_EVICTION_IDLE_TIME_WITH_RETRIES,
+    Admission,
+    response_margin,
+)
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS, split_descriptors
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
@@ -68,14 +72,14 @@
     def _share_sockets(self) -> None:
         """Divides the descriptors between connections of clients and connections to hosts."""
         shares = split_descriptors(self.sockets)
-        self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
+        self.hosts = JsonLinesClient(self.loop, ConnectionReusePolicy(), self.deployment, shares.hosts)
         self.hosts.on_removed = self.record.forget_host
         AcceptedConnections.of(self.loop).admission = Admission(
             shares.clients,
             shares.clients + 1,
             self.sockets,
             Chance(self.seed + ADMISSION_SEED),
-            min_idle=MIN_IDLE_WITH_RETRIES,
+            min_eviction_idle_time=MIN_EVICTION_IDLE_TIME_WITH_RETRIES,
             queue_when_full=True,
             reserved_descriptors=shares.hosts + PROCESS_DESCRIPTORS,
         )
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -16,7 +16,7 @@
 from gaproute.cli.queries import ask
 from gaproute.config import read_configuration
 from gaproute.decisions.admission.restarts import (
-    DELAY_JITTER,
+    DELAY_JITTER_SHARE,
     FIRST_DELAY,
     HEALTHY_UPTIME,
     MAX_DELAY,
@@ -43,9 +43,9 @@
         now = when
     assert waits[:6] == sorted(waits[:6])
     assert waits[0] >= 2 * FIRST_DELAY
-    assert waits[-1] <= MAX_DELAY * (1 + DELAY_JITTER)
+    assert waits[-1] <= MAX_DELAY * (1 + DELAY_JITTER_SHARE)
     assert made.schedule_restart(now, 0, HEALTHY_UPTIME) - now <= max(
-        MIN_SPACING, FIRST_DELAY * (1 + DELAY_JITTER)
+        MIN_SPACING, FIRST_DELAY * (1 + DELAY_JITTER_SHARE)
     )
 
 
--- a/tests/connections/test_admission.py
+++ b/tests/connections/test_admission.py
@@ -7,12 +7,12 @@
 
 from gaproute.decisions.admission.admission import (
     HOST_DESCRIPTOR_SHARE,
-    IDLE_JITTER,
+    IDLE_JITTER_SHARE,
     MAX_NEW_WAITING,
-    MIN_IDLE,
+    MIN_EVICTION_IDLE_TIME,
     RESERVED_DESCRIPTORS,
+    AdmissionDecision,
     AdmissionQueue,
-    Verdict,
 )
 from gaproute.http1 import Limits
 
@@ -30,16 +30,16 @@
 
 
 @pytest.mark.parametrize(
-    ("client_count", "address_count", "can_evict", "verdict"),
+    ("client_count", "address_count", "can_evict", "decision"),
     [
-        (9, 0, False, Verdict.ACCEPT),
-        (10, 0, True, Verdict.EVICT),
-        (10, 0, False, Verdict.REJECT),
-        (5, 10, True, Verdict.REJECT),
+        (9, 0, False, AdmissionDecision.ACCEPT),
+        (10, 0, True, AdmissionDecision.EVICT),
+        (10, 0, False, AdmissionDecision.REJECT),
+        (5, 10, True, AdmissionDecision.REJECT),
     ],
 )
-def test_an_arrival_is_accepted_evicts_or_is_rejected(client_count, address_count, can_evict, verdict):
-    assert admission().admit(client_count, address_count, can_evict=can_evict) is verdict
+def test_an_arrival_is_accepted_evicts_or_is_rejected(client_count, address_count, can_evict, decision):
+    assert admission().decide_admission(client_count, address_count, can_evict=can_evict) is decision
 
 
 def test_the_least_valuable_goes_then_the_longest_idle_and_none_that_was_busy_just_now():
@@ -55,19 +55,19 @@
         )
         == 2
     )
-    assert admission().eviction_candidate(now, [(0, now - MIN_IDLE + 1, 1)]) is None
+    assert admission().eviction_candidate(now, [(0, now - MIN_EVICTION_IDLE_TIME + 1, 1)]) is None
     assert admission().eviction_candidate(now, []) is None
 
 
 def test_returning_connections_get_most_of_the_turns_and_new_ones_are_never_starved():
     made = admission()
-    turns = [made.next_queue(1000, 100, arriving=True) for _ in range(4000)]
+    turns = [made.next_queue(1000, 100, has_arriving=True) for _ in range(4000)]
     assert turns.count(AdmissionQueue.RETURNING) == 3000
     assert 300 < turns.count(AdmissionQueue.NEW) < 700
     assert 300 < turns.count(AdmissionQueue.ARRIVING) < 700
-    assert made.next_queue(0, 0, arriving=False) is None
-    assert {made.next_queue(1, 0, arriving=False) for _ in range(8)} == {AdmissionQueue.RETURNING}
-    assert {made.next_queue(0, MAX_NEW_WAITING, arriving=True) for _ in range(50)} == {
+    assert made.next_queue(0, 0, has_arriving=False) is None
+    assert {made.next_queue(1, 0, has_arriving=False) for _ in range(8)} == {AdmissionQueue.RETURNING}
+    assert {made.next_queue(0, MAX_NEW_WAITING, has_arriving=True) for _ in range(50)} == {
         AdmissionQueue.NEW
     }  # no more are accepted
 
@@ -75,4 +75,4 @@
 @given(st.integers(1, 10**12), st.integers(0, 10**12))
 def test_an_idle_time_is_never_shortened_and_spreads(idle, now):
     ends = {admission().idle_deadline(now, idle) for _ in range(5)}
-    assert all(now + idle <= end <= now + idle * (1 + IDLE_JITTER) + 1 for end in ends)
+    assert all(now + idle <= end <= now + idle * (1 + IDLE_JITTER_SHARE) + 1 for end in ends)
--- a/tests/connections/test_eviction.py
+++ b/tests/connections/test_eviction.py
@@ -5,7 +5,7 @@
 from benchmarks.scale.meters import function_calls
 from gaproute.connections import AcceptedConnections
 from gaproute.decisions.admission.admission import (
-    MIN_IDLE,
+    MIN_EVICTION_IDLE_TIME,
     Admission,
 )
 from gaproute.decisions.chance import Chance
@@ -36,7 +36,7 @@
     late = made.client()
     made.turns(lambda: made.connections.rejected == 1)  # all were busy or came just now
     assert was_rejected(late)
-    made.skew += MIN_IDLE
+    made.skew += MIN_EVICTION_IDLE_TIME
     made.ask(busy)
     fresh = made.client()
     made.turns(lambda: made.connections.evicted == 1)
@@ -96,7 +96,7 @@
     for _ in range(idle_clients):
         made.client()
     made.turns(lambda: made.connections.parked_count == idle_clients)
-    made.skew += 2 * MIN_IDLE
+    made.skew += 2 * MIN_EVICTION_IDLE_TIME
     assert made.connections.has_capacity()  # which also registers all of them with the inner epoll
     return function_calls(made.connections.has_capacity)
 
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -66,7 +66,7 @@
 
 def test_one_that_spoke_unheard_is_served_though_the_epoll_never_takes_it(deaf):
     stepped, client, failing = deaf
-    stepped.connections.admission.min_idle = 1 << 60  # nobody is evicted
+    stepped.connections.admission.min_eviction_idle_time = 1 << 60  # nobody is evicted
     for _ in range(3):
         stepped.passes(200 * MILLI)
         assert stepped.answers(client) == 1
@@ -80,7 +80,7 @@
 
 def test_one_that_spoke_unheard_does_not_make_room_for_others(deaf):
     stepped, client, _ = deaf
-    stepped.connections.admission.min_idle = 0
+    stepped.connections.admission.min_eviction_idle_time = 0
     stepped.clock.now += SECOND
     stepped.connections.evict_idle()
     assert stepped.connections.client_count == 1
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import makers, row, turn_until
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface import Idempotency, Result, State
@@ -29,7 +29,7 @@
     def __init__(self, answer=None, room=8):
         self.loop = Loop()
         self.host = ScriptedHost(self.loop, answer)
-        self.hosts = JsonLinesClient(self.loop, Pooling(), SITE, room)
+        self.hosts = JsonLinesClient(self.loop, ConnectionReusePolicy(), SITE, room)
         self.list(State.ACTIVE)
         self.heard = []
 
@@ -242,7 +242,7 @@
 
 
 def test_idle_connections_are_used_again_after_a_while_and_one_end_matters_to_non_idempotent_requests():
-    pooling = Pooling()
+    pooling = ConnectionReusePolicy()
     pooling.record_stale_end(0, "h", 100 * MILLI, MILLI)
     assert pooling.allows_reuse(SECOND, "h", Idempotency.IDEMPOTENT)
     assert not pooling.allows_reuse(SECOND, "h", Idempotency.NON_IDEMPOTENT)
@@ -253,7 +253,7 @@
     assert not pooling.allows_reuse(
         SECOND, "other", Idempotency.NON_IDEMPOTENT
     )  # what ends them stands before all hosts
-    pooling = Pooling()
+    pooling = ConnectionReusePolicy()
     pooling.record_stale_end(0, "i", 100 * MILLI, SECOND)  # at work for a while: not for its rest
     assert pooling.allows_reuse(SECOND, "i", Idempotency.NON_IDEMPOTENT)
 
@@ -264,8 +264,8 @@
 def test_a_connection_rests_as_long_as_the_host_says_it_keeps_one_and_far_less_where_nothing_may_go_twice(
     idempotency, rest
 ):
-    assert Pooling().max_idle(0, "h", idempotency, 15 * SECOND) == rest * SECOND
-    assert Pooling().max_idle(0, "h", idempotency, 0) == 0
+    assert ConnectionReusePolicy().max_idle_time(0, "h", idempotency, 15 * SECOND) == rest * SECOND
+    assert ConnectionReusePolicy().max_idle_time(0, "h", idempotency, 0) == 0
 
 
 def test_an_order_that_a_silent_host_may_still_get_never_arrives(bench):
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -11,7 +11,7 @@
 
 from gaproute import interface as face
 from gaproute.core.in_flight import AttemptResult
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts import results
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
@@ -43,7 +43,7 @@
         monkeypatch.setattr(dialing, "socket", Sockets(code))
         loop = Loop(Stepped(now=7 * SECOND))
         loops.append(loop)
-        made = KServeClient(loop, Pooling())
+        made = KServeClient(loop, ConnectionReusePolicy())
         listed = face.ListedHost("a", 0, 0, face.State.ACTIVE, 1.0, None)
         made.update([Endpoint(listed, "127.0.0.1:9")], complete=True)
         return made
--- a/tests/platform/test_connection_limits.py
+++ b/tests/platform/test_connection_limits.py
@@ -10,7 +10,7 @@
     monkeypatch.setattr(connections, "QUIET_TIME", 0)
     monkeypatch.setattr(fronts, "SWEEP_INTERVAL", 5 * MILLI)
     made = gate(sockets=90)
-    made.process.front.connections.admission.min_idle = 0
+    made.process.front.connections.admission.min_eviction_idle_time = 0
     most = made.process.front.connections.admission.max_connections
     first = [made.client() for _ in range(most)]
     for place, client in enumerate(first):
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -193,7 +193,7 @@
 
 @pytest.mark.parametrize("stall", [400 * MILLI, 10 * SECOND])
 def test_a_signal_in_a_stalled_turn_counts_from_when_it_may_have_come(gate, signals, monkeypatch, stall):
-    monkeypatch.setattr("gaproute.loop.loop.ADMISSION_TIME", 0)  # one of those who wait each turn
+    monkeypatch.setattr("gaproute.loop.loop.MAX_ADMISSION_TIME", 0)  # one of those who wait each turn
     made = gate(clock=Handed())
     made.process.handle_signals()
     clients = [made.client() for _ in range(20)]
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -13,7 +13,7 @@
 
 from gaproute import interface as face
 from gaproute.core.core import Core
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.decisions.routing import Gateway
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines import connection as connections
@@ -111,7 +111,7 @@
             same_function_counted=True,
             cancel_allowed=cancel,
         )
-        self.hosts = JsonLinesClient(self.loop, Pooling(), site, 64)
+        self.hosts = JsonLinesClient(self.loop, ConnectionReusePolicy(), site, 64)
         terms = TERMS._replace(
             request_classes=REQUEST_CLASSES, cancel_allowed=cancel, hedging_allowed=hedging
         )
