--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -49,7 +49,7 @@
 class IgnoredObservations:
     """Observations and event log of a learner, of which only matters that the bytes came and were read."""
 
-    def rejected(self) -> Mapping[str, int]:
+    def rejection_counts(self) -> Mapping[str, int]:
         """Nothing is rejected."""
         return {}
 
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Generator, Iterator, Sequence
 from itertools import islice
 
-from gaproute.decisions.reports.cpu_budget import SLICE, CpuBudget
+from gaproute.decisions.reports.cpu_budget import SLICE_CPU_TIME, CpuBudget
 from gaproute.decisions.reports.exchange_limits import ROUNDS_PER_FULL_WRITE, WRITE_INTERVAL
 from gaproute.decisions.reports.host_history import (
-    EVERYTHING,
+    SINCE_EVER,
     HostHistory,
     OwnObservation,
     own_observations,
 )
-from gaproute.decisions.reports.observation_kinds import MAX_AGE
+from gaproute.decisions.reports.observation_kinds import MAX_OBSERVATION_AGE
 from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.loop import Loop, Promise
 from gaproute.storage import ObservationStore
@@ -45,8 +45,8 @@
         self.gateway, self.host_history, self.request_classes = gateway, host_history, request_classes
         self.cpu_budget = CpuBudget(loop.now())
         self.rounds = 0
-        # What was observed before this time (ns) is on disk; EVERYTHING: nothing is
-        self.written_until = EVERYTHING
+        # What was observed before this time (ns) is on disk; SINCE_EVER: nothing is
+        self.written_until = SINCE_EVER
         self.round_written = True  # whether all slices of this round were written
         self.spent = self.longest_slice = 0
         self.routine = loop.spawn(self._run())
@@ -54,14 +54,14 @@
     def write_slice(self, observations: Iterator[OwnObservation]) -> bool:
         """Writes some of the observations within the CPU budget; returns whether they were the last ones."""
         now = self.loop.now()
-        if not self.cpu_budget.may_spend(now):
+        if not self.cpu_budget.allows_slice(now):
             return False
         begun = self.cpu_clock()
         batch, exhausted = self._next_batch(observations, begun)
         self.round_written &= self.store.write(batch)
         spent = self.cpu_clock() - begun
         self.spent, self.longest_slice = self.spent + spent, max(self.longest_slice, spent)
-        self.cpu_budget.spend(now, spent)
+        self.cpu_budget.deduct(now, spent)
         return exhausted
 
     def close(self) -> None:
@@ -75,19 +75,19 @@
         while True:
             yield self.loop.sleep(WRITE_INTERVAL)
             if not self.store.ready():
-                self.written_until = EVERYTHING
+                self.written_until = SINCE_EVER
                 continue
             yield from self._write_round()
 
     def _write_round(self) -> Generator[Promise, object, None]:
         full = self.rounds % ROUNDS_PER_FULL_WRITE == 0
         begun, self.round_written = self.loop.now(), True
-        observations = self._observations(begun, EVERYTHING if full else self.written_until)
+        observations = self._observations(begun, SINCE_EVER if full else self.written_until)
         while not self.write_slice(observations):
-            yield self.loop.sleep(self.cpu_budget.wait(self.loop.now()))
+            yield self.loop.sleep(self.cpu_budget.retry_delay(self.loop.now()))
         if full:
-            self.store.forget(MAX_AGE)
-        self.written_until = begun if self.round_written else EVERYTHING
+            self.store.forget(MAX_OBSERVATION_AGE)
+        self.written_until = begun if self.round_written else SINCE_EVER
         self.rounds += 1
 
     def _next_batch(
@@ -97,7 +97,7 @@
         batch = []
         for observation in observations:
             batch.append(observation)
-            if len(batch) >= MAX_ROWS_PER_WRITE or self.cpu_clock() - begun > SLICE / 2:
+            if len(batch) >= MAX_ROWS_PER_WRITE or self.cpu_clock() - begun > SLICE_CPU_TIME / 2:
                 return batch, False
         return batch, True
 
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -19,7 +19,7 @@
 from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.config.errors import Mistake
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.follower import ObservationFollower
+from gaproute.decisions.reports.hint_selector import HintSelector
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.observation_kinds import SharedObservation, Subject
 from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
@@ -77,7 +77,7 @@
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
         self.request_classes = [line.name for line in configuration.request_classes]
-        self.follower = ObservationFollower(
+        self.follower = HintSelector(
             self.observations,
             configuration.terms.keep_alive,
             {name: number for number, name in enumerate(self.request_classes)},
@@ -163,8 +163,8 @@
 
     def apply_observations(self, subjects: Collection[Subject]) -> int:
         """Passes the observations of these subjects to the decisions as hints; returns how many were used."""
-        starts = self.host_history.active_starts()
-        return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
+        starts = self.host_history.active_start_times()
+        return self.follower.apply_hints(self.gateway, self.loop.now(), starts, subjects)
 
     def observations_complete(self) -> None:
         """Notes that one source has sent all its observations: the mix of functions is known now."""
@@ -223,7 +223,7 @@
     def _restore(self, store: ObservationStore) -> None:
         now = self.loop.now()
         for subject, value, age in store.read(MAX_OBSERVATIONS):
-            observed_at = self.observations.observed_at(now, age)
+            observed_at = self.observations.earliest_observation_time(now, age)
             if observed_at is not None:
                 self.observations.add(subject, SharedObservation(observed_at, LAST_RUN, 0, value))
         applied = self.apply_observations(self.observations.by_subject)
@@ -233,7 +233,7 @@
             "observations_restored",
             observations=len(self.observations.by_subject),
             hints_taken=applied,
-            rejected=self.observations.rejected(),
+            rejected=self.observations.rejection_counts(),
         )
 
     def _log_store(self, text: str) -> None:
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -114,7 +114,7 @@
     client = appliance.peers.observation_client
     return {
         "facts": len(observations.by_subject),
-        "refused": observations.rejected(),
+        "refused": observations.rejection_counts(),
         "peers": client.state if client else {},
         "booked": client.hints_taken if client else 0,
         "right": sum(gateway.hints.right for gateway in appliance.decisions),
--- a/gaproute/decisions/reports/cpu_budget.py
+++ b/gaproute/decisions/reports/cpu_budget.py
@@ -5,9 +5,11 @@
 CPU_SHARE = 0.01  # of a core
 # CPU time that may be spent at once: that of a dozen chunks, less than one slow turn of the loop
 CPU_BURST = 10 * MILLI
-SLICE = MILLI  # CPU time of one answer or write: a client's request in the same turn waits no longer for it
-REST = 5 * MILLI  # between two slices: several turns of a busy loop
-MIN_WAIT = MILLI
+SLICE_CPU_TIME = (
+    MILLI  # CPU time of one answer or write: a client's request in the same turn waits no longer for it
+)
+MIN_SLICE_INTERVAL = 5 * MILLI  # between two slices: several turns of a busy loop
+MIN_RETRY_DELAY = MILLI
 
 
 class CpuBudget:
@@ -17,30 +19,32 @@
     """
 
     def __init__(self, now: int) -> None:
-        self.available: float = CPU_BURST  # below 0 if more was spent than was available
-        self._filled_at = now
+        self.available_cpu_time: float = CPU_BURST  # below 0 if more was spent than was available
+        self._refilled_at = now
         self._next_slice_at = now
         self._last_retry_at = now  # when the latest of the requests that were put off may be repeated
 
-    def may_spend(self, now: int) -> bool:
+    def allows_slice(self, now: int) -> bool:
         """Whether a slice may be spent now."""
-        self.available = min(CPU_BURST, self.available + CPU_SHARE * (now - self._filled_at))
-        self._filled_at = now
-        return self.available > 0 and now >= self._next_slice_at
+        self.available_cpu_time = min(
+            CPU_BURST, self.available_cpu_time + CPU_SHARE * (now - self._refilled_at)
+        )
+        self._refilled_at = now
+        return self.available_cpu_time > 0 and now >= self._next_slice_at
 
-    def spend(self, now: int, duration: int) -> None:
+    def deduct(self, now: int, duration: int) -> None:
         """Deducts the CPU time that a slice took."""
-        self.available -= duration
-        self._next_slice_at = now + REST
+        self.available_cpu_time -= duration
+        self._next_slice_at = now + MIN_SLICE_INTERVAL
 
-    def wait(self, now: int) -> int:
+    def retry_delay(self, now: int) -> int:
         """How long a request that is put off should wait before it is repeated.
 
         The waits are spread, one after the other: rejecting requests that all come at one moment would cost
         more than answering them.
         """
-        refill = round(max(0, -self.available) / CPU_SHARE)
+        refill = round(max(0, -self.available_cpu_time) / CPU_SHARE)
         ready = max(self._next_slice_at, now + refill)
-        interval = REST if self.available > 0 else round(SLICE / CPU_SHARE)
+        interval = MIN_SLICE_INTERVAL if self.available_cpu_time > 0 else round(SLICE_CPU_TIME / CPU_SHARE)
         self._last_retry_at = max(ready, self._last_retry_at + interval)
-        return max(MIN_WAIT, self._last_retry_at - now)
+        return max(MIN_RETRY_DELAY, self._last_retry_at - now)
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -7,8 +7,8 @@
 from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.decisions.routing.observations import Observation
 
-MAX_GONE = 1024  # stored hosts that are gone: more than a fleet replaces in a rolling restart
-EVERYTHING = -1  # the value of `since` that asks for all observations
+MAX_GONE_HOSTS = 1024  # stored hosts that are gone: more than a fleet replaces in a rolling restart
+SINCE_EVER = -1  # the value of `since` that asks for all observations
 
 
 class HostEntry(NamedTuple):
@@ -40,29 +40,29 @@
         for name, (state, started) in hosts.items():
             entry = self.entries.get(name)
             if entry is None or (entry.state, entry.started) != (state, started):
-                self._put(name, HostEntry(state, started, now))
+                self._store_latest(name, HostEntry(state, started, now))
         for name, entry in list(self.entries.items()):
             if name not in hosts and entry.state != ListedState.GONE:
-                self._put(name, HostEntry(ListedState.GONE.value, entry.started, now))
-        self._drop_oldest_gone(hosts)
+                self._store_latest(name, HostEntry(ListedState.GONE.value, entry.started, now))
+        self._drop_oldest_gone_hosts(hosts)
 
-    def active_starts(self) -> dict[str, int]:
+    def active_start_times(self) -> dict[str, int]:
         """The active hosts and their starts, ns since 1970."""
         return {
             name: entry.started for name, entry in self.entries.items() if entry.state == ListedState.ACTIVE
         }
 
-    def _put(self, name: str, entry: HostEntry) -> None:
+    def _store_latest(self, name: str, entry: HostEntry) -> None:
         self.entries.pop(name, None)
         self.entries[name] = entry
 
-    def _drop_oldest_gone(self, hosts: Mapping[str, object]) -> None:
+    def _drop_oldest_gone_hosts(self, hosts: Mapping[str, object]) -> None:
         gone = [
             name
             for name, entry in self.entries.items()
             if entry.state == ListedState.GONE and name not in hosts
         ]
-        for name in gone[:-MAX_GONE]:
+        for name in gone[:-MAX_GONE_HOSTS]:
             del self.entries[name]
 
 
@@ -71,7 +71,7 @@
     history: HostHistory,
     request_classes: Sequence[str],
     now: int,
-    since: int = EVERYTHING,
+    since: int = SINCE_EVER,
 ) -> Iterator[OwnObservation]:
     """The observations of a gateway itself since that time; the iterator may be read in parts.
 
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -11,7 +11,7 @@
 from gaproute.units import SECOND
 
 # Older observations are rejected: no instance stays loaded so long, and clocks are not accurate enough
-MAX_AGE = 300 * SECOND
+MAX_OBSERVATION_AGE = 300 * SECOND
 MAX_LANES = 1024  # requests that one instance runs at a time
 
 Subject = tuple[str, ...]  # (kind, name, ...)
@@ -41,21 +41,21 @@
 class ObservationRejection(StrEnum):
     """Why an observation was not taken, or not used; the texts are shown to operators."""
 
-    AGE = "age"
-    KIND = "kind"
-    NAME = "name"
-    TOO_MANY = "too many"
-    LANES = "lanes"
-    START = "start"
-    STATE = "state"
-    TIME = "time"
-    SHARE = "share"
-    SLOWDOWN = "pace"
+    INVALID_AGE = "age"
+    UNKNOWN_KIND = "kind"
+    INVALID_NAME = "name"
+    TOO_MANY_OBSERVATIONS = "too many"
+    INVALID_LANES = "lanes"
+    INVALID_START = "start"
+    INVALID_STATE = "state"
+    INVALID_TIME = "time"
+    INVALID_SHARE = "share"
+    INVALID_SLOWDOWN = "pace"
     NOT_LISTED = "not listed"
     OTHER_INCARNATION = "another life"
     GONE_SINCE = "gone since"
     EXPIRED = "faded"
-    REQUEST_CLASS = "track"
+    UNKNOWN_REQUEST_CLASS = "track"
 
 
 class SharedObservation(NamedTuple):
@@ -70,47 +70,47 @@
 class KindRule(NamedTuple):
     """How many names a subject of the kind has, and a check of its value: why it is invalid, or None."""
 
-    names: int
-    invalid: Callable[..., ObservationRejection | None]
+    name_count: int
+    value_rejection: Callable[..., ObservationRejection | None]
 
 
-def _invalid_instance(lanes: int, started: int) -> ObservationRejection | None:
+def _instance_rejection(lanes: int, started: int) -> ObservationRejection | None:
     if started < 0:
-        return ObservationRejection.START
-    return None if 1 <= lanes <= MAX_LANES else ObservationRejection.LANES
+        return ObservationRejection.INVALID_START
+    return None if 1 <= lanes <= MAX_LANES else ObservationRejection.INVALID_LANES
 
 
-def _invalid_listed(state: str, started: int) -> ObservationRejection | None:
+def _listed_state_rejection(state: str, started: int) -> ObservationRejection | None:
     if state not in tuple(ListedState):
-        return ObservationRejection.STATE
-    return ObservationRejection.START if started < 0 else None
+        return ObservationRejection.INVALID_STATE
+    return ObservationRejection.INVALID_START if started < 0 else None
 
 
-def _invalid_time(duration: float) -> ObservationRejection | None:
-    return None if 0 < duration <= MAX_AGE else ObservationRejection.TIME
+def _time_rejection(duration: float) -> ObservationRejection | None:
+    return None if 0 < duration <= MAX_OBSERVATION_AGE else ObservationRejection.INVALID_TIME
 
 
-def _invalid_share(share: float) -> ObservationRejection | None:
-    return None if 0 < share <= 1 else ObservationRejection.SHARE
+def _share_rejection(share: float) -> ObservationRejection | None:
+    return None if 0 < share <= 1 else ObservationRejection.INVALID_SHARE
 
 
-def _invalid_slowdown(factor: float) -> ObservationRejection | None:
-    return None if 1 <= factor < float("inf") else ObservationRejection.SLOWDOWN
+def _slowdown_rejection(factor: float) -> ObservationRejection | None:
+    return None if 1 <= factor < float("inf") else ObservationRejection.INVALID_SLOWDOWN
 
 
 KIND_RULES: Mapping[str, KindRule] = {
     # host, function: (lanes, start of the host by the origin's list)
-    ObservationKind.WARM_INSTANCE: KindRule(2, _invalid_instance),
+    ObservationKind.WARM_INSTANCE: KindRule(2, _instance_rejection),
     # host: (state by the origin's list, start)
-    ObservationKind.LISTED_STATE: KindRule(1, _invalid_listed),
+    ObservationKind.LISTED_STATE: KindRule(1, _listed_state_rejection),
     # host, request class: (weight of the last bad result, 0 to 1)
-    ObservationKind.FAILURE: KindRule(2, _invalid_share),
+    ObservationKind.FAILURE: KindRule(2, _share_rejection),
     # host: (times slower than usual)
-    ObservationKind.SLOWDOWN: KindRule(1, _invalid_slowdown),
+    ObservationKind.SLOWDOWN: KindRule(1, _slowdown_rejection),
     # function: (answer time where an instance is warm)
-    ObservationKind.USUAL_TIME: KindRule(1, _invalid_time),
+    ObservationKind.USUAL_TIME: KindRule(1, _time_rejection),
     # nothing: (answer time where a load is waited for)
-    ObservationKind.LOAD_TIME: KindRule(0, _invalid_time),
+    ObservationKind.LOAD_TIME: KindRule(0, _time_rejection),
     # function: (share of the origin's last requests)
-    ObservationKind.REQUEST_SHARE: KindRule(1, _invalid_share),
+    ObservationKind.REQUEST_SHARE: KindRule(1, _share_rejection),
 }
--- a/gaproute/decisions/reports/ports.py
+++ b/gaproute/decisions/reports/ports.py
@@ -16,16 +16,17 @@
 class HintReceiver(Protocol):
     """Decisions that accept hints: observations of other gateways, or of this one's last run.
 
-    Each method returns whether the decisions use the hint; `seen`: when the observation was made.
+    Each method returns whether the decisions use the hint; `seen_at`: when the observation was made.
     """
 
-    def hint_instance(self, host: str, function: str, lanes: int, seen: int, /) -> bool:
+    def hint_instance(self, host: str, function: str, lanes: int, seen_at: int, /) -> bool:
         """An instance of the function was seen at the host; `lanes`: requests that it runs at a time."""
 
-    def hint_failures(self, host: str, request_class: int, harm: float, seen: int, /) -> bool:
-        """Attempts of the request class failed at the host; `harm`: the weight of the failure, 0 to 1."""
+    def hint_failures(self, host: str, request_class: int, failure_weight: float, seen_at: int, /) -> bool:
+        """Attempts of the request class failed at the host; `failure_weight`: the weight of the failure, 0
+        to 1."""
 
-    def hint_slowdown(self, host: str, slowdown: float, seen: int, /) -> bool:
+    def hint_slowdown(self, host: str, slowdown: float, seen_at: int, /) -> bool:
         """The host answered that many times slower than usual."""
 
     def hint_usual_time(self, function: str | None, duration: int, /) -> bool:
--- a/gaproute/decisions/reports/shared_observations.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -13,7 +13,7 @@
 
 from gaproute.decisions.reports.observation_kinds import (
     KIND_RULES,
-    MAX_AGE,
+    MAX_OBSERVATION_AGE,
     ObservationKind,
     ObservationRejection,
     SharedObservation,
@@ -21,9 +21,13 @@
 )
 
 MAX_OBSERVATIONS = 50_000  # 300 hosts with 160 functions each; above it new subjects are rejected
-MAX_NAME = 256  # characters; no host or model has a longer name
-MIX_SIZE = 128  # names that represent the mix of functions: half of what the decisions store of their own
-MIX_STRIDE = 37  # has no factor in common with a power of two, so that the names of a function are spread
+MAX_NAME_LENGTH = 256  # characters; no host or model has a longer name
+REQUEST_MIX_SIZE = (
+    128  # names that represent the mix of functions: half of what the decisions store of their own
+)
+REQUEST_MIX_STRIDE = (
+    37  # has no factor in common with a power of two, so that the names of a function are spread
+)
 
 
 class SharedObservations:
@@ -34,14 +38,14 @@
         self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts at which an instance was seen
         self.rejections: Counter[ObservationRejection] = Counter()
 
-    def observed_at(self, requested_at: int, age: int) -> int | None:
+    def earliest_observation_time(self, requested_at: int, age: int) -> int | None:
         """The earliest time that an observation of that age can have; None if the age is rejected.
 
         `requested_at`: when the observation was requested. The answer was written later, so a long round trip
         makes an observation seem older, never younger.
         """
-        if not 0 <= age <= MAX_AGE:
-            self.rejections[ObservationRejection.AGE] += 1
+        if not 0 <= age <= MAX_OBSERVATION_AGE:
+            self.rejections[ObservationRejection.INVALID_AGE] += 1
             return None
         return requested_at - age
 
@@ -50,7 +54,7 @@
         known = self.by_subject.get(subject)
         reason = _rejection_reason(subject, observation)
         if reason is None and known is None and len(self.by_subject) >= MAX_OBSERVATIONS:
-            reason = ObservationRejection.TOO_MANY
+            reason = ObservationRejection.TOO_MANY_OBSERVATIONS
         if reason is not None:
             self.rejections[reason] += 1
             return
@@ -68,20 +72,20 @@
         for subject, observation in other.by_subject.items():
             self.add(subject, observation)
 
-    def rejected(self) -> dict[str, int]:
+    def rejection_counts(self) -> dict[str, int]:
         """By reason: how many observations were rejected or not used."""
         return {reason.value: count for reason, count in self.rejections.items()}
 
-    def share(self, function: str) -> float:
+    def request_share(self, function: str) -> float:
         """The function's share of the requests; 0 where it is not known."""
         observation = self.by_subject.get((ObservationKind.REQUEST_SHARE, function))
         return observation.value[0] if observation else 0.0
 
-    def request_mix(self, size: int = MIX_SIZE) -> list[str]:
+    def request_mix(self, size: int = REQUEST_MIX_SIZE) -> list[str]:
         """`size` names that represent the mix of functions, evenly mixed; "" for functions that are not
         known.
         """
-        shares = sorted(self._shares())
+        shares = sorted(self._request_shares())
         total = max(1.0, sum(share for _, share in shares))
         names: list[str] = []
         reached = 0.0
@@ -89,9 +93,9 @@
             reached += share / total * size
             names += [name] * (round(reached) - len(names))
         names += [""] * (size - len(names))
-        return [names[position * MIX_STRIDE % size] for position in range(size)]
+        return [names[position * REQUEST_MIX_STRIDE % size] for position in range(size)]
 
-    def _shares(self) -> Iterable[tuple[str, float]]:
+    def _request_shares(self) -> Iterable[tuple[str, float]]:
         for subject, observation in self.by_subject.items():
             if subject[0] == ObservationKind.REQUEST_SHARE:
                 yield subject[1], observation.value[0]
@@ -101,7 +105,7 @@
     kind, *names = subject
     rule = KIND_RULES.get(kind)
     if rule is None:
-        return ObservationRejection.KIND
-    if len(names) != rule.names or not all(0 < len(name) <= MAX_NAME for name in names):
-        return ObservationRejection.NAME
-    return rule.invalid(*observation.value)
+        return ObservationRejection.UNKNOWN_KIND
+    if len(names) != rule.name_count or not all(0 < len(name) <= MAX_NAME_LENGTH for name in names):
+        return ObservationRejection.INVALID_NAME
+    return rule.value_rejection(*observation.value)
--- a/gaproute/decisions/routing/load_report_sharing.py
+++ b/gaproute/decisions/routing/load_report_sharing.py
@@ -28,7 +28,7 @@
     def __init__(self, terms: Terms) -> None:
         self.codec = LoadReportCodec(terms.reported_figures)
         self.shares = terms.peers_allowed and terms.gateways > 1 and bool(self.codec.figures)
-        sharing_price = terms.peer_price * terms.gateways * self.codec.size / MESSAGE_BYTES
+        sharing_price = terms.peer_price * terms.gateways * self.codec.encoded_size / MESSAGE_BYTES
         price = terms.probe_price + (sharing_price if self.shares else 0.0)
         self.free = price <= 0
         self.probes_per_request = COST_SHARE / price if price > 0 else 0.0
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -10,10 +10,10 @@
 
 from gaproute.decisions.reports.exchange_limits import (
     ANSWER_TIMEOUT,
-    LEARNING_TIME,
+    FETCH_PERIOD,
     MAX_ANSWER_BYTES,
-    MAX_CHUNKS,
-    MAX_PEERS,
+    MAX_CHUNKS_PER_PEER,
+    MAX_PEERS_AT_A_TIME,
     MAX_RETRIES,
     POLL_INTERVAL,
     RETRY_INTERVAL,
@@ -76,19 +76,20 @@
         self.state: dict[str, str] = {}  # by peer, for operators
         self._loop, self._record = loop, record
         self._follow, self._completed = follow, completed
-        self._ends_at = loop.now() + LEARNING_TIME
+        self._ends_at = loop.now() + FETCH_PERIOD
         self._tasks: list[Coroutine] = []
         self.set_peers(peers)
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
         """Takes over the configured peers.
 
-        Observations are requested of new peers for `LEARNING_TIME` after the start, of `MAX_PEERS` at a time.
+        Observations are requested of new peers for `FETCH_PERIOD` after the start, of `MAX_PEERS_AT_A_TIME`
+        at a time.
         """
         for peer in peers:
             if peer.name in self.state or self._loop.now() >= self._ends_at:
                 continue
-            if list(self.state.values()).count(ASKED) >= MAX_PEERS:
+            if list(self.state.values()).count(ASKED) >= MAX_PEERS_AT_A_TIME:
                 break
             self.state[peer.name] = ASKED
             self._tasks.append(self._loop.spawn(self._learn(peer)))
@@ -111,7 +112,7 @@
     def _learn(self, peer: Peer) -> Generator[Promise, _ExchangeResult, None]:
         """Requests a snapshot of one peer, then its changes until the time is up."""
         progress = PeerProgress()
-        for _ in range(MAX_CHUNKS):
+        for _ in range(MAX_CHUNKS_PER_PEER):
             requested_at = self._loop.now()
             if requested_at > self._ends_at:
                 self.state[peer.name] = _end_state(progress)
@@ -144,7 +145,7 @@
                 peer=peer.name,
                 observations=progress.received,
                 hints_taken=self.hints_taken,
-                rejected=self.observations.rejected(),
+                rejected=self.observations.rejection_counts(),
             )
         self.state[peer.name] = f"told {progress.received} facts"
         progress.run_id, progress.mark = answer.life, answer.mark
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import NamedTuple
 
-from gaproute.decisions.reports.cpu_budget import SLICE
+from gaproute.decisions.reports.cpu_budget import SLICE_CPU_TIME
 from gaproute.decisions.reports.exchange_limits import MAX_CHUNK_NAME_BYTES, MAX_CHUNK_OBSERVATIONS
 from gaproute.decisions.reports.host_history import (
-    EVERYTHING,
+    SINCE_EVER,
     HostHistory,
     OwnObservation,
     own_observations,
@@ -90,7 +90,7 @@
         number, position = divmod(request.cursor, CURSOR_BASE)
         transfer = self.transfers.get(number)
         if transfer is None or not transfer.can_serve(position):
-            since = request.mark if request.life == self.run_id else EVERYTHING
+            since = request.mark if request.life == self.run_id else SINCE_EVER
             number, position = self._begin(now, since), 0
             transfer = self.transfers[number]
         if position == len(transfer.chunks):
@@ -107,7 +107,7 @@
 
     def _begin(self, now: int, since: int) -> int:
         """Returns the number of a transfer of the changes since that time, or of a snapshot."""
-        is_snapshot = since == EVERYTHING
+        is_snapshot = since == SINCE_EVER
         if is_snapshot:
             recent = self._recent_snapshot(now)
             if recent is not None:
@@ -142,7 +142,7 @@
             self.encoded += 1
             if count >= MAX_CHUNK_OBSERVATIONS or names > MAX_CHUNK_NAME_BYTES:
                 break
-            if self._cpu_clock() - begun > SLICE:
+            if self._cpu_clock() - begun > SLICE_CPU_TIME:
                 break
         else:
             transfer.ended = True
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -86,7 +86,7 @@
     """Adds the observations of an answer that was requested at that time (ns) from the peer `origin`."""
 
     def add(subject: Subject, value: Value, age_us: int) -> None:
-        observed_at = observations.observed_at(requested_at, (age_us + answer.held_us) * MICRO)
+        observed_at = observations.earliest_observation_time(requested_at, (age_us + answer.held_us) * MICRO)
         if observed_at is not None:
             observations.add(subject, SharedObservation(observed_at, origin, PEER_HOPS, value))
 
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -74,7 +74,7 @@
 
     def _handle_observations(self, request: Request) -> None:
         now = self.loop.now()
-        if not self.cpu_budget.may_spend(now):
+        if not self.cpu_budget.allows_slice(now):
             self._put_off(request, now)
             return
         begun = self._cpu_clock()
@@ -86,9 +86,9 @@
         self.server.answer(request, 200, (PROTOBUF,), self.transfers.answer(now, decoded, begun))
         spent = self._cpu_clock() - begun
         self.spent += spent
-        self.cpu_budget.spend(now, spent)
+        self.cpu_budget.deduct(now, spent)
 
     def _put_off(self, request: Request, now: int) -> None:
         self.put_off += 1
-        wait_ms = -(-self.cpu_budget.wait(now) // MILLI)  # rounded up
+        wait_ms = -(-self.cpu_budget.retry_delay(now) // MILLI)  # rounded up
         self.server.answer(request, 503, ((RETRY_AFTER_HEADER, b"%d" % wait_ms),), b"")
--- a/tests/decisions/reports/test_observation_follower.py
+++ b/tests/decisions/reports/test_hint_selector.py
@@ -9,7 +9,7 @@
 from observation_scenes import KEEP, NOW, facts, follower, hints, listed, merged, observed, ranked, warm
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.follower import MAX_SLOWDOWN
+from gaproute.decisions.reports.hint_selector import MAX_SLOWDOWN
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 
 
@@ -69,7 +69,7 @@
             )
         ]
     )
-    assert follower(told, Chance(1), {"check": 0}).follow(made, 2, {"a": 0}, told.by_subject) == 2
+    assert follower(told, Chance(1), {"check": 0}).apply_hints(made, 2, {"a": 0}, told.by_subject) == 2
     assert told.rejections == {"not listed": 1, "track": 1}
     assert made.hosts_by_id["a"].slowdown == MAX_SLOWDOWN
 
@@ -88,7 +88,7 @@
         made = gateway(*map(row, hosts))
         lives = dict.fromkeys(hosts, 0)
         chance = Chance(seeds.getrandbits(64))
-        follower(told, chance).follow(made, 60 * SECOND, lives, told.by_subject)
+        follower(told, chance).apply_hints(made, 60 * SECOND, lives, told.by_subject)
         made.chance.state = Chance(seeds.getrandbits(64)).state
         made.mix.recent.extend(told.request_mix())
         sent[made.serve(60 * SECOND, task()).send(None).host] += 1
@@ -102,7 +102,7 @@
     told = observed(warm("cold", at=60 * SECOND, started=5))
     for seed in range(10):
         made = gateway(*hosts)
-        assert follower(told, Chance(seed)).follow(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
+        assert follower(told, Chance(seed)).apply_hints(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
         sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
         assert "cold" not in sent
         assert made.hosts_by_id["cold"].credit == 0
--- a/tests/decisions/reports/test_observation_exchange.py
+++ b/tests/decisions/reports/test_observation_exchange.py
@@ -84,7 +84,7 @@
 
 def test_a_giver_out_of_budget_puts_off_and_still_tells(beside):
     made, start = beside
-    made.gate.peers.peer_server.cpu_budget.spend(made.loop.now(), 11 * MILLI)
+    made.gate.peers.peer_server.cpu_budget.deduct(made.loop.now(), 11 * MILLI)
     second = start()
     made.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
     assert made.gate.peers.peer_server.put_off >= 1
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from observation_scenes import NOW, facts, merged, observed, warm
 
-from gaproute.decisions.reports.observation_kinds import MAX_AGE, SharedObservation
+from gaproute.decisions.reports.observation_kinds import MAX_OBSERVATION_AGE, SharedObservation
 from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
 
 
@@ -17,12 +17,12 @@
     assert merged(merged(a, b), c).by_subject == merged(a, merged(b, c)).by_subject
 
 
-@pytest.mark.parametrize("age", [-1, MAX_AGE + 1, 1 << 70])
+@pytest.mark.parametrize("age", [-1, MAX_OBSERVATION_AGE + 1, 1 << 70])
 def test_an_age_that_cannot_be_is_refused(age):
     made = SharedObservations()
-    assert made.observed_at(NOW, age) is None
+    assert made.earliest_observation_time(NOW, age) is None
     assert made.rejections["age"] == 1
-    assert made.observed_at(NOW, SECOND) == NOW - SECOND
+    assert made.earliest_observation_time(NOW, SECOND) == NOW - SECOND
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -8,7 +8,7 @@
 from gaproute import interface as face
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.reports import load_report_codec
-from gaproute.decisions.reports.load_report_codec import host_mark
+from gaproute.decisions.reports.load_report_codec import host_hash
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.housekeeping import PROBE_INTERVAL
 from gaproute.decisions.routing.load_report_sharing import COST_SHARE, SAVED_PROBES
@@ -68,7 +68,7 @@
 
 def test_two_hosts_of_one_mark_are_neither_sent_nor_received(monkeypatch):
     monkeypatch.setattr(
-        load_report_codec, "host_mark", lambda name: b"zz" if name in "ab" else host_mark(name)
+        load_report_codec, "host_hash", lambda name: b"zz" if name in "ab" else host_hash(name)
     )
     made = shared()
     assert made.probe_ended(0, "a", Report(cpu_busy=0.5), good=True) is None
@@ -81,7 +81,7 @@
 def test_any_bytes_are_received_unharmed(payload):
     made = shared()
     made.peer_message_received(0, payload)
-    made.peer_message_received(0, host_mark("a") + payload)
+    made.peer_message_received(0, host_hash("a") + payload)
 
 
 def test_a_removed_host_is_no_longer_sent():
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -189,7 +189,7 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     second = start("second")
     made.relist(*[f"{row} started 2000" for row in rows])
-    made.until(lambda: second.peers.host_history.active_starts()["h0"] == 2000 * SECOND)
+    made.until(lambda: second.peers.host_history.active_start_times()["h0"] == 2000 * SECOND)
     made.gate.host_list.watch.close()  # the peer's own list is late
     answer = Told(version=2)
     answer.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -31,7 +31,7 @@
     written(store)
     ((_, _, age),) = store(Clocks(SECOND, 10**18 - 60 * SECOND), "b2").read(9)
     assert age < 0
-    assert SharedObservations().observed_at(0, age) is None
+    assert SharedObservations().earliest_observation_time(0, age) is None
 
 
 def test_the_last_writing_of_a_subject_stands_and_the_latest_come_first(store):
--- a/tests/storage/test_observation_writer.py
+++ b/tests/storage/test_observation_writer.py
@@ -8,7 +8,7 @@
 
 from gaproute.appliance.observation_writer import MAX_ROWS_PER_WRITE, ObservationWriter
 from gaproute.appliance.status import warm_instances
-from gaproute.decisions.reports.cpu_budget import REST, SLICE
+from gaproute.decisions.reports.cpu_budget import MIN_SLICE_INTERVAL, SLICE_CPU_TIME
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
@@ -103,25 +103,25 @@
 
 
 def test_writing_takes_no_more_than_its_share(writer):
-    writer.cpu_budget.available = -5 * MILLI
+    writer.cpu_budget.available_cpu_time = -5 * MILLI
     assert writer.write_slice(facts(1)) is False
     assert writer.store.written == 0
-    writer.cpu_budget.available = 5 * MILLI
+    writer.cpu_budget.available_cpu_time = 5 * MILLI
     assert writer.write_slice(facts(1))
     assert writer.store.written == 1
 
 
 def test_a_slice_ends_at_its_time_or_its_count_and_the_rest_comes_next(writer):
-    writer.ticks = itertools.count(0, SLICE // 20)
+    writer.ticks = itertools.count(0, SLICE_CPU_TIME // 20)
     observations = facts(30)
     assert not writer.write_slice(observations)
     assert writer.store.written == 11
     writer.ticks = itertools.repeat(0)
     assert not writer.write_slice(observations)
     assert writer.store.written == 11
-    writer.loop.clock.now += REST
+    writer.loop.clock.now += MIN_SLICE_INTERVAL
     assert writer.write_slice(observations)
     assert writer.store.written == 30
-    writer.loop.clock.now += REST
+    writer.loop.clock.now += MIN_SLICE_INTERVAL
     assert not writer.write_slice(facts(2 * MAX_ROWS_PER_WRITE))
     assert writer.store.written == 30 + MAX_ROWS_PER_WRITE
--- a/tests/support/observation_scenes.py
+++ b/tests/support/observation_scenes.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.follower import ObservationFollower
+from gaproute.decisions.reports.hint_selector import HintSelector
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.units import SECOND
@@ -39,7 +39,7 @@
 
 
 def follower(observations, chance, request_classes=()):
-    return ObservationFollower(observations, KEEP, dict(request_classes), chance)
+    return HintSelector(observations, KEEP, dict(request_classes), chance)
 
 
 def warm(worker="x", function="f", at=NOW, lanes=4, started=0, origin="a"):
