--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -90,7 +90,7 @@
 
     # Waits
 
-    def wait(self, key: str, until: int, now: int) -> None:
+    def start_wait(self, key: str, until: int, now: int) -> None:
         """See `Driver`."""
         self._waits[key] = wait = object()
         self.world.clock.at(max(until, now + 1), self._wait_elapsed, key, wait)
@@ -151,12 +151,12 @@
         self.handle_outcome(world.clock.now, outcome._replace(same_function_requests=host.in_flight))
         world.cpu_time += process_time_ns() - began
 
-    def cancel(self, key: str, number: int) -> None:
+    def cancel_attempt(self, key: str, number: int) -> None:
         """The host works on."""
 
     # Load orders, probes, gossip
 
-    def order(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, copies: int) -> None:
         """See `Driver`."""
         self._use_connection(host)
         world = self.world
@@ -166,7 +166,7 @@
     def _order_answered(self, host: str, function: str, copies: int) -> None:
         self.gateway.load_order_ended(self.world.clock.now, host, function, face.Result.OK, copies)
 
-    def probe(self, host: str) -> None:
+    def probe_host(self, host: str) -> None:
         """See `Driver`."""
         self._use_connection(host)
         world, probed = self.world, self.world.hosts[host]
@@ -184,7 +184,7 @@
         """See `Driver`."""
         self.world.broadcast(self, payload)
 
-    def watch_hosts(self) -> None:
+    def watch_host_list(self) -> None:
         """The host list is handed in."""
 
     def _use_connection(self, host: str) -> None:
@@ -195,10 +195,10 @@
 
     # Final answers
 
-    def reject(self, key: str, rejection: face.Reject) -> None:
+    def reject_request(self, key: str, rejection: face.Reject) -> None:
         """See `Driver`."""
         self.world.request_unanswered(self.requests.pop(key))
 
-    def fail(self, key: str) -> None:
+    def fail_request(self, key: str) -> None:
         """See `Driver`."""
         self.world.request_unanswered(self.requests.pop(key))
--- a/benchmarks/fleet/warming_gateways.py
+++ b/benchmarks/fleet/warming_gateways.py
@@ -46,20 +46,20 @@
         self.client_attempts[str(self.world.counts["tasks"] + 1)] = attempts
         super().take(function, request_class)
 
-    def reject(self, key: str, rejection: face.Reject) -> None:
+    def reject_request(self, key: str, rejection: face.Reject) -> None:
         """See `Driver`."""
         function = self.requests[key].function
-        super().reject(key, rejection)
+        super().reject_request(key, rejection)
         self.world.retry_later(function, self.client_attempts[key])
 
-    def order(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, copies: int) -> None:
         """See `Driver`."""
-        super().order(host, function, copies)
+        super().order_load(host, function, copies)
         self._count_work(host, LOAD_ORDER_WORK)
 
-    def probe(self, host: str) -> None:
+    def probe_host(self, host: str) -> None:
         """See `Driver`."""
-        super().probe(host)
+        super().probe_host(host)
         self._count_work(host, PROBE_WORK)
 
     def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -1,11 +1,11 @@
 """The graceful shutdown of a gateway process, and its times in ns after SIGTERM.
 
-The process may be killed `kill_delay` after SIGTERM; by then every request has had its final answer.
+The process may be killed `min_kill_delay` after SIGTERM; by then every request has had its final answer.
 """
 
 from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.config.configuration import Configuration
-from gaproute.core.termination import kill_delay
+from gaproute.core.termination import min_kill_delay
 from gaproute.units import MILLI
 
 # After the stop, while connections that were accepted before may still bring requests: longer than an active
@@ -17,7 +17,7 @@
 
 def answer_time(configuration: Configuration) -> int:
     """How long requests may be in flight; then the remaining ones get a final answer at once."""
-    return kill_delay(configuration.max_deadline) - ANSWER_MARGIN - configuration.client_limits.way_back
+    return min_kill_delay(configuration.max_deadline) - ANSWER_MARGIN - configuration.client_limits.way_back
 
 
 def max_duration(configuration: Configuration) -> int:
@@ -43,7 +43,7 @@
         appliance.peers.stop()
         if appliance.cells is not None:
             appliance.cells.stop()
-        appliance.core.end_by(self.loop.now() + answer_time(appliance.configuration))
+        appliance.core.end_requests_by(self.loop.now() + answer_time(appliance.configuration))
         appliance.core.on_idle = self._end_if_empty
         for front in appliance.client_fronts:
             front.notify_when_emptied(self._end_if_empty)
--- a/gaproute/benchlink/__main__.py
+++ b/gaproute/benchlink/__main__.py
@@ -6,7 +6,7 @@
 import sys
 from typing import TextIO
 
-from gaproute.benchlink.hub import Hub
+from gaproute.benchlink.batch_dispatcher import BatchDispatcher
 
 EXIT_OK, EXIT_MALFORMED_LINE = 0, 2
 LOGGED_CHARACTERS = 200  # logged of a line that cannot be decoded
@@ -14,13 +14,13 @@
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
     """Answers batches until the input ends; returns the exit code."""
-    hub = Hub()
+    dispatcher = BatchDispatcher()
     for number, raw in enumerate(source, 1):
         text = raw.rstrip("\n")
         if not text:
             continue
         try:
-            reply = hub.line(text)
+            reply = dispatcher.handle_line(text)
         except (ValueError, KeyError, IndexError) as error:
             print(f"benchlink: line {number}: {error}: {text[:LOGGED_CHARACTERS]}", file=sys.stderr)
             return EXIT_MALFORMED_LINE
--- a/gaproute/benchlink/hub.py
+++ b/gaproute/benchlink/batch_dispatcher.py
@@ -7,18 +7,18 @@
 from gaproute import interface
 from gaproute.benchlink import decoding, lines
 from gaproute.benchlink.events import EVENT_HANDLERS
-from gaproute.benchlink.instance import Instance, MakeGateway
+from gaproute.benchlink.instance import GatewayFactory, Instance
 from gaproute.decisions.routing import Gateway
 
-WHOLE_LISTS = ("all", "remembered")
-CHANGES, REFUSED = "changes", "refused"
+COMPLETE_LIST_KINDS = ("all", "remembered")
+CHANGES_KIND, REFUSED_KIND = "changes", "refused"
 
 
 class UnfinishedList(NamedTuple):
     """A host list of which further rows follow."""
 
     number: str
-    missing: int
+    missing_rows: int
 
 
 class DueTimer(NamedTuple):
@@ -28,69 +28,69 @@
     line: lines.TimerFired
 
 
-class Hub:
+class BatchDispatcher:
     """All instances of the process; they share only the wire and its numbered host lists."""
 
-    def __init__(self, make_gateway: MakeGateway = Gateway) -> None:
-        self.make_gateway = make_gateway
+    def __init__(self, gateway_factory: GatewayFactory = Gateway) -> None:
+        self.gateway_factory = gateway_factory
         self.instances: dict[int, Instance] = {}
         self.host_lists: dict[str, list[interface.ListedHost]] = {}  # by number
-        self.unfinished: UnfinishedList | None = None
+        self.unfinished_list: UnfinishedList | None = None
         self.now = 0
         self.sequence = "0"  # of the batch
-        self.selected: int | None = None  # the instance that the following lines are for
+        self.selected_instance: int | None = None  # the instance that the following lines are for
         self.failures: dict[int, str] = {}  # by instance: an error of its decisions in this batch
         self.due_timers: list[DueTimer] = []  # they fire last, after all events of the batch
         self.batch_handlers: dict[type, Callable[[Any], None]] = {
-            lines.Sync: self._begin_batch,
-            lines.SelectInstance: self._select,
-            lines.DefineList: self._begin_list,
-            lines.ListRow: self._add_row,
+            lines.BatchStart: self._start_batch,
+            lines.SelectInstance: self._select_instance,
+            lines.HostListStart: self._start_host_list,
+            lines.HostListRow: self._add_host_list_row,
         }
 
-    def line(self, text: str) -> list[str] | None:
+    def handle_line(self, text: str) -> list[str] | None:
         """Handles one line; returns the lines of the reply if it ends a batch, else None.
 
         Errors: ValueError, including `WireFormatError`, for a line that breaks the wire format.
         """
         name, line = lines.split_line(text)
         kind = type(line)
-        if self.unfinished is not None and kind is not lines.ListRow:
-            raise lines.WireFormatError(f"{self.unfinished.missing} list rows missing")
-        if kind is lines.EndOfBatch:
+        if self.unfinished_list is not None and kind is not lines.HostListRow:
+            raise lines.WireFormatError(f"{self.unfinished_list.missing_rows} list rows missing")
+        if kind is lines.BatchEnd:
             return self._reply()
         if (handle := self.batch_handlers.get(kind)) is not None:
             handle(line)
-        elif self.selected is None:
+        elif self.selected_instance is None:
             raise lines.WireFormatError(f"{name} before any FOR")
         elif isinstance(line, lines.TimerFired):
-            self.due_timers.append(DueTimer(self.selected, line))
+            self.due_timers.append(DueTimer(self.selected_instance, line))
         else:
-            self._handle_event(self.selected, line)
+            self._handle_event(self.selected_instance, line)
         return None
 
     # Lines that are for no instance
 
-    def _begin_batch(self, line: lines.Sync) -> None:
+    def _start_batch(self, line: lines.BatchStart) -> None:
         self.now, self.sequence = decoding.decode_clock(line.clock), line.sequence
-        self.selected = None
+        self.selected_instance = None
 
-    def _select(self, line: lines.SelectInstance) -> None:
-        self.selected = int(line.instance)
+    def _select_instance(self, line: lines.SelectInstance) -> None:
+        self.selected_instance = int(line.instance)
 
-    def _begin_list(self, line: lines.DefineList) -> None:
+    def _start_host_list(self, line: lines.HostListStart) -> None:
         self.host_lists[line.number] = []
-        self._await_rows(line.number, int(line.row_count))
+        self._expect_rows(line.number, int(line.row_count))
 
-    def _add_row(self, line: lines.ListRow) -> None:
-        if self.unfinished is None:
+    def _add_host_list_row(self, line: lines.HostListRow) -> None:
+        if self.unfinished_list is None:
             raise lines.WireFormatError("list row outside a list")
-        number, missing = self.unfinished
+        number, missing_rows = self.unfinished_list
         self.host_lists[number].append(decoding.decode_host(line))
-        self._await_rows(number, missing - 1)
+        self._expect_rows(number, missing_rows - 1)
 
-    def _await_rows(self, number: str, missing: int) -> None:
-        self.unfinished = UnfinishedList(number, missing) if missing > 0 else None
+    def _expect_rows(self, number: str, missing_rows: int) -> None:
+        self.unfinished_list = UnfinishedList(number, missing_rows) if missing_rows > 0 else None
 
     # Events of an instance
 
@@ -98,9 +98,9 @@
         """Passes an event to an instance; an error of its decisions is reported and affects nothing else."""
         try:
             if isinstance(line, lines.OpenInstance):
-                self._open(number, line)
+                self._open_instance(number, line)
             elif isinstance(line, lines.KillInstance):
-                self._kill(number)
+                self._kill_instance(number)
             elif (instance := self.instances.get(number)) is None:
                 return
             elif isinstance(line, lines.HostListUpdate):
@@ -110,24 +110,24 @@
         except lines.WireFormatError:
             raise
         except Exception as error:  # noqa: BLE001 - whatever it is, it is reported
-            self.failures[number] = _describe(error)
+            self.failures[number] = _describe_error(error)
 
-    def _open(self, number: int, line: lines.OpenInstance) -> None:
+    def _open_instance(self, number: int, line: lines.OpenInstance) -> None:
         seed, terms = decoding.decode_integer(line.seed), decoding.decode_terms(line.settings)
-        self.instances[number] = Instance(self.make_gateway, seed, terms, self.now)
+        self.instances[number] = Instance(self.gateway_factory, seed, terms, self.now)
 
-    def _kill(self, number: int) -> None:
+    def _kill_instance(self, number: int) -> None:
         self.instances.pop(number, None)
         self.due_timers = [timer for timer in self.due_timers if timer.instance != number]
 
     def _update_hosts(self, instance: Instance, line: lines.HostListUpdate) -> None:
-        if line.kind == REFUSED:
+        if line.kind == REFUSED_KIND:
             instance.gateway.host_list_poll_failed(self.now)
-        elif line.kind == CHANGES or line.kind in WHOLE_LISTS:
+        elif line.kind == CHANGES_KIND or line.kind in COMPLETE_LIST_KINDS:
             if line.list_number not in self.host_lists:
                 raise lines.WireFormatError(f"no list {line.list_number}")
             rows = self.host_lists[line.list_number]
-            instance.gateway.update_hosts(self.now, rows, complete=line.kind in WHOLE_LISTS)
+            instance.gateway.update_hosts(self.now, rows, complete=line.kind in COMPLETE_LIST_KINDS)
         instance.start_housekeeping(self.now)
 
     # The reply
@@ -138,9 +138,9 @@
             self._handle_event(timer.instance, timer.line)
         reply: list[str] = []
         for number, instance in self.instances.items():
-            if instance.lines:
-                reply += [f"SOURCE {number}", *instance.lines]
-                instance.lines = []
+            if instance.reply_lines:
+                reply += [f"SOURCE {number}", *instance.reply_lines]
+                instance.reply_lines = []
         for number, text in self.failures.items():
             reply += [f"SOURCE {number}", f"INTERNAL_ERROR {text}"]
         self.failures = {}
@@ -148,7 +148,7 @@
         return reply
 
 
-def _describe(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     """Type, message and function of an error, in one line."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     text = f"{type(error).__name__}: {error} at {frame.name}, line {frame.lineno}"
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -13,7 +13,7 @@
 from gaproute.benchlink.lines import (
     ABSENT,
     AttemptEnded,
-    ListRow,
+    HostListRow,
     PeerMessage,
     ProbeAnswered,
     RequestReceived,
@@ -35,7 +35,7 @@
     "7": interface.Result.NOT_SENT,
     "8": interface.Result.NOT_LOADED,
 }
-OK = "0"
+OK_RESULT = "0"
 # The results with which a host counts the requests of the function, where hosts do so at all.
 COUNTED_RESULTS = (interface.Result.OK, interface.Result.FULL)
 FLAGS = {"0": False, "1": True, ABSENT: False}
@@ -65,13 +65,13 @@
 @decoder
 def decode_clock(text: str) -> int:
     """The clock of a batch, ns."""
-    return _nanoseconds(text) or 0
+    return _parse_duration(text) or 0
 
 
 @decoder
 def decode_integer(text: str) -> int:
     """A whole number; 0 if it is absent."""
-    return _integer(text)
+    return _parse_integer(text)
 
 
 @decoder
@@ -81,17 +81,17 @@
 
 
 @decoder
-def decode_host(row: ListRow) -> interface.ListedHost:
+def decode_host(row: HostListRow) -> interface.ListedHost:
     """A host of a list."""
     if row.state not in STATES:
         raise WireFormatError(f"unknown state {row.state!r}")
     return interface.ListedHost(
         row.host,
-        _integer(row.zone),
-        _integer(row.cell),
+        _parse_integer(row.zone),
+        _parse_integer(row.cell),
         STATES[row.state],
         1.0 if row.capacity == ABSENT else float(row.capacity),
-        _nanoseconds(row.started) or None,
+        _parse_duration(row.started) or None,
     )
 
 
@@ -100,12 +100,12 @@
     """A client's request."""
     return interface.Request(
         line.id,
-        _integer(line.tenant),
-        _nanoseconds(line.time_left) or 0,
+        _parse_integer(line.tenant),
+        _parse_duration(line.time_left) or 0,
         line.function,
-        max(1, _integer(line.lanes, absent=1)),
-        _nanoseconds(line.load_time),
-        _integer(line.request_class),
+        max(1, _parse_integer(line.lanes, absent=1)),
+        _parse_duration(line.load_time),
+        _parse_integer(line.request_class),
     )
 
 
@@ -120,18 +120,18 @@
     result = RESULTS.get(line.result)
     if result is None:
         return None
-    remark = _integer(line.remark)
+    remark = _parse_integer(line.remark)
     found = remark & ((1 << FOUND_BITS) - 1)
     return interface.Outcome(
         line.request,
-        _integer(line.attempt),
+        _parse_integer(line.attempt),
         line.host,
         result,
-        _nanoseconds(line.elapsed) or 0,
-        _flag(line.ended),
+        _parse_duration(line.elapsed) or 0,
+        _parse_flag(line.ended),
         interface.Found(found if found <= MAX_FOUND else 0),
         remark >> FOUND_BITS if result in counted_results else None,
-        _report(line.report),
+        _parse_report(line.report),
     )
 
 
@@ -140,10 +140,10 @@
     """The outcome by which a streamed answer begins."""
     return interface.Outcome(
         line.request,
-        _integer(line.attempt),
+        _parse_integer(line.attempt),
         line.host,
         interface.Result.STREAM_STARTED,
-        _nanoseconds(line.elapsed) or 0,
+        _parse_duration(line.elapsed) or 0,
         False,
         interface.Found.UNKNOWN,
         None,
@@ -154,7 +154,7 @@
 @decoder
 def decode_probe_report(line: ProbeAnswered) -> interface.Report | None:
     """The load report in the answer to a health check."""
-    return _report(line.report)
+    return _parse_report(line.report)
 
 
 @decoder
@@ -168,22 +168,22 @@
     return f"{-(-duration // MICRO) / MICROS_PER_MILLI:.3f}"
 
 
-def _nanoseconds(text: str) -> int | None:
+def _parse_duration(text: str) -> int | None:
     """Milliseconds on the wire, rounded to whole microseconds, as ns; None if absent."""
     return None if text == ABSENT else round(float(text) * MICROS_PER_MILLI) * MICRO
 
 
-def _integer(text: str, *, absent: int = 0) -> int:
+def _parse_integer(text: str, *, absent: int = 0) -> int:
     return absent if text == ABSENT else int(text)
 
 
-def _flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     if text not in FLAGS:
         raise WireFormatError(f"{text!r} is no bool")
     return FLAGS[text]
 
 
-def _report(text: str) -> interface.Report | None:
+def _parse_report(text: str) -> interface.Report | None:
     if text in (ABSENT, ""):
         return None
     pairs = dict(pair.split(":", 1) for pair in text.split(","))
--- a/gaproute/benchlink/events.py
+++ b/gaproute/benchlink/events.py
@@ -21,12 +21,12 @@
 
 def on_stream_started(instance: Instance, now: int, line: lines.StreamStarted) -> None:
     """Handles the begin of a streamed answer, which the decisions account for when it ends."""
-    instance.resume(line.request, now, decoding.decode_stream_start(line))
+    instance.resume_generator(line.request, now, decoding.decode_stream_start(line))
 
 
 def on_client_left(instance: Instance, now: int, line: lines.ClientLeft) -> None:
     """Ends a request for which no final answer is owed any more."""
-    instance.abandon(now, line.request)
+    instance.abandon_request(now, line.request)
 
 
 def on_timer_fired(instance: Instance, now: int, line: lines.TimerFired) -> None:
@@ -37,7 +37,7 @@
 def on_probe_answered(instance: Instance, now: int, line: lines.ProbeAnswered) -> None:
     """Handles the answer to a health check."""
     report = decoding.decode_probe_report(line)
-    instance.probe_answered(now, line.host, report, good=line.result == decoding.OK)
+    instance.probe_answered(now, line.host, report, good=line.result == decoding.OK_RESULT)
 
 
 def on_peer_message(instance: Instance, now: int, line: lines.PeerMessage) -> None:
--- a/gaproute/benchlink/lines.py
+++ b/gaproute/benchlink/lines.py
@@ -11,14 +11,14 @@
     """A line breaks the wire format."""
 
 
-class Sync(NamedTuple):
+class BatchStart(NamedTuple):
     """The begin of a batch."""
 
     clock: str
     sequence: str
 
 
-class EndOfBatch(NamedTuple):
+class BatchEnd(NamedTuple):
     """The end of a batch, which is to be answered."""
 
 
@@ -39,14 +39,14 @@
     """An instance is killed with all its state."""
 
 
-class DefineList(NamedTuple):
+class HostListStart(NamedTuple):
     """The begin of a host list with that many rows."""
 
     number: str
     row_count: str
 
 
-class ListRow(NamedTuple):
+class HostListRow(NamedTuple):
     """A host in the list."""
 
     host: str
@@ -142,13 +142,13 @@
 
 
 Line = (
-    Sync
-    | EndOfBatch
+    BatchStart
+    | BatchEnd
     | SelectInstance
     | OpenInstance
     | KillInstance
-    | DefineList
-    | ListRow
+    | HostListStart
+    | HostListRow
     | HostListUpdate
     | RequestReceived
     | StreamStarted
@@ -159,14 +159,14 @@
     | PeerMessage
     | LoadOrderAnswered
 )
-LINES: dict[str, type[Line]] = {
-    "SYNC": Sync,
-    "OVER_TO_YOU": EndOfBatch,
+LINE_TYPES: dict[str, type[Line]] = {
+    "SYNC": BatchStart,
+    "OVER_TO_YOU": BatchEnd,
     "FOR": SelectInstance,
     "OPEN_INSTANCE": OpenInstance,
     "CRASH_NOW": KillInstance,
-    "LIST": DefineList,
-    "M": ListRow,
+    "LIST": HostListStart,
+    "M": HostListRow,
     "TARGETS": HostListUpdate,
     "CALL": RequestReceived,
     "ACCEPTED": StreamStarted,
@@ -178,32 +178,32 @@
     "STANDS": LoadOrderAnswered,
 }
 # Lines whose last field goes on to the end of the line
-FREE_TEXT_LAST = frozenset(("OPEN_INSTANCE", "ALARM"))
+LINES_WITH_FREE_TEXT = frozenset(("OPEN_INSTANCE", "ALARM"))
 
 
 class LineFormat(NamedTuple):
     """How a line is split into fields."""
 
-    kind: type[Line]
+    line_type: type[Line]
     field_count: int
     max_splits: int  # -1: as many as there are
 
 
-def _format_of(name: str, kind: type[Line]) -> LineFormat:
-    count = len(kind._fields)
-    return LineFormat(kind, count, count - 1 if name in FREE_TEXT_LAST else -1)
+def _line_format(name: str, line_type: type[Line]) -> LineFormat:
+    count = len(line_type._fields)
+    return LineFormat(line_type, count, count - 1 if name in LINES_WITH_FREE_TEXT else -1)
 
 
-FORMATS = {name: _format_of(name, kind) for name, kind in LINES.items()}
+LINE_FORMATS = {name: _line_format(name, line_type) for name, line_type in LINE_TYPES.items()}
 
 
 def split_line(text: str) -> tuple[str, Line]:
     """Name and fields of one line. Errors: WireFormatError."""
     name, _, rest = text.partition(" ")
-    if name not in FORMATS:
+    if name not in LINE_FORMATS:
         raise WireFormatError(f"unknown message {name!r}")
-    kind, field_count, max_splits = FORMATS[name]
-    fields = rest.split(" ", max_splits) if rest or name in FREE_TEXT_LAST else []
+    line_type, field_count, max_splits = LINE_FORMATS[name]
+    fields = rest.split(" ", max_splits) if rest or name in LINES_WITH_FREE_TEXT else []
     if len(fields) != field_count:
         raise WireFormatError(f"{name} has {len(fields)} values, {field_count} expected")
-    return name, kind(*fields)
+    return name, line_type(*fields)
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -53,11 +53,11 @@
         )
         request.attempts[number] = AttemptInFlight(host, now, handle)
 
-    def cancel(self, key: str, number: int) -> None:
+    def cancel_attempt(self, key: str, number: int) -> None:
         """Cancels an attempt, unless it has ended."""
         request = self.in_flight.get(key)
         if request is not None and number in request.attempts:
-            self._withdraw(request, number)
+            self._withdraw_attempt(request, number)
 
     # The end
 
@@ -70,7 +70,7 @@
             request.may_have_run = True
         if result is interface.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
-            self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
+            self._give_final_answer(request, Ending.DELIVERED, "", answer=attempt_result.answer)
         self.record.attempt_ended(host, request.request_class, result)
         outcome = interface.Outcome(
             key,
@@ -85,7 +85,7 @@
         )
         if request.log_step is not None:
             _log_outcome(request.log_step, outcome)
-        self._guard(key, self.handle_outcome, now, outcome)
+        self._call_guarded(key, self.handle_outcome, now, outcome)
         self._release_if_complete(request)
 
     def _time_out_attempts(self, request: RequestInFlight) -> None:
@@ -93,7 +93,7 @@
         for number, (_, _, handle) in list(request.attempts.items()):
             result = interface.Result.TIMEOUT if handle.started else interface.Result.NOT_SENT
             handle.cancel()
-            self._attempt_withdrawn(request.id, number, result)
+            self._end_withdrawn_attempt(request.id, number, result)
 
     def _withdraw_attempts(self, request: RequestInFlight) -> None:
         """Withdraws what must not begin once the request has its final answer or its client has left.
@@ -104,16 +104,16 @@
         """
         for number, (_, _, handle) in request.attempts.items():
             if not handle.started or handle.cancellable:
-                self._withdraw(request, number)
+                self._withdraw_attempt(request, number)
 
-    def _withdraw(self, request: RequestInFlight, number: int) -> None:
+    def _withdraw_attempt(self, request: RequestInFlight, number: int) -> None:
         """Cancels an attempt at once and accounts for it in a later callback of the loop."""
         handle = request.attempts[number].handle
         result = interface.Result.CANCELLED if handle.started else interface.Result.NOT_SENT
         handle.cancel()
-        self.loop.soon(self._attempt_withdrawn, request.id, number, result)
+        self.loop.soon(self._end_withdrawn_attempt, request.id, number, result)
 
-    def _attempt_withdrawn(self, key: str, number: int, result: interface.Result) -> None:
+    def _end_withdrawn_attempt(self, key: str, number: int, result: interface.Result) -> None:
         request = self.in_flight.get(key)
         if request is not None and number in request.attempts:
             self._attempt_ended(key, number, AttemptResult(result, None))
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -5,14 +5,14 @@
 
 from gaproute import interface
 from gaproute.core.core import Core
-from gaproute.core.ports import Actions, Hosts, RequestSender
+from gaproute.core.ports import ActionGenerator, Hosts, RequestSender
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.entries import CellUnknown, ForwardAttempt, Forwarded
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 
 
-class Entries(Protocol):
+class EntryGatewayClients(Protocol):
     """The connections to entry gateways of other cells."""
 
     def client_for(self, forward: ForwardAttempt, /) -> RequestSender:
@@ -32,33 +32,33 @@
         hosts: Hosts,
         record: Record,
         name: str,
-        entries: Entries,
+        entry_gateways: EntryGatewayClients,
     ) -> None:
         super().__init__(loop, gateway, terms, hosts, record, name)
-        self.entries = entries
+        self.entry_gateways = entry_gateways
         self.forwarded_in = 0  # requests that other gateways forwarded here
         self.forwarded_out = 0  # attempts at other gateways
 
-    def serve(self, now: int, request: interface.Request) -> Actions:
+    def request_generator(self, now: int, request: interface.Request) -> ActionGenerator:
         """The generator of a request, which is given whether another gateway forwarded the request."""
         forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
-        generator: Actions = self.gateway.serve(now, request, forwarded)
+        generator: ActionGenerator = self.gateway.serve(now, request, forwarded)
         return generator
 
     def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host, or to an entry gateway of another cell."""
         if isinstance(attempt, ForwardAttempt):
             self.forwarded_out += 1
-            self._send(self.entries.client_for(attempt), key, number, attempt, now)
+            self._send(self.entry_gateways.client_for(attempt), key, number, attempt, now)
         else:
             super().start_attempt(key, number, attempt, now)
 
-    def reject(self, key: str, rejection: interface.Reject) -> None:
+    def reject_request(self, key: str, rejection: interface.Reject) -> None:
         """Rejects a request; the final answer says whether this gateway does not know the cell."""
         self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
-        super().reject(key, rejection)
+        super().reject_request(key, rejection)
 
     def update_cell_hosts(self, cell: str, rows: Sequence[interface.ListedHost]) -> None:
         """Takes over the complete host list of a cell."""
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -13,10 +13,10 @@
 from gaproute.units import MILLI
 
 # The texts of final answers, as clients read them.
-REJECTED = "declined: it is safe to try again"
-MAY_HAVE_RUN = "scrapped: it may have run, or may yet"
-DEADLINE_PASSED = "scrapped: the time was up"
-GATEWAY_ERROR = "scrapped: an error in the gateway"
+REJECTED_TEXT = "declined: it is safe to try again"
+MAY_HAVE_RUN_TEXT = "scrapped: it may have run, or may yet"
+DEADLINE_PASSED_TEXT = "scrapped: the time was up"
+GATEWAY_ERROR_TEXT = "scrapped: an error in the gateway"
 
 
 class RequestCompletion(Driver):
@@ -38,18 +38,18 @@
 
     # The final answer
 
-    def reject(self, key: str, rejection: interface.Reject) -> None:
+    def reject_request(self, key: str, rejection: interface.Reject) -> None:
         """Gives the final answer that the request did not run, or may run again, so that a retry is safe."""
         request = self.in_flight[key]
-        self._finish(
-            request, Ending.REJECTED, REJECTED, retry_after=rejection.retry_after, cause=rejection.reason
+        self._give_final_answer(
+            request, Ending.REJECTED, REJECTED_TEXT, retry_after=rejection.retry_after, cause=rejection.reason
         )
 
-    def fail(self, key: str) -> None:
+    def fail_request(self, key: str) -> None:
         """Gives the final answer that the request has failed: it may have run."""
-        self._finish(self.in_flight[key], Ending.FAILED, MAY_HAVE_RUN)
+        self._give_final_answer(self.in_flight[key], Ending.FAILED, MAY_HAVE_RUN_TEXT)
 
-    def _finish(
+    def _give_final_answer(
         self,
         request: RequestInFlight,
         ending: Ending,
@@ -106,15 +106,15 @@
         self._time_out_attempts(request)
         if request.on_final is not None:
             self.record.internal_error("no final answer by the deadline", key)
-            self.forget(key)
-            self._finish(request, Ending.FAILED, DEADLINE_PASSED)
+            self.drop_generator(key)
+            self._give_final_answer(request, Ending.FAILED, DEADLINE_PASSED_TEXT)
         self._release_if_complete(request)
 
     # State
 
-    def forget(self, key: str) -> None:
+    def drop_generator(self, key: str) -> None:
         """Drops a generator that has ended, and its request where that is complete."""
-        super().forget(key)
+        super().drop_generator(key)
         request = self.in_flight.get(key)
         if request is not None:
             self._release_if_complete(request)
@@ -131,21 +131,21 @@
 
     # Errors
 
-    def _guard(self, key: str, step: Callable[..., object], *arguments: object) -> None:
+    def _call_guarded(self, key: str, step: Callable[..., object], *arguments: object) -> None:
         """Calls a step of one request's decisions; an error ends that request alone."""
         try:
             step(*arguments)
         except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
-            self._decisions_failed(key, error)
+            self._handle_decision_error(key, error)
 
-    def _decisions_failed(self, key: str, error: Exception) -> None:
+    def _handle_decision_error(self, key: str, error: Exception) -> None:
         """Reports an error of the decision module and ends the generator that it came from."""
         self.loop.failed(error)
         self.record.internal_error(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
-            self.housekeeper = None  # started again with the next host list
+            self.housekeeping_generator = None  # started again with the next host list
             return
         request = self.in_flight.get(key)
         if request is not None and request.on_final is not None:
-            self._finish(request, Ending.FAILED, GATEWAY_ERROR)
-        self.forget(key)
+            self._give_final_answer(request, Ending.FAILED, GATEWAY_ERROR_TEXT)
+        self.drop_generator(key)
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -34,7 +34,7 @@
         super().__init__(gateway, loop, record, hosts, terms.request_classes)
         self.name = name
         self.wait_timers: dict[str, Timer] = {}  # by key
-        self.submitted = 0  # requests so far
+        self.submitted_count = 0  # requests so far
         self.send_to_peers: Callable[[bytes], None] | None = None  # None: no other gateways
         self.on_arrival: Callable[[int, str, int], None] | None = None  # (now, function, class) of each
 
@@ -57,24 +57,27 @@
         instance runs at a time. The client waits for `time_left` ns from `first_byte_at` on. `on_final` is
         called once, and never before this method has returned.
         """
-        self.submitted += 1
-        key = f"{self.name}-{self.submitted:x}"
+        self.submitted_count += 1
+        key = f"{self.name}-{self.submitted_count:x}"
         now = self.loop.now()
-        left = max(0, first_byte_at + time_left - now)
-        deadline = now + left
+        remaining_time = max(0, first_byte_at + time_left - now)
+        deadline = now + remaining_time
         deadline_timer = self.loop.at(deadline, self._deadline_passed, key)
         request = RequestInFlight(key, call, request_class, on_final, first_byte_at, deadline, deadline_timer)
         self.in_flight[key] = request
-        self._record_arrival(request, now, left)
+        self._record_arrival(request, now, remaining_time)
         try:
             self.start_request(
-                now, interface.Request(key, tenant, left, call.function, lanes, load_time, request_class)
+                now,
+                interface.Request(
+                    key, tenant, remaining_time, call.function, lanes, load_time, request_class
+                ),
             )
         except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
-            self._decisions_failed(key, error)
+            self._handle_decision_error(key, error)
         return key
 
-    def _record_arrival(self, request: RequestInFlight, now: int, left: int) -> None:
+    def _record_arrival(self, request: RequestInFlight, now: int, remaining_time: int) -> None:
         call = request.call
         self.record.request_received(request.request_class)
         if self.on_arrival is not None:
@@ -86,7 +89,7 @@
                 gateway_request_id=request.id,
                 request_class=call.request_class,
                 function=call.function,
-                time_left_ms=left // MILLI,
+                time_left_ms=remaining_time // MILLI,
             )
 
     def client_left(self, key: str) -> None:
@@ -98,24 +101,24 @@
         self.record.client_left(request.request_class)
         if request.log_step is not None:
             request.log_step("client_left", attempts=len(request.attempts))
-        self._guard(key, self.abandon, self.loop.now(), key)
+        self._call_guarded(key, self.abandon_request, self.loop.now(), key)
         self._withdraw_attempts(request)
         self._release_if_complete(request)
 
-    def end_by(self, when: int) -> None:
+    def end_requests_by(self, when: int) -> None:
         """Has each request get its final answer by `when`, as the process ends soon."""
         self.gateway.end_by = when
-        self.loop.at(when, self._end_all)
+        self.loop.at(when, self._end_all_requests)
 
-    def _end_all(self) -> None:
+    def _end_all_requests(self) -> None:
         for request in list(self.in_flight.values()):
-            self._guard(request.id, self.wait_elapsed, request.id, self.loop.now())
+            self._call_guarded(request.id, self.wait_elapsed, request.id, self.loop.now())
             for number in request.attempts:
-                self._withdraw(request, number)
+                self._withdraw_attempt(request, number)
 
     # Waits
 
-    def wait(self, key: str, until: int, now: int) -> None:
+    def start_wait(self, key: str, until: int, now: int) -> None:
         """Resumes the key's generator at `until`, in place of any earlier wait."""
         self.cancel_wait(key)
         self.wait_timers[key] = self.loop.at(until, self._wait_elapsed, key)
@@ -128,7 +131,7 @@
 
     def _wait_elapsed(self, key: str) -> None:
         self.wait_timers.pop(key, None)
-        self._guard(key, self.wait_elapsed, key, self.loop.now())
+        self._call_guarded(key, self.wait_elapsed, key, self.loop.now())
 
     # Hosts
 
@@ -138,10 +141,10 @@
         self.gateway.update_hosts(now, rows, complete=complete)
         self.start_housekeeping(now)
 
-    def watch_hosts(self) -> None:
+    def watch_host_list(self) -> None:
         """Does nothing: a running gateway gets its host list without asking for it."""
 
-    def order(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, copies: int) -> None:
         """Orders a host to load a function."""
         self.record.load_ordered(host)
         ordered_at = self.loop.now()
@@ -170,7 +173,7 @@
             )
         self.gateway.load_order_ended(now, host, function, result, copies_loaded)
 
-    def probe(self, host: str) -> None:
+    def probe_host(self, host: str) -> None:
         """Checks a host's health."""
         self.hosts.probe(host, partial(self._probe_answered, host))
 
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -19,7 +19,7 @@
 )
 # What a generator is resumed with: nothing, an attempt's number, or the time and what ended its wait.
 Resumption = tuple[int, interface.Outcome | None] | int | None
-Actions = Generator[Action, Resumption, None]
+ActionGenerator = Generator[Action, Resumption, None]
 
 
 class DecisionModule(Protocol):
@@ -27,10 +27,10 @@
 
     end_by: int  # when each request must have its final answer
 
-    def serve(self, now: int, request: interface.Request, /) -> Actions:
+    def serve(self, now: int, request: interface.Request, /) -> ActionGenerator:
         """The generator of one request, up to its final answer."""
 
-    def housekeep(self, now: int, /) -> Actions:
+    def housekeep(self, now: int, /) -> ActionGenerator:
         """The generator of health checks and cleanup, for as long as the gateway runs."""
 
     def attempt_ended(self, now: int, outcome: interface.Outcome, /) -> None:
@@ -64,15 +64,15 @@
         host: str,
         call: Call,
         idempotency: interface.Idempotency,
-        request: str,
-        limit: int,
-        until: int,
+        request_id: str,
+        client_deadline: int,
+        latest_start: int,
         done: Callable[[AttemptResult], None],
         /,
     ) -> AttemptHandle:
-        """Sends a request to one host; `request` is the gateway's id of it.
+        """Sends a request to one host; `request_id` is the gateway's id of it.
 
-        The attempt begins before `until` or never; the client waits until `limit`. Both are ns.
+        The attempt starts before `latest_start` or never; the client waits until `client_deadline`; both ns.
         """
 
 
--- a/gaproute/core/termination.py
+++ b/gaproute/core/termination.py
@@ -6,6 +6,6 @@
 MAX_COUNTED_DEADLINE = 3 * SECOND  # what a longer deadline counts as
 
 
-def kill_delay(longest_deadline: int) -> int:
+def min_kill_delay(longest_deadline: int) -> int:
     """How long after SIGTERM a process may be killed at the earliest; both times in ns."""
     return min(longest_deadline, MAX_COUNTED_DEADLINE) + KILL_GRACE
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from gaproute.core.core import Core
-from gaproute.core.termination import kill_delay
+from gaproute.core.termination import min_kill_delay
 from gaproute.decisions.admission.admission import response_margin
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.loop import Loop
@@ -29,7 +29,7 @@
     With short deadlines SIGKILL may come soon after the last clients have connected: then closing takes half
     of the time between the two.
     """
-    kill_after = kill_delay(max(deadlines))
+    kill_after = min_kill_delay(max(deadlines))
     margin = min(CLOSE_MARGIN, (kill_after - CLIENTS_NOTICE) // 2)
     close_at = max(now, signalled_at + kill_after - margin)
     return ShutdownTimes(close_at, close_at + margin // 2)
@@ -62,7 +62,7 @@
         now = self.loop.now()
         signalled_at = now - self.loop.read_delay
         close_at, exit_at = self.times = shutdown_times(self.deadlines, signalled_at, now)
-        self.core.end_by(close_at - response_margin())
+        self.core.end_requests_by(close_at - response_margin())
         self.loop.at(exit_at, self.loop.stop)  # first: an error must not keep the process
         self.loop.at(close_at, front.stop)
         self.loop.at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -4,7 +4,7 @@
 
 from gaproute import interface as face
 from gaproute.benchlink.__main__ import main
-from gaproute.benchlink.hub import Hub
+from gaproute.benchlink.batch_dispatcher import BatchDispatcher
 
 OPEN = (
     'OPEN_INSTANCE 5 {"lanes": [{"aim": 1000.0, "deadline": 4000.0, "effect": "free", "new": 1}], '
@@ -68,8 +68,8 @@
 
 
 def test_an_error_of_the_decisions_is_reported_with_type_message_and_place():
-    hub = Hub(make_gateway=lambda *_: 1 / 0)
-    said = [hub.line(line) for line in ("SYNC 1 1", "FOR 3", OPEN, "OVER_TO_YOU")][-1]
+    dispatcher = BatchDispatcher(gateway_factory=lambda *_: 1 / 0)
+    said = [dispatcher.handle_line(line) for line in ("SYNC 1 1", "FOR 3", OPEN, "OVER_TO_YOU")][-1]
     assert said[0] == "SOURCE 3"
     assert said[1].startswith("INTERNAL_ERROR ZeroDivisionError: division by zero at ")
 
@@ -91,23 +91,23 @@
 
 
 def test_after_a_stall_what_came_in_is_accounted_for_before_any_wait_is_over():
-    hub = Hub(make_gateway=Recorder)
+    dispatcher = BatchDispatcher(gateway_factory=Recorder)
     other = CALL.replace("r1", "r2")
     late = "ALARM r2|2\nREPLY r1 0 h 0 7.5 1 0 -"
     for line in f"SYNC 1 1\nFOR 3\n{OPEN}\n{CALL}\n{other}\nOVER_TO_YOU\nSYNC 2000 2\nFOR 3\n{late}".split(
         "\n"
     ):
-        hub.line(line)
-    hub.line("OVER_TO_YOU")
-    assert hub.instances[3].gateway.steps == ["accounted for", "outcome seen", "wait elapsed"]
+        dispatcher.handle_line(line)
+    dispatcher.handle_line("OVER_TO_YOU")
+    assert dispatcher.instances[3].gateway.steps == ["accounted for", "outcome seen", "wait elapsed"]
 
 
 def test_timers_of_an_instance_that_was_killed_do_not_wake_its_successor():
-    hub = Hub(make_gateway=Recorder)
+    dispatcher = BatchDispatcher(gateway_factory=Recorder)
     for line in f"SYNC 1 1\nFOR 3\n{OPEN}\n{CALL}\nOVER_TO_YOU\nSYNC 9 2\nFOR 3\nALARM r1|1\nCRASH_NOW".split(
         "\n"
     ):
-        hub.line(line)
+        dispatcher.handle_line(line)
     for line in f"{OPEN}\n{CALL}\nOVER_TO_YOU".split("\n"):
-        hub.line(line)
-    assert hub.instances[3].gateway.steps == []
+        dispatcher.handle_line(line)
+    assert dispatcher.instances[3].gateway.steps == []
--- a/tests/benchlink/test_instance.py
+++ b/tests/benchlink/test_instance.py
@@ -6,7 +6,7 @@
 from gaproute import interface as face
 from gaproute.benchlink.decoding import encode_milliseconds
 from gaproute.benchlink.instance import Instance
-from gaproute.benchlink.lines import LINES, WireFormatError, split_line
+from gaproute.benchlink.lines import LINE_TYPES, WireFormatError, split_line
 
 MILLI = 1_000_000
 REQUEST = face.Request("r1", 0, 900 * MILLI, "app:f", 1, None, 0)
@@ -25,7 +25,7 @@
 def reply(*actions):
     instance = Instance(lambda *_: Decisions(actions), 1, TERMS, 0)
     instance.start_request(5 * MILLI, REQUEST)
-    return instance.lines
+    return instance.reply_lines
 
 
 @pytest.mark.parametrize(
@@ -49,16 +49,16 @@
 def test_a_payload_goes_to_all_in_hexadecimal():
     instance = Instance(lambda *_: Decisions(()), 1, TERMS, 0)
     instance.broadcast(b"\x00\xffhi")
-    assert instance.lines == ["SAY all 00ff6869"]
+    assert instance.reply_lines == ["SAY all 00ff6869"]
 
 
 def test_a_timer_of_a_wait_that_is_over_is_passed_over():
     instance = Instance(lambda *_: Decisions((face.Wait(7 * MILLI), face.Fail())), 1, TERMS, 0)
     instance.start_request(0, REQUEST)
     instance.timer_fired(7 * MILLI, "r1|0")
-    assert instance.lines == ["WAKE_AT 7.000 r1|1"]
+    assert instance.reply_lines == ["WAKE_AT 7.000 r1|1"]
     instance.timer_fired(7 * MILLI, "r1|1")
-    assert instance.lines == ["WAKE_AT 7.000 r1|1", "LOSE r1"]
+    assert instance.reply_lines == ["WAKE_AT 7.000 r1|1", "LOSE r1"]
 
 
 def test_durations_are_rounded_up_to_microseconds():
@@ -72,7 +72,7 @@
 
 def test_the_last_field_of_a_timer_goes_on_to_the_lines_end():
     name, line = split_line("ALARM a tag|with blanks ")
-    assert (name, line) == ("ALARM", LINES["ALARM"]("a tag|with blanks "))
+    assert (name, line) == ("ALARM", LINE_TYPES["ALARM"]("a tag|with blanks "))
 
 
 @pytest.mark.parametrize("text", ["GONE", "GONE a b", "CRASH_NOW x", "SYNC 1 2 3", "odd"])
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -143,7 +143,7 @@
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(data)
     client.waiting = []
-    made.until(lambda: not made.process.core.in_flight and made.process.core.submitted)
+    made.until(lambda: not made.process.core.in_flight and made.process.core.submitted_count)
     made.turns()
     assert [command["req"] for command in made.hosts[0].seen("go")] == [f"{10:016x}"]
     sock.close()
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -24,7 +24,7 @@
     made.until(lambda: not made.process.front.connection_count)
     made.turns()
     assert made.came() == 0
-    assert made.process.core.submitted == 0
+    assert made.process.core.submitted_count == 0
     assert not made.process.front.open_request_ids
     sock.close()
 
@@ -80,7 +80,7 @@
         assert answers.count(b"HTTP/1.1 504") == 3
         assert answers.count(b"closed its side") == 3
     made.rest(50 * MILLI)
-    assert made.gate.core.submitted == 0
+    assert made.gate.core.submitted_count == 0
     assert not made.gate.fronts[0].connection_count
 
 
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -64,7 +64,7 @@
     half_close(client.stream)
     made.until(lambda: not made.process.front.connection_count)
     made.turns()
-    assert made.came() == at_work == made.process.core.submitted
+    assert made.came() == at_work == made.process.core.submitted_count
     assert not made.process.front.open_request_ids
 
 
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -250,7 +250,7 @@
     client.ask(1)
     client.ask(2, "repair-order")
     made.until(lambda: made.came() == 2)
-    made.process.core.end_by(made.loop.now() + SECOND)
+    made.process.core.end_requests_by(made.loop.now() + SECOND)
     made.passes(SECOND)
     made.until(lambda: len(client.answers) == 2)
     codes = {each["id"]: each["error"]["code"] for each in client.answers}
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -286,7 +286,7 @@
     def end_by(self, place, way):
         if place < 3 and self.last > self.loop.now() + SECOND:
             self.last = self.loop.now() + (way + 1) * 100 * MILLI
-            self.core.end_by(self.last)
+            self.core.end_requests_by(self.last)
 
     def passes(self, span):
         self.loop.run(until=self.loop.sleep(span))
