--- a/gaproute/decisions/admission/__init__.py
+++ b/gaproute/decisions/admission/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions on connections of clients and on restarts, without I/O: clock and randomness are handed in."""
+"""Decides on connections of clients and on restarts of processes; performs no I/O.
+
+Callers pass in the time and the source of random numbers.
+"""
--- a/gaproute/decisions/admission/restarts.py
+++ b/gaproute/decisions/admission/restarts.py
@@ -1,18 +1,19 @@
-"""Decides when a process that exited is started again; time and random numbers are handed in.
+"""Decides when a process that exited is started again; callers pass in the time and the random numbers.
 
-A process that exits soon after its start must not be restarted in a tight loop, and processes that end
-together must not all start at one moment. A process that had run for a while is restarted soon.
+A process that exits soon after its start must not be restarted in a tight loop, and processes that exit
+together must not all start at the same moment. A process that ran for a while before its exit is restarted
+soon.
 """
 
 from gaproute.decisions.chance import Chance
 from gaproute.units import MILLI, SECOND
 
-FIRST_DELAY = 100 * MILLI  # before the first restart, so that a single crash costs little time
-DELAY_GROWTH = 2  # factor on the delay for each early exit in a row
-MAX_DELAY = 10 * SECOND  # so that processes start soon after a broken configuration is repaired
-HEALTHY_UPTIME = 10 * SECOND  # an exit after so long is no early exit
-DELAY_JITTER_SHARE = 0.25  # share of the delay that is added at random
-MIN_SPACING = 300 * MILLI  # between any two starts: about the CPU time that a start takes
+FIRST_DELAY = 100 * MILLI  # delay before the first restart: short, so that a single crash costs little time
+DELAY_GROWTH = 2  # factor by which each consecutive early exit multiplies the delay
+MAX_DELAY = 10 * SECOND  # longest delay: processes start soon after a broken configuration is repaired
+HEALTHY_UPTIME = 10 * SECOND  # an exit after at least this uptime is not an early exit
+DELAY_JITTER_SHARE = 0.25  # share of the delay up to which a random time is added
+MIN_SPACING = 300 * MILLI  # shortest time between two starts: about the CPU time that a start takes
 
 _MAX_DOUBLINGS = 32
 _JITTER_STEPS = 1000
@@ -22,12 +23,12 @@
     """Exponential backoff for each process slot; all starts are at least `MIN_SPACING` apart."""
 
     def __init__(self, chance: Chance) -> None:
-        self.early_exit_counts: dict[int, int] = {}  # by process slot: exits in a row before `HEALTHY_UPTIME`
-        self.last_start_time: int | None = None  # when the latest start was, or is scheduled
+        self.early_exit_counts: dict[int, int] = {}  # by process slot: consecutive early exits
+        self.last_start_time: int | None = None  # time of the latest start, which may be in the future
         self._chance = chance
 
     def schedule_restart(self, now: int, slot: int, uptime: int) -> int:
-        """When the process of that slot, which ran for `uptime` ns, is started again; ns."""
+        """Returns the time (ns) to restart the slot's process, which exited after `uptime` ns."""
         early = 0 if uptime >= HEALTHY_UPTIME else self.early_exit_counts.get(slot, 0) + 1
         self.early_exit_counts[slot] = early
         delay = min(MAX_DELAY, FIRST_DELAY * DELAY_GROWTH ** min(early, _MAX_DOUBLINGS))
@@ -35,7 +36,7 @@
         return self.reserve_start(now + delay)
 
     def reserve_start(self, earliest: int) -> int:
-        """Reserves and returns the first time from `earliest` on that is `MIN_SPACING` after all starts."""
+        """Reserves and returns the next possible start time (ns), which is `earliest` or later."""
         start = earliest
         if self.last_start_time is not None:
             start = max(start, self.last_start_time + MIN_SPACING)
--- a/gaproute/decisions/connections/__init__.py
+++ b/gaproute/decisions/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on connections to hosts, without I/O: their reuse, and their share of descriptors."""
+"""Decides on the reuse of connections to hosts and on their share of descriptors; performs no I/O."""
--- a/gaproute/decisions/connections/descriptor_shares.py
+++ b/gaproute/decisions/connections/descriptor_shares.py
@@ -1,21 +1,21 @@
-"""How the descriptors of a process are divided between connections of clients and connections to hosts."""
+"""Divides the descriptors of a process between connections of clients and connections to hosts."""
 
 from typing import NamedTuple
 
-# Of the descriptors. Clients use about a third, and open new connections before their former ones are closed;
-# connections to hosts were measured to need a quarter at most.
+# Share of the descriptors for connections of clients. Clients use about a third, and open new connections
+# before their previous ones are closed. In measurements, connections to hosts needed a quarter at most.
 CLIENT_SHARE = 0.5
-PROCESS_DESCRIPTORS = 24  # for the log, the epolls, the listener, signals and some spare ones
+PROCESS_DESCRIPTORS = 24  # descriptors for the log, the epolls, the listener and signals, with some to spare
 
 
 class DescriptorShares(NamedTuple):
-    """How many connections of each kind the descriptors allow."""
+    """The numbers of connections of clients and of connections to hosts that the descriptors allow."""
 
     clients: int
     hosts: int
 
 
 def split_descriptors(descriptors: int) -> DescriptorShares:
-    """Divides that many descriptors."""
+    """Divides `descriptors`, the number of descriptors that the process may open."""
     clients = int(CLIENT_SHARE * descriptors)
     return DescriptorShares(clients, max(1, descriptors - clients - PROCESS_DESCRIPTORS))
--- a/gaproute/decisions/reports/__init__.py
+++ b/gaproute/decisions/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways report to each other about hosts and functions, and how far they rely on it; no I/O."""
+"""Decides what gateways report to each other on hosts and functions and how they use it; performs no I/O."""
--- a/gaproute/decisions/reports/hint_selector.py
+++ b/gaproute/decisions/reports/hint_selector.py
@@ -1,7 +1,7 @@
-"""Decides which shared observations are used as hints, and hands them to the decisions.
+"""Selects the shared observations that are used as hints, and passes them to the decisions.
 
-The host list of this gateway, and whatever it observed itself, takes precedence over every hint. No hint
-orders a load, makes a host active or lifts a limit. Times are ns.
+The host list of this gateway and its own observations take precedence over every hint. No hint orders a load,
+makes a host active or lifts a limit. Times are ns.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -18,39 +18,40 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.shared.randomness import RandomSource
 
-# The least age of a hint, as a share of the keep-alive: another gateway's observation counts for less than an
-# own one, however fresh it is. At this age the decay leaves 0.985 of its weight.
+# Smallest age of a hint, as a share of the keep-alive time: however recent another gateway's observation is,
+# it has less weight than an observation of this gateway. At this age the decay leaves 0.985 of its weight.
 MIN_HINT_AGE_SHARE = 0.35
-# Added at random, so that gateways that get the same observations at one moment rank the warm hosts
-# differently and do not all send to one.
+# Share of the keep-alive time up to which a random age is added. Gateways that receive the same observations
+# at the same moment then rank the warm hosts differently and do not all send to the same host.
 RANDOM_HINT_AGE_SHARE = 0.35
 RANDOM_AGE_STEPS = 1000
-# Instances of a function that are hinted at least, the freshest ones: the stable hash picks among them, and
-# wrong observations of several origins mostly name different hosts
+# Number of the most recent instances of a function that are hinted in any case. The stable hash chooses among
+# them, and wrong observations of several origins mostly name different hosts.
 MIN_HINTED_INSTANCES = 4
-# Instances hinted for each host that a function could fill: about as many as the decisions use
+# Number of hinted instances for each host that the requests of a function could fill: about as many as the
+# decisions use.
 HINTED_INSTANCES_PER_HOST = 2.5
-MAX_SLOWDOWN = 8.0  # a larger slowdown of a host counts as this
+MAX_SLOWDOWN = 8.0  # value that replaces any larger slowdown of a host
 
-# Kinds that are not hinted one by one: instances are ranked first, the others only decide about hints
+# Kinds of which no single observation becomes a hint: warm instances are compared with each other first, and
+# the other kinds only influence the selection.
 NOT_APPLIED_SINGLY = (
     ObservationKind.WARM_INSTANCE,
     ObservationKind.LISTED_STATE,
     ObservationKind.REQUEST_SHARE,
 )
 
-HostStartTimes = Mapping[
-    str, int
-]  # by active host of this gateway's list: its start, ns since 1970; 0: unknown
+# Start time (ns since 1970; 0: unknown) of each host that is active in this gateway's list.
+HostStartTimes = Mapping[str, int]
 
 
 class WarmHint(NamedTuple):
-    """A warm instance that the decisions may be given as a hint."""
+    """A warm instance that may become a hint."""
 
     host: str
     function: str
     lanes: int
-    seen_at: int  # ns; used as the time of the last use of the instance
+    seen_at: int  # ns; the decisions take it as the time of the last use of the instance
 
 
 class _Candidate(NamedTuple):
@@ -59,10 +60,10 @@
 
 
 class HintSelector:
-    """Makes hints of shared observations.
+    """Selects hints from the shared observations and applies them.
 
-    `request_classes`: by name, the number of the class in the decisions; `keep_alive`: how long an idle
-    instance stays loaded, ns.
+    `keep_alive`: the time (ns) for which an idle instance stays loaded; `request_classes`: by the name of a
+    request class, its number in the decisions.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
     def apply_hints(
         self, gateway: HintReceiver, now: int, start_times: HostStartTimes, subjects: Collection[Subject]
     ) -> int:
-        """Hands the decisions the observations of these subjects as hints; returns how many they use."""
+        """Passes the observations of these subjects to the decisions; returns the number of hints used."""
         functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
         used_count = sum(
             [int(gateway.hint_instance(*hint)) for hint in self.warm_hints(now, start_times, functions)]
@@ -92,10 +93,10 @@
     def warm_hints(
         self, now: int, start_times: HostStartTimes, functions: Iterable[str] | None = None
     ) -> list[WarmHint]:
-        """Instances that may be hinted, of all functions if none are named.
+        """Returns the warm instances to hint of the given functions; None stands for all functions.
 
-        Of each function these are the freshest ones: as many as its share of the requests could fill, and
-        `MIN_HINTED_INSTANCES` at least.
+        Of each function, the most recent observations are selected: enough for the hosts that its share of
+        the requests could fill, and at least `MIN_HINTED_INSTANCES`.
         """
         warm_hosts = self.observations.warm_hosts
         hints: list[WarmHint] = []
@@ -134,9 +135,10 @@
     def _rejection_reason(
         self, host: str, observation: SharedObservation, host_start: int | None, start_times: HostStartTimes
     ) -> ObservationRejection | None:
-        """Why an observation of a host is not to be used, or None.
+        """Returns the reason to ignore an observation of a host, or None if it can be used.
 
-        `host_start`: the host's start by the list of the observing gateway; None if the observation has none.
+        `host_start`: the start time of the host in the list of the gateway that observed it; None if the
+        observation has none.
         """
         if host not in start_times:
             return ObservationRejection.NOT_LISTED
@@ -158,7 +160,7 @@
         subject: Subject,
         observation: SharedObservation,
     ) -> int:
-        """Hands the decisions one observation that is not of an instance; returns how many hints they use."""
+        """Passes one observation of a kind that is applied singly; returns the number of hints used."""
         kind, *names = subject
         value = observation.value[0]
         if kind == ObservationKind.USUAL_TIME:
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -1,4 +1,4 @@
-"""What a gateway reports of its own: its host list over time, and its observations. Times are ns."""
+"""Collects what a gateway reports of itself: its host list over time and its observations. Times are ns."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import NamedTuple
@@ -7,20 +7,21 @@
 from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.decisions.routing.observations import Observation
 
-MAX_GONE_HOSTS = 1024  # stored hosts that are gone: more than a fleet replaces in a rolling restart
-SINCE_EVER = -1  # the value of `since` that asks for all observations
+# Limit of the stored hosts that are gone: more than a rolling restart of a fleet replaces.
+MAX_GONE_HOSTS = 1024
+SINCE_EVER = -1  # value of `since` that selects all observations
 
 
 class HostEntry(NamedTuple):
-    """What the host list says of a host."""
+    """The entry of the host list for one host."""
 
     state: str  # a `ListedState`
-    started: int  # start of the host, ns since 1970; 0: unknown
-    listed_at: int  # when the list first had this state and start
+    started: int  # start time of the host, ns since 1970; 0: unknown
+    listed_at: int  # time at which the list first had this state and start time
 
 
 class OwnObservation(NamedTuple):
-    """One observation of this gateway itself."""
+    """An observation that this gateway made itself."""
 
     subject: Subject
     value: Value
@@ -28,15 +29,13 @@
 
 
 class HostHistory:
-    """What the gateway's host list said of each host, and when; hosts that left the list are marked as
-    gone.
-    """
+    """The latest host list entry of each host; the entry of a host that left the list has the state gone."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, HostEntry] = {}  # by host; those that changed last are at the end
+        self.entries: dict[str, HostEntry] = {}  # by host; the entry that changed last is at the end
 
     def update(self, now: int, hosts: Mapping[str, tuple[str, int]]) -> None:
-        """Takes over the complete list: by host its state and start."""
+        """Applies a complete host list: by host its state and its start time."""
         for name, (state, started) in hosts.items():
             entry = self.entries.get(name)
             if entry is None or (entry.state, entry.started) != (state, started):
@@ -47,7 +46,7 @@
         self._drop_oldest_gone_hosts(hosts)
 
     def active_start_times(self) -> dict[str, int]:
-        """The active hosts and their starts, ns since 1970."""
+        """Returns the start time (ns since 1970) of each active host."""
         return {
             name: entry.started for name, entry in self.entries.items() if entry.state == ListedState.ACTIVE
         }
@@ -73,9 +72,9 @@
     now: int,
     since: int = SINCE_EVER,
 ) -> Iterator[OwnObservation]:
-    """The observations of a gateway itself since that time; the iterator may be read in parts.
+    """Yields the observations that a gateway made itself after `since`; the iterator may be read in parts.
 
-    `request_classes`: their names, by their number in the decisions.
+    `request_classes`: the names of the request classes, by their number in the decisions.
     """
     for name, entry in list(history.entries.items()):
         if entry.listed_at > since:
@@ -90,7 +89,7 @@
 
 
 def _subject_of(observation: Observation, request_classes: Sequence[str]) -> Subject:
-    """The subject as other gateways know it, with the name of a request class in place of its number."""
+    """Returns the subject with the name of a request class: other gateways may number it differently."""
     if observation.kind == ObservationKind.FAILURE:
         host, request_class = observation.names
         return (observation.kind, str(host), request_classes[int(request_class)])
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -1,7 +1,7 @@
-"""The kinds of observations that gateways exchange, and which observations are rejected.
+"""Defines the kinds of observations that gateways exchange, and the reasons to reject observations.
 
-A subject is a tuple of the kind and the names that the observation is about; subjects and values have the
-same form on disk and on the wire. Times are ns.
+The subject of an observation is a tuple of its kind and the names that the observation is about. Subjects and
+values have the same form on disk and on the wire. Times are ns.
 """
 
 from collections.abc import Callable, Mapping
@@ -10,16 +10,17 @@
 
 from gaproute.units import SECOND
 
-# Older observations are rejected: no instance stays loaded so long, and clocks are not accurate enough
+# Age above which an observation is rejected: no instance stays loaded for so long, and clocks are not
+# accurate enough.
 MAX_OBSERVATION_AGE = 300 * SECOND
-MAX_LANES = 1024  # requests that one instance runs at a time
+MAX_LANES = 1024  # limit of the requests that one instance runs at a time
 
 Subject = tuple[str, ...]  # (kind, name, ...)
-Value = tuple[Any, ...]  # numbers and texts, as `KIND_RULES` lists them for the kind
+Value = tuple[Any, ...]  # numbers and strings, as `KIND_RULES` lists them for each kind
 
 
 class ObservationKind(StrEnum):
-    """The kinds, by their texts in stored data; `KIND_RULES` has the names and values of each."""
+    """The kinds of observations; the values are the texts in stored data. See also `KIND_RULES`."""
 
     WARM_INSTANCE = "warm"
     LISTED_STATE = "listed"
@@ -31,7 +32,7 @@
 
 
 class ListedState(StrEnum):
-    """The state of a host by the list of the gateway that observed it."""
+    """The state of a host in the list of the gateway that observed it."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -39,7 +40,7 @@
 
 
 class ObservationRejection(StrEnum):
-    """Why an observation was not taken, or not used; the texts are shown to operators."""
+    """The reason why an observation was not stored or not used; the values are shown to operators."""
 
     INVALID_AGE = "age"
     UNKNOWN_KIND = "kind"
@@ -59,16 +60,19 @@
 
 
 class SharedObservation(NamedTuple):
-    """An observation of one subject; the newer one is the greater."""
+    """An observation of one subject. Of two observations, the more recent one compares as greater."""
 
-    observed_at: int  # by this gateway's clock, ns
-    origin: str  # the gateway that observed it
-    hops: int  # 0: this gateway in its last run, 1: a peer itself
+    observed_at: int  # ns by this gateway's clock
+    origin: str  # name of the gateway that made the observation
+    hops: int  # 0: this gateway made it in its previous run; 1: a peer made it and sent it
     value: Value
 
 
 class KindRule(NamedTuple):
-    """How many names a subject of the kind has, and a check of its value: why it is invalid, or None."""
+    """The number of names in a subject of the kind, and the check of its value.
+
+    `value_rejection` takes the elements of the value and returns the reason to reject it, or None.
+    """
 
     name_count: int
     value_rejection: Callable[..., ObservationRejection | None]
@@ -99,18 +103,18 @@
 
 
 KIND_RULES: Mapping[str, KindRule] = {
-    # host, function: (lanes, start of the host by the origin's list)
+    # Names: host, function. Value: lanes, start time of the host in the origin's list.
     ObservationKind.WARM_INSTANCE: KindRule(2, _instance_rejection),
-    # host: (state by the origin's list, start)
+    # Name: host. Value: state in the origin's list, start time.
     ObservationKind.LISTED_STATE: KindRule(1, _listed_state_rejection),
-    # host, request class: (weight of the last bad result, 0 to 1)
+    # Names: host, request class. Value: weight of the latest failure, 0 to 1.
     ObservationKind.FAILURE: KindRule(2, _share_rejection),
-    # host: (times slower than usual)
+    # Name: host. Value: factor by which the host is slower than usual.
     ObservationKind.SLOWDOWN: KindRule(1, _slowdown_rejection),
-    # function: (answer time where an instance is warm)
+    # Name: function. Value: answer time with a warm instance.
     ObservationKind.USUAL_TIME: KindRule(1, _time_rejection),
-    # nothing: (answer time where a load is waited for)
+    # No names. Value: answer time of requests that wait for a load.
     ObservationKind.LOAD_TIME: KindRule(0, _time_rejection),
-    # function: (share of the origin's last requests)
+    # Name: function. Value: its share of the origin's latest requests.
     ObservationKind.REQUEST_SHARE: KindRule(1, _share_rejection),
 }
--- a/gaproute/decisions/reports/shared_observations.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -1,11 +1,11 @@
-"""The merged observations of other gateways and of this gateway's last run.
-
-An observation has a subject, a value, the time by this gateway's clock, the gateway that observed it, and the
-number of hops over which it came: 0 from this gateway's last run, 1 from a peer. Gateways send only what they
-observed themselves, so observations travel no further, and an observation that a host's end has made invalid
-cannot return by way of a third gateway. Merging takes the greater of two observations in one total order, so
-it is commutative, associative and idempotent. A host that is gone is stored as such (a tombstone). Times are
-ns.
+"""Stores the merged observations of other gateways and of this gateway's previous run.
+
+An observation has a subject, a value, the time by this gateway's clock, the gateway that made it, and the
+number of hops over which it arrived: 0 from this gateway's previous run, 1 from a peer. Gateways send only
+observations that they made themselves. An observation therefore travels no further than one hop, and after
+its host is gone it cannot return by way of a third gateway. A merge takes the greater of two observations in
+a total order, so it is commutative, associative and idempotent. A host that is gone is stored with the state
+gone (a tombstone). Times are ns.
 """
 
 from collections import Counter
@@ -20,29 +20,29 @@
     Subject,
 )
 
-MAX_OBSERVATIONS = 50_000  # 300 hosts with 160 functions each; above it new subjects are rejected
+MAX_OBSERVATIONS = 50_000  # limit of the stored subjects: 300 hosts with 160 functions each
 MAX_NAME_LENGTH = 256  # characters; no host or model has a longer name
-REQUEST_MIX_SIZE = (
-    128  # names that represent the mix of functions: half of what the decisions store of their own
-)
-REQUEST_MIX_STRIDE = (
-    37  # has no factor in common with a power of two, so that the names of a function are spread
-)
+# Number of function names that represent the request mix: half of the names that the decisions store of the
+# gateway's own requests.
+REQUEST_MIX_SIZE = 128
+# Step between the positions of consecutive names in the request mix. As the step is coprime to every power of
+# two, the names of one function are spread over the mix.
+REQUEST_MIX_STRIDE = 37
 
 
 class SharedObservations:
-    """Observations of many origins, one for each subject. Invalid ones are rejected and counted."""
+    """Stores one observation of each subject, of any origin; rejects and counts invalid observations."""
 
     def __init__(self) -> None:
         self.by_subject: dict[Subject, SharedObservation] = {}
-        self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts at which an instance was seen
+        self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts observed to have a warm instance
         self.rejections: Counter[ObservationRejection] = Counter()
 
     def earliest_observation_time(self, requested_at: int, age: int) -> int | None:
-        """The earliest time that an observation of that age can have; None if the age is rejected.
+        """Returns the earliest possible time of an observation of that age; None if the age is rejected.
 
-        `requested_at`: when the observation was requested. The answer was written later, so a long round trip
-        makes an observation seem older, never younger.
+        `requested_at`: the time of the request for the observation. As the answer was written later, a long
+        round trip makes an observation appear older, never younger.
         """
         if not 0 <= age <= MAX_OBSERVATION_AGE:
             self.rejections[ObservationRejection.INVALID_AGE] += 1
@@ -50,7 +50,7 @@
         return requested_at - age
 
     def add(self, subject: Subject, observation: SharedObservation) -> None:
-        """Stores an observation if it is newer than that of its subject."""
+        """Stores a valid observation if it is greater than the stored one of the same subject."""
         known = self.by_subject.get(subject)
         reason = _rejection_reason(subject, observation)
         if reason is None and known is None and len(self.by_subject) >= MAX_OBSERVATIONS:
@@ -67,23 +67,24 @@
             self.warm_hosts.setdefault(function, []).append(host)
 
     def merge(self, other: "SharedObservations") -> None:
-        """Takes over the observations and counts of another object."""
+        """Adds the observations and the counts of rejections of `other`."""
         self.rejections.update(other.rejections)
         for subject, observation in other.by_subject.items():
             self.add(subject, observation)
 
     def rejection_counts(self) -> dict[str, int]:
-        """By reason: how many observations were rejected or not used."""
+        """Returns by reason the number of observations that were rejected or not used."""
         return {reason.value: count for reason, count in self.rejections.items()}
 
     def request_share(self, function: str) -> float:
-        """The function's share of the requests; 0 where it is not known."""
+        """Returns the function's share of the requests; 0 if it is unknown."""
         observation = self.by_subject.get((ObservationKind.REQUEST_SHARE, function))
         return observation.value[0] if observation else 0.0
 
     def request_mix(self, size: int = REQUEST_MIX_SIZE) -> list[str]:
-        """`size` names that represent the mix of functions, evenly mixed; "" for functions that are not
-        known.
+        """Returns `size` function names in proportion to the shares of the functions, evenly mixed.
+
+        The name "" fills the places of functions whose share is unknown.
         """
         shares = sorted(self._request_shares())
         total = max(1.0, sum(share for _, share in shares))
