--- a/gaproute/benchlink/__init__.py
+++ b/gaproute/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter for the bench's simulator: `python -m gaproute.benchlink` answers batches of its protocol."""
+"""Adapts the decisions to the bench's simulator: `python -m gaproute.benchlink` answers batches of lines."""
--- a/gaproute/benchlink/__main__.py
+++ b/gaproute/benchlink/__main__.py
@@ -1,6 +1,6 @@
-"""The adapter's loop: one reply for each batch on standard input, nothing else on standard output.
+"""Answers each batch on standard input with one reply on standard output, and writes nothing else to it.
 
-Exit codes: 0 at the end of the input, 2 for a line that breaks the wire format.
+Exit codes: 0 at the end of the input, 2 after a line that breaks the wire format.
 """
 
 import sys
@@ -9,11 +9,11 @@
 from gaproute.benchlink.batch_dispatcher import BatchDispatcher
 
 EXIT_OK, EXIT_MALFORMED_LINE = 0, 2
-LOGGED_CHARACTERS = 200  # logged of a line that cannot be decoded
+LOGGED_CHARACTERS = 200  # characters of a malformed line that are logged
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answers batches until the input ends; returns the exit code."""
+    """Answers batches until the input ends or a line is malformed; returns the exit code."""
     dispatcher = BatchDispatcher()
     for number, raw in enumerate(source, 1):
         text = raw.rstrip("\n")
--- a/gaproute/benchlink/batch_dispatcher.py
+++ b/gaproute/benchlink/batch_dispatcher.py
@@ -1,4 +1,4 @@
-"""Passes the lines of the simulator's batches to its instances and collects their replies."""
+"""Passes the lines of the simulator's batches to instances and collects their replies."""
 
 import traceback
 from collections.abc import Callable
@@ -15,21 +15,21 @@
 
 
 class UnfinishedList(NamedTuple):
-    """A host list of which further rows follow."""
+    """A host list that lacks rows."""
 
     number: str
     missing_rows: int
 
 
 class DueTimer(NamedTuple):
-    """A timer of an instance that fires in this batch."""
+    """A timer of an instance that fires at the end of this batch."""
 
     instance: int
     line: lines.TimerFired
 
 
 class BatchDispatcher:
-    """All instances of the process; they share only the wire and its numbered host lists."""
+    """Dispatches lines to the instances of the process, which share the wire and its numbered host lists."""
 
     def __init__(self, gateway_factory: GatewayFactory = Gateway) -> None:
         self.gateway_factory = gateway_factory
@@ -37,10 +37,10 @@
         self.host_lists: dict[str, list[interface.ListedHost]] = {}  # by number
         self.unfinished_list: UnfinishedList | None = None
         self.now = 0
-        self.sequence = "0"  # of the batch
-        self.selected_instance: int | None = None  # the instance that the following lines are for
-        self.failures: dict[int, str] = {}  # by instance: an error of its decisions in this batch
-        self.due_timers: list[DueTimer] = []  # they fire last, after all events of the batch
+        self.sequence = "0"  # sequence number of the batch
+        self.selected_instance: int | None = None  # target of the following lines
+        self.failures: dict[int, str] = {}  # by instance: error of its decisions in this batch
+        self.due_timers: list[DueTimer] = []  # timers fire after all other events of the batch
         self.batch_handlers: dict[type, Callable[[Any], None]] = {
             lines.BatchStart: self._start_batch,
             lines.SelectInstance: self._select_instance,
@@ -49,27 +49,29 @@
         }
 
     def handle_line(self, text: str) -> list[str] | None:
-        """Handles one line; returns the lines of the reply if it ends a batch, else None.
+        """Handles one line; returns the lines of the reply if the line ends a batch, else None.
 
-        Errors: ValueError, including `WireFormatError`, for a line that breaks the wire format.
+        Errors: ValueError, including `WireFormatError`, if the line breaks the wire format.
         """
         name, line = lines.split_line(text)
         kind = type(line)
         if self.unfinished_list is not None and kind is not lines.HostListRow:
-            raise lines.WireFormatError(f"{self.unfinished_list.missing_rows} list rows missing")
+            raise lines.WireFormatError(
+                f"{name} line inside a host list that lacks {self.unfinished_list.missing_rows} rows"
+            )
         if kind is lines.BatchEnd:
             return self._reply()
         if (handle := self.batch_handlers.get(kind)) is not None:
             handle(line)
         elif self.selected_instance is None:
-            raise lines.WireFormatError(f"{name} before any FOR")
+            raise lines.WireFormatError(f"{name} line before any FOR line of the batch")
         elif isinstance(line, lines.TimerFired):
             self.due_timers.append(DueTimer(self.selected_instance, line))
         else:
             self._handle_event(self.selected_instance, line)
         return None
 
-    # Lines that are for no instance
+    # Lines that concern no instance
 
     def _start_batch(self, line: lines.BatchStart) -> None:
         self.now, self.sequence = decoding.decode_clock(line.clock), line.sequence
@@ -84,7 +86,7 @@
 
     def _add_host_list_row(self, line: lines.HostListRow) -> None:
         if self.unfinished_list is None:
-            raise lines.WireFormatError("list row outside a list")
+            raise lines.WireFormatError("host list row without a preceding LIST line")
         number, missing_rows = self.unfinished_list
         self.host_lists[number].append(decoding.decode_host(line))
         self._expect_rows(number, missing_rows - 1)
@@ -92,10 +94,10 @@
     def _expect_rows(self, number: str, missing_rows: int) -> None:
         self.unfinished_list = UnfinishedList(number, missing_rows) if missing_rows > 0 else None
 
-    # Events of an instance
+    # Events of instances
 
     def _handle_event(self, number: int, line: lines.Line) -> None:
-        """Passes an event to an instance; an error of its decisions is reported and affects nothing else."""
+        """Passes an event to an instance; an error of its decisions affects no other instance."""
         try:
             if isinstance(line, lines.OpenInstance):
                 self._open_instance(number, line)
@@ -109,7 +111,7 @@
                 EVENT_HANDLERS[type(line)](instance, self.now, line)
         except lines.WireFormatError:
             raise
-        except Exception as error:  # noqa: BLE001 - whatever it is, it is reported
+        except Exception as error:  # noqa: BLE001 - any error is reported in the reply
             self.failures[number] = _describe_error(error)
 
     def _open_instance(self, number: int, line: lines.OpenInstance) -> None:
@@ -125,12 +127,12 @@
             instance.gateway.host_list_poll_failed(self.now)
         elif line.kind == CHANGES_KIND or line.kind in COMPLETE_LIST_KINDS:
             if line.list_number not in self.host_lists:
-                raise lines.WireFormatError(f"no list {line.list_number}")
+                raise lines.WireFormatError(f"host list {line.list_number} is not defined")
             rows = self.host_lists[line.list_number]
             instance.gateway.update_hosts(self.now, rows, complete=line.kind in COMPLETE_LIST_KINDS)
         instance.start_housekeeping(self.now)
 
-    # The reply
+    # Replies
 
     def _reply(self) -> list[str]:
         due_timers, self.due_timers = self.due_timers, []
@@ -149,7 +151,7 @@
 
 
 def _describe_error(error: Exception) -> str:
-    """Type, message and function of an error, in one line."""
+    """Returns one line with the type and message of an error and the place that raised it."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     text = f"{type(error).__name__}: {error} at {frame.name}, line {frame.lineno}"
     return text.replace("\n", " ")
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -1,7 +1,7 @@
-"""Converts fields of the simulator's lines to types of the decisions; no other module uses the wire's words.
+"""Converts fields of the simulator's lines to types of the decisions, which never see values of the wire.
 
-Every public function raises `WireFormatError` for a value that cannot be decoded, which is no error of the
-decisions.
+Every public decoder raises `WireFormatError` for a value that cannot be decoded, so that the value is not
+mistaken for an error of the decisions.
 """
 
 import json
@@ -36,11 +36,11 @@
     "8": interface.Result.NOT_LOADED,
 }
 OK_RESULT = "0"
-# The results with which a host counts the requests of the function, where hosts do so at all.
+# Results with which a host reports its number of requests of the same function, if hosts report it at all.
 COUNTED_RESULTS = (interface.Result.OK, interface.Result.FULL)
 FLAGS = {"0": False, "1": True, ABSENT: False}
-# The remark of an outcome: the lower bits say what the attempt found, the others count requests of the
-# function.
+# The remark of an outcome has two parts: its lower bits are what the attempt found (`interface.Found`), and
+# the other bits are the number of requests of the same function at the host.
 FOUND_BITS = 3
 MAX_FOUND = 4
 
@@ -48,7 +48,7 @@
 
 
 def decoder(decode: Decode) -> Decode:
-    """Decorates a decoder: any error that a value causes is raised as a `WireFormatError`."""
+    """Decorates a decoder to raise a `WireFormatError` for any error that a value causes."""
 
     @wraps(decode)
     def checked(*arguments: object) -> object:
@@ -64,27 +64,27 @@
 
 @decoder
 def decode_clock(text: str) -> int:
-    """The clock of a batch, ns."""
+    """Returns the time (ns) of a batch."""
     return _parse_duration(text) or 0
 
 
 @decoder
 def decode_integer(text: str) -> int:
-    """A whole number; 0 if it is absent."""
+    """Returns an integer; 0 if it is absent."""
     return _parse_integer(text)
 
 
 @decoder
 def decode_terms(text: str) -> interface.Terms:
-    """The settings of an instance, as terms of the decisions."""
+    """Converts the settings of an instance to terms of the decisions."""
     return settings.read_terms(json.loads(text))
 
 
 @decoder
 def decode_host(row: HostListRow) -> interface.ListedHost:
-    """A host of a list."""
+    """Converts a row of a host list."""
     if row.state not in STATES:
-        raise WireFormatError(f"unknown state {row.state!r}")
+        raise WireFormatError(f"host {row.host} has the unknown state {row.state!r}")
     return interface.ListedHost(
         row.host,
         _parse_integer(row.zone),
@@ -97,7 +97,7 @@
 
 @decoder
 def decode_request(line: RequestReceived) -> interface.Request:
-    """A client's request."""
+    """Converts a client's request."""
     return interface.Request(
         line.id,
         _parse_integer(line.tenant),
@@ -113,9 +113,9 @@
 def decode_outcome(
     line: AttemptEnded, counted_results: tuple[interface.Result, ...]
 ) -> interface.Outcome | None:
-    """The outcome of an attempt; None if its result is unknown.
+    """Converts the outcome of an attempt; returns None if its result is unknown.
 
-    `counted_results`: the results whose remark counts the requests of the function at the host.
+    `counted_results`: the results whose remark has the number of requests of the same function at the host.
     """
     result = RESULTS.get(line.result)
     if result is None:
@@ -137,7 +137,7 @@
 
 @decoder
 def decode_stream_start(line: StreamStarted) -> interface.Outcome:
-    """The outcome by which a streamed answer begins."""
+    """Converts the start of a streamed answer to an outcome."""
     return interface.Outcome(
         line.request,
         _parse_integer(line.attempt),
@@ -153,23 +153,23 @@
 
 @decoder
 def decode_probe_report(line: ProbeAnswered) -> interface.Report | None:
-    """The load report in the answer to a health check."""
+    """Converts the load report in the answer to a health check."""
     return _parse_report(line.report)
 
 
 @decoder
 def decode_payload(line: PeerMessage) -> bytes:
-    """The payload of another instance's message."""
+    """Converts the payload of a message of another instance."""
     return bytes.fromhex(line.payload)
 
 
 def encode_milliseconds(duration: int) -> str:
-    """A duration in ns as milliseconds on the wire, rounded up to whole microseconds."""
+    """Converts a duration (ns) to milliseconds on the wire, rounded up to whole microseconds."""
     return f"{-(-duration // MICRO) / MICROS_PER_MILLI:.3f}"
 
 
 def _parse_duration(text: str) -> int | None:
-    """Milliseconds on the wire, rounded to whole microseconds, as ns; None if absent."""
+    """Converts milliseconds on the wire, rounded to whole microseconds, to ns; None if absent."""
     return None if text == ABSENT else round(float(text) * MICROS_PER_MILLI) * MICRO
 
 
@@ -179,7 +179,7 @@
 
 def _parse_flag(text: str) -> bool:
     if text not in FLAGS:
-        raise WireFormatError(f"{text!r} is no bool")
+        raise WireFormatError(f"flag has the value {text!r}, expected 0, 1 or -")
     return FLAGS[text]
 
 
--- a/gaproute/benchlink/events.py
+++ b/gaproute/benchlink/events.py
@@ -1,4 +1,4 @@
-"""Handles the events of an instance: one function for each kind of line."""
+"""Handles the events of an instance, with one function for each type of line."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,17 +20,17 @@
 
 
 def on_stream_started(instance: Instance, now: int, line: lines.StreamStarted) -> None:
-    """Handles the begin of a streamed answer, which the decisions account for when it ends."""
+    """Handles the start of a streamed answer; the decisions account for the attempt when the stream ends."""
     instance.resume_generator(line.request, now, decoding.decode_stream_start(line))
 
 
 def on_client_left(instance: Instance, now: int, line: lines.ClientLeft) -> None:
-    """Ends a request for which no final answer is owed any more."""
+    """Ends a request whose client has left and needs no final answer."""
     instance.abandon_request(now, line.request)
 
 
 def on_timer_fired(instance: Instance, now: int, line: lines.TimerFired) -> None:
-    """Fires a timer."""
+    """Handles a timer that has fired."""
     instance.timer_fired(now, line.tag)
 
 
--- a/gaproute/benchlink/lines.py
+++ b/gaproute/benchlink/lines.py
@@ -1,29 +1,29 @@
-"""The lines that the simulator sends, split into their fields; the values are still text."""
+"""Splits the lines of the simulator into fields, whose values stay text."""
 
 from typing import NamedTuple
 
 from gaproute.errors import GaprouteError
 
-ABSENT = "-"  # stands for a missing value
+ABSENT = "-"  # value of an absent field
 
 
 class WireFormatError(GaprouteError, ValueError):
-    """A line breaks the wire format."""
+    """A line that breaks the wire format."""
 
 
 class BatchStart(NamedTuple):
-    """The begin of a batch."""
+    """The start of a batch."""
 
     clock: str
     sequence: str
 
 
 class BatchEnd(NamedTuple):
-    """The end of a batch, which is to be answered."""
+    """The end of a batch, which requires a reply."""
 
 
 class SelectInstance(NamedTuple):
-    """The instance for which the next events are."""
+    """The choice of the instance that the next events concern."""
 
     instance: str
 
@@ -36,18 +36,18 @@
 
 
 class KillInstance(NamedTuple):
-    """An instance is killed with all its state."""
+    """The kill of an instance, which loses all its state."""
 
 
 class HostListStart(NamedTuple):
-    """The begin of a host list with that many rows."""
+    """The start of a host list with `row_count` rows."""
 
     number: str
     row_count: str
 
 
 class HostListRow(NamedTuple):
-    """A host in the list."""
+    """A row of a host list: one host."""
 
     host: str
     zone: str
@@ -59,7 +59,7 @@
 
 
 class HostListUpdate(NamedTuple):
-    """A host list, or its changes, for the instance."""
+    """A host list or changes of it, or the refusal of a poll, for the instance."""
 
     revision: str
     kind: str
@@ -82,7 +82,7 @@
 
 
 class StreamStarted(NamedTuple):
-    """The begin of a streamed answer."""
+    """The start of a streamed answer."""
 
     request: str
     host: str
@@ -104,13 +104,13 @@
 
 
 class ClientLeft(NamedTuple):
-    """The client has left, or its deadline has passed."""
+    """The departure of a client, or the end of its deadline."""
 
     request: str
 
 
 class TimerFired(NamedTuple):
-    """A timer is due."""
+    """A timer that has fired."""
 
     tag: str
 
@@ -177,16 +177,16 @@
     "PEER_DATA": PeerMessage,
     "STANDS": LoadOrderAnswered,
 }
-# Lines whose last field goes on to the end of the line
+# Lines whose last field extends to the end of the line and may contain spaces
 LINES_WITH_FREE_TEXT = frozenset(("OPEN_INSTANCE", "ALARM"))
 
 
 class LineFormat(NamedTuple):
-    """How a line is split into fields."""
+    """The rule by which a line is split into fields."""
 
     line_type: type[Line]
     field_count: int
-    max_splits: int  # -1: as many as there are
+    max_splits: int  # -1: at every space
 
 
 def _line_format(name: str, line_type: type[Line]) -> LineFormat:
@@ -198,10 +198,10 @@
 
 
 def split_line(text: str) -> tuple[str, Line]:
-    """Name and fields of one line. Errors: WireFormatError."""
+    """Splits one line; returns its name and its fields. Errors: WireFormatError."""
     name, _, rest = text.partition(" ")
     if name not in LINE_FORMATS:
-        raise WireFormatError(f"unknown message {name!r}")
+        raise WireFormatError(f"unknown line {name!r}")
     line_type, field_count, max_splits = LINE_FORMATS[name]
     fields = rest.split(" ", max_splits) if rest or name in LINES_WITH_FREE_TEXT else []
     if len(fields) != field_count:
--- a/gaproute/core/__init__.py
+++ b/gaproute/core/__init__.py
@@ -1,1 +1,1 @@
-"""Drives the generators of the decision module and carries out their actions; knows no protocol or socket."""
+"""Drives the generators of the decision module and carries out their actions; uses no protocol or socket."""
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: sent to hosts, cancelled, withdrawn, and accounted for when they end."""
+"""Sends the attempts of requests to hosts, cancels and withdraws them, and accounts for their outcomes."""
 
 from collections.abc import Callable
 from functools import partial
@@ -14,7 +14,7 @@
 
 
 class AttemptRunner(RequestCompletion):
-    """Carries out attempts through the hosts."""
+    """Runs the attempts of requests at the hosts."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         super().__init__(gateway, loop, record)
         self.hosts, self.request_classes = hosts, request_classes
 
-    # Start
+    # Starting attempts
 
     def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host."""
@@ -36,7 +36,7 @@
     def _send(
         self, hosts: RequestSender, key: str, number: int, attempt: interface.Attempt, now: int
     ) -> None:
-        """Sends a request through `hosts` and registers the attempt."""
+        """Sends an attempt of a request through `hosts` and registers it as in flight."""
         request = self.in_flight[key]
         request.attempt_count += 1
         host, deadline = attempt.host, request.deadline
@@ -59,10 +59,10 @@
         if request is not None and number in request.attempts:
             self._withdraw_attempt(request, number)
 
-    # The end
+    # Ending attempts
 
     def _attempt_ended(self, key: str, number: int, attempt_result: AttemptResult) -> None:
-        """Accounts for an attempt in flight that has ended; an answer ends its request."""
+        """Accounts for the end of an attempt; its answer becomes the final answer of the request."""
         request, now = self.in_flight[key], self.loop.now()
         host, sent_at, _ = request.attempts.pop(number)
         result, took = attempt_result.result, now - sent_at
@@ -89,25 +89,26 @@
         self._release_if_complete(request)
 
     def _time_out_attempts(self, request: RequestInFlight) -> None:
-        """Ends all attempts of a request whose deadline has passed."""
+        """Ends all attempts in flight of a request whose deadline has passed."""
         for number, (_, _, handle) in list(request.attempts.items()):
             result = interface.Result.TIMEOUT if handle.started else interface.Result.NOT_SENT
             handle.cancel()
             self._end_withdrawn_attempt(request.id, number, result)
 
     def _withdraw_attempts(self, request: RequestInFlight) -> None:
-        """Withdraws what must not begin once the request has its final answer or its client has left.
+        """Withdraws the attempts that must not run after the final answer or after the client has left.
 
-        These are the attempts that still wait for a connection, those of which the host has received only a
-        part, and those that were forwarded to another gateway, which may not have started them yet. Settings
-        that forbid cancelling do not apply: they are about requests that a host has received completely.
+        These are attempts that still wait for a connection, attempts of which the host has received only a
+        part, and attempts that were forwarded to another gateway, which may not have started them yet.
+        Settings that forbid cancels do not apply, as they concern requests that a host has received
+        completely.
         """
         for number, (_, _, handle) in request.attempts.items():
             if not handle.started or handle.cancellable:
                 self._withdraw_attempt(request, number)
 
     def _withdraw_attempt(self, request: RequestInFlight, number: int) -> None:
-        """Cancels an attempt at once and accounts for it in a later callback of the loop."""
+        """Cancels an attempt now and accounts for its outcome in a later callback of the loop."""
         handle = request.attempts[number].handle
         result = interface.Result.CANCELLED if handle.started else interface.Result.NOT_SENT
         handle.cancel()
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -1,4 +1,4 @@
-"""The core of a gateway in a fleet of cells: it forwards requests to other gateways and serves theirs."""
+"""Extends the core for a fleet of cells: it forwards requests to other gateways and serves forwarded ones."""
 
 from collections.abc import Sequence
 from typing import Protocol, cast
@@ -13,14 +13,14 @@
 
 
 class EntryGatewayClients(Protocol):
-    """The connections to entry gateways of other cells."""
+    """The clients for requests to entry gateways of other cells."""
 
     def client_for(self, forward: ForwardAttempt, /) -> RequestSender:
-        """The sender for requests to the entry gateway that `forward` names."""
+        """Returns the sender of requests to the entry gateway that `forward` names."""
 
 
 class CellularCore(Core):
-    """A core whose attempts may lead to other gateways."""
+    """A core that also sends attempts to entry gateways of other cells."""
 
     gateway: CellularGateway
 
@@ -36,11 +36,11 @@
     ) -> None:
         super().__init__(loop, gateway, terms, hosts, record, name)
         self.entry_gateways = entry_gateways
-        self.forwarded_in = 0  # requests that other gateways forwarded here
-        self.forwarded_out = 0  # attempts at other gateways
+        self.forwarded_in = 0  # requests received from other gateways
+        self.forwarded_out = 0  # attempts sent to other gateways
 
     def request_generator(self, now: int, request: interface.Request) -> ActionGenerator:
-        """The generator of a request, which is given whether another gateway forwarded the request."""
+        """Creates the generator of a request and passes it what a forwarding gateway said of the request."""
         forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
@@ -56,12 +56,12 @@
             super().start_attempt(key, number, attempt, now)
 
     def reject_request(self, key: str, rejection: interface.Reject) -> None:
-        """Rejects a request; the final answer says whether this gateway does not know the cell."""
+        """Rejects a request; the final answer also says whether this gateway does not know the cell."""
         self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
         super().reject_request(key, rejection)
 
     def update_cell_hosts(self, cell: str, rows: Sequence[interface.ListedHost]) -> None:
-        """Takes over the complete host list of a cell."""
+        """Applies a complete host list of a cell."""
         now = self.loop.now()
         self.gateway.update_hosts(now, rows, complete=True, cell=cell)
         self.start_housekeeping(now)
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -1,4 +1,4 @@
-"""How requests end: one final answer each, no attempt that begins after it, no state left behind."""
+"""Ends requests: each gets one final answer, no attempt starts after it, and no state remains."""
 
 from abc import abstractmethod
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from gaproute.telemetry.record import Record
 from gaproute.units import MILLI
 
-# The texts of final answers, as clients read them.
+# Texts of final answers, which clients receive.
 REJECTED_TEXT = "declined: it is safe to try again"
 MAY_HAVE_RUN_TEXT = "scrapped: it may have run, or may yet"
 DEADLINE_PASSED_TEXT = "scrapped: the time was up"
@@ -20,33 +20,33 @@
 
 
 class RequestCompletion(Driver):
-    """The requests in flight, and how each of them ends."""
+    """Keeps the requests in flight and ends each of them."""
 
     def __init__(self, gateway: DecisionModule, loop: Loop, record: Record) -> None:
         super().__init__(gateway)
         self.loop, self.record = loop, record
         self.in_flight: dict[str, RequestInFlight] = {}  # by id
-        self.on_idle: Callable[[], None] | None = None  # called when the last request is released
+        self.on_idle: Callable[[], None] | None = None  # called after the last request in flight is released
 
     @abstractmethod
     def _withdraw_attempts(self, request: RequestInFlight) -> None:
-        """Withdraws what must not begin once the request has its final answer or its client has left."""
+        """Withdraws the attempts that must not run after the final answer or after the client has left."""
 
     @abstractmethod
     def _time_out_attempts(self, request: RequestInFlight) -> None:
-        """Ends all attempts of a request whose deadline has passed."""
+        """Ends all attempts in flight of a request whose deadline has passed."""
 
-    # The final answer
+    # Final answers
 
     def reject_request(self, key: str, rejection: interface.Reject) -> None:
-        """Gives the final answer that the request did not run, or may run again, so that a retry is safe."""
+        """Gives the final answer that a retry is safe: the request did not run, or may run again."""
         request = self.in_flight[key]
         self._give_final_answer(
             request, Ending.REJECTED, REJECTED_TEXT, retry_after=rejection.retry_after, cause=rejection.reason
         )
 
     def fail_request(self, key: str) -> None:
-        """Gives the final answer that the request has failed: it may have run."""
+        """Gives the final answer that the request has failed and may have run."""
         self._give_final_answer(self.in_flight[key], Ending.FAILED, MAY_HAVE_RUN_TEXT)
 
     def _give_final_answer(
@@ -59,10 +59,10 @@
         retry_after: int = 0,
         cause: interface.RejectReason | None = None,
     ) -> None:
-        """Gives the one final answer; a second one is a fault of the decision module and reaches nobody."""
+        """Gives the final answer of a request; drops a second one and reports it as an internal error."""
         on_final, request.on_final = request.on_final, None
         if on_final is None:
-            self.record.internal_error("the decisions gave a second final answer", request.id)
+            self.record.internal_error("the decision module gave a second final answer", request.id)
             return
         self._record_end(request, ending, cause)
         never_ran = not request.may_have_run and not any(
@@ -98,9 +98,9 @@
             self.record.internal_error(f"answered {overdue} ms after the deadline", request.id)
 
     def _deadline_passed(self, key: str) -> None:
-        """Ends a request at its deadline: its attempts have timed out, and it fails if it is unanswered.
+        """Ends a request at its deadline: its attempts time out, and it fails if it has no final answer yet.
 
-        This guards against a decision module that answers late; one that answers in time is not affected.
+        This guards against a decision module that gives its final answers late.
         """
         request = self.in_flight[key]
         self._time_out_attempts(request)
@@ -110,17 +110,17 @@
             self._give_final_answer(request, Ending.FAILED, DEADLINE_PASSED_TEXT)
         self._release_if_complete(request)
 
-    # State
+    # State of requests
 
     def drop_generator(self, key: str) -> None:
-        """Drops a generator that has ended, and its request where that is complete."""
+        """Drops a generator that has ended, and releases its request if it is complete."""
         super().drop_generator(key)
         request = self.in_flight.get(key)
         if request is not None:
             self._release_if_complete(request)
 
     def _release_if_complete(self, request: RequestInFlight) -> None:
-        """Releases a request that is answered, has no attempt in flight and no generator."""
+        """Releases a request that has its final answer, no attempt in flight and no generator."""
         if request.on_final is not None or request.attempts or request.id in self.generators:
             return
         if self.in_flight.pop(request.id, None) is None:
@@ -132,18 +132,18 @@
     # Errors
 
     def _call_guarded(self, key: str, step: Callable[..., object], *arguments: object) -> None:
-        """Calls a step of one request's decisions; an error ends that request alone."""
+        """Calls `step`, which runs decisions on one request; an error ends only that request."""
         try:
             step(*arguments)
-        except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
+        except Exception as error:  # noqa: BLE001 - no error may affect other requests
             self._handle_decision_error(key, error)
 
     def _handle_decision_error(self, key: str, error: Exception) -> None:
-        """Reports an error of the decision module and ends the generator that it came from."""
+        """Reports an error of the decision module and drops the generator that raised it."""
         self.loop.failed(error)
         self.record.internal_error(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
-            self.housekeeping_generator = None  # started again with the next host list
+            self.housekeeping_generator = None  # a new one starts with the next host list
             return
         request = self.in_flight.get(key)
         if request is not None and request.on_final is not None:
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -1,7 +1,7 @@
-"""The core of a running gateway: requests from any front, actions to the hosts, one final answer for each.
+"""Connects the fronts, the decisions and the hosts of a running gateway.
 
-A front (the server of one client protocol) hands in a `Call` and gets one `Final` for it; the hosts report
-one `AttemptResult` for each attempt. Fronts and hosts do not know of each other.
+A front (the server of one client protocol) submits a `Call` and receives one `Final` for it. The hosts report
+one `AttemptResult` for each attempt. Fronts and hosts do not depend on each other.
 """
 
 from collections.abc import Callable, Sequence
@@ -19,7 +19,7 @@
 
 
 class Core(AttemptRunner):
-    """One gateway's requests, its decisions and its hosts. Times are ns of the loop's clock."""
+    """Drives the decisions of one gateway on its requests and its hosts. Times are ns of the loop's clock."""
 
     def __init__(
         self,
@@ -30,15 +30,15 @@
         record: Record,
         name: str,
     ) -> None:
-        """`name` begins the ids of its requests: no two gateways have the same."""
+        """`name`: the prefix of the gateway's ids of requests, which no other gateway may have."""
         super().__init__(gateway, loop, record, hosts, terms.request_classes)
         self.name = name
         self.wait_timers: dict[str, Timer] = {}  # by key
-        self.submitted_count = 0  # requests so far
-        self.send_to_peers: Callable[[bytes], None] | None = None  # None: no other gateways
-        self.on_arrival: Callable[[int, str, int], None] | None = None  # (now, function, class) of each
+        self.submitted_count = 0  # number of submitted requests
+        self.send_to_peers: Callable[[bytes], None] | None = None  # None: there are no other gateways
+        self.on_arrival: Callable[[int, str, int], None] | None = None  # takes time, function, request class
 
-    # From the fronts
+    # Requests of the fronts
 
     def submit(
         self,
@@ -51,11 +51,11 @@
         time_left: int,
         on_final: Callable[[Final], None],
     ) -> str:
-        """Takes a request and returns the gateway's id for it.
+        """Accepts a request and returns the id that the gateway assigns to it.
 
         `request_class` and `tenant` are indices in the terms; `lanes` is the number of requests that one
         instance runs at a time. The client waits for `time_left` ns from `first_byte_at` on. `on_final` is
-        called once, and never before this method has returned.
+        called once, and never before this method returns.
         """
         self.submitted_count += 1
         key = f"{self.name}-{self.submitted_count:x}"
@@ -73,7 +73,7 @@
                     key, tenant, remaining_time, call.function, lanes, load_time, request_class
                 ),
             )
-        except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
+        except Exception as error:  # noqa: BLE001 - no error may affect other requests
             self._handle_decision_error(key, error)
         return key
 
@@ -93,7 +93,7 @@
             )
 
     def client_left(self, key: str) -> None:
-        """Notes that the client has left: no attempt of its request begins from now on."""
+        """Handles the departure of a client: no further attempt of its request starts."""
         request = self.in_flight.get(key)
         if request is None or request.on_final is None:
             return
@@ -106,7 +106,7 @@
         self._release_if_complete(request)
 
     def end_requests_by(self, when: int) -> None:
-        """Has each request get its final answer by `when`, as the process ends soon."""
+        """Ensures that each request gets its final answer by `when`, as the process ends soon."""
         self.gateway.end_by = when
         self.loop.at(when, self._end_all_requests)
 
@@ -119,7 +119,7 @@
     # Waits
 
     def start_wait(self, key: str, until: int, now: int) -> None:
-        """Resumes the key's generator at `until`, in place of any earlier wait."""
+        """Schedules the end of the generator's wait at `until`; replaces an earlier wait of the key."""
         self.cancel_wait(key)
         self.wait_timers[key] = self.loop.at(until, self._wait_elapsed, key)
 
@@ -136,16 +136,16 @@
     # Hosts
 
     def update_hosts(self, rows: Sequence[interface.ListedHost], *, complete: bool) -> None:
-        """Takes over the host list (`complete`), or a change of it."""
+        """Applies a host list (`complete`) or changes of it."""
         now = self.loop.now()
         self.gateway.update_hosts(now, rows, complete=complete)
         self.start_housekeeping(now)
 
     def watch_host_list(self) -> None:
-        """Does nothing: a running gateway gets its host list without asking for it."""
+        """Does nothing: a running gateway receives its host list without a request."""
 
     def order_load(self, host: str, function: str, copies: int) -> None:
-        """Orders a host to load a function."""
+        """Sends a load order to a host."""
         self.record.load_ordered(host)
         ordered_at = self.loop.now()
         self.hosts.order(
@@ -174,7 +174,7 @@
         self.gateway.load_order_ended(now, host, function, result, copies_loaded)
 
     def probe_host(self, host: str) -> None:
-        """Checks a host's health."""
+        """Sends a health check to a host."""
         self.hosts.probe(host, partial(self._probe_answered, host))
 
     def _probe_answered(self, host: str, report: interface.Report | None, *, good: bool) -> None:
@@ -183,10 +183,10 @@
     # Other gateways
 
     def broadcast(self, payload: bytes) -> None:
-        """Sends a payload to all other gateways, where there are any."""
+        """Sends a payload to all other gateways, if there are any."""
         if self.send_to_peers is not None:
             self.send_to_peers(payload)
 
     def receive_broadcast(self, payload: bytes, /) -> None:
-        """Takes a payload of another gateway; one that cannot be decoded is ignored."""
+        """Passes a payload of another gateway to the decisions, which ignore a malformed one."""
         self.gateway.peer_message_received(self.loop.now(), payload)
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -1,30 +1,30 @@
-"""Drives the generators of one gateway's decisions, in a running gateway and in the bench adapter alike."""
+"""Drives the generators of one gateway's decisions, both in a running gateway and in the bench adapter."""
 
 from abc import ABC, abstractmethod
 
 from gaproute import interface
 from gaproute.core.ports import Action, ActionGenerator, DecisionModule, Resumption
 
-HOUSEKEEPING = ""  # the key of the housekeeping generator, beside the ids of requests
+HOUSEKEEPING = ""  # key of the housekeeping generator; all other keys are ids of requests
 
 
 class Driver(ABC):
-    """One gateway: its decision module and the generators of its requests.
+    """Drives one gateway's decision module and the generators of its requests.
 
-    A subclass carries out the actions. A key is a request's id or `HOUSEKEEPING`; times are ns.
+    A subclass carries out the actions. A key is the id of a request or `HOUSEKEEPING`; times are ns.
     """
 
     def __init__(self, gateway: DecisionModule) -> None:
         self.gateway = gateway
-        self.generators: dict[str, ActionGenerator] = {}  # by the request's id
-        self.attempt_counts: dict[str, int] = {}  # attempts started, by the request's id
+        self.generators: dict[str, ActionGenerator] = {}  # by the id of the request
+        self.attempt_counts: dict[str, int] = {}  # by the id of the request: attempts started
         self.housekeeping_generator: ActionGenerator | None = None
 
-    # Carried out by the derived class
+    # Actions, carried out by the subclass
 
     @abstractmethod
     def start_wait(self, key: str, until: int, now: int) -> None:
-        """Calls `wait_elapsed` at `until`, in place of any earlier wait of the key."""
+        """Schedules a call of `wait_elapsed` at `until`; replaces an earlier wait of the key."""
 
     @abstractmethod
     def cancel_wait(self, key: str) -> None:
@@ -32,7 +32,7 @@
 
     @abstractmethod
     def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
-        """Sends a request to a host as its attempt `number`."""
+        """Sends the attempt `number` of a request to a host."""
 
     @abstractmethod
     def cancel_attempt(self, key: str, number: int) -> None:
@@ -40,11 +40,11 @@
 
     @abstractmethod
     def order_load(self, host: str, function: str, copies: int) -> None:
-        """Orders a host to load a function."""
+        """Sends a load order to a host; `copies` is that of `interface.LoadOrder`."""
 
     @abstractmethod
     def probe_host(self, host: str) -> None:
-        """Checks a host's health; `probe_answered` follows."""
+        """Sends a health check to a host; its end leads to a call of `probe_answered`."""
 
     @abstractmethod
     def broadcast(self, payload: bytes) -> None:
@@ -52,20 +52,20 @@
 
     @abstractmethod
     def watch_host_list(self) -> None:
-        """Asks for the host list and its changes."""
+        """Requests the host list and its changes."""
 
     @abstractmethod
     def reject_request(self, key: str, rejection: interface.Reject) -> None:
-        """Gives the final answer that the request did not run, or may run again."""
+        """Gives the final answer that a retry is safe: the request did not run, or may run again."""
 
     @abstractmethod
     def fail_request(self, key: str) -> None:
-        """Gives the final answer that the request has failed: it may have run."""
+        """Gives the final answer that the request has failed and may have run."""
 
-    # Called as something happens
+    # Events, reported by the subclass
 
     def start_housekeeping(self, now: int) -> None:
-        """Starts the housekeeping generator at the first host list; does nothing at later ones."""
+        """Starts the housekeeping generator, unless it runs; called for each host list."""
         if self.housekeeping_generator is None:
             self.housekeeping_generator = self.gateway.housekeep(now)
             self.advance_generator(HOUSEKEEPING, self.housekeeping_generator, None, now)
@@ -78,11 +78,11 @@
         self.advance_generator(request.id, generator, None, now)
 
     def request_generator(self, now: int, request: interface.Request) -> ActionGenerator:
-        """The generator of a request."""
+        """Creates the generator of a request."""
         return self.gateway.serve(now, request)
 
     def wait_elapsed(self, key: str, now: int) -> None:
-        """Resumes a generator whose wait has ended by its time, before any outcome."""
+        """Resumes a generator whose wait has elapsed before any outcome arrived."""
         self.resume_generator(key, now, None)
 
     def handle_outcome(self, now: int, outcome: interface.Outcome) -> None:
@@ -91,13 +91,13 @@
         self.resume_generator(outcome.request, now, outcome)
 
     def abandon_request(self, now: int, key: str) -> None:
-        """Ends the generator of a request whose client has left; no final answer is owed."""
+        """Ends the generator of a request whose client has left and needs no final answer."""
         if key in self.generators:
             self.resume_generator(key, now, _client_left_outcome(key))
             self.drop_generator(key)
 
     def probe_answered(self, now: int, host: str, report: interface.Report | None, *, good: bool) -> None:
-        """Accounts for a health check that has ended; broadcasts the message that the decisions return."""
+        """Accounts for the end of a health check; broadcasts the message that the decisions return."""
         payload = self.gateway.probe_ended(now, host, report, good=good)
         if payload is not None:
             self.broadcast(payload)
@@ -105,14 +105,14 @@
     # Generators
 
     def resume_generator(self, key: str, now: int, outcome: interface.Outcome | None) -> None:
-        """Ends a generator's wait by an outcome, or by its time (None); does nothing without a generator."""
+        """Resumes the generator of the key, if there is one; `outcome` is None if its wait has elapsed."""
         generator = self.housekeeping_generator if key == HOUSEKEEPING else self.generators.get(key)
         if generator is not None:
             self.cancel_wait(key)
             self.advance_generator(key, generator, (now, outcome), now)
 
     def advance_generator(self, key: str, generator: ActionGenerator, value: Resumption, now: int) -> None:
-        """Resumes a generator and carries out its actions until it waits or ends."""
+        """Resumes a generator with `value` and carries out its actions until it waits or ends."""
         while True:
             try:
                 action = generator.send(value)
@@ -147,7 +147,7 @@
             case interface.PollHostList():
                 self.watch_host_list()
             case _:
-                raise TypeError(f"unknown action {action!r}")
+                raise TypeError(f"the decision module yielded {action!r}, which is no action")
 
     def drop_generator(self, key: str) -> None:
         """Drops a generator that has ended, with its wait."""
@@ -157,7 +157,7 @@
 
 
 def _client_left_outcome(request_id: str) -> interface.Outcome:
-    """The outcome by which a generator learns that the client has left."""
+    """Creates the outcome that tells a generator that the client of its request has left."""
     return interface.Outcome(
         request_id, -1, "", interface.Result.CLIENT_LEFT, 0, True, interface.Found.UNKNOWN, None, None
     )
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -1,4 +1,4 @@
-"""A request in flight, its attempts, and what the hosts report of each attempt."""
+"""Defines requests in flight, their attempts, and the results that the hosts report of attempts."""
 
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
@@ -9,17 +9,17 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, in the terms of the decision module."""
+    """The end of an attempt, in the types of the decision module."""
 
     result: interface.Result
-    answer: Answer | None  # with Result.OK
+    answer: Answer | None  # None unless the result is OK
     found: interface.Found = interface.Found.UNKNOWN
     same_function_requests: int | None = None
     report: interface.Report | None = None
 
 
 class AttemptHandle(Protocol):
-    """The hosts' handle of an attempt that has not ended."""
+    """A handle of an attempt that has not ended."""
 
     @property
     def started(self) -> bool:
@@ -27,13 +27,13 @@
 
     @property
     def cancellable(self) -> bool:
-        """Whether a started attempt may still be withdrawn, as the host cannot run it yet.
+        """Whether a started attempt can still be withdrawn, as the host cannot run it yet.
 
-        It is read only once `started` is true.
+        Valid only if `started` is true.
         """
 
     def cancel(self) -> None:
-        """Ends the attempt; its result is not reported any more."""
+        """Ends the attempt; its result is no longer reported."""
 
 
 class AttemptInFlight(NamedTuple):
@@ -45,7 +45,7 @@
 
 
 class RequestInFlight:
-    """A request until it has its final answer and its last attempt has ended; times are ns of the loop."""
+    """A request that lacks its final answer or has attempts in flight. Times are ns of the loop's clock."""
 
     __slots__ = (
         "attempt_count",
@@ -75,14 +75,14 @@
     ) -> None:
         self.id = request_id
         self.call = call
-        self.request_class = request_class  # its index in the terms
-        self.on_final: Callable[[Final], None] | None = on_final  # None: answered, or its client has left
+        self.request_class = request_class  # index in the terms
+        self.on_final: Callable[[Final], None] | None = on_final  # None: answered, or the client has left
         self.first_byte_at = first_byte_at
         self.deadline = deadline
         self.deadline_timer = deadline_timer
-        self.attempts: dict[int, AttemptInFlight] = {}  # by number
-        self.attempt_count = 0  # started so far
-        self.may_have_run = False  # by an attempt that has ended
-        self.cell_unknown = False  # rejected because this gateway does not know its cell
-        self.found = interface.Found.UNKNOWN  # by the attempt that delivered the answer
-        self.log_step: Callable[..., None] | None = None  # where its steps are logged
+        self.attempts: dict[int, AttemptInFlight] = {}  # by attempt number
+        self.attempt_count = 0  # number of started attempts
+        self.may_have_run = False  # whether an attempt that has ended may have run
+        self.cell_unknown = False  # whether it was rejected for an unknown cell
+        self.found = interface.Found.UNKNOWN  # reported with the answer
+        self.log_step: Callable[..., None] | None = None  # None: not traced
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core needs of its neighbours: the decision module above it and the hosts below it."""
+"""Defines the interfaces of the decision module and of the hosts that the core uses."""
 
 from collections.abc import Callable, Generator, Sequence
 from typing import Protocol
@@ -17,7 +17,8 @@
     | interface.Reject
     | interface.Fail
 )
-# What a generator is resumed with: nothing, an attempt's number, or the time and what ended its wait.
+# Value that resumes a generator: None, the number of an attempt, or the time and the outcome that ended its
+# wait.
 Resumption = tuple[int, interface.Outcome | None] | int | None
 ActionGenerator = Generator[Action, Resumption, None]
 
@@ -25,13 +26,13 @@
 class DecisionModule(Protocol):
     """The decisions of one gateway; `now` is ns of the monotonic clock."""
 
-    end_by: int  # when each request must have its final answer
+    end_by: int  # time by which each request must have its final answer
 
     def serve(self, now: int, request: interface.Request, /) -> ActionGenerator:
-        """The generator of one request, up to its final answer."""
+        """Creates the generator of one request, which runs up to the final answer."""
 
     def housekeep(self, now: int, /) -> ActionGenerator:
-        """The generator of health checks and cleanup, for as long as the gateway runs."""
+        """Creates the generator of health checks and cleanup, which runs as long as the gateway."""
 
     def attempt_ended(self, now: int, outcome: interface.Outcome, /) -> None:
         """Accounts for the outcome of an attempt."""
@@ -39,25 +40,25 @@
     def probe_ended(
         self, now: int, host: str, report: interface.Report | None, /, *, good: bool
     ) -> bytes | None:
-        """Accounts for a health check. Returns the message for all other gateways, or None."""
+        """Accounts for the end of a health check; returns the message for all other gateways, or None."""
 
     def peer_message_received(self, now: int, payload: bytes, /) -> None:
-        """Takes a message of another gateway; one that cannot be decoded is ignored."""
+        """Handles a message of another gateway; ignores a message that cannot be decoded."""
 
     def update_hosts(self, now: int, rows: Sequence[interface.ListedHost], /, *, complete: bool) -> None:
-        """Takes over the host list (`complete`) or a change of it."""
+        """Applies a host list (`complete`) or changes of it."""
 
     def host_list_poll_failed(self, now: int, /) -> None:
-        """Notes that a poll of the host list was refused."""
+        """Handles the refusal of a poll of the host list."""
 
     def load_order_ended(
         self, now: int, host: str, function: str, result: interface.Result | None, copies: int, /
     ) -> None:
-        """Accounts for the end of a load order; `copies`: instances that are loaded at the host now."""
+        """Accounts for the end of a load order; `copies`: instances of the function loaded at the host."""
 
 
 class RequestSender(Protocol):
-    """Sends requests. Each `done` is called once, and never before the call that it was given to returns."""
+    """Sends requests. Each `done` is called once, and never before the method that takes it returns."""
 
     def send(
         self,
@@ -70,26 +71,27 @@
         done: Callable[[AttemptResult], None],
         /,
     ) -> AttemptHandle:
-        """Sends a request to one host; `request_id` is the gateway's id of it.
+        """Sends a request to one host; `request_id` is the id that the gateway assigned to the request.
 
-        The attempt starts before `latest_start` or never; the client waits until `client_deadline`; both ns.
+        The attempt starts before `latest_start` or never. The client waits until `client_deadline`. Times are
+        ns.
         """
 
 
 class OnProbeEnded(Protocol):
-    """Called once a health check has ended."""
+    """The callback for the end of a health check."""
 
     def __call__(self, report: interface.Report | None, /, *, good: bool) -> object:
-        """`report`: what the host said of its load; `good`: whether it can serve requests."""
+        """`report`: the load report of the host; `good`: whether the host can serve requests."""
 
 
 class Hosts(RequestSender, Protocol):
-    """Sends requests, load orders and health checks to hosts; `done` as for `RequestSender`."""
+    """Sends requests, load orders and health checks to hosts; for `done`, see `RequestSender`."""
 
     def order(
         self, host: str, function: str, copies: int, done: Callable[[interface.Result, int], None], /
     ) -> None:
-        """Orders a host to load a function; `done` gets the result and how many instances are loaded."""
+        """Sends a load order; `done` takes the result and the number of instances loaded at the host."""
 
     def probe(self, host: str, done: OnProbeEnded, /) -> None:
-        """Checks a host's health; `done` is not called where the check could not be sent."""
+        """Sends a health check to a host; `done` is not called if it could not be sent."""
