--- a/gaproute/benchlink/__main__.py
+++ b/gaproute/benchlink/__main__.py
@@ -9,7 +9,7 @@
 from gaproute.benchlink.batch_dispatcher import BatchDispatcher
 
 EXIT_OK, EXIT_MALFORMED_LINE = 0, 2
-LOGGED_CHARACTERS = 200  # characters of a malformed line that are logged
+MAX_LOGGED_CHARACTERS = 200  # characters of a malformed line that are logged
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
@@ -22,7 +22,7 @@
         try:
             reply = dispatcher.handle_line(text)
         except (ValueError, KeyError, IndexError) as error:
-            print(f"benchlink: line {number}: {error}: {text[:LOGGED_CHARACTERS]}", file=sys.stderr)
+            print(f"benchlink: line {number}: {error}: {text[:MAX_LOGGED_CHARACTERS]}", file=sys.stderr)
             return EXIT_MALFORMED_LINE
         if reply is not None:
             sink.write("\n".join(reply) + "\n")
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -37,7 +37,7 @@
 }
 OK_RESULT = "0"
 # Results with which a host reports its number of requests of the same function, if hosts report it at all.
-COUNTED_RESULTS = (interface.Result.OK, interface.Result.FULL)
+RESULTS_WITH_REQUEST_COUNT = (interface.Result.OK, interface.Result.FULL)
 FLAGS = {"0": False, "1": True, ABSENT: False}
 # The remark of an outcome has two parts: its lower bits are what the attempt found (`interface.Found`), and
 # the other bits are the number of requests of the same function at the host.
@@ -111,11 +111,12 @@
 
 @decoder
 def decode_outcome(
-    line: AttemptEnded, counted_results: tuple[interface.Result, ...]
+    line: AttemptEnded, results_with_request_count: tuple[interface.Result, ...]
 ) -> interface.Outcome | None:
     """Converts the outcome of an attempt; returns None if its result is unknown.
 
-    `counted_results`: the results whose remark has the number of requests of the same function at the host.
+    `results_with_request_count`: the results whose remark has the number of requests of the same function at
+    the host.
     """
     result = RESULTS.get(line.result)
     if result is None:
@@ -130,7 +131,7 @@
         _parse_duration(line.elapsed) or 0,
         _parse_flag(line.ended),
         interface.Found(found if found <= MAX_FOUND else 0),
-        remark >> FOUND_BITS if result in counted_results else None,
+        remark >> FOUND_BITS if result in results_with_request_count else None,
         _parse_report(line.report),
     )
 
--- a/gaproute/benchlink/events.py
+++ b/gaproute/benchlink/events.py
@@ -14,7 +14,7 @@
 
 def on_attempt_ended(instance: Instance, now: int, line: lines.AttemptEnded) -> None:
     """Handles the outcome of an attempt; an unknown result is ignored."""
-    outcome = decoding.decode_outcome(line, instance.counted_results)
+    outcome = decoding.decode_outcome(line, instance.results_with_request_count)
     if outcome is not None:
         instance.handle_outcome(now, outcome)
 
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from gaproute import interface
-from gaproute.benchlink.decoding import COUNTED_RESULTS, encode_milliseconds
+from gaproute.benchlink.decoding import RESULTS_WITH_REQUEST_COUNT, encode_milliseconds
 from gaproute.core.driver import Driver
 from gaproute.core.ports import DecisionModule
 
@@ -19,7 +19,7 @@
 
     def __init__(self, gateway_factory: GatewayFactory, seed: int, terms: interface.Terms, now: int) -> None:
         super().__init__(gateway_factory(seed, terms, now))
-        self.counted_results = COUNTED_RESULTS if terms.same_function_counted else ()
+        self.results_with_request_count = RESULTS_WITH_REQUEST_COUNT if terms.same_function_counted else ()
         self.wait_numbers: dict[str, str] = {}  # by key: the number of the current wait
         self.timer_count = 0
         self.reply_lines: list[str] = []  # lines of the next reply
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -31,9 +31,9 @@
 
     def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host."""
-        self._send(self.hosts, key, number, attempt, now)
+        self._send_attempt(self.hosts, key, number, attempt, now)
 
-    def _send(
+    def _send_attempt(
         self, hosts: RequestSender, key: str, number: int, attempt: interface.Attempt, now: int
     ) -> None:
         """Sends an attempt of a request through `hosts` and registers it as in flight."""
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -31,10 +31,10 @@
         terms: interface.Terms,
         hosts: Hosts,
         record: Record,
-        name: str,
+        id_prefix: str,
         entry_gateways: EntryGatewayClients,
     ) -> None:
-        super().__init__(loop, gateway, terms, hosts, record, name)
+        super().__init__(loop, gateway, terms, hosts, record, id_prefix)
         self.entry_gateways = entry_gateways
         self.forwarded_in = 0  # requests received from other gateways
         self.forwarded_out = 0  # attempts sent to other gateways
@@ -51,7 +51,7 @@
         """Sends a request to a host, or to an entry gateway of another cell."""
         if isinstance(attempt, ForwardAttempt):
             self.forwarded_out += 1
-            self._send(self.entry_gateways.client_for(attempt), key, number, attempt, now)
+            self._send_attempt(self.entry_gateways.client_for(attempt), key, number, attempt, now)
         else:
             super().start_attempt(key, number, attempt, now)
 
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -28,11 +28,11 @@
         terms: interface.Terms,
         hosts: Hosts,
         record: Record,
-        name: str,
+        id_prefix: str,
     ) -> None:
-        """`name`: the prefix of the gateway's ids of requests, which no other gateway may have."""
+        """`id_prefix`: the prefix of the gateway's ids of requests, which no other gateway may have."""
         super().__init__(gateway, loop, record, hosts, terms.request_classes)
-        self.name = name
+        self.id_prefix = id_prefix
         self.wait_timers: dict[str, Timer] = {}  # by key
         self.submitted_count = 0  # number of submitted requests
         self.send_to_peers: Callable[[bytes], None] | None = None  # None: there are no other gateways
@@ -58,7 +58,7 @@
         called once, and never before this method returns.
         """
         self.submitted_count += 1
-        key = f"{self.name}-{self.submitted_count:x}"
+        key = f"{self.id_prefix}-{self.submitted_count:x}"
         now = self.loop.now()
         remaining_time = max(0, first_byte_at + time_left - now)
         deadline = now + remaining_time
--- a/gaproute/decisions/admission/restarts.py
+++ b/gaproute/decisions/admission/restarts.py
@@ -13,14 +13,14 @@
 MAX_DELAY = 10 * SECOND  # longest delay: processes start soon after a broken configuration is repaired
 HEALTHY_UPTIME = 10 * SECOND  # an exit after at least this uptime is not an early exit
 DELAY_JITTER_SHARE = 0.25  # share of the delay up to which a random time is added
-MIN_SPACING = 300 * MILLI  # shortest time between two starts: about the CPU time that a start takes
+MIN_START_INTERVAL = 300 * MILLI  # shortest time between two starts: about the CPU time that a start takes
 
 _MAX_DOUBLINGS = 32
 _JITTER_STEPS = 1000
 
 
 class RestartBackoff:
-    """Exponential backoff for each process slot; all starts are at least `MIN_SPACING` apart."""
+    """Exponential backoff for each process slot; all starts are at least `MIN_START_INTERVAL` apart."""
 
     def __init__(self, chance: Chance) -> None:
         self.early_exit_counts: dict[int, int] = {}  # by process slot: consecutive early exits
@@ -39,6 +39,6 @@
         """Reserves and returns the next possible start time (ns), which is `earliest` or later."""
         start = earliest
         if self.last_start_time is not None:
-            start = max(start, self.last_start_time + MIN_SPACING)
+            start = max(start, self.last_start_time + MIN_START_INTERVAL)
         self.last_start_time = start
         return start
--- a/gaproute/decisions/reports/hint_selector.py
+++ b/gaproute/decisions/reports/hint_selector.py
@@ -77,17 +77,17 @@
         self._keep_alive, self._request_classes, self._random = keep_alive, request_classes, random
 
     def apply_hints(
-        self, gateway: HintReceiver, now: int, start_times: HostStartTimes, subjects: Collection[Subject]
+        self, receiver: HintReceiver, now: int, start_times: HostStartTimes, subjects: Collection[Subject]
     ) -> int:
         """Passes the observations of these subjects to the decisions; returns the number of hints used."""
         functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
         used_count = sum(
-            [int(gateway.hint_instance(*hint)) for hint in self.warm_hints(now, start_times, functions)]
+            [int(receiver.hint_instance(*hint)) for hint in self.warm_hints(now, start_times, functions)]
         )
         for subject in subjects:
             observation = self.observations.by_subject.get(subject)
             if observation is not None and subject[0] not in NOT_APPLIED_SINGLY:
-                used_count += self._apply_hint(gateway, start_times, subject, observation)
+                used_count += self._apply_hint(receiver, start_times, subject, observation)
         return used_count
 
     def warm_hints(
@@ -155,7 +155,7 @@
 
     def _apply_hint(
         self,
-        gateway: HintReceiver,
+        receiver: HintReceiver,
         start_times: HostStartTimes,
         subject: Subject,
         observation: SharedObservation,
@@ -164,16 +164,16 @@
         kind, *names = subject
         value = observation.value[0]
         if kind == ObservationKind.USUAL_TIME:
-            return int(gateway.hint_usual_time(names[0], value))
+            return int(receiver.hint_usual_time(names[0], value))
         if kind == ObservationKind.LOAD_TIME:
-            return int(gateway.hint_usual_time(None, value))
+            return int(receiver.hint_usual_time(None, value))
         reason = self._rejection_reason(names[0], observation, None, start_times)
         if reason is None and kind == ObservationKind.SLOWDOWN:
-            return int(gateway.hint_slowdown(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
+            return int(receiver.hint_slowdown(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
         if reason is None and names[1] not in self._request_classes:
             reason = ObservationRejection.UNKNOWN_REQUEST_CLASS
         if reason is not None:
             self.observations.rejections[reason] += 1
             return 0
         request_class = self._request_classes[names[1]]
-        return int(gateway.hint_failures(names[0], request_class, value, observation.observed_at))
+        return int(receiver.hint_failures(names[0], request_class, value, observation.observed_at))
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -66,7 +66,7 @@
 
 
 def own_observations(
-    gateway: ObservationSource,
+    source: ObservationSource,
     history: HostHistory,
     request_classes: Sequence[str],
     now: int,
@@ -80,7 +80,7 @@
         if entry.listed_at > since:
             subject = (ObservationKind.LISTED_STATE.value, name)
             yield OwnObservation(subject, (entry.state, entry.started), entry.listed_at)
-    for observation in gateway.observations_since(now, since):
+    for observation in source.observations_since(now, since):
         value: Value = observation.value
         if observation.kind == ObservationKind.WARM_INSTANCE:
             listed = history.entries.get(str(observation.names[0]))
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -20,7 +20,7 @@
     FIRST_DELAY,
     HEALTHY_UPTIME,
     MAX_DELAY,
-    MIN_SPACING,
+    MIN_START_INTERVAL,
     RestartBackoff,
 )
 from gaproute.decisions.chance import Chance
@@ -45,14 +45,14 @@
     assert waits[0] >= 2 * FIRST_DELAY
     assert waits[-1] <= MAX_DELAY * (1 + DELAY_JITTER_SHARE)
     assert made.schedule_restart(now, 0, HEALTHY_UPTIME) - now <= max(
-        MIN_SPACING, FIRST_DELAY * (1 + DELAY_JITTER_SHARE)
+        MIN_START_INTERVAL, FIRST_DELAY * (1 + DELAY_JITTER_SHARE)
     )
 
 
 def test_many_that_die_at_one_moment_are_started_apart():
     made = RestartBackoff(Chance(1))
     starts = sorted(made.schedule_restart(0, slot, HEALTHY_UPTIME) for slot in range(8))
-    assert all(later - earlier >= MIN_SPACING for earlier, later in pairwise(starts))
+    assert all(later - earlier >= MIN_START_INTERVAL for earlier, later in pairwise(starts))
 
 
 def test_a_process_slot_has_a_name_and_addresses_of_its_own_and_the_others_as_peers():
