--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -1,9 +1,9 @@
-"""The core with scripted decisions and scripted hosts, on a clock that stands still."""
+"""The core with scripted decisions and scripted hosts, on a clock that only the waits of the loop advance."""
 
 import pytest
 from helpers import TERMS
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.core import Core
 from gaproute.core.in_flight import AttemptResult
 from gaproute.interface.call import Answer, Call, Ending
@@ -11,11 +11,11 @@
 from gaproute.telemetry.record import Record
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-DONE = AttemptResult(face.Result.OK, Answer(200, (), b"done"))
+DELIVERED_RESULT = AttemptResult(interface.Result.OK, Answer(200, (), b"done"))
 
 
-class Scripted:
-    """Decisions whose `serve` is the test's."""
+class ScriptedDecisions:
+    """Decisions whose `serve` the test defines."""
 
     def __init__(self, serve):
         self.serve, self.outcomes = serve, []
@@ -24,215 +24,217 @@
         self.outcomes.append(outcome)
 
     def housekeep(self, now):
-        yield face.Wait(now + SECOND)
+        yield interface.Wait(now + SECOND)
 
     def update_hosts(self, now, rows, *, complete):
         pass
 
 
-class Handle:
-    """The hosts' handle of an attempt."""
+class ScriptedHandle:
+    """The handle of an attempt at the scripted hosts."""
 
-    cancellable = False  # its host has it whole
+    cancellable = False  # the host has received the request completely
 
     def __init__(self, cancel, started):
         self.cancel, self.started = cancel, started
 
 
-class Hosts:
-    started = True
+class ScriptedHosts:
+    started = True  # whether the host of an attempt has received any byte of the request
 
     def __init__(self):
         self.sent, self.cancelled = [], []
 
     def send(self, host, call, idempotency, request, limit, until, done):
         self.sent.append(done)
-        return Handle(lambda: self.cancelled.append(host), self.started)
+        return ScriptedHandle(lambda: self.cancelled.append(host), self.started)
 
 
-class Log:
+class IgnoringLog:
     def __getattr__(self, level):
         return lambda *_, **__: None
 
 
-def core(serve):
+def make_core(serve):
     loop = Loop(Stepped())
     loop.on_error = lambda error: None
-    made = Core(loop, Scripted(serve), TERMS, Hosts(), Record(Log(), ["a", "b", "c"]), "g")
-    made.finals = []
-    return made
+    core = Core(
+        loop, ScriptedDecisions(serve), TERMS, ScriptedHosts(), Record(IgnoringLog(), ["a", "b", "c"]), "g"
+    )
+    core.finals = []
+    return core
 
 
-def submit(made, left=SECOND):
-    return made.submit(Call("m", "", (), b""), 0, 0, 1, None, made.loop.now(), left, made.finals.append)
+def submit(core, time_left=SECOND):
+    return core.submit(Call("m", "", (), b""), 0, 0, 1, None, core.loop.now(), time_left, core.finals.append)
 
 
-def run(made, span=0):
-    made.loop.run(until=made.loop.sleep(span))
+def run_loop(core, duration=0):
+    core.loop.run(until=core.loop.sleep(duration))
 
 
 def attempt_and_wait(now, request):
-    yield face.Attempt("w")
-    _, outcome = yield face.Wait(now + 10 * SECOND)
+    yield interface.Attempt("w")
+    _, outcome = yield interface.Wait(now + 10 * SECOND)
 
 
-def test_a_delivered_answer_is_final_and_the_decisions_are_notified_of_its_end():
-    made = core(attempt_and_wait)
-    submit(made)
-    made.hosts.sent[0](DONE)
-    run(made)
-    assert [final.ending for final in made.finals] == [Ending.DELIVERED]
-    assert made.finals[0].answer.body == b"done"
-    assert made.gateway.outcomes[0].ended
-    assert not made.in_flight
-    assert not made.wait_timers
+def test_an_answer_is_delivered_as_the_final_answer_and_the_decisions_learn_the_outcome():
+    core = make_core(attempt_and_wait)
+    submit(core)
+    core.hosts.sent[0](DELIVERED_RESULT)
+    run_loop(core)
+    assert [final.ending for final in core.finals] == [Ending.DELIVERED]
+    assert core.finals[0].answer.body == b"done"
+    assert core.gateway.outcomes[0].ended
+    assert not core.in_flight
+    assert not core.wait_timers
 
 
-def test_a_second_final_answer_reaches_nobody():
+def test_a_second_final_answer_is_dropped():
     def serve(now, request):
-        yield face.Reject(5)
-        yield face.Fail()
+        yield interface.Reject(5)
+        yield interface.Fail()
 
-    made = core(serve)
-    submit(made)
-    run(made)
-    assert [final.ending for final in made.finals] == [Ending.REJECTED]
-    assert made.finals[0].retry_after == 5
+    core = make_core(serve)
+    submit(core)
+    run_loop(core)
+    assert [final.ending for final in core.finals] == [Ending.REJECTED]
+    assert core.finals[0].retry_after == 5
 
 
 @pytest.mark.parametrize("when", ["first", "later"])
-def test_an_error_of_the_decisions_ends_that_request_alone(when):
+def test_an_error_of_the_decisions_ends_only_its_request(when):
     def serve(now, request):
         if when == "later":
-            yield face.Attempt("w")
-            yield face.Wait(now + MILLI)
+            yield interface.Attempt("w")
+            yield interface.Wait(now + MILLI)
         raise KeyError("odd")
         yield
 
-    made = core(serve)
-    submit(made)
-    run(made, 2 * MILLI)
-    assert [final.ending for final in made.finals] == [Ending.FAILED]
-    made.gateway.serve = attempt_and_wait
-    submit(made)
-    made.hosts.sent[-1](DONE)
-    run(made)
-    assert made.finals[-1].ending is Ending.DELIVERED
-
-
-def test_a_request_that_the_decisions_never_end_fails_at_its_deadline():
-    made = core(lambda now, request: iter([face.Wait(now + 100 * SECOND)]))
-    made.gateway.serve = attempt_and_wait
-    submit(made, left=300 * MILLI)
-    run(made, 299 * MILLI)
-    assert not made.finals
-    run(made, 2 * MILLI)
-    assert [final.ending for final in made.finals] == [Ending.FAILED]
-    assert made.hosts.cancelled == ["w"]
-    assert made.gateway.outcomes[0].result is face.Result.TIMEOUT
-    assert not made.in_flight
-
-
-def test_when_the_client_leaves_the_decisions_are_notified_and_nobody_is_answered():
+    core = make_core(serve)
+    submit(core)
+    run_loop(core, 2 * MILLI)
+    assert [final.ending for final in core.finals] == [Ending.FAILED]
+    core.gateway.serve = attempt_and_wait
+    submit(core)
+    core.hosts.sent[-1](DELIVERED_RESULT)
+    run_loop(core)
+    assert core.finals[-1].ending is Ending.DELIVERED
+
+
+def test_a_request_without_a_final_answer_of_the_decisions_fails_at_its_deadline():
+    core = make_core(lambda now, request: iter([interface.Wait(now + 100 * SECOND)]))
+    core.gateway.serve = attempt_and_wait
+    submit(core, time_left=300 * MILLI)
+    run_loop(core, 299 * MILLI)
+    assert not core.finals
+    run_loop(core, 2 * MILLI)
+    assert [final.ending for final in core.finals] == [Ending.FAILED]
+    assert core.hosts.cancelled == ["w"]
+    assert core.gateway.outcomes[0].result is interface.Result.TIMEOUT
+    assert not core.in_flight
+
+
+def test_when_the_client_leaves_the_decisions_are_notified_and_no_final_answer_is_given():
     def serve(now, request):
-        yield face.Attempt("w")
-        _, outcome = yield face.Wait(now + SECOND)
-        assert outcome.result is face.Result.CLIENT_LEFT
-        yield face.Cancel(0)
-
-    made = core(serve)
-    key = submit(made)
-    made.client_left(key)
-    run(made)
-    assert made.finals == []
-    assert made.hosts.cancelled == ["w"]
-    assert not made.in_flight
-    assert [outcome.result for outcome in made.gateway.outcomes] == [face.Result.CANCELLED]
-    made.client_left(key)  # a second time is nothing
-
-
-def test_an_attempt_in_flight_after_the_final_answer_is_accounted_for_at_the_deadline():
+        yield interface.Attempt("w")
+        _, outcome = yield interface.Wait(now + SECOND)
+        assert outcome.result is interface.Result.CLIENT_LEFT
+        yield interface.Cancel(0)
+
+    core = make_core(serve)
+    key = submit(core)
+    core.client_left(key)
+    run_loop(core)
+    assert core.finals == []
+    assert core.hosts.cancelled == ["w"]
+    assert not core.in_flight
+    assert [outcome.result for outcome in core.gateway.outcomes] == [interface.Result.CANCELLED]
+    core.client_left(key)  # a second call has no effect
+
+
+def test_an_attempt_in_flight_after_the_final_answer_times_out_at_the_deadline():
     def serve(now, request):
-        yield face.Attempt("w")
-        yield face.Fail()
-
-    made = core(serve)
-    submit(made)
-    run(made)
-    assert len(made.finals) == 1
-    assert made.in_flight
-    emptied = []
-    made.on_idle = lambda: emptied.append(True)
-    run(made, 2 * SECOND)
-    assert not made.in_flight
-    assert emptied
-    assert made.gateway.outcomes[0].result is face.Result.TIMEOUT
-
-
-def test_an_attempt_not_begun_when_its_request_ends_never_begins_whatever_the_settings_allow():
+        yield interface.Attempt("w")
+        yield interface.Fail()
+
+    core = make_core(serve)
+    submit(core)
+    run_loop(core)
+    assert len(core.finals) == 1
+    assert core.in_flight
+    idle_calls = []
+    core.on_idle = lambda: idle_calls.append(True)
+    run_loop(core, 2 * SECOND)
+    assert not core.in_flight
+    assert idle_calls
+    assert core.gateway.outcomes[0].result is interface.Result.TIMEOUT
+
+
+def test_an_attempt_that_has_not_started_is_withdrawn_when_its_request_ends_whatever_the_settings():
     def serve(now, request):
-        yield face.Attempt("w")
-        yield face.Wait(now + MILLI)
-        yield face.Reject(0)
+        yield interface.Attempt("w")
+        yield interface.Wait(now + MILLI)
+        yield interface.Reject(0)
 
-    made = core(serve)
-    made.hosts.started = False
-    submit(made)
-    run(made, 2 * MILLI)
-    assert made.finals[0].ending is Ending.REJECTED
-    assert made.hosts.cancelled == ["w"]
-    assert not made.in_flight
-    assert made.gateway.outcomes[0].result is face.Result.NOT_SENT
+    core = make_core(serve)
+    core.hosts.started = False
+    submit(core)
+    run_loop(core, 2 * MILLI)
+    assert core.finals[0].ending is Ending.REJECTED
+    assert core.hosts.cancelled == ["w"]
+    assert not core.in_flight
+    assert core.gateway.outcomes[0].result is interface.Result.NOT_SENT
 
 
-def test_a_wait_is_resumed_at_its_time_and_moved_by_an_outcome():
+def test_a_wait_ends_at_its_time_or_with_an_outcome():
     times = []
 
     def serve(now, request):
-        yield face.Attempt("w")
+        yield interface.Attempt("w")
         for _ in range(3):
-            now, outcome = yield face.Wait(now + 10 * MILLI)
+            now, outcome = yield interface.Wait(now + 10 * MILLI)
             times.append((now, outcome and outcome.result))
-        yield face.Fail()
+        yield interface.Fail()
 
-    made = core(serve)
-    submit(made)
-    made.loop.after(15 * MILLI, lambda: made.hosts.sent[0](AttemptResult(face.Result.FULL, None)))
-    run(made, 100 * MILLI)
-    assert times == [(10 * MILLI, None), (15 * MILLI, face.Result.FULL), (25 * MILLI, None)]
+    core = make_core(serve)
+    submit(core)
+    core.loop.after(15 * MILLI, lambda: core.hosts.sent[0](AttemptResult(interface.Result.FULL, None)))
+    run_loop(core, 100 * MILLI)
+    assert times == [(10 * MILLI, None), (15 * MILLI, interface.Result.FULL), (25 * MILLI, None)]
 
 
-def test_the_counts_of_a_host_that_is_gone_are_forgotten():
-    made = Record(None, ["check"])
-    made.attempt_ended("a", 0, face.Result.RESET)
-    made.attempt_ended("b", 0, face.Result.OK)
-    made.forget_host("a")
-    assert made.snapshot() == {"attempts": {"b": {"ok": 1}}}
+def test_the_counts_of_a_host_that_is_gone_are_dropped():
+    record = Record(None, ["check"])
+    record.attempt_ended("a", 0, interface.Result.RESET)
+    record.attempt_ended("b", 0, interface.Result.OK)
+    record.forget_host("a")
+    assert record.snapshot() == {"attempts": {"b": {"ok": 1}}}
 
 
-def test_the_housekeeper_starts_again_with_the_next_host_list_after_an_error():
+def test_housekeeping_restarts_with_the_next_host_list_after_an_error():
     started = []
 
     def housekeep(now):
         started.append(now)
-        yield face.Wait(now + MILLI)
+        yield interface.Wait(now + MILLI)
         raise KeyError("odd")
 
-    made = core(attempt_and_wait)
-    made.gateway.housekeep = housekeep
-    made.update_hosts([], complete=True)
-    run(made, 2 * MILLI)
-    made.update_hosts([], complete=True)
-    made.update_hosts([], complete=True)
+    core = make_core(attempt_and_wait)
+    core.gateway.housekeep = housekeep
+    core.update_hosts([], complete=True)
+    run_loop(core, 2 * MILLI)
+    core.update_hosts([], complete=True)
+    core.update_hosts([], complete=True)
     assert len(started) == 2
 
 
-def test_an_action_that_is_none_ends_its_request():
+def test_an_unknown_action_of_the_decisions_fails_its_request():
     def serve(now, request):
         yield "odd"
 
-    made = core(serve)
-    submit(made)
-    run(made)
-    assert [final.ending for final in made.finals] == [Ending.FAILED]
-    assert not made.in_flight
+    core = make_core(serve)
+    submit(core)
+    run_loop(core)
+    assert [final.ending for final in core.finals] == [Ending.FAILED]
+    assert not core.in_flight
