--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -1,4 +1,4 @@
-"""Any order of events before, at and after an attempt, in a world of memory (`event_world`)."""
+"""Any order of events before, during and after attempts, on streams in memory (`event_world`)."""
 
 import pytest
 from event_world import ANSWERS, World
@@ -6,40 +6,36 @@
 from hypothesis import strategies as st
 from scripted import MILLI
 
-SPANS = (0, MILLI, 20 * MILLI, 100 * MILLI, 700 * MILLI)
-FULL = ("overload",)  # of hosts that reject all
+DURATIONS = (0, MILLI, 20 * MILLI, 100 * MILLI, 700 * MILLI)
+REJECTING_ANSWERS = ("overload",)  # of hosts that reject every request
 EVENTS = (
-    *["take"] * 4,
-    *["up"] * 8,
-    *["answer"] * 10,
-    *["pass"] * 3,
-    "leave",
-    "fail",
-    "again",
-    "again",
-    "stranger",
-    "stranger",
-    "spoil",
-    "end",
-    "end",
-    "end",
-    "change",
-    "back",
-    "back",
-    "room",
-    "room",
-    "connections",
-    "last",
+    *["submit"] * 4,
+    *["connect_succeeds"] * 8,
+    *["host_answers"] * 10,
+    *["advance_time"] * 3,
+    "client_leaves",
+    "connect_fails",
+    "host_answers_again",
+    "host_answers_again",
+    "host_answers_unsent_request",
+    "host_answers_unsent_request",
+    "receive_malformed_line",
+    "end_stream",
+    "end_stream",
+    "end_stream",
+    "change_host_list",
+    "host_returns",
+    "host_returns",
+    "change_send_capacity",
+    "change_send_capacity",
+    "change_max_connections",
+    "end_requests",
 )
-MOVES = {
-    "pass": lambda world, place, way: world.passes(SPANS[way % 5]),
-    "room": World.takes,
-    "last": World.end_by,
-}
-MOVES |= {name: getattr(World, name) for name in EVENTS if name not in MOVES}
+HANDLERS = {"advance_time": lambda world, index, variant: world.advance_time(DURATIONS[variant % 5])}
+HANDLERS |= {name: getattr(World, name) for name in EVENTS if name not in HANDLERS}
 
 
-@settings(max_examples=500, phases=[Phase.generate])  # with `Phase.shrink` by hand: it takes minutes
+@settings(max_examples=500, phases=[Phase.generate])  # run `Phase.shrink` by hand, as it takes minutes
 @given(
     st.lists(
         st.tuples(st.sampled_from(EVENTS), st.integers(0, 5), st.integers(0, 6), st.booleans()),
@@ -47,32 +43,35 @@
         max_size=60,
     ),
     st.tuples(
-        st.booleans(), st.booleans(), st.sampled_from((1, 4)), st.sampled_from((ANSWERS, ANSWERS, FULL))
+        st.booleans(),
+        st.booleans(),
+        st.sampled_from((1, 4)),
+        st.sampled_from((ANSWERS, ANSWERS, REJECTING_ANSWERS)),
     ),
 )
-def test_in_any_order_each_request_has_one_answer_and_nothing_begins_that_may_not(events, site):
+def test_in_any_order_each_request_gets_one_final_answer_and_no_forbidden_attempt_starts(events, options):
     with pytest.MonkeyPatch.context() as patch:
-        world = World(patch, *site)
-        for kind, place, way, turns in events:
-            MOVES[kind](world, place, way)
-            if turns:
-                world.passes(0)
-        world.ends()
+        world = World(patch, *options)
+        for name, index, variant, run_loop in events:
+            HANDLERS[name](world, index, variant)
+            if run_loop:
+                world.advance_time(0)
+        world.check_end()
         world.loop.close()
 
 
-def test_an_answer_on_its_way_when_its_request_was_taken_back_answers_no_later_one_of_that_id(gate):
-    held = []
-    made = gate(lambda *arrival: arrival[1]["type"] == "go" and held.append(arrival))
-    client = made.client()
+def test_an_answer_to_an_aborted_request_is_not_delivered_to_a_later_request_with_the_same_id(gate):
+    received = []
+    gateway = gate(lambda *arguments: arguments[1]["type"] == "go" and received.append(arguments))
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: held)
-    made.hosts[0].serve(*held[0])
+    gateway.until(lambda: received)
+    gateway.hosts[0].serve(*received[0])
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     client.ask(1, i="e" * 16, arg="bmV3")
-    made.until(lambda: len(held) == 2)
+    gateway.until(lambda: len(received) == 2)
     assert not client.answers
-    made.hosts[0].serve(*held[1])
-    made.until(lambda: client.answers)
+    gateway.hosts[0].serve(*received[1])
+    gateway.until(lambda: client.answers)
     assert client.answers[0]["result"]["arg"] == "bmV3"
-    assert not made.process.front.open_request_ids
+    assert not gateway.process.front.open_request_ids
--- a/tests/decisions/reports/test_cpu_budget.py
+++ b/tests/decisions/reports/test_cpu_budget.py
@@ -1,11 +1,11 @@
-"""The CPU time that sending and storing observations may take."""
+"""The limit of the CPU time for sending and storing observations."""
 
 from helpers import MILLI
 
 from gaproute.decisions.reports.cpu_budget import CPU_BURST, CPU_SHARE, MIN_SLICE_INTERVAL, CpuBudget
 
 
-def test_telling_takes_a_share_of_the_time_and_a_small_burst():
+def test_slices_take_a_share_of_the_elapsed_time_after_a_small_burst():
     budget = CpuBudget(0)
     assert budget.allows_slice(0)
     budget.deduct(0, CPU_BURST + MILLI)
@@ -14,14 +14,14 @@
     assert budget.allows_slice(budget.retry_delay(0) + MILLI)
 
 
-def test_two_slices_are_never_told_on_end():
+def test_slices_have_a_minimum_interval():
     budget = CpuBudget(0)
     budget.deduct(0, MILLI)
     assert not budget.allows_slice(MIN_SLICE_INTERVAL - 1)
     assert budget.allows_slice(MIN_SLICE_INTERVAL)
 
 
-def test_those_put_off_come_again_one_after_the_other():
+def test_requests_that_are_put_off_retry_one_after_the_other():
     budget = CpuBudget(0)
     budget.deduct(0, MILLI)
     assert [budget.retry_delay(0) for _ in range(3)] == [
@@ -30,6 +30,6 @@
         3 * MIN_SLICE_INTERVAL,
     ]
     budget.deduct(0, 2 * CPU_BURST)
-    waits = [budget.retry_delay(0) for _ in range(3)]
-    assert waits[0] > 1000 * MILLI
-    assert waits[2] - waits[1] == waits[1] - waits[0] == 100 * MILLI
+    delays = [budget.retry_delay(0) for _ in range(3)]
+    assert delays[0] > 1000 * MILLI
+    assert delays[2] - delays[1] == delays[1] - delays[0] == 100 * MILLI
--- a/tests/decisions/reports/test_hint_selector.py
+++ b/tests/decisions/reports/test_hint_selector.py
@@ -1,4 +1,4 @@
-"""Which shared observations become hints, and what the hints cause."""
+"""The selection of hints from shared observations, and the effect of hints on where requests go."""
 
 import random
 from collections import Counter
@@ -6,62 +6,83 @@
 import pytest
 from helpers import MILLI, SECOND, gateway, row, task
 from hypothesis import given
-from observation_scenes import KEEP, NOW, facts, follower, hints, listed, merged, observed, ranked, warm
+from observation_scenes import (
+    KEEP_ALIVE,
+    NOW,
+    hint_selector,
+    listed_state,
+    merged,
+    observation_lists,
+    ranked_hosts,
+    store_of,
+    warm_hints,
+    warm_instance,
+)
 
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.reports.hint_selector import MAX_SLOWDOWN
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 
 
-@given(facts, facts)
-def test_what_is_hinted_does_not_depend_on_the_order_of_coming(a, b):
-    one, other = merged(observed(*a), observed(*b)), merged(observed(*b), observed(*a))
-    lives = {"x": 0, "y": 1}
-    assert hints(one, lives, 10) == hints(other, lives, 10)
+@given(observation_lists, observation_lists)
+def test_hints_do_not_depend_on_the_order_of_arrival(a, b):
+    one, other = merged(store_of(*a), store_of(*b)), merged(store_of(*b), store_of(*a))
+    start_times = {"x": 0, "y": 1}
+    assert warm_hints(one, start_times, 10) == warm_hints(other, start_times, 10)
 
 
-def test_a_hint_is_older_than_told_and_differs_between_learners():
-    made = observed(warm(at=NOW - MILLI))
-    seen = {follower(made, Chance(seed)).warm_hints(NOW, {"x": 0})[0][3] for seed in range(20)}
+def test_a_hint_is_older_than_its_observation_and_its_age_differs_between_gateways():
+    store = store_of(warm_instance(at=NOW - MILLI))
+    seen = {hint_selector(store, Chance(seed)).warm_hints(NOW, {"x": 0})[0].seen_at for seed in range(20)}
     assert len(seen) > 10
-    assert all(0.34 * KEEP < NOW - at < 0.71 * KEEP for at in seen)
+    assert all(0.34 * KEEP_ALIVE < NOW - at < 0.71 * KEEP_ALIVE for at in seen)
 
 
 @pytest.mark.parametrize(
-    ("fact", "gone", "lives", "reason"),
+    ("observation", "listed_states", "start_times", "reason"),
     [
-        (warm(), [], {}, "not listed"),
-        (warm(started=7), [], {"x": 8}, "another life"),
-        (warm(at=NOW - SECOND), [listed("x", "gone", NOW - SECOND)], {"x": 0}, "gone since"),
-        (warm(at=NOW - SECOND), [listed("x", "draining", NOW - SECOND)], {"x": 0}, "gone since"),
-        (warm(at=NOW - KEEP), [], {"x": 0}, "faded"),
+        (warm_instance(), [], {}, "not listed"),
+        (warm_instance(started=7), [], {"x": 8}, "another life"),
+        (warm_instance(at=NOW - SECOND), [listed_state("x", "gone", NOW - SECOND)], {"x": 0}, "gone since"),
+        (
+            warm_instance(at=NOW - SECOND),
+            [listed_state("x", "draining", NOW - SECOND)],
+            {"x": 0},
+            "gone since",
+        ),
+        (warm_instance(at=NOW - KEEP_ALIVE), [], {"x": 0}, "faded"),
     ],
 )
-def test_a_hint_that_a_newer_fact_or_the_list_gainsays_is_void(fact, gone, lives, reason):
-    made = observed(fact, *gone)
-    assert hints(made, lives) == []
-    assert made.rejections[reason] == 1
-
-
-def test_a_copy_seen_after_a_host_was_told_gone_counts_again():
-    assert hints(observed(warm(), listed("x", "gone", NOW - SECOND)), {"x": 0})
-    assert hints(observed(warm(), listed("x", "gone", NOW), listed("x", "active", NOW + 1)), {"x": 0})
+def test_an_observation_that_the_host_list_or_a_newer_one_contradicts_is_rejected(
+    observation, listed_states, start_times, reason
+):
+    store = store_of(observation, *listed_states)
+    assert warm_hints(store, start_times) == []
+    assert store.rejections[reason] == 1
+
+
+def test_an_instance_observed_after_its_host_was_gone_is_hinted():
+    assert warm_hints(store_of(warm_instance(), listed_state("x", "gone", NOW - SECOND)), {"x": 0})
+    assert warm_hints(
+        store_of(warm_instance(), listed_state("x", "gone", NOW), listed_state("x", "active", NOW + 1)),
+        {"x": 0},
+    )
 
 
-def test_of_a_function_only_the_freshest_copies_are_believed_and_more_of_a_hot_one():
-    many = [warm(name, at=NOW - place * MILLI) for place, name in enumerate("abcdefgh")]
-    lives = dict.fromkeys("abcdefgh", 0)
-    assert [hint[0] for hint in hints(observed(*many), lives)] == list("abcd")
-    hot = (("share", "f"), SharedObservation(NOW, "a", 1, (0.3,)))
-    assert [hint[0] for hint in hints(observed(*many, hot), lives)] == list("abcdef")
+def test_only_the_most_recent_instances_of_a_function_are_hinted_and_more_of_a_frequent_one():
+    observations = [warm_instance(name, at=NOW - age * MILLI) for age, name in enumerate("abcdefgh")]
+    start_times = dict.fromkeys("abcdefgh", 0)
+    assert [hint.host for hint in warm_hints(store_of(*observations), start_times)] == list("abcd")
+    share = (("share", "f"), SharedObservation(NOW, "a", 1, (0.3,)))
+    assert [hint.host for hint in warm_hints(store_of(*observations, share), start_times)] == list("abcdef")
 
 
-def test_following_leaves_out_hosts_not_listed_and_tracks_not_known():
-    made = gateway(row("a"))
-    told = observed(
+def test_observations_of_unlisted_hosts_and_unknown_request_classes_are_not_applied():
+    receiver = gateway(row("a"))
+    store = store_of(
         *[
-            (names, SharedObservation(1, "g", 1, (value,)))
-            for names, value in (
+            (subject, SharedObservation(1, "g", 1, (value,)))
+            for subject, value in (
                 (("doubt", "z", "check"), 1.0),
                 (("doubt", "a", "no"), 1.0),
                 (("doubt", "a", "check"), 1.0),
@@ -69,40 +90,48 @@
             )
         ]
     )
-    assert follower(told, Chance(1), {"check": 0}).apply_hints(made, 2, {"a": 0}, told.by_subject) == 2
-    assert told.rejections == {"not listed": 1, "track": 1}
-    assert made.hosts_by_id["a"].slowdown == MAX_SLOWDOWN
+    assert (
+        hint_selector(store, Chance(1), {"check": 0}).apply_hints(receiver, 2, {"a": 0}, store.by_subject)
+        == 2
+    )
+    assert store.rejections == {"not listed": 1, "track": 1}
+    assert receiver.hosts_by_id["a"].slowdown == MAX_SLOWDOWN
 
 
 @pytest.mark.parametrize("share", [0.02, 0.3])
-def test_gateways_that_learn_the_same_at_one_moment_do_not_all_send_to_one_host(share):
+def test_gateways_with_the_same_hints_do_not_all_send_to_the_same_host(share):
     hosts = [f"h{number}" for number in range(10)]
-    others = [worker.id for worker in ranked(gateway(*map(row, hosts)), "f")][1:7]
-    told = observed(
-        *[warm(name, at=59 * SECOND) for name in others],
+    others = [host.id for host in ranked_hosts(gateway(*map(row, hosts)), "f")][1:7]
+    store = store_of(
+        *[warm_instance(name, at=59 * SECOND) for name in others],
         (("share", "f"), SharedObservation(59 * SECOND, "g", 1, (share,))),
     )
     sent = Counter()
     seeds = random.Random(1)
     for _ in range(40):
-        made = gateway(*map(row, hosts))
-        lives = dict.fromkeys(hosts, 0)
+        receiver = gateway(*map(row, hosts))
+        start_times = dict.fromkeys(hosts, 0)
         chance = Chance(seeds.getrandbits(64))
-        follower(told, chance).apply_hints(made, 60 * SECOND, lives, told.by_subject)
-        made.chance.state = Chance(seeds.getrandbits(64)).state
-        made.mix.recent.extend(told.request_mix())
-        sent[made.serve(60 * SECOND, task()).send(None).host] += 1
+        hint_selector(store, chance).apply_hints(receiver, 60 * SECOND, start_times, store.by_subject)
+        receiver.chance.state = Chance(seeds.getrandbits(64)).state
+        receiver.mix.recent.extend(store.request_mix())
+        sent[receiver.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28
     assert len(sent) >= (2 if share < 0.1 else 4)
     assert sent.keys() <= set(others)
 
 
-def test_a_hint_sends_nothing_to_a_cold_host_beyond_its_credit():
+def test_a_hint_sends_nothing_to_a_cold_host_without_credit():
     hosts = [row(f"h{number}") for number in range(5)] + [row("cold", started=59 * SECOND)]
-    told = observed(warm("cold", at=60 * SECOND, started=5))
+    store = store_of(warm_instance("cold", at=60 * SECOND, started=5))
     for seed in range(10):
-        made = gateway(*hosts)
-        assert follower(told, Chance(seed)).apply_hints(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
-        sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
+        receiver = gateway(*hosts)
+        assert (
+            hint_selector(store, Chance(seed)).apply_hints(
+                receiver, 60 * SECOND, {"cold": 5}, store.by_subject
+            )
+            == 1
+        )
+        sent = [receiver.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
         assert "cold" not in sent
-        assert made.hosts_by_id["cold"].credit == 0
+        assert receiver.hosts_by_id["cold"].credit == 0
--- a/tests/decisions/reports/test_host_history.py
+++ b/tests/decisions/reports/test_host_history.py
@@ -1,4 +1,4 @@
-"""What a gateway reports of itself: its host list over time, with its observations."""
+"""What a gateway reports of itself: its host list over time and its observations."""
 
 from helpers import SECOND, Drive, gateway, row, task
 
@@ -6,7 +6,7 @@
 from gaproute.interface import Result
 
 
-def test_a_host_that_left_the_list_is_told_as_gone_until_it_is_back():
+def test_a_host_that_left_the_list_is_gone_until_it_is_listed_again():
     history = HostHistory()
     history.update(1, {"x": ("active", 5), "y": ("active", 0)})
     history.update(2, {"y": ("draining", 0)})
@@ -18,7 +18,7 @@
     assert history.active_start_times() == {"x": 9}
 
 
-def test_the_roll_of_the_gone_is_bounded():
+def test_the_number_of_stored_gone_hosts_is_limited():
     history = HostHistory()
     history.update(1, {f"h{number}": ("active", 0) for number in range(2 * MAX_GONE_HOSTS)})
     history.update(2, {})
@@ -26,15 +26,15 @@
     assert len(history.entries) == MAX_GONE_HOSTS
 
 
-def test_what_is_told_of_workers_comes_with_the_life_the_list_gave_them():
-    made, history = gateway(row("a")), HostHistory()
+def test_observations_of_warm_instances_have_the_start_time_of_the_host():
+    source, history = gateway(row("a")), HostHistory()
     history.update(SECOND, {"a": ("active", 77)})
-    Drive(made, task(), 2 * SECOND).hears(3 * SECOND, Result.OK)
-    Drive(made, task("u"), 3 * SECOND).hears(4 * SECOND, Result.ERROR)
-    told = list(own_observations(made, history, ("check", "plan", "order"), 5 * SECOND))
-    assert (("listed", "a"), ("active", 77), SECOND) in told
-    assert (("warm", "a", "f"), (4, 77), 3 * SECOND) in told
-    assert (("doubt", "a", "check"), (0.4,), 4 * SECOND) in told
-    assert [names for names, _, _ in own_observations(made, history, ("check",), 5 * SECOND, 3 * SECOND)] == [
-        ("doubt", "a", "check")
-    ]
+    Drive(source, task(), 2 * SECOND).hears(3 * SECOND, Result.OK)
+    Drive(source, task("u"), 3 * SECOND).hears(4 * SECOND, Result.ERROR)
+    observations = list(own_observations(source, history, ("check", "plan", "order"), 5 * SECOND))
+    assert (("listed", "a"), ("active", 77), SECOND) in observations
+    assert (("warm", "a", "f"), (4, 77), 3 * SECOND) in observations
+    assert (("doubt", "a", "check"), (0.4,), 4 * SECOND) in observations
+    assert [
+        subject for subject, _, _ in own_observations(source, history, ("check",), 5 * SECOND, 3 * SECOND)
+    ] == [("doubt", "a", "check")]
--- a/tests/decisions/reports/test_observation_exchange.py
+++ b/tests/decisions/reports/test_observation_exchange.py
@@ -1,4 +1,4 @@
-"""Two gateways on sockets: one gets the observations of the other, and uses them."""
+"""The exchange of observations between two gateways on sockets."""
 
 import json
 
@@ -10,82 +10,82 @@
 
 
 @pytest.fixture
-def beside(fleet):
-    """A busy gateway that tells, and a call that starts another beside it; both on one loop."""
-    made, begin = fleet
+def gateway_and_start(fleet):
+    """A busy gateway, and a function that starts another one on its loop, with the first one as its peer."""
+    gateway, start_gateway = fleet
     for number in range(6):
-        assert made.wait(made.ask("lamp", f"w{number}")).status == 200
-    return made, lambda where=None: begin(
-        "second", f"peer g {where or made.gate.fronts[1].address}", listen=False
+        assert gateway.wait(gateway.ask("lamp", f"w{number}")).status == 200
+    return gateway, lambda address=None: start_gateway(
+        "second", f"peer g {address or gateway.gate.fronts[1].address}", listen=False
     )
 
 
-def test_a_gateway_started_beside_a_busy_one_finds_the_copy_at_once(beside):
-    made, start = beside
-    warm_at = json.loads(made.wait(made.ask("lamp", "last")).body)["outputs"][0]["data"][0]
-    loads = len(made.seen("loaded"))
+def test_a_gateway_started_beside_a_busy_one_uses_the_warm_instance_at_once(gateway_and_start):
+    gateway, start = gateway_and_start
+    warm_host = json.loads(gateway.wait(gateway.ask("lamp", "last")).body)["outputs"][0]["data"][0]
+    loads = len(gateway.seen("loaded"))
     second = start()
-    made.until(lambda: second.peers.observation_client.hints_taken)
-    made.at = made.at[0], tuple([*made.at[1][:1], int(second.fronts[0].address.rpartition(":")[2])])
-    answer = made.wait(made.ask("lamp", "first"))
-    assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at
-    assert len(made.seen("loaded")) == loads
-    assert made.gate.peers.peer_server.transfers.encoded >= 1
+    gateway.until(lambda: second.peers.observation_client.hints_taken)
+    gateway.at = gateway.at[0], tuple([*gateway.at[1][:1], int(second.fronts[0].address.rpartition(":")[2])])
+    answer = gateway.wait(gateway.ask("lamp", "first"))
+    assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_host
+    assert len(gateway.seen("loaded")) == loads
+    assert gateway.gate.peers.peer_server.transfers.encoded >= 1
     assert second.peers.observation_client.state["g"].startswith("told ")
     assert not second.core.gateway.load_order_limiter.open_orders
     assert not second.core.gateway.load_order_limiter.ends
 
 
-def test_an_operator_sees_what_is_known_and_by_what(beside):
-    made, start = beside
+def test_operators_see_the_warm_instances_and_the_source_of_each(gateway_and_start):
+    gateway, start = gateway_and_start
     second = start()
-    made.until(lambda: second.peers.observation_client.hints_taken)
-    (own,), (hinted,) = warm_instances(made.gate), warm_instances(second)
+    gateway.until(lambda: second.peers.observation_client.hints_taken)
+    (own,), (hinted,) = warm_instances(gateway.gate), warm_instances(second)
     assert (own["by"], hinted["by"]) == ("an answer", "g")
     assert (own["worker"], own["function"]) == (hinted["worker"], hinted["function"])
     assert hinted["age_ms"] >= 3500 > own["age_ms"]
 
 
-def test_news_of_a_host_that_is_gone_from_the_list_is_void(beside):
-    made, start = beside
-    rows = made.list.read_text().splitlines()
-    (worker,) = made.gate.core.gateway.functions_by_name["lamp"].proven_at
-    made.gate.host_list.watch.close()  # the giver's own list is late: it still believes in the host
-    made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
+def test_observations_of_a_host_that_left_the_list_are_rejected(gateway_and_start):
+    gateway, start = gateway_and_start
+    rows = gateway.list.read_text().splitlines()
+    (host,) = gateway.gate.core.gateway.functions_by_name["lamp"].proven_at
+    gateway.gate.host_list.watch.close()  # the list of the sending gateway is late and still has the host
+    gateway.relist(*[row for row in rows if not row.startswith(f"host {host} ")])
     second = start()
-    made.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
+    gateway.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
     assert second.peers.observations.rejections["not listed"]
-    assert worker not in second.core.gateway.hosts_by_id
+    assert host not in second.core.gateway.hosts_by_id
     assert "lamp" not in second.core.gateway.functions_by_name
 
 
-@pytest.mark.parametrize("act", ["stalls", "nonsense", "future"])
-def test_a_peer_that_is_no_help_is_dropped_and_nothing_waits_for_it(beside, act):
+@pytest.mark.parametrize("fault", ["stalls", "nonsense", "future"])
+def test_a_peer_with_unusable_answers_is_dropped_and_delays_no_request(gateway_and_start, fault):
     from scripted_hosts import reply, scripted_host
 
-    made, start = beside
-    body = {"nonsense": b"\xff\xff", "future": Told(version=9).SerializeToString()}.get(act, b"")
+    gateway, start = gateway_and_start
+    body = {"nonsense": b"\xff\xff", "future": Told(version=9).SerializeToString()}.get(fault, b"")
     text = f"HTTP/1.1 200 X\r\nContent-Length: {len(body)}\r\n\r\n".encode("latin-1") + body
     listener = scripted_host(
-        made.loop,
+        gateway.loop,
         (lambda stream, data: None)
-        if act == "stalls"
+        if fault == "stalls"
         else reply(text.decode("latin-1"))
-        if act == "future"
+        if fault == "future"
         else lambda stream, data: stream.write(text),
     )
-    where = listener.address
-    second = start(where)
-    made.at = made.at[0], ("127.0.0.1", int(second.fronts[0].address.rpartition(":")[2]))
-    assert made.wait(made.ask("lamp", "meanwhile")).status == 200
-    made.until(lambda: second.peers.observation_client.state["g"] == "dropped after 0 facts")
+    address = listener.address
+    second = start(address)
+    gateway.at = gateway.at[0], ("127.0.0.1", int(second.fronts[0].address.rpartition(":")[2]))
+    assert gateway.wait(gateway.ask("lamp", "meanwhile")).status == 200
+    gateway.until(lambda: second.peers.observation_client.state["g"] == "dropped after 0 facts")
     listener.close()
 
 
-def test_a_giver_out_of_budget_puts_off_and_still_tells(beside):
-    made, start = beside
-    made.gate.peers.peer_server.cpu_budget.deduct(made.loop.now(), 11 * MILLI)
+def test_a_peer_without_cpu_budget_puts_requests_off_and_answers_later(gateway_and_start):
+    gateway, start = gateway_and_start
+    gateway.gate.peers.peer_server.cpu_budget.deduct(gateway.loop.now(), 11 * MILLI)
     second = start()
-    made.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
-    assert made.gate.peers.peer_server.put_off >= 1
+    gateway.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
+    assert gateway.gate.peers.peer_server.put_off >= 1
     assert second.peers.observation_client.hints_taken >= 1
