--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -1,5 +1,7 @@
-"""The REST form of KServe v2 on a server that listens: requests become calls, finals become responses, bodies
-pass untouched."""
+"""Serves the REST form of KServe v2: requests become calls for the core, and final answers become responses.
+
+Bodies are not changed.
+"""
 
 from __future__ import annotations
 
@@ -24,9 +26,9 @@
 from gaproute.http1 import Request, Server
 from gaproute.interface.call import Answer, Call, Ending, Final
 
-VERSION = "0.2.0"
+SERVER_VERSION = "0.2.0"
 EXTENSIONS = ["binary_tensor_data"]
-MAX_SHOWN_NAME = 128  # characters of an unknown model's name in an error
+MAX_SHOWN_NAME_LENGTH = 128  # characters of an unknown model's name in an error
 NO_SUCH_PATH = (
     "no such path: /v2, /v2/health/live, /v2/health/ready, /v2/models/NAME, "
     "/v2/models/NAME/ready, /v2/models/NAME/infer"
@@ -34,34 +36,37 @@
 
 
 class ClassLimit(NamedTuple):
-    """A request class as this front needs it."""
+    """The time limit of a request class."""
 
-    class_index: int  # in the terms' order
-    time_limit: int  # ns that a request may take at most
+    class_index: int  # in the order of the core's request classes
+    time_limit: int  # how long a request may take at most, ns
 
 
 class RestFront:
-    """Serves clients on `server`. `core` takes the requests; models, tenants and request classes are the
-    configuration's."""
+    """Serves clients on `server`; `core` runs the requests.
+
+    Models, tenants and request classes are those of the configuration.
+    """
 
     def __init__(
         self, server: Server, core: Core, configuration: Configuration, is_ready: Callable[[], bool]
     ) -> None:
-        """`is_ready()`: whether requests can be served."""
+        """`is_ready()`: whether the gateway can serve requests."""
         self.server, self.core, self.is_ready = server, core, is_ready
-        self.address: str = server.address  # as text, with the port that the kernel picked
+        self.address: str = server.address  # as text, with the port that the kernel chose
         self.name = configuration.name
         self.models, self.tenants = configuration.models, configuration.tenants
         self.class_limits = {
             line.name: ClassLimit(index, line.limit)
             for index, line in enumerate(configuration.request_classes)
         }
-        self.return_time: int = configuration.client_limits.way_back  # of an answer to its client, ns
+        # How long an answer takes to reach its client, ns
+        self.answer_transit_time: int = configuration.client_limits.way_back
 
     # Requests
 
     def handle(self, request: Request) -> None:
-        """Takes a request; it is answered at once, or when it has its final answer."""
+        """Handles a request, which is answered at once or when its final answer is known."""
         try:
             self._route(request)
         except RequestError as error:
@@ -72,7 +77,7 @@
         path = request.target.partition(b"?")[0].split(b"/")
         match [part.decode("utf-8", "replace") for part in map(unquote_to_bytes, path[1:])]:
             case ["v2"] | ["v2", ""]:
-                metadata = {"name": self.name, "version": VERSION, "extensions": EXTENSIONS}
+                metadata = {"name": self.name, "version": SERVER_VERSION, "extensions": EXTENSIONS}
                 self._send_json(request, metadata)
             case ["v2", "health", "live"]:
                 self._send_json(request, {"live": True})
@@ -88,11 +93,11 @@
     def _route_model(self, request: Request, name: str, version: str, rest: Sequence[str]) -> None:
         model = self.models.get(name)
         if model is None or version and version not in model.versions:
-            shown_version = f" version {version[:MAX_SHOWN_NAME]!r}" if version else ""
-            raise RequestError(NOT_FOUND, f"unknown model {name[:MAX_SHOWN_NAME]!r}{shown_version}")
+            shown_version = f" version {version[:MAX_SHOWN_NAME_LENGTH]!r}" if version else ""
+            raise RequestError(NOT_FOUND, f"unknown model {name[:MAX_SHOWN_NAME_LENGTH]!r}{shown_version}")
         match rest:
             case ["infer"] if request.method == b"POST":
-                self._infer(request, model, version)
+                self._submit_inference(request, model, version)
             case ["infer"]:
                 raise RequestError(METHOD_NOT_ALLOWED, "infer is a POST")
             case ["ready"]:
@@ -113,7 +118,7 @@
             raise RequestError(METHOD_NOT_ALLOWED, "this is a GET")
         self.server.answer(request, status, (JSON_TYPE,), msgspec.json.encode(content))
 
-    def _infer(self, request: Request, model: ModelLine, version: str) -> None:
+    def _submit_inference(self, request: Request, model: ModelLine, version: str) -> None:
         class_limit = self.class_limits[model.track]
         time_limit = inference.time_limit(request.headers, class_limit.time_limit)
         inference.check_json_length(request)
@@ -122,66 +127,66 @@
             self.answer_half_closed(request)
             return
         pending = inference.PendingInference(self, request)
-        pending.key = self.core.submit(
-            self._call(request, model.name, version),
+        pending.gateway_request_id = self.core.submit(
+            self._build_call(request, model.name, version),
             class_limit.class_index,
             tenant,
             model.lanes,
             model.load,
             request.arrived_at,
-            time_limit - self.return_time,
+            time_limit - self.answer_transit_time,
             pending.finish,
         )
         request.on_client_left = pending.abandon
 
-    def _call(self, request: Request, model: str, version: str) -> Call:
-        """A request as a call."""
-        return inference.call_of(request, model, version)
+    def _build_call(self, request: Request, model: str, version: str) -> Call:
+        """Makes the call of an inference request."""
+        return inference.build_call(request, model, version)
 
     # Answers
 
     def finish_request(self, request: Request, final: Final) -> None:
         """Sends the final answer to a request."""
         if final.answer is not None and final.ending is Ending.DELIVERED:
-            answer = responses.delivered(final, final.answer)
+            answer = responses.delivered_answer(final, final.answer)
         elif final.ending is Ending.REJECTED:
-            answer = responses.rejected(final, self._rejected_status(request, final))
+            answer = responses.rejected_answer(final, self._rejection_status(request, final))
         else:
-            answer = responses.failed(final)
-        self._answer(request, final, answer)
+            answer = responses.failed_answer(final)
+        self._send_answer(request, final, answer)
 
-    def _rejected_status(self, request: Request, final: Final) -> int:
+    def _rejection_status(self, request: Request, final: Final) -> int:
         """The status of the response to a rejected request."""
         return UNAVAILABLE
 
-    def _answer(self, request: Request, final: Final, answer: Answer) -> None:
-        """Sends the one answer to a request."""
+    def _send_answer(self, request: Request, final: Final, answer: Answer) -> None:
+        """Sends the answer to a submitted request."""
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
     def answer_half_closed(self, request: Request) -> None:
-        """Answers one that has closed its side and may still read."""
-        answer = responses.half_closed()
+        """Answers a request whose client has closed its side and may still read."""
+        answer = responses.half_closed_answer()
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
-    # The end
+    # Stopping
 
     @property
     def connection_count(self) -> int:
-        """Connections of clients, at work and parked."""
+        """The number of client connections, in use and parked."""
         return self.server.connection_count
 
     def end_queue_sharing(self) -> None:
-        """No other process accepts from the same queue any more: what waits there at the stop is taken in."""
+        """Records that no other process accepts from the listening socket, so a stop empties its queue."""
         self.server.shares_queue = False
 
     def notify_when_emptied(self, callback: Callable[[], None]) -> None:
-        """`callback()` when the last connection is closed after a stop."""
+        """Calls `callback()` when the last connection is closed after a stop."""
         self.server.on_emptied = callback
 
     def stop(self, grace: int) -> None:
-        """Accepts no more; `grace` as of `Server.stop`."""
+        """Stops accepting connections; `grace` as of `Server.stop`."""
         self.server.stop(grace)
 
     def close(self) -> None:
-        """Ends every connection."""
+        """Ends every connection at once."""
         self.server.close()
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -151,16 +151,16 @@
 
 
 def request_of_a_broken_connection_retained(patch):
-    patch.setattr(JsonRpcFront, "client_left", lambda front, key, mark: None)
+    patch.setattr(JsonRpcFront, "abandon_request", lambda front, key, mark: None)
 
 
 def final_answer_sent_late(patch):
-    honest = Core._finish
+    honest = Core._give_final_answer
 
     def final(core, held, *others):
         core.loop.after(2 * SECOND, honest, core, held, *others)
 
-    patch.setattr(Core, "_finish", final)
+    patch.setattr(Core, "_give_final_answer", final)
 
 
 BROKEN, LACK, SHORT = Failure(errno.ETIMEDOUT), Failure(errno.ENOBUFS), ShortTransfer(7)
