--- a/gaproute/benchlink/events.py
+++ b/gaproute/benchlink/events.py
@@ -1,4 +1,4 @@
-"""Handles the events of an instance: one function for each kind of line."""
+"""Handles the events of an instance, with one function for each type of line."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,30 +14,30 @@
 
 def on_attempt_ended(instance: Instance, now: int, line: lines.AttemptEnded) -> None:
     """Handles the outcome of an attempt; an unknown result is ignored."""
-    outcome = decoding.decode_outcome(line, instance.counted_results)
+    outcome = decoding.decode_outcome(line, instance.results_with_request_count)
     if outcome is not None:
         instance.handle_outcome(now, outcome)
 
 
 def on_stream_started(instance: Instance, now: int, line: lines.StreamStarted) -> None:
-    """Handles the begin of a streamed answer, which the decisions account for when it ends."""
-    instance.resume(line.request, now, decoding.decode_stream_start(line))
+    """Handles the start of a streamed answer; the decisions account for the attempt when the stream ends."""
+    instance.resume_generator(line.request, now, decoding.decode_stream_start(line))
 
 
 def on_client_left(instance: Instance, now: int, line: lines.ClientLeft) -> None:
-    """Ends a request for which no final answer is owed any more."""
-    instance.abandon(now, line.request)
+    """Ends a request whose client has left and needs no final answer."""
+    instance.abandon_request(now, line.request)
 
 
 def on_timer_fired(instance: Instance, now: int, line: lines.TimerFired) -> None:
-    """Fires a timer."""
+    """Handles a timer that has fired."""
     instance.timer_fired(now, line.tag)
 
 
 def on_probe_answered(instance: Instance, now: int, line: lines.ProbeAnswered) -> None:
     """Handles the answer to a health check."""
     report = decoding.decode_probe_report(line)
-    instance.probe_answered(now, line.host, report, good=line.result == decoding.OK)
+    instance.probe_answered(now, line.host, report, good=line.result == decoding.OK_RESULT)
 
 
 def on_peer_message(instance: Instance, now: int, line: lines.PeerMessage) -> None:
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -9,7 +9,7 @@
 from gaproute.core.in_flight import AttemptHandle
 from gaproute.decisions.cells.entries import ForwardAttempt
 from gaproute.decisions.cells.table import CellTable
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts import forwarding
 from gaproute.hosts.attempts import OnAttemptEnded, UnsentAttempt
 from gaproute.hosts.endpoints import Endpoint
@@ -79,7 +79,7 @@
 
     def __init__(self, loop: Loop, settings: ClientSettings, gateway_name: str) -> None:
         self.loop = loop
-        self.client = EntryGatewayClient(loop, Pooling(), settings, gateway_name)
+        self.client = EntryGatewayClient(loop, ConnectionReusePolicy(), settings, gateway_name)
 
     def client_for(self, forward: ForwardAttempt) -> ForwardingClient:
         """The client that sends the request of this forward attempt."""
--- a/gaproute/hosts/jsonlines/connection_owner.py
+++ b/gaproute/hosts/jsonlines/connection_owner.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol, TypeVar
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 
@@ -20,7 +20,7 @@
     """
 
     loop: Loop
-    pooling: Pooling
+    pooling: ConnectionReusePolicy
     connect_timeout: int
     cancel_allowed: bool
     malformed_replies: int
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -1,6 +1,6 @@
 """The connections to one host, and which idle connection a request may use."""
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.http1 import ClientConnection, Exchange
 from gaproute.interface import Idempotency
 from gaproute.loop import Loop
@@ -25,7 +25,7 @@
         "active",
     )
 
-    def __init__(self, loop: Loop, pooling: Pooling, name: str, address_text: str) -> None:
+    def __init__(self, loop: Loop, pooling: ConnectionReusePolicy, name: str, address_text: str) -> None:
         self.loop, self.pooling, self.name = loop, pooling, name
         self.active = True  # whether the endpoint list has the host as active
         self.idle_connections: list[ClientConnection] = []  # the longest idle first
@@ -46,7 +46,7 @@
         while self.idle_connections:
             connection = self.idle_connections[-1]
             idle_time = now - connection.last_used
-            if idle_time > self.pooling.max_idle(now, self.name, idempotency, connection.keep_alive_timeout):
+            if idle_time > self.pooling.max_idle_time(now, self.name, idempotency, connection.keep_alive_timeout):
                 return None
             self.idle_connections.pop()
             connection.on_idle_end = None
@@ -94,7 +94,7 @@
         """Closes connections that have been idle too long for any request, before the host closes them."""
         now, kept = self.loop.now(), []
         for connection in self.idle_connections:
-            max_idle = self.pooling.max_idle(
+            max_idle = self.pooling.max_idle_time(
                 now, self.name, Idempotency.IDEMPOTENT, connection.keep_alive_timeout
             )
             if now - connection.last_used <= max_idle:
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -155,12 +155,12 @@
 
 
 def final_answer_sent_late(patch):
-    honest = Core._finish
+    honest = Core._give_final_answer
 
     def final(core, held, *others):
         core.loop.after(2 * SECOND, honest, core, held, *others)
 
-    patch.setattr(Core, "_finish", final)
+    patch.setattr(Core, "_give_final_answer", final)
 
 
 BROKEN, LACK, SHORT = Failure(errno.ETIMEDOUT), Failure(errno.ENOBUFS), ShortTransfer(7)
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -146,7 +146,7 @@
     sock = socket.create_connection(address(gateway.where)[1])
     sock.sendall(data)
     client.waiting = []
-    gateway.until(lambda: not gateway.process.core.in_flight and gateway.process.core.submitted)
+    gateway.until(lambda: not gateway.process.core.in_flight and gateway.process.core.submitted_count)
     gateway.turns()
     assert [command["req"] for command in gateway.hosts[0].seen("go")] == [f"{10:016x}"]
     sock.close()
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -24,7 +24,7 @@
     gateway.until(lambda: not gateway.process.front.connection_count)
     gateway.turns()
     assert gateway.came() == 0
-    assert gateway.process.core.submitted == 0
+    assert gateway.process.core.submitted_count == 0
     assert not gateway.process.front.open_request_ids
     sock.close()
 
@@ -80,7 +80,7 @@
         assert answers.count(b"HTTP/1.1 504") == 3
         assert answers.count(b"closed its side") == 3
     testbed.rest(50 * MILLI)
-    assert testbed.gate.core.submitted == 0
+    assert testbed.gate.core.submitted_count == 0
     assert not testbed.gate.fronts[0].connection_count
 
 
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -65,7 +65,7 @@
     half_close(client.stream)
     gateway.until(lambda: not gateway.process.front.connection_count)
     gateway.turns()
-    assert gateway.came() == in_use == gateway.process.core.submitted
+    assert gateway.came() == in_use == gateway.process.core.submitted_count
     assert not gateway.process.front.open_request_ids
 
 
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -276,7 +276,7 @@
     client.ask(1)
     client.ask(2, "repair-order")
     gateway.until(lambda: gateway.came() == 2)
-    gateway.process.core.end_by(gateway.loop.now() + SECOND)
+    gateway.process.core.end_requests_by(gateway.loop.now() + SECOND)
     gateway.passes(SECOND)
     gateway.until(lambda: len(client.answers) == 2)
     codes = {answer["id"]: answer["error"]["code"] for answer in client.answers}
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import makers, row, turn_until
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface import Idempotency, Result, State
@@ -31,7 +31,7 @@
     def __init__(self, answer=None, max_connections=8):
         self.loop = Loop()
         self.host = ScriptedHost(self.loop, answer)
-        self.client = JsonLinesClient(self.loop, Pooling(), DEPLOYMENT_SETTINGS, max_connections)
+        self.client = JsonLinesClient(self.loop, ConnectionReusePolicy(), DEPLOYMENT_SETTINGS, max_connections)
         self.list_host(State.ACTIVE)
         self.attempt_results = []
 
@@ -254,7 +254,7 @@
 
 
 def test_stale_ends_prevent_reuse_for_a_while_and_one_suffices_for_non_idempotent_requests():
-    pooling = Pooling()
+    pooling = ConnectionReusePolicy()
     pooling.record_stale_end(0, "h", 100 * MILLI, MILLI)
     assert pooling.allows_reuse(SECOND, "h", Idempotency.IDEMPOTENT)
     assert not pooling.allows_reuse(SECOND, "h", Idempotency.NON_IDEMPOTENT)
@@ -265,7 +265,7 @@
     assert not pooling.allows_reuse(
         SECOND, "other", Idempotency.NON_IDEMPOTENT
     )  # a proxy before all hosts may end them
-    pooling = Pooling()
+    pooling = ConnectionReusePolicy()
     pooling.record_stale_end(
         0, "i", 100 * MILLI, SECOND
     )  # ended long after the request was sent, so it was not stale
@@ -278,8 +278,8 @@
 def test_max_idle_time_follows_the_announced_one_and_is_shorter_for_non_idempotent_requests(
     idempotency, max_idle_seconds
 ):
-    assert Pooling().max_idle(0, "h", idempotency, 15 * SECOND) == max_idle_seconds * SECOND
-    assert Pooling().max_idle(0, "h", idempotency, 0) == 0
+    assert ConnectionReusePolicy().max_idle_time(0, "h", idempotency, 15 * SECOND) == max_idle_seconds * SECOND
+    assert ConnectionReusePolicy().max_idle_time(0, "h", idempotency, 0) == 0
 
 
 def test_load_order_timeout_closes_a_silent_connection(make_setup):
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -11,7 +11,7 @@
 
 from gaproute import interface
 from gaproute.core.in_flight import AttemptResult
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts import results
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
@@ -43,7 +43,7 @@
         monkeypatch.setattr(dialing, "socket", FailingSockets(error_number))
         loop = Loop(Stepped(now=7 * SECOND))
         loops.append(loop)
-        client = KServeClient(loop, Pooling())
+        client = KServeClient(loop, ConnectionReusePolicy())
         listed = interface.ListedHost("a", 0, 0, interface.State.ACTIVE, 1.0, None)
         client.update([Endpoint(listed, "127.0.0.1:9")], complete=True)
         return client
