--- a/benchmarks/fleet/faults.py
+++ b/benchmarks/fleet/faults.py
@@ -13,7 +13,7 @@
 from benchmarks.fleet.measures import PlayObserver
 from benchmarks.fleet.world import ZONES, FleetWorld
 from gaproute import interface as face
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 
 DEAF_SHARE = 0.3  # of the gateways
 MAX_LATENESS = 2 * SECOND  # of a message
@@ -28,26 +28,26 @@
 RESTARTED_SHARE = 0.7  # of the gateways
 CHANCE_SALT = 1_000_003  # the chance of faults is another than that of the traffic
 
-PlayFault = Callable[[FleetWorld, PlayObserver, Chance], None]
+PlayFault = Callable[[FleetWorld, PlayObserver, RandomGenerator], None]
 
 
-def none(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def none(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """All is well."""
 
 
-def deaf(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def deaf(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """Three in ten gateways receive no messages."""
     world.delivery_filter = lambda world, sender, receiver, payload: (
         receiver.number >= DEAF_SHARE * len(world.gateways)
     )
 
 
-def silent(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def silent(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """No gateway hears any other."""
     world.delivery_filter = lambda world, sender, receiver, payload: receiver is sender
 
 
-def oneway(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def oneway(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """One half hears all, the other only itself."""
     half = len(world.gateways) // 2
     world.delivery_filter = lambda world, sender, receiver, payload: (
@@ -55,7 +55,7 @@
     )
 
 
-def late(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def late(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """Messages come up to two seconds late, some of them twice."""
 
     def deliver_later(
@@ -73,13 +73,13 @@
     world.delivery_filter = deliver_later
 
 
-def nonsense(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def nonsense(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """One gateway reports each tenth of a second of some host that it is idle, or that it is full."""
 
     def report() -> None:
         sender = world.gateways[0]
         host = f"h{chance.below(len(world.hosts))}"
-        senseless = face.Report(cpu_busy=float(chance.below(2)), memory_busy=0.2)
+        senseless = face.HostLoadReport(cpu_busy=float(chance.below(2)), memory_busy=0.2)
         payload = sender.gateway.sharing.codec.encode(host, senseless)
         if payload is not None:
             world.broadcast(sender, payload)
@@ -88,7 +88,7 @@
     world.clock.at(0, report)
 
 
-def join(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def join(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """Six in ten hosts are replaced by new ones, which warm up, within seven seconds."""
     old = [name for name in world.hosts if chance.below(1000) < 1000 * REPLACED_SHARE]
     steps = (JOIN_END - JOIN_BEGIN) // JOIN_STEP
@@ -107,7 +107,7 @@
         world.clock.at(JOIN_BEGIN + step * JOIN_STEP, replace, old[step::steps])
 
 
-def zone(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def zone(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """A zone goes down; it leaves the list a second later, and is back, warming up."""
     names = [name for name, host in world.hosts.items() if host.zone == ZONES - 1]
 
@@ -123,7 +123,7 @@
     world.clock.at(ZONE_BACK, come_back)
 
 
-def heal(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def heal(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """Two halves do not hear each other, then do."""
     half = len(world.gateways) // 2
     world.delivery_filter = lambda world, sender, receiver, payload: (
@@ -132,7 +132,7 @@
     world.clock.at(HEALED_AT, lambda: observer.event(world.hosts))
 
 
-def restart(world: FleetWorld, observer: PlayObserver, chance: Chance) -> None:
+def restart(world: FleetWorld, observer: PlayObserver, chance: RandomGenerator) -> None:
     """Seven in ten gateways are killed and start again at one moment."""
 
     def restart_share() -> None:
@@ -160,6 +160,6 @@
 KINDS = (*FAULTS, *WEIGHTS, *SIZES, *ONE_THIRD_SAME)
 
 
-def fault_chance(seed: int) -> Chance:
+def fault_chance(seed: int) -> RandomGenerator:
     """The chance of a play's faults."""
-    return Chance(seed + CHANCE_SALT)
+    return RandomGenerator(seed + CHANCE_SALT)
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -122,7 +122,7 @@
         world.counts["loads"] += service.began_load
         request.load_wait += service.load_wait
         request.queue_wait += service.duration - service.load_wait
-        found = face.Found.WARM if service.was_warm else face.Found.BEGAN_LOAD
+        found = face.InstanceStatus.WARM if service.was_warm else face.InstanceStatus.BEGAN_LOAD
         ended = face.Outcome(
             key, number, attempt.host, face.Result.OK, service.duration, True, found, None, None
         )
@@ -130,7 +130,7 @@
 
     def _connect_failed(self, key: str, number: int, host_name: str) -> None:
         if not self.is_down:
-            result, found = face.Result.CONNECT_FAILED, face.Found.UNKNOWN
+            result, found = face.Result.CONNECT_FAILED, face.InstanceStatus.UNKNOWN
             outcome = face.Outcome(key, number, host_name, result, ROUND_TRIP, False, found, None, None)
             self.handle_outcome(self.world.clock.now, outcome)
 
@@ -138,7 +138,7 @@
         """An attempt has ended, unless its host went down meanwhile."""
         world, host = self.world, self.world.hosts[outcome.host]
         if host.incarnation != incarnation:
-            lost = outcome._replace(result=face.Result.RESET, ended=False, found=face.Found.UNKNOWN)
+            lost = outcome._replace(result=face.Result.RESET, ended=False, found=face.InstanceStatus.UNKNOWN)
             self.handle_outcome(world.clock.now, lost)
             return
         host.in_flight -= 1
@@ -173,10 +173,10 @@
         world.counts["probes"] += 1
         report = None
         if not probed.is_down:
-            report = face.Report(cpu_busy=probed.cpu_share(), memory_busy=MEMORY_BUSY)
+            report = face.HostLoadReport(cpu_busy=probed.cpu_share(), memory_busy=MEMORY_BUSY)
         world.clock.after(ROUND_TRIP, self._probe_answered, host, report)
 
-    def _probe_answered(self, host: str, report: face.Report | None) -> None:
+    def _probe_answered(self, host: str, report: face.HostLoadReport | None) -> None:
         if not self.is_down:
             self.probe_answered(self.world.clock.now, host, report, good=report is not None)
 
--- a/benchmarks/fleet/smoothed.py
+++ b/benchmarks/fleet/smoothed.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_loads import HostLoads
 from gaproute.decisions.routing.parameters import REPORT_LIFETIME, SPREAD_FACTOR, USUAL_CONCURRENCY
-from gaproute.interface import Report, Request
+from gaproute.interface import HostLoadReport, Request
 from gaproute.units import SECOND
 
 SMOOTHED_REPORTS = 8  # over which a host's load is averaged
@@ -32,7 +32,7 @@
         super().__init__()
         self.smoothed: dict[Host, float] = {}
 
-    def record(self, host: Host, now: int, report: Report | None) -> None:
+    def record(self, host: Host, now: int, report: HostLoadReport | None) -> None:
         """Take a host's load report."""
         super().record(host, now, report)
         if report is not None and report.cpu_busy is not None:
--- a/benchmarks/fleet/split_choice.py
+++ b/benchmarks/fleet/split_choice.py
@@ -19,7 +19,7 @@
 from gaproute.decisions.routing.host_loads import HostLoads
 from gaproute.decisions.routing.host_selector import HostSelector
 from gaproute.decisions.routing.request_attempts import RequestAttempts
-from gaproute.interface import Request, Terms
+from gaproute.interface import Request, RoutingSettings
 from gaproute.units import SECOND
 
 
@@ -157,7 +157,7 @@
         self,
         world: GatewayWorld,
         number: int,
-        terms: Terms,
+        terms: RoutingSettings,
         now: int,
         selector_type: type[SplitSelector] = SplitSelector,
     ) -> None:
--- a/benchmarks/fleet/terms.py
+++ b/benchmarks/fleet/terms.py
@@ -8,12 +8,16 @@
 from gaproute import interface as face
 
 REQUEST_CLASSES = (
-    face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, 600 * MILLI, 2400 * MILLI, 3.0),
-    face.RequestClass(face.Idempotency.NON_IDEMPOTENT, face.Group.ALL, 0, 600 * MILLI, 2000 * MILLI, 3.0),
+    face.RequestClass(
+        face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, 600 * MILLI, 2400 * MILLI, 3.0
+    ),
+    face.RequestClass(
+        face.Idempotency.NON_IDEMPOTENT, face.IdempotencyScope.ALL, 0, 600 * MILLI, 2000 * MILLI, 3.0
+    ),
 )
 
 
-def fleet_terms(gateways: int) -> face.Terms:
+def fleet_terms(gateways: int) -> face.RoutingSettings:
     """The terms of a fleet of so many gateways, which share load reports that probes bring."""
     return SINGLE_GATEWAY_TERMS._replace(
         request_classes=REQUEST_CLASSES,
--- a/benchmarks/fleet/traffic.py
+++ b/benchmarks/fleet/traffic.py
@@ -8,7 +8,7 @@
 
 from benchmarks.fleet.clock import SECOND
 from benchmarks.fleet.world import FleetWorld
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 
 FUNCTIONS = 400
 NON_IDEMPOTENT_EACH = 7  # one request in so many is not idempotent
@@ -33,7 +33,7 @@
         one_third_same: bool = False,
     ) -> None:
         self._world, self._mean_gap = world, SECOND // rate
-        self._chance, self._one_third_same = Chance(seed), one_third_same
+        self._chance, self._one_third_same = RandomGenerator(seed), one_third_same
         self._summed_weights = list(accumulate(weights)) if weights else None
         world.clock.at(0, self._arrive)
 
--- a/benchmarks/fleet/warming_gateways.py
+++ b/benchmarks/fleet/warming_gateways.py
@@ -70,11 +70,11 @@
         self._count_work(attempt.host, work)
         if host.is_down or host.is_full(now):
             result = face.Result.CONNECT_FAILED if host.is_down else face.Result.FULL
-            failed = _outcome(key, number, attempt.host, result, ROUND_TRIP, face.Found.UNKNOWN)
+            failed = _outcome(key, number, attempt.host, result, ROUND_TRIP, face.InstanceStatus.UNKNOWN)
             world.clock.at(now + ROUND_TRIP, self._attempt_ended, failed, None)
             return
         service = host.accept_work(now, function, work)
-        found = face.Found.WARM if service.was_warm else face.Found.BEGAN_LOAD
+        found = face.InstanceStatus.WARM if service.was_warm else face.InstanceStatus.BEGAN_LOAD
         ended = _outcome(key, number, attempt.host, face.Result.OK, service.duration, found)
         world.clock.at(now + service.duration, self._attempt_ended, ended, host.incarnation)
 
@@ -88,7 +88,7 @@
             world.clock.at(delivery_time, self._attempt_ended, delayed, incarnation)
             return
         if incarnation is not None and incarnation != host.incarnation:
-            outcome = outcome._replace(result=face.Result.RESET, found=face.Found.UNKNOWN)
+            outcome = outcome._replace(result=face.Result.RESET, found=face.InstanceStatus.UNKNOWN)
         elif incarnation is not None:
             host.in_flight -= 1
         if not self.is_down:
@@ -99,7 +99,7 @@
         if is_answer and outcome.request in self.generators:
             self.world.counts["delivered"] += 1
             self.world.request_answered(self.requests.pop(outcome.request))
-        report = face.Report(in_hand=host.in_flight) if is_answer else None
+        report = face.HostLoadReport(in_hand=host.in_flight) if is_answer else None
         self.handle_outcome(self.world.clock.now, outcome._replace(ended=is_answer, report=report))
 
     def _count_work(self, host_name: str, work: float) -> None:
@@ -115,7 +115,7 @@
 
 
 def _outcome(
-    key: str, number: int, host: str, result: face.Result, took: int, found: face.Found
+    key: str, number: int, host: str, result: face.Result, took: int, found: face.InstanceStatus
 ) -> face.Outcome:
     """The outcome of an attempt, before it is known what came of its host meanwhile."""
     return face.Outcome(
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -19,12 +19,12 @@
 COUNTED = ("tasks", "delivered", "probes", "words", "orders", "connections", "loads")
 
 # Makes one gateway's decisions: takes the world, a seed, the terms and the time.
-DecisionsFactory = Callable[[Any, int, face.Terms, int], Any]
+DecisionsFactory = Callable[[Any, int, face.RoutingSettings, int], Any]
 # Whether a message is handed over: takes the world, the sender, the receiver and the payload.
 DeliveryFilter = Callable[["FleetWorld", FleetGateway, FleetGateway, bytes], bool]
 
 
-def todays_decisions(world: Any, seed: int, terms: face.Terms, now: int) -> Gateway:
+def todays_decisions(world: Any, seed: int, terms: face.RoutingSettings, now: int) -> Gateway:
     """The decisions as they are."""
     return Gateway(seed, terms, now)
 
@@ -104,7 +104,7 @@
                 name,
                 host.zone,
                 0,
-                face.State.GONE if host.is_down else face.State.ACTIVE,
+                face.ListedHostState.GONE if host.is_down else face.ListedHostState.ACTIVE,
                 CAPACITY * host.size,
                 host.started,
             )
--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -23,7 +23,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from benchmarks.rows import write
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
@@ -101,7 +101,7 @@
 
     def __init__(self, message: GossipMessage) -> None:
         self._message, self._sequence = message, 1
-        self._node = GossipNode("me", 1, Chance(1), 0)
+        self._node = GossipNode("me", 1, RandomGenerator(1), 0)
         self._node.set_peers(0, ["a"])
 
     def merge(self) -> None:
@@ -144,9 +144,9 @@
             where = f"127.0.0.1:{free.getsockname()[1]}"
         loop = Loop()
         self._transport = MembershipTransport(
-            loop, "me", where, Chance(1), IgnoredEvents(), partial(Datagrams, loop)
+            loop, "me", where, RandomGenerator(1), IgnoredEvents(), partial(Datagrams, loop)
         )
-        self._node = GossipNode("me", 1, Chance(1), 0)
+        self._node = GossipNode("me", 1, RandomGenerator(1), 0)
         self._node.set_peers(0, [SENDER])
         self._transport.register(PayloadKind.GOSSIP, self._receive)
 
--- a/benchmarks/gossip_fleet.py
+++ b/benchmarks/gossip_fleet.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from benchmarks.gossip_traffic import SECOND, STEP, GossipTraffic
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
@@ -52,7 +52,8 @@
         self.random = random.Random(f"{size} {case} {seed}")
         names = [f"gate-{number}" for number in range(size)]
         self.nodes = {
-            name: GossipNode(name, 1, Chance(seed * 10_000 + number), 0) for number, name in enumerate(names)
+            name: GossipNode(name, 1, RandomGenerator(seed * 10_000 + number), 0)
+            for number, name in enumerate(names)
         }
         self.traffic = GossipTraffic(self.nodes, self.random)
         self._loss = CASES[case]
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -26,7 +26,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import Limits, Request
-from gaproute.interface import Idempotency, ListedHost, Result, State
+from gaproute.interface import Idempotency, ListedHost, ListedHostState, Result
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Promise
 
@@ -107,7 +107,7 @@
         self._names = [f"h{number}" for number in range(len(addresses))]
         self.client = KServeClient(self._loop, pooling)
         endpoints = [
-            Endpoint(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where)
+            Endpoint(ListedHost(name, 0, 0, ListedHostState.ACTIVE, 1.0, None), where)
             for name, where in zip(self._names, addresses, strict=True)
         ]
         self.client.update(endpoints, complete=True)
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -25,7 +25,7 @@
 
 from benchmarks.processor_time import cpu_seconds
 from benchmarks.rows import table, write
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop import Loop, Stream
 from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
 from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
@@ -50,7 +50,7 @@
 
     def __init__(self, loop: Loop, seed: int) -> None:
         self.seen: dict[str, int] = {}
-        self._loop, self._chance = loop, Chance(seed)
+        self._loop, self._chance = loop, RandomGenerator(seed)
         self._hosts = [ScriptedHost(loop, self._answer) for _ in range(HOSTS)]
 
     @property
@@ -121,7 +121,7 @@
     def __init__(self, loop: Loop, rate: int, seed: int) -> None:
         self.left: dict[str, int] = {}
         self.late = self.sent = 0
-        self._loop, self._chance, self._interval = loop, Chance(seed), SECOND // rate
+        self._loop, self._chance, self._interval = loop, RandomGenerator(seed), SECOND // rate
         self._answers: list[dict[str, Any]] = []
         self._clients: list[ScriptedClient] = []
         self._next = self._first_counted = 0
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -25,7 +25,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from benchmarks.rows import median_with_range, write
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import MembershipMessage, MemberState
 from gaproute.shared.membership.invariants import check
@@ -77,7 +77,7 @@
 
 def calm_and_death(size: int, loss: float, seed: int) -> Figures:
     """Figures of a calm minute, then of one gateway's death and a newcomer."""
-    net, chance = EncodingNetwork(size, seed), Chance(seed)
+    net, chance = EncodingNetwork(size, seed), RandomGenerator(seed)
     if loss:
         net.is_lost = lambda sender, to: chance.below(1000) < 1000 * loss
     net.run(10 * SECOND)
@@ -140,7 +140,7 @@
 
 def time_to_restart(size: int, seed: int) -> Figure:
     """Seconds until all hold all alive after seven tenths were killed and started again."""
-    net, chance = EncodingNetwork(size, seed), Chance(seed)
+    net, chance = EncodingNetwork(size, seed), RandomGenerator(seed)
     net.run(40 * SECOND)
     peers = {f"g{number}": f"g{number}" for number in range(size)}
     killed = [name for name in peers if chance.below(10) < 7]
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -50,6 +50,14 @@
     "warm_up_time": "cold_time",
     "host_list_polled": "must_ask_list",
 }
+EARLIER_CLASSES = {  # names of classes in earlier revisions
+    "HostLoadReport": "Report",
+    "IdempotencyScope": "Group",
+    "InstanceStatus": "Found",
+    "ListedHostState": "State",
+    "RandomGenerator": "Chance",
+    "RoutingSettings": "Terms",
+}
 TERMS: dict[str, Any] = {
     "tenant_shares": (),
     "over_share_value": 1.0,
@@ -104,10 +112,16 @@
     for decisions, chance in MODULES:
         with suppress(ModuleNotFoundError):
             gateway = importlib.import_module(decisions).Gateway
-            return Revision(interface, gateway, importlib.import_module(chance).Chance, request)
+            generator = find_class(importlib.import_module(chance), "RandomGenerator")
+            return Revision(interface, gateway, generator, request)
     raise SystemExit("no decisions found in this revision")
 
 
+def find_class(module: Any, name: str) -> Any:
+    """The class by its present name, or by the name that earlier revisions have for it."""
+    return getattr(module, name, None) or getattr(module, EARLIER_CLASSES[name])
+
+
 def known_terms(fields: Sequence[str]) -> dict[str, Any]:
     """The terms by the names that the revision has for them."""
     terms = TERMS | {earlier: TERMS[name] for name, earlier in EARLIER_NAMES.items()}
@@ -117,11 +131,12 @@
 def make_gateway(revision: Revision, hosts: int) -> Any:
     """The decisions before so many hosts."""
     interface = revision.interface
-    idempotent, everybody = interface.Idempotency.IDEMPOTENT, interface.Group.ALL
+    idempotent, everybody = interface.Idempotency.IDEMPOTENT, find_class(interface, "IdempotencyScope").ALL
     request_class = interface.RequestClass(idempotent, everybody, 0, SECOND, 4 * SECOND, 1.0)
-    terms = interface.Terms((request_class,), **known_terms(interface.Terms._fields))
+    settings = find_class(interface, "RoutingSettings")
+    terms = settings((request_class,), **known_terms(settings._fields))
     gateway = revision.gateway(7, terms, 0)
-    active = interface.State.ACTIVE
+    active = find_class(interface, "ListedHostState").ACTIVE
     rows = [
         interface.ListedHost(f"h{number}", number % 3, number % 5, active, 4.0, None)
         for number in range(hosts)
@@ -176,7 +191,8 @@
 def _answer(revision: Revision, gateway: Any, now: int, sent: SentRequest) -> None:
     """The host's answer comes, with a load report."""
     interface = revision.interface
-    result, found, report = interface.Result.OK, interface.Found.WARM, interface.Report(1, 0, 0.3, 0.4)
+    result, found = interface.Result.OK, find_class(interface, "InstanceStatus").WARM
+    report = find_class(interface, "HostLoadReport")(1, 0, 0.3, 0.4)
     outcome = interface.Outcome(sent.id, 0, sent.host, result, now - sent.sent, True, found, 0, report)
     gateway.attempt_ended(now, outcome)
     with suppress(StopIteration):
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -33,7 +33,7 @@
 FIXED_SUBSET, CELLS = "a fixed subset of 20 hosts", "cells"
 WAYS = (EVERY_HOST, TWO_BY_CHANCE, FIXED_SUBSET, CELLS)
 
-MakeDecisions = Callable[[int, face.Terms], Any]  # takes a seed and the terms
+MakeDecisions = Callable[[int, face.RoutingSettings], Any]  # takes a seed and the terms
 ChooseHosts = Callable[[Random, Sequence[CellHost]], Sequence[CellHost]]
 
 
@@ -95,12 +95,12 @@
             gateway.housekeep()
 
 
-def todays_decisions(seed: int, terms: face.Terms) -> Gateway:
+def todays_decisions(seed: int, terms: face.RoutingSettings) -> Gateway:
     """A gateway as today."""
     return Gateway(seed, terms, 0)
 
 
-def two_by_chance(seed: int, terms: face.Terms) -> TwoByChance:
+def two_by_chance(seed: int, terms: face.RoutingSettings) -> TwoByChance:
     """A gateway that draws two hosts."""
     return TwoByChance(seed)
 
--- a/benchmarks/scale/cells/callers.py
+++ b/benchmarks/scale/cells/callers.py
@@ -20,11 +20,13 @@
 from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import CellTable
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 
 MAX_CELLS_TRIED = 3
 
-OnFound = Callable[[face.Found | None], object]  # takes what the host found; None where the call failed
+OnFound = Callable[
+    [face.InstanceStatus | None], object
+]  # takes what the host found; None where the call failed
 
 
 class Caller(NamedTuple):
@@ -77,9 +79,9 @@
         key = location.region, table is not self._tables[0]
         if key not in self._selectors:
             homes = HomeCells(table, regions=(location.region,))
-            health = CellHealth(location.name, Chance(1), location)
+            health = CellHealth(location.name, RandomGenerator(1), location)
             health.adopt(table)
-            chance = Chance(len(self._selectors))
+            chance = RandomGenerator(len(self._selectors))
             self._selectors[key] = CellSelector(location, homes, caller.demand, CellLoads(), health, chance)
         return self._selectors[key]
 
@@ -95,7 +97,7 @@
             self._forward(caller, function, cells[1:], on_found)
             return
 
-        def on_end(end: CallEnd, reason: str, found: face.Found) -> None:
+        def on_end(end: CallEnd, reason: str, found: face.InstanceStatus) -> None:
             if end is CallEnd.DELIVERED:
                 on_found(found)
             else:
--- a/benchmarks/scale/cells/evenness.py
+++ b/benchmarks/scale/cells/evenness.py
@@ -22,7 +22,7 @@
 from gaproute.decisions.cells.homes import HomeCells
 from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.cells.table import CellTable
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 
 SHAPE = Shape(490, 51, 16_000, entries=0)
 FUNCTIONS = 390_000
@@ -61,7 +61,7 @@
             self._homes[location.region] = HomeCells(self._table, MAX_ORDERS, (location.region,))
         regional = max(1, self._shape.gateways // self._shape.regions)
         demand = Demand(0, FleetScope(self._shape.gateways, regional, KEEP_ALIVE))
-        chance = Chance(self._seed + number)
+        chance = RandomGenerator(self._seed + number)
         health = CellHealth(location.name, chance, location)
         homes = self._homes[location.region]
         selector = CellSelector(location, homes, demand, self._make_loads(), health, chance)
--- a/benchmarks/scale/cells/failures.py
+++ b/benchmarks/scale/cells/failures.py
@@ -102,7 +102,7 @@
         side = INSIDE if gateway.zone in self._failure.zones else OUTSIDE
         second = self.world.clock.now // SECOND
 
-        def on_end(end: CallEnd, found: face.Found) -> None:
+        def on_end(end: CallEnd, found: face.InstanceStatus) -> None:
             self._by_end[CallKey(self.world.clock.now // SECOND, side, end)] += 1
             self._by_begin[CallKey(second, side, end)] += 1
 
--- a/benchmarks/scale/cells/gateways.py
+++ b/benchmarks/scale/cells/gateways.py
@@ -21,7 +21,9 @@
     UNKNOWN = "unknown"  # the entry gateway does not know the cell
 
 
-OnEnd = Callable[[CallEnd, str, face.Found], object]  # takes the end, its reason and what the host found
+OnEnd = Callable[
+    [CallEnd, str, face.InstanceStatus], object
+]  # takes the end, its reason and what the host found
 
 
 class SentAttempt(NamedTuple):
@@ -123,8 +125,8 @@
         served: ServedRequest,
         number: int,
         result: face.Result,
-        found: face.Found = face.Found.UNKNOWN,
-        report: face.Report | None = None,
+        found: face.InstanceStatus = face.InstanceStatus.UNKNOWN,
+        report: face.HostLoadReport | None = None,
     ) -> None:
         """An attempt has ended; a second end of one, or one at a gateway that is down, is dropped."""
         if not self.is_up or number not in served.in_flight:
@@ -201,7 +203,11 @@
         self._forget(served)
 
     def _end(
-        self, served: ServedRequest, end: CallEnd, reason: str, found: face.Found = face.Found.UNKNOWN
+        self,
+        served: ServedRequest,
+        end: CallEnd,
+        reason: str,
+        found: face.InstanceStatus = face.InstanceStatus.UNKNOWN,
     ) -> None:
         on_end, served.on_end = served.on_end, None
         if on_end is not None:
--- a/benchmarks/scale/cells/meetings.py
+++ b/benchmarks/scale/cells/meetings.py
@@ -36,11 +36,11 @@
         allowed = measured and last is not None and now - last < self._keep_alive
         self._last_called[function] = now
 
-        def on_found(found: face.Found | None) -> None:
+        def on_found(found: face.InstanceStatus | None) -> None:
             self.counts["calls"] += measured
             if allowed:
                 self.counts["allowed"] += 1
-                self.counts["found"] += found is face.Found.WARM
+                self.counts["found"] += found is face.InstanceStatus.WARM
                 self.counts["failed"] += found is None
 
         return on_found
@@ -101,7 +101,7 @@
         self.world.clock.after(gap, self._call_busy)
 
 
-def _ignore(found: face.Found | None) -> None:
+def _ignore(found: face.InstanceStatus | None) -> None:
     """What a busy function found is not counted."""
 
 
--- a/benchmarks/scale/cells/terms.py
+++ b/benchmarks/scale/cells/terms.py
@@ -9,12 +9,14 @@
 CALL_TIME = 8 * SECOND  # that a client waits
 IDEMPOTENT, NON_IDEMPOTENT = 0, 1  # indexes of the request classes
 REQUEST_CLASSES = (
-    face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
-    face.RequestClass(face.Idempotency.NON_IDEMPOTENT, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
+    face.RequestClass(face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
+    face.RequestClass(
+        face.Idempotency.NON_IDEMPOTENT, face.IdempotencyScope.ALL, 0, 2 * SECOND, CALL_TIME, 1.0
+    ),
 )
 
 
-def cell_terms(gateways: int, keep_alive: int) -> face.Terms:
+def cell_terms(gateways: int, keep_alive: int) -> face.RoutingSettings:
     """The terms of a fleet of so many gateways, without load orders and probes."""
     return SINGLE_GATEWAY_TERMS._replace(
         request_classes=REQUEST_CLASSES,
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -30,7 +30,7 @@
     CallEnd.UNKNOWN: face.Result.NOT_LOADED,
 }
 
-OnCallEnd = Callable[[CallEnd, face.Found], object]
+OnCallEnd = Callable[[CallEnd, face.InstanceStatus], object]
 
 
 class AttemptReply:
@@ -51,8 +51,8 @@
     def send(
         self,
         result: face.Result,
-        found: face.Found = face.Found.UNKNOWN,
-        report: face.Report | None = None,
+        found: face.InstanceStatus = face.InstanceStatus.UNKNOWN,
+        report: face.HostLoadReport | None = None,
     ) -> None:
         """Send it from the zone that the attempt went to, unless it is lost or cut off."""
         if self._world.network.delay(self.gateway.zone, self._zone) is not None:
@@ -127,7 +127,7 @@
     def host_row(self, host: CellHost) -> face.ListedHost:
         """The host as the list has it."""
         capacity = host.capacity / self.shape.host_capacity
-        return face.ListedHost(host.name, 0, 0, face.State.ACTIVE, capacity, None)
+        return face.ListedHost(host.name, 0, 0, face.ListedHostState.ACTIVE, capacity, None)
 
     def count(self, name: str, amount: int = 1) -> None:
         """Count, in all and by the second."""
@@ -154,7 +154,7 @@
             reply.send(face.Result.CONNECT_FAILED)
             return
         if host.in_flight >= MAX_LOAD * host.capacity:
-            reply.send(face.Result.FULL, report=face.Report(in_hand=host.in_flight))
+            reply.send(face.Result.FULL, report=face.HostLoadReport(in_hand=host.in_flight))
             return
         request = reply.served.request
         self._count_run(request)
@@ -163,10 +163,10 @@
         self.count("loads" if service.began_load else "found")
         self.clock.after(service.duration, self._host_answers, reply, host, _found(service))
 
-    def _host_answers(self, reply: AttemptReply, host: CellHost, found: face.Found) -> None:
+    def _host_answers(self, reply: AttemptReply, host: CellHost, found: face.InstanceStatus) -> None:
         if host.is_up and not host.is_mute:
             host.in_flight = max(0, host.in_flight - 1)
-            reply.send(face.Result.OK, found, face.Report(in_hand=host.in_flight))
+            reply.send(face.Result.OK, found, face.HostLoadReport(in_hand=host.in_flight))
 
     def _count_run(self, request: face.Request) -> None:
         if request.request_class == NON_IDEMPOTENT:
@@ -196,7 +196,7 @@
             reply.send(face.Result.CONNECT_FAILED)
             return
 
-        def on_end(end: CallEnd, reason: str, found: face.Found) -> None:
+        def on_end(end: CallEnd, reason: str, found: face.InstanceStatus) -> None:
             report = entry.decisions.local.report(self.clock.now, action.forwarded.cell)
             reply.send(ENTRY_RESULTS.get(end, face.Result.ERROR), found, report)
 
@@ -226,14 +226,14 @@
         gateway.take(request, lambda end, reason, found: self._call_ended(began, end, reason, found, on_end))
 
     def _call_ended(
-        self, began: int, end: CallEnd, reason: str, found: face.Found, on_end: OnCallEnd | None
+        self, began: int, end: CallEnd, reason: str, found: face.InstanceStatus, on_end: OnCallEnd | None
     ) -> None:
         self.count(end)
         if end is CallEnd.REJECTED:
             self.counts[f"declined: {reason}"] += 1
         if end is CallEnd.DELIVERED:
             self.latencies.append(self.clock.now - began)
-            self.count("warm" if found is face.Found.WARM else "cold")
+            self.count("warm" if found is face.InstanceStatus.WARM else "cold")
         if on_end is not None:
             on_end(end, found)
 
@@ -246,7 +246,7 @@
                 self.violations += invariants.one_cell_at_a_time(gateway.decisions)
 
 
-def _found(service: CallService) -> face.Found:
+def _found(service: CallService) -> face.InstanceStatus:
     if service.was_warm:
-        return face.Found.WARM
-    return face.Found.BEGAN_LOAD if service.began_load else face.Found.AWAITED_LOAD
+        return face.InstanceStatus.WARM
+    return face.InstanceStatus.BEGAN_LOAD if service.began_load else face.InstanceStatus.AWAITED_LOAD
--- a/benchmarks/scale/costs/cell_hosts_rest.py
+++ b/benchmarks/scale/costs/cell_hosts_rest.py
@@ -13,7 +13,7 @@
 from gaproute.appliance.cell_lists import CellLists, ListsByCell
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.config.directives.fleet import CellHostsLine
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import CellSource
 
@@ -83,7 +83,7 @@
     changes: list[ListsByCell] = []
     with served(cells, seed) as where:
         line = CellHostsLine.model_validate({"look": LOOK, "from": where})
-        lists = FollowedLists(loop, "north", line, changes.append, _ignore, _ignore, Chance(seed))
+        lists = FollowedLists(loop, "north", line, changes.append, _ignore, _ignore, RandomGenerator(seed))
         lists.set_cells(dict.fromkeys(names(cells), "z"))
         while not changes or len(changes[-1]) < cells:
             loop.run(until=loop.sleep(LOOK))
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -42,7 +42,8 @@
     gateway.adopt(0, table_of(holder))
     for name in gateway.wanted():
         rows = [
-            face.ListedHost(f"{name}-{host}", 0, 0, face.State.ACTIVE, 1.0, None) for host in range(HOSTS)
+            face.ListedHost(f"{name}-{host}", 0, 0, face.ListedHostState.ACTIVE, 1.0, None)
+            for host in range(HOSTS)
         ]
         gateway.update_hosts(0, rows, complete=True, cell=name)
     return gateway, holder
@@ -70,7 +71,7 @@
         return
     serving.send(0)
     outcome = face.Outcome(
-        asked.id, 0, action.host, face.Result.OK, SECOND // 20, True, face.Found.WARM, None, None
+        asked.id, 0, action.host, face.Result.OK, SECOND // 20, True, face.InstanceStatus.WARM, None, None
     )
     gateway.attempt_ended(now + SECOND // 20, outcome)
     serving.close()
--- a/benchmarks/scale/costs/change_log.py
+++ b/benchmarks/scale/costs/change_log.py
@@ -5,7 +5,7 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds, cpu_seconds_once
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.members import MemberConverter
 from gaproute.discovery.changelog.sse import EventReader
@@ -48,7 +48,7 @@
         self.loop = Loop()
         self.lister = MemberConverter(self.loop, ["hall-a"])
         self.rows = 0
-        self.follower = ChangeLogWatcher(self.loop, NOWHERE, 0, self.on_event, Chance(1))
+        self.follower = ChangeLogWatcher(self.loop, NOWHERE, 0, self.on_event, RandomGenerator(1))
         self.follower.disconnect()
         self.follower.reader, self.follower.awaits_first_event = EventReader(), True
         self.feed(HEAD)
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -9,7 +9,7 @@
 from gaproute.hosts.kserve import messages
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import render
-from gaproute.interface import ListedHost, Report, State
+from gaproute.interface import HostLoadReport, ListedHost, ListedHostState
 from gaproute.loop import Loop, Promise
 
 SECOND = 1_000_000_000
@@ -30,7 +30,9 @@
         self.waiting, self.ended = 0, Promise()  # probes in flight, and what is set once none is
         self.hosts = KServeClient(self.loop, Pooling())
         self.names = [f"host-{number:04}" for number in range(count)]
-        rows = [Endpoint(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
+        rows = [
+            Endpoint(ListedHost(name, 0, 0, ListedHostState.ACTIVE, 1.0, None), where) for name in self.names
+        ]
         self.hosts.update(rows, complete=True)
 
     def probe_all(self) -> None:
@@ -42,7 +44,7 @@
                 self.hosts.probe(name, self._probe_ended)
             self.loop.run(until=self.ended)
 
-    def _probe_ended(self, report: Report | None, *, good: bool) -> None:
+    def _probe_ended(self, report: HostLoadReport | None, *, good: bool) -> None:
         self.ready += good
         self.waiting -= 1
         if not self.waiting:
--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, cpu_seconds_once, retained_bytes
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.commands import AcquireLease, RenewLease, decode_result, encode
 from gaproute.shared.raft import RaftNode
@@ -62,7 +62,7 @@
     def __init__(self, path: Path, seed: int) -> None:
         self.disk = RaftLogFile(path).open()
         self.machine = LeaseTable(initial_wait=False)
-        self.node = RaftNode(NAME, [NAME], self.disk, Chance(seed), 0, self.machine)
+        self.node = RaftNode(NAME, [NAME], self.disk, RandomGenerator(seed), 0, self.machine)
         self.now = 0
 
     def settle(self) -> None:
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, grown
 from benchmarks.terms import SINGLE_GATEWAY_TERMS
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Report, Wait
+from gaproute.interface import HostLoadReport, Wait
 
 HOSTS = (100, 400, 1_600, 6_400, 25_600)
 FEWER_HOSTS = HOSTS[:-1]  # where the largest would take long and show little more
@@ -69,7 +69,7 @@
     return rare_calls(hosts, seed, before=start_host)
 
 
-def warm_call(hosts: int, seed: int, report: Report | None = None) -> float:
+def warm_call(hosts: int, seed: int, report: HostLoadReport | None = None) -> float:
     """Milliseconds of a call where many functions are called in turn; each answer contains the report."""
     caller = Caller(hosts, seed, report)
     names = [f"warm-{number}" for number in range(WARM_FUNCTIONS)]
--- a/benchmarks/scale/costs/functions.py
+++ b/benchmarks/scale/costs/functions.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.gateways import MEGABYTE, SECOND, Caller, row
 from benchmarks.scale.measurement import PLAYS, Measurement, Measurements, Point
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, with_omitted
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 
 HOSTS = 1_600
 FUNCTIONS = (100, 250, 500, 1_000, 2_500, 10_000, 40_000)
@@ -71,7 +71,7 @@
 
 def _host_leaves(caller: Caller, number: int) -> float:
     """Milliseconds of a round before which a host left the list; it is listed again afterwards."""
-    caller.gateway.update_hosts(caller.now, [row(number, State.GONE)], complete=False)
+    caller.gateway.update_hosts(caller.now, [row(number, ListedHostState.GONE)], complete=False)
     spent = _cleanup(caller)
     caller.gateway.update_hosts(caller.now, [row(number)], complete=False)
     return spent
--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.shared.gossip import GossipNode
@@ -37,9 +37,9 @@
     """One sender whose peers each send it what it sends them."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
-        self.fleet, self.chance = fleet, Chance(seed)
+        self.fleet, self.chance = fleet, RandomGenerator(seed)
         self.names = [f"gate-{number:04}" for number in range(1, fleet.gateways)]
-        self.node = GossipNode("gate-0000", 1, Chance(seed), 0)
+        self.node = GossipNode("gate-0000", 1, RandomGenerator(seed), 0)
         self.node.set_peers(0, self.names)
         self.node.set_hosts(0, dict.fromkeys(self.hosts(), 1))
         self.now, self.turn = 0, 0  # ns; messages received so far
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements, Play
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
 from gaproute.shared.membership.message_builder import Outgoing
@@ -53,7 +53,7 @@
     """
 
     def __init__(self, count: int, seed: int) -> None:
-        self.peers, self.chance = members(count), Chance(seed)
+        self.peers, self.chance = members(count), RandomGenerator(seed)
         self.names = {where: name for name, where in self.peers.items()}
         self.member, self.mirror = self.start("gate-0000", seed), self.start("gate-0001", seed + 1)
         self.now = 0  # ns
@@ -62,7 +62,7 @@
 
     def start(self, name: str, seed: int) -> Membership:
         """Make a member that is configured with all others."""
-        made = Membership(name, self.peers[name], Chance(seed), 0, SINCE_1970)
+        made = Membership(name, self.peers[name], RandomGenerator(seed), 0, SINCE_1970)
         made.configure(0, self.peers)
         return made
 
@@ -122,7 +122,7 @@
     peers = members(count)
 
     def build() -> Membership:
-        made = Membership("gate-0000", peers["gate-0000"], Chance(seed), 0, SINCE_1970)
+        made = Membership("gate-0000", peers["gate-0000"], RandomGenerator(seed), 0, SINCE_1970)
         for name, where in peers.items():
             news = MemberUpdate(f"{name}", f"{where} "[:-1], MemberState.ALIVE, SINCE_1970)
             made.receive(0, decoded(encode(MembershipMessage(MessageKind.ACK, 0, news))))
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.plays import CPU, cpu_ms, grown
 from benchmarks.terms import SINGLE_GATEWAY_TERMS
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 
@@ -40,14 +40,14 @@
 def delivered(calls: int, seed: int) -> float:
     """Milliseconds of counting one delivered call, the window moving on."""
     limiter, now, gap = _full_limiter(calls)
-    chance = Chance(seed)
+    chance = RandomGenerator(seed)
     times = iter([(now + number * gap, now + number * gap - chance.below(LATE)) for number in range(REPEATS)])
     return cpu_ms(lambda: limiter.delivered(*next(times)), REPEATS)
 
 
 def pick(hosts: int, seed: int) -> float:
     """Milliseconds of choosing the host to probe."""
-    active, chance = Caller(hosts, seed).gateway.active_hosts, Chance(seed)
+    active, chance = Caller(hosts, seed).gateway.active_hosts, RandomGenerator(seed)
     sharing = LoadReportSharing(REPORT_SHARING_TERMS)
     for _ in range(PICKS):
         sharing.request_delivered()
--- a/benchmarks/scale/dissemination_fleet.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -14,7 +14,7 @@
 from benchmarks.scale.dissemination_traffic import TrafficCounts
 from benchmarks.scale.stub_document import StubDocument, change_from
 from gaproute.decisions.cells.version import Version
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer, Send
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES
 from gaproute.shared.dissemination.messages import Announcement, Busy, Changes, Part, Pull, Push, wire_size
@@ -60,7 +60,7 @@
 
     def __init__(self, count: int, seed: int, loss: int = 0, slow: int = 0) -> None:
         self.now, self.scheduled = SECOND, 0
-        self.chance = Chance(seed)
+        self.chance = RandomGenerator(seed)
         self.links, self.traffic = Links(loss, self.chance), TrafficCounts()
         self.events: list[tuple[int, int, Callable[[], None]]] = []  # (when, number, action)
         self.gateways: list[DisseminationGateway] = []
@@ -76,7 +76,7 @@
         zone = cell % ZONES
         is_slow = slow > 0 and self.chance.below(PERMILLE) < slow
         document = StubDocument(version)
-        chance = Chance(seed * SEED_FACTOR + index)
+        chance = RandomGenerator(seed * SEED_FACTOR + index)
         disseminator = Disseminator(f"gateway{index}", document, chance, self.now)
         gateway = DisseminationGateway(
             index, Place(cell, zone, zone % REGIONS, is_slow), disseminator, document
--- a/benchmarks/scale/dissemination_links.py
+++ b/benchmarks/scale/dissemination_links.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import MILLI
 
 PERMILLE = 1_000
@@ -24,7 +24,7 @@
 class Links:
     """`loss`: of messages and segments, in parts of a thousand."""
 
-    def __init__(self, loss: int, chance: Chance) -> None:
+    def __init__(self, loss: int, chance: RandomGenerator) -> None:
         self.loss, self.chance = loss, chance
         # Whether nothing gets from the one place to the other; None: everything does.
         self.cut: Callable[[Place, Place], bool] | None = None
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -15,7 +15,7 @@
 MEGABYTE = 1 << 20
 TOOK = 100 * MILLI  # every answer's time
 GAP = MILLI // 10  # between two calls
-REPORT = face.Report(in_hand=1, waiting=0, cpu_busy=0.3, memory_busy=0.4)
+REPORT = face.HostLoadReport(in_hand=1, waiting=0, cpu_busy=0.3, memory_busy=0.4)
 
 
 class CallError(GaprouteError, RuntimeError):
@@ -24,7 +24,7 @@
 
 def row(
     number: int,
-    state: face.State = face.State.ACTIVE,
+    state: face.ListedHostState = face.ListedHostState.ACTIVE,
     capacity: float = CAPACITY,
     started: int | None = None,
 ) -> face.ListedHost:
@@ -40,7 +40,7 @@
 class Caller:
     """One gateway's decisions, with their clock; every answer contains the host's `report`."""
 
-    def __init__(self, hosts: int, seed: int, report: face.Report | None = None):
+    def __init__(self, hosts: int, seed: int, report: face.HostLoadReport | None = None):
         self.now, self.calls, self.report = SECOND, 0, report
         self.gateway = Gateway(seed, SINGLE_GATEWAY_TERMS, self.now)
         self.gateway.update_hosts(self.now, rows(hosts), complete=True)
@@ -57,7 +57,7 @@
             raise CallError(f"{name} of {function}: {attempt!r} came in place of an attempt")
         serve.send(0)
         outcome = face.Outcome(
-            name, 0, attempt.host, face.Result.OK, TOOK, True, face.Found.WARM, 0, self.report
+            name, 0, attempt.host, face.Result.OK, TOOK, True, face.InstanceStatus.WARM, 0, self.report
         )
         self.gateway.attempt_ended(self.now + TOOK, outcome)
         if next(_rest(serve, (self.now + TOOK, outcome)), None) is not None:
--- a/benchmarks/scale/list_faults.py
+++ b/benchmarks/scale/list_faults.py
@@ -6,7 +6,7 @@
 
 from benchmarks.scale.watched import CALM, LONGEST, SETTLE, Figures, Scenario, WatchedFleet
 from gaproute.hollow import HollowGateway
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 
 LATE = 30  # simulated seconds by which a list is late
 
@@ -59,7 +59,9 @@
 def all_know_draining(gateways: Iterable[HollowGateway], hosts: Sequence[str]) -> bool:
     """Whether the decisions of all these gateways know that the hosts drain."""
     return all(
-        gateway.parts["hosts"].rows[host].state is State.DRAINING for gateway in gateways for host in hosts
+        gateway.parts["hosts"].rows[host].state is ListedHostState.DRAINING
+        for gateway in gateways
+        for host in hosts
     )
 
 
--- a/benchmarks/scale/plain_rung.py
+++ b/benchmarks/scale/plain_rung.py
@@ -16,7 +16,7 @@
 from benchmarks.scale.limits import Limits
 from gaproute.hollow import PARTS
 from gaproute.hollow.simulation import SimulatedFleet
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 from gaproute.shared.membership import Membership, MemberState
 
 SETTLE = 16  # simulated seconds before the counting, and
@@ -90,7 +90,8 @@
         gateways = self.fleet.gateways.values()
         self.figures["change_known_s"] = self.run_until(
             lambda: all(
-                gateway.parts["hosts"].rows[DRAINED_HOST].state is State.DRAINING for gateway in gateways
+                gateway.parts["hosts"].rows[DRAINED_HOST].state is ListedHostState.DRAINING
+                for gateway in gateways
             )
         )
 
--- a/benchmarks/terms.py
+++ b/benchmarks/terms.py
@@ -4,9 +4,9 @@
 
 SECOND = 1_000_000_000
 
-SINGLE_GATEWAY_TERMS = face.Terms(
+SINGLE_GATEWAY_TERMS = face.RoutingSettings(
     request_classes=(
-        face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),
+        face.RequestClass(face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, SECOND, 4 * SECOND, 1.0),
     ),
     tenant_shares=(),
     over_share_value=1.0,
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -19,7 +19,7 @@
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import CellTable
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.cell_members import RejectedMember
@@ -28,7 +28,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.entry_gateways import EntryGateways
 from gaproute.hosts.kserve.settings import ClientSettings
-from gaproute.interface import Report
+from gaproute.interface import HostLoadReport
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
 from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
@@ -97,7 +97,7 @@
                 self.configuration.name, self.cells_line.fleet, path=self.cells_line.stored_table
             ),
             CellTableChannels(membership_transport, HttpPullListener(server), PullClient(self.loop)),
-            Chance(self.seed + SeedOffset.CELL_TABLE),
+            RandomGenerator(self.seed + SeedOffset.CELL_TABLE),
             self.record,
         )
         self.table = CellTableSource(self.loop, self.cells_line, self.record, transport, self._table_adopted)
@@ -214,7 +214,7 @@
             self._apply_lists,
             self._members_rejected,
             self._source_changed,
-            Chance(self.seed + SeedOffset.CELL_SOURCES),
+            RandomGenerator(self.seed + SeedOffset.CELL_SOURCES),
         )
 
     def _list_rejected(self, cell: str, mistakes: Sequence[Mistake]) -> None:
@@ -241,5 +241,5 @@
             rejections[WRONG_MEMBER] = self.rejected_members
         return rejections
 
-    def _load_report(self, cell: str) -> Report | None:
+    def _load_report(self, cell: str) -> HostLoadReport | None:
         return self.gateway.local.report(self.loop.now(), cell)
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -10,7 +10,7 @@
 from gaproute.appliance.listening_sockets import ListeningSockets
 from gaproute.config.configuration import Configuration
 from gaproute.decisions.admission.restarts import RestartBackoff
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Log
 from gaproute.units import MILLI
@@ -58,7 +58,7 @@
         self.command, self.configuration, self.listeners = command, configuration, listeners
         self.on_all_ended = on_all_ended
         self.by_slot: dict[int, ChildProcess] = {}
-        self.restarts = RestartBackoff(Chance(os.getpid() if command.seed is None else command.seed))
+        self.restarts = RestartBackoff(RandomGenerator(os.getpid() if command.seed is None else command.seed))
         self.stopping = False
 
     def start(self, slot: int) -> ChildProcess:
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -18,12 +18,12 @@
 from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
 from gaproute.decisions.admission.admission import Admission
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve import KServeFront
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from gaproute.telemetry.logs import logger
@@ -70,7 +70,7 @@
     def _make_connections(self) -> AcceptedConnections:
         connections = AcceptedConnections.of(self.loop)
         clients = self.configuration.client_limits
-        chance = Chance(self.seed + SeedOffset.ADMISSION)
+        chance = RandomGenerator(self.seed + SeedOffset.ADMISSION)
         connections.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
         return connections
 
@@ -176,7 +176,7 @@
         return (self.address_shared or not self.stopping) and self._has_active_host()
 
     def _has_active_host(self) -> bool:
-        active = any(row.listed.state is State.ACTIVE for row in self.rows.values())
+        active = any(row.listed.state is ListedHostState.ACTIVE for row in self.rows.values())
         return active or self.cells is not None and self.cells.can_forward()
 
     # Signals and the parent
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -18,7 +18,7 @@
 from gaproute.config.directives.fleet import PeerLine
 from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.config.errors import Mistake
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.reports.follower import ObservationFollower
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.observation_kinds import SharedObservation, Subject
@@ -81,7 +81,7 @@
             self.observations,
             configuration.terms.keep_alive,
             {name: number for number, name in enumerate(self.request_classes)},
-            Chance(seed + SeedOffset.OBSERVATIONS),
+            RandomGenerator(seed + SeedOffset.OBSERVATIONS),
         )
 
     def listen(self, where: str) -> PeerServer:
@@ -197,7 +197,7 @@
                 part.close()
 
     def _open_membership(self, server: PeerServer) -> MembershipTransport:
-        chance = Chance(self.seed + SeedOffset.MEMBERSHIP)
+        chance = RandomGenerator(self.seed + SeedOffset.MEMBERSHIP)
         open_datagrams = partial(Datagrams, self.loop)
         return MembershipTransport(
             self.loop, self.configuration.name, server.address, chance, self.record, open_datagrams
@@ -206,12 +206,12 @@
     def _open_leases(self, server: PeerServer) -> None:
         line = self.configuration.raft_group
         if line is not None:
-            chance = Chance(self.seed + SeedOffset.LEASES)
+            chance = RandomGenerator(self.seed + SeedOffset.LEASES)
             self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, chance)
             server.routes[TARGET] = self.leases.handle
 
     def _make_gossip(self, transport: MembershipTransport) -> GossipTransport:
-        chance = Chance(self.seed + SeedOffset.GOSSIP)
+        chance = RandomGenerator(self.seed + SeedOffset.GOSSIP)
         return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, chance)
 
     def _limits(self) -> Limits:
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -23,7 +23,11 @@
 from gaproute.units import MICRO
 
 MICROS_PER_MILLI = 1_000
-STATES = {"active": interface.State.ACTIVE, "leaving": interface.State.DRAINING, "left": interface.State.GONE}
+STATES = {
+    "active": interface.ListedHostState.ACTIVE,
+    "leaving": interface.ListedHostState.DRAINING,
+    "left": interface.ListedHostState.GONE,
+}
 RESULTS = {
     "0": interface.Result.OK,
     "1": interface.Result.ERROR,
@@ -75,7 +79,7 @@
 
 
 @decoder
-def decode_terms(text: str) -> interface.Terms:
+def decode_terms(text: str) -> interface.RoutingSettings:
     """The settings of an instance, as terms of the decisions."""
     return settings.read_terms(json.loads(text))
 
@@ -129,7 +133,7 @@
         result,
         _nanoseconds(line.elapsed) or 0,
         _flag(line.ended),
-        interface.Found(found if found <= MAX_FOUND else 0),
+        interface.InstanceStatus(found if found <= MAX_FOUND else 0),
         remark >> FOUND_BITS if result in counted_results else None,
         _report(line.report),
     )
@@ -145,14 +149,14 @@
         interface.Result.STREAM_STARTED,
         _nanoseconds(line.elapsed) or 0,
         False,
-        interface.Found.UNKNOWN,
+        interface.InstanceStatus.UNKNOWN,
         None,
         None,
     )
 
 
 @decoder
-def decode_probe_report(line: ProbeAnswered) -> interface.Report | None:
+def decode_probe_report(line: ProbeAnswered) -> interface.HostLoadReport | None:
     """The load report in the answer to a health check."""
     return _report(line.report)
 
@@ -183,7 +187,7 @@
     return FLAGS[text]
 
 
-def _report(text: str) -> interface.Report | None:
+def _report(text: str) -> interface.HostLoadReport | None:
     if text in (ABSENT, ""):
         return None
     pairs = dict(pair.split(":", 1) for pair in text.split(","))
@@ -191,4 +195,4 @@
     def figure(name: str) -> float | None:
         return float(pairs[name]) if pairs.get(name, ABSENT) != ABSENT else None
 
-    return interface.Report(figure("busy_reqs"), figure("pending"), figure("cpu_share"), figure("x0"))
+    return interface.HostLoadReport(figure("busy_reqs"), figure("pending"), figure("cpu_share"), figure("x0"))
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -7,13 +7,17 @@
 from gaproute.core.driver import Driver
 from gaproute.core.ports import DecisionModule
 
-MakeGateway = Callable[[int, interface.Terms, int], DecisionModule]  # of seed, terms and the present time
+MakeGateway = Callable[
+    [int, interface.RoutingSettings, int], DecisionModule
+]  # of seed, terms and the present time
 
 
 class Instance(Driver):
     """One gateway of the simulator. Timers cannot be cancelled on the wire, so each wait has a number."""
 
-    def __init__(self, make_gateway: MakeGateway, seed: int, terms: interface.Terms, now: int) -> None:
+    def __init__(
+        self, make_gateway: MakeGateway, seed: int, terms: interface.RoutingSettings, now: int
+    ) -> None:
         super().__init__(make_gateway(seed, terms, now))
         self.counted_results = COUNTED_RESULTS if terms.same_function_counted else ()
         self.wait_numbers: dict[str, str] = {}  # by key: the number of the current wait
--- a/gaproute/cluster/links/emulator.py
+++ b/gaproute/cluster/links/emulator.py
@@ -20,7 +20,7 @@
     StartEmulator,
 )
 from gaproute.cluster.links.streams import StreamRelays
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop import Loop
 
 BACKLOG = 4096  # connections that the kernel opens before the emulator takes them
@@ -34,7 +34,7 @@
 
     def __init__(self, loop: Loop, start: StartEmulator) -> None:
         self.loop = loop
-        self.conditions = NetworkConditions(start.seed, Chance)
+        self.conditions = NetworkConditions(start.seed, RandomGenerator)
         self.conditions.place_slots(start.slots)
         self.lateness = LinkLateness(loop)
         self.tap = ConnectionTap(start.tap_path, loop.now)
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -8,7 +8,11 @@
 from gaproute.config.parsing import DirectiveType, NamedDirective, directives_of
 
 IDEMPOTENCY = {kind.value: kind for kind in interface.Idempotency}
-GROUPS = {"all": interface.Group.ALL, "zone": interface.Group.ZONE, "rack": interface.Group.CELL}
+GROUPS = {
+    "all": interface.IdempotencyScope.ALL,
+    "zone": interface.IdempotencyScope.ZONE,
+    "rack": interface.IdempotencyScope.CELL,
+}
 
 
 class Configuration:
@@ -90,11 +94,11 @@
 
 def _terms(
     lines: _Lines, request_classes: list[requests.RequestClassLine], cells: fleet.CellsLine | None
-) -> interface.Terms:
+) -> interface.RoutingSettings:
     """The terms of the deployment, as the decisions take them."""
     instances, attempts = lines.one(requests.WarmInstancesLine), lines.one(requests.AttemptsLine)
     slow_start, reports = lines.one(requests.SlowStartLine), lines.one(requests.ReportsLine)
-    return interface.Terms(
+    return interface.RoutingSettings(
         request_classes=tuple(map(_request_class, request_classes)),
         tenant_shares=tuple(line.share for line in lines.all(requests.TenantLine)),
         over_share_value=lines.one(requests.OverShareWeightLine).value,
--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -24,7 +24,7 @@
     IdleConnection,
     Verdict,
 )
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop.faults import is_transient
 from gaproute.loop.listening import Listener
 from gaproute.loop.loop import MAX_PARKED_EVENTS, ClosingStream, Loop
@@ -44,7 +44,7 @@
 
     def __init__(self, loop: Loop, admission: Admission | None = None) -> None:
         super().__init__(loop)
-        self.admission = admission or Admission(UNLIMITED, UNLIMITED, descriptors(), Chance(1))
+        self.admission = admission or Admission(UNLIMITED, UNLIMITED, descriptors(), RandomGenerator(1))
         self.returning_queue: deque[Waiting] = deque()
         self.new_queue: deque[Waiting] = deque()
         self.ready_listeners: dict[Listener, ConnectionOwner] = {}  # in the order in which they accept
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -7,7 +7,7 @@
 from gaproute.core.completion import RequestCompletion
 from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts, RequestSender
-from gaproute.interface.call import Ending
+from gaproute.interface.call import FinalResult
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 from gaproute.units import MILLI
@@ -70,7 +70,7 @@
             request.may_have_run = True
         if result is interface.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
-            self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
+            self._finish(request, FinalResult.DELIVERED, "", answer=attempt_result.answer)
         self.record.attempt_ended(host, request.request_class, result)
         outcome = interface.Outcome(
             key,
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -28,7 +28,7 @@
         self,
         loop: Loop,
         gateway: CellularGateway,
-        terms: interface.Terms,
+        terms: interface.RoutingSettings,
         hosts: Hosts,
         record: Record,
         name: str,
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -7,7 +7,7 @@
 from gaproute.core.driver import HOUSEKEEPING, Driver
 from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule
-from gaproute.interface.call import Answer, Ending, Final
+from gaproute.interface.call import Answer, FinalAnswer, FinalResult
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 from gaproute.units import MILLI
@@ -42,17 +42,17 @@
         """Gives the final answer that the request did not run, or may run again, so that a retry is safe."""
         request = self.in_flight[key]
         self._finish(
-            request, Ending.REJECTED, REJECTED, retry_after=rejection.retry_after, cause=rejection.reason
+            request, FinalResult.REJECTED, REJECTED, retry_after=rejection.retry_after, cause=rejection.reason
         )
 
     def fail(self, key: str) -> None:
         """Gives the final answer that the request has failed: it may have run."""
-        self._finish(self.in_flight[key], Ending.FAILED, MAY_HAVE_RUN)
+        self._finish(self.in_flight[key], FinalResult.FAILED, MAY_HAVE_RUN)
 
     def _finish(
         self,
         request: RequestInFlight,
-        ending: Ending,
+        ending: FinalResult,
         reason: str,
         *,
         answer: Answer | None = None,
@@ -68,7 +68,7 @@
         never_ran = not request.may_have_run and not any(
             attempt.handle.started for attempt in request.attempts.values()
         )
-        final = Final(
+        final = FinalAnswer(
             ending,
             answer,
             retry_after,
@@ -83,7 +83,7 @@
         self._withdraw_attempts(request)
 
     def _record_end(
-        self, request: RequestInFlight, ending: Ending, cause: interface.RejectReason | None
+        self, request: RequestInFlight, ending: FinalResult, cause: interface.RejectReason | None
     ) -> None:
         now = self.loop.now()
         took = now - request.first_byte_at
@@ -107,7 +107,7 @@
         if request.on_final is not None:
             self.record.internal_error("no final answer by the deadline", key)
             self.forget(key)
-            self._finish(request, Ending.FAILED, DEADLINE_PASSED)
+            self._finish(request, FinalResult.FAILED, DEADLINE_PASSED)
         self._release_if_complete(request)
 
     # State
@@ -147,5 +147,5 @@
             return
         request = self.in_flight.get(key)
         if request is not None and request.on_final is not None:
-            self._finish(request, Ending.FAILED, GATEWAY_ERROR)
+            self._finish(request, FinalResult.FAILED, GATEWAY_ERROR)
         self.forget(key)
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -1,7 +1,7 @@
 """The core of a running gateway: requests from any front, actions to the hosts, one final answer for each.
 
-A front (the server of one client protocol) hands in a `Call` and gets one `Final` for it; the hosts report
-one `AttemptResult` for each attempt. Fronts and hosts do not know of each other.
+A front (the server of one client protocol) hands in a `Call` and gets one `FinalAnswer` for it; the hosts
+report one `AttemptResult` for each attempt. Fronts and hosts do not know of each other.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,7 +11,7 @@
 from gaproute.core.attempts import AttemptRunner
 from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts
-from gaproute.interface.call import Call, Final
+from gaproute.interface.call import Call, FinalAnswer
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
 from gaproute.telemetry.record import Record
@@ -25,7 +25,7 @@
         self,
         loop: Loop,
         gateway: DecisionModule,
-        terms: interface.Terms,
+        terms: interface.RoutingSettings,
         hosts: Hosts,
         record: Record,
         name: str,
@@ -49,7 +49,7 @@
         load_time: int | None,
         first_byte_at: int,
         time_left: int,
-        on_final: Callable[[Final], None],
+        on_final: Callable[[FinalAnswer], None],
     ) -> str:
         """Takes a request and returns the gateway's id for it.
 
@@ -174,7 +174,7 @@
         """Checks a host's health."""
         self.hosts.probe(host, partial(self._probe_answered, host))
 
-    def _probe_answered(self, host: str, report: interface.Report | None, *, good: bool) -> None:
+    def _probe_answered(self, host: str, report: interface.HostLoadReport | None, *, good: bool) -> None:
         self.probe_answered(self.loop.now(), host, report, good=good)
 
     # Other gateways
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -96,7 +96,9 @@
             self.resume(key, now, _departed(key))
             self.forget(key)
 
-    def probe_answered(self, now: int, host: str, report: interface.Report | None, *, good: bool) -> None:
+    def probe_answered(
+        self, now: int, host: str, report: interface.HostLoadReport | None, *, good: bool
+    ) -> None:
         """Accounts for a health check that has ended; broadcasts the message that the decisions return."""
         payload = self.gateway.probe_ended(now, host, report, good=good)
         if payload is not None:
@@ -159,5 +161,13 @@
 def _departed(request_id: str) -> interface.Outcome:
     """The outcome by which a generator learns that the client has left."""
     return interface.Outcome(
-        request_id, -1, "", interface.Result.CLIENT_LEFT, 0, True, interface.Found.UNKNOWN, None, None
+        request_id,
+        -1,
+        "",
+        interface.Result.CLIENT_LEFT,
+        0,
+        True,
+        interface.InstanceStatus.UNKNOWN,
+        None,
+        None,
     )
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple, Protocol
 
 from gaproute import interface
-from gaproute.interface.call import Answer, Call, Final
+from gaproute.interface.call import Answer, Call, FinalAnswer
 from gaproute.loop.timers import Timer
 
 
@@ -13,9 +13,9 @@
 
     result: interface.Result
     answer: Answer | None  # with Result.OK
-    found: interface.Found = interface.Found.UNKNOWN
+    found: interface.InstanceStatus = interface.InstanceStatus.UNKNOWN
     same_function_requests: int | None = None
-    report: interface.Report | None = None
+    report: interface.HostLoadReport | None = None
 
 
 class AttemptHandle(Protocol):
@@ -68,7 +68,7 @@
         request_id: str,
         call: Call,
         request_class: int,
-        on_final: Callable[[Final], None],
+        on_final: Callable[[FinalAnswer], None],
         first_byte_at: int,
         deadline: int,
         deadline_timer: Timer,
@@ -76,7 +76,9 @@
         self.id = request_id
         self.call = call
         self.request_class = request_class  # its index in the terms
-        self.on_final: Callable[[Final], None] | None = on_final  # None: answered, or its client has left
+        self.on_final: Callable[[FinalAnswer], None] | None = (
+            on_final  # None: answered, or its client has left
+        )
         self.first_byte_at = first_byte_at
         self.deadline = deadline
         self.deadline_timer = deadline_timer
@@ -84,5 +86,5 @@
         self.attempt_count = 0  # started so far
         self.may_have_run = False  # by an attempt that has ended
         self.cell_unknown = False  # rejected because this gateway does not know its cell
-        self.found = interface.Found.UNKNOWN  # by the attempt that delivered the answer
+        self.found = interface.InstanceStatus.UNKNOWN  # by the attempt that delivered the answer
         self.log_step: Callable[..., None] | None = None  # where its steps are logged
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -37,7 +37,7 @@
         """Accounts for the outcome of an attempt."""
 
     def probe_ended(
-        self, now: int, host: str, report: interface.Report | None, /, *, good: bool
+        self, now: int, host: str, report: interface.HostLoadReport | None, /, *, good: bool
     ) -> bytes | None:
         """Accounts for a health check. Returns the message for all other gateways, or None."""
 
@@ -79,7 +79,7 @@
 class OnProbeEnded(Protocol):
     """Called once a health check has ended."""
 
-    def __call__(self, report: interface.Report | None, /, *, good: bool) -> object:
+    def __call__(self, report: interface.HostLoadReport | None, /, *, good: bool) -> object:
         """`report`: what the host said of its load; `good`: whether it can serve requests."""
 
 
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import MILLI, SECOND
 
 # Time in each turn of the loop for the queues, at most: requests in flight are delayed by no more than that.
@@ -86,7 +86,7 @@
         max_connections: int,
         max_per_address: int,
         descriptors: int,
-        chance: Chance,
+        chance: RandomGenerator,
         *,
         min_idle: int = MIN_IDLE,
         queue_when_full: bool = False,
--- a/gaproute/decisions/admission/restarts.py
+++ b/gaproute/decisions/admission/restarts.py
@@ -4,7 +4,7 @@
 together must not all start at one moment. A process that had run for a while is restarted soon.
 """
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import MILLI, SECOND
 
 FIRST_DELAY = 100 * MILLI  # before the first restart, so that a single crash costs little time
@@ -21,7 +21,7 @@
 class RestartBackoff:
     """Exponential backoff for each process slot; all starts are at least `MIN_SPACING` apart."""
 
-    def __init__(self, chance: Chance) -> None:
+    def __init__(self, chance: RandomGenerator) -> None:
         self.early_exits: dict[int, int] = {}  # by process slot: exits in a row before `HEALTHY_UPTIME`
         self.last_start: int | None = None  # when the latest start was, or is scheduled
         self._chance = chance
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.request_progress import AttemptInFlight
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Found, Outcome, Result
+from gaproute.interface import InstanceStatus, Outcome, Result
 from gaproute.units import MILLI
 
 # Shortest mean time by which paces are measured, so that a stall of this gateway is not taken for a slow cell
@@ -67,7 +67,7 @@
         else:
             self._record_entry(now, outcome, attempt)
         self._record_health(now, outcome, attempt)
-        warm_or_unknown = outcome.found in (Found.WARM, Found.UNKNOWN)
+        warm_or_unknown = outcome.found in (InstanceStatus.WARM, InstanceStatus.UNKNOWN)
         if attempt.own and outcome.result is Result.OK and warm_or_unknown:
             self.demand.record_duration(attempt.function, outcome.took)
         self._record_load(now, outcome, attempt.cell)
@@ -88,7 +88,7 @@
         if not _shows_cell_state(outcome.result, attempt):
             return
         pace = None
-        if outcome.result is Result.OK and outcome.found is Found.WARM:
+        if outcome.result is Result.OK and outcome.found is InstanceStatus.WARM:
             mean = max(MIN_MEAN_DURATION, self.demand.mean_duration(attempt.function))
             pace = outcome.took / mean
         self.health.record_outcome(now, attempt.cell, outcome.result, pace)
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -27,9 +27,18 @@
 from gaproute.decisions.cells.spill import SpillBudget
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.views import CellView
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import ListedHost, Outcome, RejectReason, Report, Request, Result, Terms, Wait
+from gaproute.interface import (
+    HostLoadReport,
+    ListedHost,
+    Outcome,
+    RejectReason,
+    Request,
+    Result,
+    RoutingSettings,
+    Wait,
+)
 
 CHANCE_SALT = 0x63656C6C  # makes the random numbers that pick cells differ from those that pick hosts
 
@@ -41,13 +50,15 @@
     before the fleet had several. `homes`, `selector` and `router` decide while `single` is None.
     """
 
-    def __init__(self, seed: int, terms: Terms, now: int, location: GatewayLocation | None = None) -> None:
+    def __init__(
+        self, seed: int, terms: RoutingSettings, now: int, location: GatewayLocation | None = None
+    ) -> None:
         """Without a `location` the gateway can never have several cells."""
         self.terms, self.location = terms, location
         self.single: Gateway | None = Gateway(seed, terms, now)
         self.previous_single: Gateway | None = None
         self.table: CellTable | None = None
-        self.chance = Chance(seed ^ CHANCE_SALT)
+        self.chance = RandomGenerator(seed ^ CHANCE_SALT)
         self.local = LocalCells(seed, terms)
         self.entries = EntrySelector(location.name if location else "")
         self.demand = Demand(now, self._fleet_scope(1.0))
@@ -170,7 +181,7 @@
         if gateway is not None:
             gateway.attempt_ended(now, outcome)
 
-    def probe_ended(self, now: int, host: str, report: Report | None, *, good: bool) -> bytes | None:
+    def probe_ended(self, now: int, host: str, report: HostLoadReport | None, *, good: bool) -> bytes | None:
         """Accounts for a health check; returns the message for all other gateways, or None."""
         gateway = self.single or self.local.of_host(host)
         if gateway is None:
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.decisions.routing.parameters import NEVER
-from gaproute.interface import Action, ListedHost, Report, Terms
+from gaproute.interface import Action, HostLoadReport, ListedHost, RoutingSettings
 from gaproute.units import SECOND
 
 LOAD_MAX_AGE = SECOND  # for which the sum of the loads of a cell's hosts is cached
@@ -31,7 +31,7 @@
     `end_by`: when every request must have its answer as the process ends, ns; `NEVER` while it does not end.
     """
 
-    def __init__(self, seed: int, terms: Terms) -> None:
+    def __init__(self, seed: int, terms: RoutingSettings) -> None:
         self.seed, self.terms = seed, terms
         self.load_order_limiter = LoadOrderLimiter.of(terms)
         self.gateways: dict[str, Gateway] = {}  # by cell
@@ -90,11 +90,11 @@
             cached = self.loads[name] = _CachedLoad(now, load)
         return cached.load
 
-    def report(self, now: int, name: str) -> Report | None:
+    def report(self, now: int, name: str) -> HostLoadReport | None:
         """The load of the cell, which an entry sends with each answer; None for a cell that it does not
         know.
         """
-        return Report(in_hand=self.load(now, name)) if name in self.gateways else None
+        return HostLoadReport(in_hand=self.load(now, name)) if name in self.gateways else None
 
     def housekeep(self, now: int) -> Iterator[Action]:
         """Advances the housekeeping of every cell where it is due; yields its actions."""
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -25,7 +25,16 @@
 from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.table import Cell
 from gaproute.decisions.routing.request_router import ANSWER_BY
-from gaproute.interface import Cancel, Group, Idempotency, Outcome, Reject, RejectReason, Result, Wait
+from gaproute.interface import (
+    Cancel,
+    Idempotency,
+    IdempotencyScope,
+    Outcome,
+    Reject,
+    RejectReason,
+    Result,
+    Wait,
+)
 from gaproute.units import MILLI, SECOND
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
@@ -125,7 +134,7 @@
         return True
     request_class = progress.request_class
     has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-    if not (has_key and request_class.group is Group.ALL and result is Result.RESET):
+    if not (has_key and request_class.group is IdempotencyScope.ALL and result is Result.RESET):
         return False
     assert progress.first_sent_at is not None  # it was sent, as it may have run
     forgotten_at: int = progress.first_sent_at + request_class.repeat_window
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -19,7 +19,7 @@
     RejectReason,
     Request,
     Result,
-    Terms,
+    RoutingSettings,
 )
 from gaproute.units import MILLI
 
@@ -38,7 +38,9 @@
 class RequestProgress:
     """The state of one request. `now` is the time of its last event."""
 
-    def __init__(self, now: int, request: Request, terms: Terms, forwarded: Forwarded | None = None) -> None:
+    def __init__(
+        self, now: int, request: Request, terms: RoutingSettings, forwarded: Forwarded | None = None
+    ) -> None:
         self.request, self.now = request, now
         self.hops = forwarded.hops if forwarded is not None else 0
         self.request_class = terms.request_classes[request.request_class]
--- a/gaproute/decisions/chance.py
+++ b/gaproute/decisions/chance.py
@@ -1,7 +1,7 @@
 """Chance from a seed: the same numbers on every machine and every run."""
 
 
-class Chance:
+class RandomGenerator:
     """A linear congruential generator; its low bits are weak, so only the high half is used."""
 
     def __init__(self, seed: int) -> None:
--- a/gaproute/decisions/reports/load_report_codec.py
+++ b/gaproute/decisions/reports/load_report_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable
 from hashlib import blake2b
 
-from gaproute.interface import Report
+from gaproute.interface import HostLoadReport
 
 MARK_BYTES = 2  # bytes that identify a host
 MAX_BYTE = 255
@@ -23,7 +23,7 @@
     """`reported`: the names of the figures that health checks report."""
 
     def __init__(self, reported: Collection[str]) -> None:
-        self.figures = tuple(name for name in Report._fields if name in reported)
+        self.figures = tuple(name for name in HostLoadReport._fields if name in reported)
         self.size = MARK_BYTES + len(self.figures)  # bytes of an encoded report
         self._marks: dict[str, bytes] = {}  # by host
         self._hosts: dict[bytes, str | None] = {}  # by mark; None if it identifies two hosts
@@ -35,20 +35,20 @@
         for name, mark in self._marks.items():
             self._hosts[mark] = None if mark in self._hosts else name
 
-    def encode(self, name: str, report: Report) -> bytes | None:
+    def encode(self, name: str, report: HostLoadReport) -> bytes | None:
         """The bytes of a report; None if the host cannot be identified."""
         mark = self._marks.get(name)
         if mark is None or self._hosts.get(mark) != name:
             return None
         return mark + bytes([_encode_figure(figure, getattr(report, figure)) for figure in self.figures])
 
-    def decode(self, data: bytes) -> tuple[str, Report] | None:
+    def decode(self, data: bytes) -> tuple[str, HostLoadReport] | None:
         """(host, report) of the bytes; None if they cannot be used."""
         name = self._hosts.get(bytes(data[:MARK_BYTES]))
         if len(data) != self.size or name is None:
             return None
         figures = zip(self.figures, data[MARK_BYTES:], strict=True)
-        return name, Report(**{figure: _decode_figure(figure, value) for figure, value in figures})
+        return name, HostLoadReport(**{figure: _decode_figure(figure, value) for figure, value in figures})
 
 
 def _encode_figure(figure: str, value: float | None) -> int:
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -3,7 +3,7 @@
 from collections.abc import Generator, Iterator, Mapping, Sequence
 from typing import Any
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.attempt_tracker import AttemptTracker
 from gaproute.decisions.routing.candidates import CandidateOrder
@@ -31,7 +31,7 @@
 from gaproute.decisions.routing.slow_start import SlowStart
 from gaproute.decisions.routing.tables import Tables
 from gaproute.decisions.routing.throughput import Throughput
-from gaproute.interface import Action, ListedHost, Outcome, Report, Request, Result, Terms
+from gaproute.interface import Action, HostLoadReport, ListedHost, Outcome, Request, Result, RoutingSettings
 from gaproute.units import SECOND
 
 UNANSWERED_PROBE = 1.0  # weight of a probe that failed among a host's results
@@ -50,9 +50,9 @@
     loads_type: type[HostLoads] = HostLoads
 
     def __init__(
-        self, seed: int, terms: Terms, now: int, load_order_limiter: LoadOrderLimiter | None = None
+        self, seed: int, terms: RoutingSettings, now: int, load_order_limiter: LoadOrderLimiter | None = None
     ) -> None:
-        self.terms, self.chance = terms, Chance(seed)
+        self.terms, self.chance = terms, RandomGenerator(seed)
         self._make_tables(terms)
         self._make_measurements(terms)
         self._make_limits(terms, load_order_limiter)
@@ -61,14 +61,14 @@
         self.housekeeping = Housekeeping(terms, self.tables, self.sharing, self.chance)
         self.observations = Observations(self.tables, self.answer_times)
 
-    def _make_tables(self, terms: Terms) -> None:
+    def _make_tables(self, terms: RoutingSettings) -> None:
         self.hosts = HostTable(terms.warm_up_time)
         self.functions = FunctionTable(max(terms.keep_alive, 1))
         self.mix = self.mix_type(self.hosts)
         self.ranking = Ranking(self.hosts)
         self.tables = Tables(self.hosts, self.functions, self.mix, self.ranking)
 
-    def _make_measurements(self, terms: Terms) -> None:
+    def _make_measurements(self, terms: RoutingSettings) -> None:
         objectives = [request_class.latency_objective for request_class in terms.request_classes]
         self.answer_times = AnswerTimes(min(objectives, default=SECOND))
         self.loads = self.loads_type()
@@ -80,7 +80,7 @@
         )
         self.tracker = AttemptTracker(terms.request_classes, self.functions, self.measurements)
 
-    def _make_limits(self, terms: Terms, load_order_limiter: LoadOrderLimiter | None) -> None:
+    def _make_limits(self, terms: RoutingSettings, load_order_limiter: LoadOrderLimiter | None) -> None:
         self.retry_rules = self.retry_rules_type(terms)
         self.slow_start = SlowStart(terms, self.hosts)
         self.load_order_limiter = load_order_limiter or LoadOrderLimiter.of(terms)
@@ -90,14 +90,14 @@
         self.sharing = LoadReportSharing(terms)
         self.shedder = LoadShedder(terms, self.hosts, self.measurements, self.tracker, self.chance)
 
-    def _make_choice(self, terms: Terms, own_choice: int) -> None:
+    def _make_choice(self, terms: RoutingSettings, own_choice: int) -> None:
         order = CandidateOrder(self.tables)
         self.scorer = Scorer(terms, self.tables, self.measurements, order, self.slow_start, own_choice)
         self.selector = self.selector_type(
             terms.request_classes, self.tables, self.retry_rules, self.scorer, self.chance
         )
 
-    def _make_request_path(self, terms: Terms) -> None:
+    def _make_request_path(self, terms: RoutingSettings) -> None:
         self.hints = Hints(self.tables, self.measurements, self.chance)
         self.recorder = OutcomeRecorder(
             self.tables, self.measurements, self.tracker, self.slow_start, self.hints
@@ -171,7 +171,9 @@
         """The generator of polls, probes and cleanup, for as long as the gateway runs."""
         return self.housekeeping.run(now)
 
-    def probe_ended(self, now: int, host_id: str, report: Report | None, *, good: bool) -> bytes | None:
+    def probe_ended(
+        self, now: int, host_id: str, report: HostLoadReport | None, *, good: bool
+    ) -> bytes | None:
         """Accounts for a probe that has ended; returns the message for all other gateways, or None."""
         host = self.hosts.by_id.get(host_id)
         if host is not None:
--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.measurements import Measurements
@@ -19,7 +19,7 @@
 )
 from gaproute.decisions.routing.ranking import rendezvous_keys
 from gaproute.decisions.routing.tables import Tables
-from gaproute.interface import Found
+from gaproute.interface import InstanceStatus
 
 WRONG_LIMIT = 2  # wrong hints after which none is followed: one may be of an instance that has just gone
 TRIAL_LIMIT = 2  # hints on trial at a time: a right one costs a tenth of a second, a wrong one a load
@@ -30,7 +30,7 @@
 class Hints:
     """Takes hints and follows a few of them at a time on trial, until too many have proved wrong."""
 
-    def __init__(self, tables: Tables, measurements: Measurements, chance: Chance) -> None:
+    def __init__(self, tables: Tables, measurements: Measurements, chance: RandomGenerator) -> None:
         self.hosts, self.functions, self.mix, self.ranking = tables
         self.answer_times, self.outliers = measurements.answer_times, measurements.outliers
         self.chance = chance
@@ -121,11 +121,11 @@
         keys = rendezvous_keys(name, [host for host in known if host.active])
         return [host_id for _, host_id in sorted(keys)]
 
-    def verify(self, name: str, host_id: str, found: Found) -> None:
+    def verify(self, name: str, host_id: str, found: InstanceStatus) -> None:
         """Record whether a hint on trial was right, by what an attempt found at the host."""
-        if self.trials.pop((name, host_id), None) is None or found is Found.UNKNOWN:
+        if self.trials.pop((name, host_id), None) is None or found is InstanceStatus.UNKNOWN:
             return
-        if found is not Found.WARM:
+        if found is not InstanceStatus.WARM:
             self.wrong += 1
             return
         self.right += 1
--- a/gaproute/decisions/routing/host.py
+++ b/gaproute/decisions/routing/host.py
@@ -5,7 +5,7 @@
 
 from gaproute.decisions.routing.parameters import NEVER, REPORT_LIFETIME, SAMPLES
 from gaproute.decisions.routing.samples import Sample
-from gaproute.interface import ListedHost, Report, State
+from gaproute.interface import HostLoadReport, ListedHost, ListedHostState
 from gaproute.units import SECOND
 
 # Unspent credit fades over this time, about that in which an overloaded host that warms up fails.
@@ -46,7 +46,7 @@
         self.bad_results = 0  # of `results`
         self.paces: deque[Sample] = deque(maxlen=SAMPLES)  # answer time divided by the function's usual one
         self.slowdown, self.slowdown_until = 1.0, -1  # times slower than usual at the last answer, until when
-        self.report: Report | None = None
+        self.report: HostLoadReport | None = None
         self.reported_at = -REPORT_LIFETIME
         self.memory_busy: float | None = None  # by the last report
         self.credit, self.credit_at = 0.0, 0  # attempts that a warming host may get; when last raised
@@ -57,7 +57,7 @@
         """Take over what the host list says of the host, which has not restarted."""
         self.zone, self.cell = row.zone, row.cell
         self.capacity = max(row.capacity, LEAST_CAPACITY)
-        self.active = row.state is State.ACTIVE
+        self.active = row.state is ListedHostState.ACTIVE
 
     def add_credit(self, now: int, share: float) -> None:
         """Raise the number of attempts that the host may get while it warms up.
--- a/gaproute/decisions/routing/host_loads.py
+++ b/gaproute/decisions/routing/host_loads.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.parameters import JUDGEMENT_INTERVAL, RATE_SAMPLES, REPORT_LIFETIME
 from gaproute.decisions.routing.samples import Sample
-from gaproute.interface import Report
+from gaproute.interface import HostLoadReport
 
 
 class HostLoads:
@@ -16,7 +16,7 @@
         self.reported: deque[Sample] = deque(maxlen=RATE_SAMPLES)  # load divided by capacity, last reports
         self.usual, self.usual_at = 0.0, -JUDGEMENT_INTERVAL
 
-    def record(self, host: Host, now: int, report: Report | None) -> None:
+    def record(self, host: Host, now: int, report: HostLoadReport | None) -> None:
         """Take a host's load report."""
         if report is None:
             return
--- a/gaproute/decisions/routing/host_selector.py
+++ b/gaproute/decisions/routing/host_selector.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect_left
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.parameters import NEVER
@@ -23,7 +23,7 @@
         tables: Tables,
         retry_rules: RetryRules,
         scorer: Scorer,
-        chance: Chance,
+        chance: RandomGenerator,
     ) -> None:
         self.request_classes = request_classes
         self.hosts, self.functions = tables.hosts, tables.functions
--- a/gaproute/decisions/routing/housekeeping.py
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -3,10 +3,10 @@
 from collections.abc import Generator
 from typing import Any
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 from gaproute.decisions.routing.tables import Tables
-from gaproute.interface import Action, PollHostList, Probe, Terms, Wait
+from gaproute.interface import Action, PollHostList, Probe, RoutingSettings, Wait
 from gaproute.units import MILLI, SECOND
 
 PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
@@ -19,10 +19,10 @@
 
     def __init__(
         self,
-        terms: Terms,
+        terms: RoutingSettings,
         tables: Tables,
         sharing: LoadReportSharing,
-        chance: Chance,
+        chance: RandomGenerator,
     ) -> None:
         self.hosts, self.functions = tables.hosts, tables.functions
         self.sharing, self.chance = sharing, chance
--- a/gaproute/decisions/routing/load_order_limiter.py
+++ b/gaproute/decisions/routing/load_order_limiter.py
@@ -18,9 +18,9 @@
 from bisect import bisect_right, insort
 from collections import deque
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.parameters import SAMPLES
-from gaproute.interface import Terms
+from gaproute.interface import RoutingSettings
 
 # Of the window: the longest time that an order may be on its way; the connection of one that may still be on
 # its way then is closed. Only the requests in the rest of the window count, half of them: that still allows
@@ -44,7 +44,7 @@
         self.arrivals: list[int] = []  # when the delivered requests had arrived, sorted
 
     @classmethod
-    def of(cls, terms: Terms) -> "LoadOrderLimiter":
+    def of(cls, terms: RoutingSettings) -> "LoadOrderLimiter":
         """The limit that the terms give."""
         return cls(terms.load_orders_free, terms.load_order_share, terms.load_order_window)
 
@@ -76,7 +76,7 @@
         self.ends.append(now)
         self.found_loaded.append(good and took < FOUND_SHARE)
 
-    def likely_useful(self, chance: Chance) -> bool:
+    def likely_useful(self, chance: RandomGenerator) -> bool:
         """Whether an order for more instances probably brings any.
 
         Hosts that add instances by themselves have loaded them before the order arrives, and each order has
--- a/gaproute/decisions/routing/load_orders.py
+++ b/gaproute/decisions/routing/load_orders.py
@@ -1,6 +1,6 @@
 """Decides when hosts are ordered to load instances."""
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
@@ -14,7 +14,7 @@
     """Load orders within the limit, at most one open order for each function."""
 
     def __init__(
-        self, limiter: LoadOrderLimiter, answer_times: AnswerTimes, chance: Chance, *, allowed: bool
+        self, limiter: LoadOrderLimiter, answer_times: AnswerTimes, chance: RandomGenerator, *, allowed: bool
     ) -> None:
         self.limiter, self.answer_times, self.chance = limiter, answer_times, chance
         self.allowed = allowed
--- a/gaproute/decisions/routing/load_report_sharing.py
+++ b/gaproute/decisions/routing/load_report_sharing.py
@@ -9,10 +9,10 @@
 
 from collections.abc import Sequence
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.reports.load_report_codec import LoadReportCodec
 from gaproute.decisions.routing.host import Host
-from gaproute.interface import Report, Terms
+from gaproute.interface import HostLoadReport, RoutingSettings
 
 COST_SHARE = 0.006  # of the result: what probes and shared reports may cost together
 SAVED_PROBES = 4  # probes that requests may save up: no burst after a rest, no gap at a steady pace
@@ -25,7 +25,7 @@
 class LoadReportSharing:
     """Chooses the hosts to probe, within what the requests pay for, and encodes reports for the others."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: RoutingSettings) -> None:
         self.codec = LoadReportCodec(terms.reported_figures)
         self.shares = terms.peers_allowed and terms.gateways > 1 and bool(self.codec.figures)
         sharing_price = terms.peer_price * terms.gateways * self.codec.size / MESSAGE_BYTES
@@ -46,7 +46,9 @@
         """Whether requests have paid for a probe, or probes are free."""
         return self.free or self.paid_probes >= 1
 
-    def host_to_probe(self, now: int, active: Sequence[Host], interval: int, chance: Chance) -> Host | None:
+    def host_to_probe(
+        self, now: int, active: Sequence[Host], interval: int, chance: RandomGenerator
+    ) -> Host | None:
         """The host to probe, or None while all reports are younger than `interval` (ns) or none is paid."""
         if not active or not self.may_probe():
             return None
@@ -59,12 +61,12 @@
         active[index].probed_at = now
         return active[index]
 
-    def encode(self, host_id: str, report: Report | None) -> bytes | None:
+    def encode(self, host_id: str, report: HostLoadReport | None) -> bytes | None:
         """The message for all other gateways, or None where reports are not shared."""
         if not self.shares or report is None:
             return None
         return self.codec.encode(host_id, report)
 
-    def decode(self, message: bytes) -> tuple[str, Report] | None:
+    def decode(self, message: bytes) -> tuple[str, HostLoadReport] | None:
         """(host id, report) of a message of another gateway; None where it cannot be used."""
         return self.codec.decode(message)
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.attempt_tracker import AttemptTracker, InFlightAttempt
 from gaproute.decisions.routing.host import AttemptKey, Host
 from gaproute.decisions.routing.host_table import HostTable
@@ -13,7 +13,7 @@
     REPORT_LIFETIME,
     USUAL_CONCURRENCY,
 )
-from gaproute.interface import Request, RequestClass, Terms
+from gaproute.interface import Request, RequestClass, RoutingSettings
 from gaproute.units import SECOND
 
 # Of the shortest latency objective: the longest expected wait for which a request of the highest priority
@@ -32,11 +32,11 @@
 
     def __init__(
         self,
-        terms: Terms,
+        terms: RoutingSettings,
         hosts: HostTable,
         measurements: Measurements,
         tracker: AttemptTracker,
-        chance: Chance,
+        chance: RandomGenerator,
     ) -> None:
         self.hosts, self.tracker, self.chance = hosts, tracker, chance
         self.answer_times, self.loads = measurements.answer_times, measurements.loads
--- a/gaproute/decisions/routing/outcome_recorder.py
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.routing.parameters import ERROR_WEIGHT, EVIDENCE_LIFETIME, USUAL_CONCURRENCY
 from gaproute.decisions.routing.slow_start import SlowStart
 from gaproute.decisions.routing.tables import Tables
-from gaproute.interface import Found, Idempotency, Outcome, Result
+from gaproute.interface import Idempotency, InstanceStatus, Outcome, Result
 
 ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host has answered
 FAILURES = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
@@ -53,8 +53,8 @@
             self._failed(now, result, attempt, host)
         if result is Result.FULL:
             host.full_until = now + self.answer_times.usual(function)  # about when a request there ends
-        if result is Result.NOT_LOADED or outcome.found is Found.LOAD_FAILED:
-            self.hints.verify(attempt.function, host.id, Found.LOAD_FAILED)
+        if result is Result.NOT_LOADED or outcome.found is InstanceStatus.LOAD_FAILED:
+            self.hints.verify(attempt.function, host.id, InstanceStatus.LOAD_FAILED)
             function.not_loaded(host.id)
         if result is Result.RESET and not host.in_flight:
             host.instances_lost_at = now  # a process that ended with all its attempts has no instances
@@ -74,7 +74,7 @@
         if attempt.sent_at >= host.instances_lost_at:
             function.answered(host.id, now)
         self.hints.verify(attempt.function, host.id, outcome.found)
-        if outcome.found is Found.WARM or outcome.found is Found.UNKNOWN and attempt.warm:
+        if outcome.found is InstanceStatus.WARM or outcome.found is InstanceStatus.UNKNOWN and attempt.warm:
             self._warm_answer(now, outcome.took, host, function)
         else:
             self.answer_times.loads.append(outcome.took)
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -29,7 +29,7 @@
     RejectReason,
     Request,
     Result,
-    Terms,
+    RoutingSettings,
     Wait,
 )
 from gaproute.units import MILLI, SECOND
@@ -60,7 +60,7 @@
 class RequestRouter:
     """Serves each request by a generator; has the parts that all requests use."""
 
-    def __init__(self, terms: Terms, parts: RouterParts) -> None:
+    def __init__(self, terms: RoutingSettings, parts: RouterParts) -> None:
         self.request_classes = terms.request_classes
         self.cancel_allowed, self.retry_after_limit = terms.cancel_allowed, terms.retry_after_limit
         self.functions, self.mix = parts.tables.functions, parts.tables.mix
--- a/gaproute/decisions/routing/retry_rules.py
+++ b/gaproute/decisions/routing/retry_rules.py
@@ -3,13 +3,13 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.parameters import NEVER
 from gaproute.decisions.routing.request_attempts import RequestAttempts
-from gaproute.interface import Group, Idempotency, RequestClass, Terms
+from gaproute.interface import Idempotency, IdempotencyScope, RequestClass, RoutingSettings
 
 
 class RetryRules:
     """The rules on further attempts, by request class; an attempt in flight counts as one that has run."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: RoutingSettings) -> None:
         self.attempt_limit, self.hedging_allowed = terms.attempt_limit, terms.hedging_allowed
 
     def allowed(self, host: Host, request_class: RequestClass, attempts: RequestAttempts, now: int) -> bool:
@@ -34,10 +34,10 @@
         return min(end, attempts.first_run.sent_at + request_class.repeat_window)
 
 
-def _same_group(group: Group, one: Host, other: Host) -> bool:
+def _same_group(group: IdempotencyScope, one: Host, other: Host) -> bool:
     """Whether both hosts know each other's idempotency keys."""
-    if group is Group.ZONE:
+    if group is IdempotencyScope.ZONE:
         return one.zone == other.zone
-    if group is Group.CELL:
+    if group is IdempotencyScope.CELL:
         return one.cell == other.cell
     return True
--- a/gaproute/decisions/routing/scorer.py
+++ b/gaproute/decisions/routing/scorer.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.slow_start import SlowStart
 from gaproute.decisions.routing.tables import Tables
-from gaproute.interface import Request, Terms
+from gaproute.interface import Request, RoutingSettings
 
 WARMTH_POINTS = 6.0  # for a fresh instance: it outweighs a free lane, all memory and the stable hash
 QUEUE_POINTS = (
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        terms: Terms,
+        terms: RoutingSettings,
         tables: Tables,
         measurements: Measurements,
         order: CandidateOrder,
--- a/gaproute/decisions/routing/slow_start.py
+++ b/gaproute/decisions/routing/slow_start.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_table import HostTable
-from gaproute.interface import Terms
+from gaproute.interface import RoutingSettings
 from gaproute.units import SECOND
 
 SAFE_SHARE = 0.8  # of the load at which a host that warms up fails: the rest is a margin
@@ -15,7 +15,7 @@
 class SlowStart:
     """Gives hosts that warm up credit for attempts, by the share of its capacity that each has at least."""
 
-    def __init__(self, terms: Terms, hosts: HostTable) -> None:
+    def __init__(self, terms: RoutingSettings, hosts: HostTable) -> None:
         self.hosts = hosts
         self.first_share, self.warm_up_time = terms.warm_up_share, terms.warm_up_time
         # The largest share of its capacity with which a host that warms up is counted.
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -22,14 +22,14 @@
     decode_member_state,
 )
 from gaproute.errors import GaprouteError
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 
 MILLIS_PER_SECOND = 1_000
 MAX_REASON_CHARS = 200
 UNKNOWN_NAME = "?"  # in place of the name of a member that has none
 EMPTY_LIST = "a whole list without hosts"
 PHASES = {state: phase for phase, state in STATES.items()}
-GONE, DRAINING = PHASES[State.GONE], PHASES[State.DRAINING]
+GONE, DRAINING = PHASES[ListedHostState.GONE], PHASES[ListedHostState.DRAINING]
 
 
 class MemberError(GaprouteError, ValueError):
@@ -80,7 +80,9 @@
         except DECODING_ERRORS as error:
             known = after.get(name) or self.reported.get(name)
             if known is not None:
-                after[name] = with_state(known, State.DRAINING.value) if phase == DRAINING else known
+                after[name] = (
+                    with_state(known, ListedHostState.DRAINING.value) if phase == DRAINING else known
+                )
             return RejectedMember(name[:MAX_REASON_CHARS], _reason(error))
         return None
 
--- a/gaproute/discovery/cell_reconciler.py
+++ b/gaproute/discovery/cell_reconciler.py
@@ -10,7 +10,7 @@
 
 from gaproute.config.directives.fleet import HostLine
 from gaproute.discovery.cell_members import with_state
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 
 HostLines: TypeAlias = dict[str, HostLine]  # by host
 CellLines: TypeAlias = dict[str, HostLines]  # by cell
@@ -100,7 +100,7 @@
             elif (old.where, old.zone) == (line.where, line.zone):
                 same.append(Candidate(cell, line, line))
             else:
-                draining = line.state != State.ACTIVE.value
+                draining = line.state != ListedHostState.ACTIVE.value
                 fallback = with_state(old, line.state) if draining else old
                 changed.append(Candidate(cell, line, fallback))
     return same + changed + fresh
--- a/gaproute/discovery/changelog/member_records.py
+++ b/gaproute/discovery/changelog/member_records.py
@@ -5,10 +5,14 @@
 
 import msgspec
 
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 from gaproute.units import MILLI
 
-STATES = {"Ready": State.ACTIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {
+    "Ready": ListedHostState.ACTIVE,
+    "Terminating": ListedHostState.DRAINING,
+    "Gone": ListedHostState.GONE,
+}
 DEFAULT_CAPACITY = 1.0  # of a host whose size makes no sense
 
 
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -17,7 +17,7 @@
 )
 from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.interface import ListedHost, State
+from gaproute.interface import ListedHost, ListedHostState
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 
@@ -71,7 +71,7 @@
         started = self.start_times.start_of(member.id, reported_start_of(member), absent_at)
         listed = ListedHost(member.id, zone, cell, state, capacity_of(member), started)
         endpoint = Endpoint(listed, member.host_port)
-        if state is State.GONE:
+        if state is ListedHostState.GONE:
             self.hosts.pop(member.id, None)
             self.start_times.forget(member.id)
         else:
--- a/gaproute/discovery/host_lines.py
+++ b/gaproute/discovery/host_lines.py
@@ -7,10 +7,10 @@
 from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.discovery.name_numbers import NameNumbers
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.interface import ListedHost, State
+from gaproute.interface import ListedHost, ListedHostState
 from gaproute.loop import Loop
 
-STATES = {state.value: state for state in State}
+STATES = {state.value: state for state in ListedHostState}
 SAME_CAPACITY = 1.0  # of all hosts, if capacities are not used
 
 
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -26,7 +26,7 @@
 from gaproute.fronts.jsonrpc.memory_limit import connections_over_limit
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
-from gaproute.interface.call import Call, Ending, Final
+from gaproute.interface.call import Call, FinalAnswer, FinalResult
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
@@ -173,16 +173,16 @@
             client_present=lambda: connection.presence.is_waiting_for(request.number, request.request_id),
         )
 
-    def finish_request(self, connection: ClientConnection, request: Request, final: Final) -> None:
+    def finish_request(self, connection: ClientConnection, request: Request, final: FinalAnswer) -> None:
         """Sends the final answer of a request, unless the client has cancelled it meanwhile."""
         number = request.number
         open_request = connection.open_requests.get(number)
         if open_request is None or open_request.key != final.request:
             return  # the request was cancelled; a new one may have its number by now
         del connection.open_requests[number], self.open_request_ids[request.request_id]
-        if final.answer is not None and final.ending is Ending.DELIVERED:
+        if final.answer is not None and final.ending is FinalResult.DELIVERED:
             connection.write(responses.encode_result(number, final.answer.body))
-        elif final.ending is Ending.REJECTED:
+        elif final.ending is FinalResult.REJECTED:
             code = ErrorCode.REJECTED
             connection.write(responses.encode_error(number, code, final.reason, final.retry_after))
         else:
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -16,8 +16,8 @@
 from gaproute.hosts import forwarding, orca
 from gaproute.http1 import Request, Server
 from gaproute.http1.rendering import Header
-from gaproute.interface import Found, Report
-from gaproute.interface.call import Answer, Call, Final
+from gaproute.interface import HostLoadReport, InstanceStatus
+from gaproute.interface.call import Answer, Call, FinalAnswer
 
 NEVER_RAN, CELL_UNKNOWN = 429, 404  # status codes
 
@@ -31,7 +31,7 @@
         core: Core,
         configuration: Configuration,
         is_ready: Callable[[], bool],
-        load_report: Callable[[str], Report | None],
+        load_report: Callable[[str], HostLoadReport | None],
     ) -> None:
         """`load_report(cell)`: the cell's load as it is sent to other gateways, where it is known."""
         super().__init__(server, core, configuration, is_ready)
@@ -44,25 +44,25 @@
             return call
         return call._replace(forwarded=forwarded, origin=forwarding.decode_origin(request.headers))
 
-    def _answer(self, request: Request, final: Final, answer: Answer) -> None:
+    def _answer(self, request: Request, final: FinalAnswer, answer: Answer) -> None:
         forwarded = forwarding.decode(request.headers)
         if forwarded is not None:
             fields = (*answer.fields, *self._metrics(forwarded.cell, final.found))
             answer = answer._replace(fields=fields)
         super()._answer(request, final, answer)
 
-    def _rejected_status(self, request: Request, final: Final) -> int:
+    def _rejected_status(self, request: Request, final: FinalAnswer) -> int:
         if not final.never_ran or forwarding.decode(request.headers) is None:
             return super()._rejected_status(request, final)
         return CELL_UNKNOWN if final.cell_unknown else NEVER_RAN
 
-    def _metrics(self, cell: str, found: Found) -> tuple[Header, ...]:
+    def _metrics(self, cell: str, found: InstanceStatus) -> tuple[Header, ...]:
         """The header with the cell's load and what the call found, as far as they are known."""
         report = self.load_report(cell)
         metrics: dict[str, float] = {}
         if report is not None and report.in_hand is not None:
             metrics["in_hand"] = report.in_hand
-        if found is not Found.UNKNOWN:
+        if found is not InstanceStatus.UNKNOWN:
             metrics["copy"] = found.value
         if not metrics:
             return ()
--- a/gaproute/fronts/kserve/inference.py
+++ b/gaproute/fronts/kserve/inference.py
@@ -12,7 +12,7 @@
 from gaproute.core.core import Core
 from gaproute.fronts.kserve.responses import BAD_REQUEST, NS_PER_MS, RequestError
 from gaproute.http1 import Request
-from gaproute.interface.call import Call, Final
+from gaproute.interface.call import Call, FinalAnswer
 
 MAX_DIGITS = 12  # of a number in a header
 
@@ -35,7 +35,7 @@
 
     core: Core
 
-    def finish_request(self, request: Request, final: Final) -> None:
+    def finish_request(self, request: Request, final: FinalAnswer) -> None:
         """Answers a request by its final answer."""
 
     def answer_half_closed(self, request: Request) -> None:
@@ -52,7 +52,7 @@
         self.key = ""  # the gateway's id of the request
         self.abandoned = False
 
-    def finish(self, final: Final) -> None:
+    def finish(self, final: FinalAnswer) -> None:
         """Sends the final answer, where the client still waits."""
         if not self.abandoned:
             self.front.finish_request(self.request, final)
--- a/gaproute/fronts/kserve/responses.py
+++ b/gaproute/fronts/kserve/responses.py
@@ -13,7 +13,7 @@
 
 from gaproute.errors import GaprouteError
 from gaproute.http1.rendering import Header
-from gaproute.interface.call import Answer, Final
+from gaproute.interface.call import Answer, FinalAnswer
 
 NS_PER_MS, NS_PER_S = 1_000_000, 1_000_000_000
 
@@ -39,13 +39,13 @@
     return msgspec.json.encode({"error": text})
 
 
-def delivered(final: Final, answer: Answer) -> Answer:
+def delivered(final: FinalAnswer, answer: Answer) -> Answer:
     """The host's answer."""
     fields = (*answer.fields, DELIVERED, _request_id(final), _attempts(final))
     return Answer(answer.status, fields, answer.body)
 
 
-def rejected(final: Final, status: int) -> Answer:
+def rejected(final: FinalAnswer, status: int) -> Answer:
     """The answer to a request that provably did not run, or may run again."""
     fields = (
         JSON_TYPE,
@@ -57,7 +57,7 @@
     return Answer(status, fields, encode_error(final.reason))
 
 
-def failed(final: Final) -> Answer:
+def failed(final: FinalAnswer) -> Answer:
     """The answer to a request that may have run."""
     fields = (JSON_TYPE, FAILED, _request_id(final), _attempts(final))
     return Answer(TIMEOUT, fields, encode_error(final.reason))
@@ -69,9 +69,9 @@
     return Answer(TIMEOUT, (JSON_TYPE, FAILED), encode_error(text))
 
 
-def _request_id(final: Final) -> Header:
+def _request_id(final: FinalAnswer) -> Header:
     return b"Gaproute-Task", final.request.encode()
 
 
-def _attempts(final: Final) -> Header:
+def _attempts(final: FinalAnswer) -> Header:
     return b"Gaproute-Relays", b"%d" % final.attempts
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -22,7 +22,7 @@
     RequestError,
 )
 from gaproute.http1 import Request, Server
-from gaproute.interface.call import Answer, Call, Ending, Final
+from gaproute.interface.call import Answer, Call, FinalAnswer, FinalResult
 
 VERSION = "0.2.0"
 EXTENSIONS = ["binary_tensor_data"]
@@ -140,21 +140,21 @@
 
     # Answers
 
-    def finish_request(self, request: Request, final: Final) -> None:
+    def finish_request(self, request: Request, final: FinalAnswer) -> None:
         """Sends the final answer to a request."""
-        if final.answer is not None and final.ending is Ending.DELIVERED:
+        if final.answer is not None and final.ending is FinalResult.DELIVERED:
             answer = responses.delivered(final, final.answer)
-        elif final.ending is Ending.REJECTED:
+        elif final.ending is FinalResult.REJECTED:
             answer = responses.rejected(final, self._rejected_status(request, final))
         else:
             answer = responses.failed(final)
         self._answer(request, final, answer)
 
-    def _rejected_status(self, request: Request, final: Final) -> int:
+    def _rejected_status(self, request: Request, final: FinalAnswer) -> int:
         """The status of the response to a rejected request."""
         return UNAVAILABLE
 
-    def _answer(self, request: Request, final: Final, answer: Answer) -> None:
+    def _answer(self, request: Request, final: FinalAnswer, answer: Answer) -> None:
         """Sends the one answer to a request."""
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
--- a/gaproute/hollow/cells/plan.py
+++ b/gaproute/hollow/cells/plan.py
@@ -14,7 +14,7 @@
 )
 from gaproute.decisions.cells.version import Version
 from gaproute.hollow.simulation import GatewayRow
-from gaproute.interface import ListedHost, State
+from gaproute.interface import ListedHost, ListedHostState
 
 FLEET = "hollow"
 GATEWAYS = 33  # of a cell
@@ -78,6 +78,8 @@
     def _make_host_rows(self, cell_name: str) -> tuple[ListedHost, ...]:
         zone = int(cell_name.removeprefix("cell")) % ZONES
         return tuple(
-            ListedHost(f"{cell_name}-host-{number:03}", zone, number % RACKS, State.ACTIVE, CAPACITY, 1)
+            ListedHost(
+                f"{cell_name}-host-{number:03}", zone, number % RACKS, ListedHostState.ACTIVE, CAPACITY, 1
+            )
             for number in range(self.hosts)
         )
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from gaproute.config import Configuration
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop.timers import Callback, Timer
 from gaproute.peers.ports import (
     CallbackLoop,
@@ -80,6 +80,6 @@
     wall_clock: Callable[[], int]
     record: EventCounter = field(default_factory=EventCounter)
 
-    def random(self, stream: RandomStream) -> Chance:
+    def random(self, stream: RandomStream) -> RandomGenerator:
         """The random numbers of one part, the same for the same seed."""
-        return Chance(self.seed + stream)
+        return RandomGenerator(self.seed + stream)
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from gaproute.config import Configuration, read_configuration
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.hollow.environment import GatewayEnvironment
 from gaproute.hollow.gateway import PARTS, HollowGateway
 from gaproute.hollow.parts import PartFactory
@@ -67,7 +67,7 @@
         lag: Callable[[str], int] | None = None,
         host_list_of: Callable[[str], int] | None = None,
     ) -> None:
-        self.loop, self.chance, self.part_factories = SimulatedLoop(), Chance(seed), part_factories
+        self.loop, self.chance, self.part_factories = SimulatedLoop(), RandomGenerator(seed), part_factories
         self.network = SimulatedNetwork(self.loop)
         self._list_files = [MemoryFile() for _ in range(files)]
         self.host_lists = HostLists(hosts, self._list_files)
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -17,7 +17,7 @@
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.hosts.kserve.host_connections import HostConnections
 from gaproute.hosts.kserve.settings import ClientSettings
-from gaproute.interface import Idempotency, ListedHost, Result, State
+from gaproute.interface import Idempotency, ListedHost, ListedHostState, Result
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address as parse_address
@@ -106,4 +106,4 @@
 
 
 def _endpoint(address: str) -> Endpoint:
-    return Endpoint(ListedHost(address, 0, 0, State.ACTIVE, 1.0, None), address)
+    return Endpoint(ListedHost(address, 0, 0, ListedHostState.ACTIVE, 1.0, None), address)
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -10,7 +10,7 @@
 from gaproute.hosts.jsonlines.connection import Connection
 from gaproute.hosts.jsonlines.host import Host
 from gaproute.hosts.jsonlines.pending_request import OnRequestEnded, PendingRequest
-from gaproute.interface import Idempotency, State
+from gaproute.interface import Idempotency, ListedHostState
 from gaproute.interface.call import always
 from gaproute.loop import Loop
 from gaproute.settings import DeploymentSettings
@@ -65,8 +65,8 @@
         elif not host.is_at(endpoint):
             host.drain()  # its connections lead to the former address or process
             host.set_endpoint(endpoint)
-        host.active = endpoint.listed.state is State.ACTIVE
-        host.listed = endpoint.listed.state is not State.GONE
+        host.active = endpoint.listed.state is ListedHostState.ACTIVE
+        host.listed = endpoint.listed.state is not ListedHostState.GONE
 
     def submit(
         self,
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -10,7 +10,7 @@
 
 from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts.load_figures import bounded_count, parse_figure
-from gaproute.interface import Found, Report, Result
+from gaproute.interface import HostLoadReport, InstanceStatus, Result
 from gaproute.interface.call import Answer, Call
 from gaproute.settings import read_report
 from gaproute.units import MILLI
@@ -23,7 +23,12 @@
     "crashed": Result.ERROR,
     "nobody": Result.NOT_SENT,
 }
-FOUND = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
+FOUND = {
+    "w": InstanceStatus.WARM,
+    "c": InstanceStatus.BEGAN_LOAD,
+    "j": InstanceStatus.AWAITED_LOAD,
+    "f": InstanceStatus.LOAD_FAILED,
+}
 READY, NOT_READY = "green", "red"
 
 Meta = dict[str, str | int | float]
@@ -86,7 +91,7 @@
     count = None
     if with_count and result in (Result.OK, Result.FULL):
         count = bounded_count(parse_figure(reply.meta.get("queue_fn"))) or 0
-    found = FOUND.get(reply.meta.get("tell"), Found.UNKNOWN)  # type: ignore[arg-type]
+    found = FOUND.get(reply.meta.get("tell"), InstanceStatus.UNKNOWN)  # type: ignore[arg-type]
     return AttemptResult(result, answer, found, count, decode_load_report(reply.meta))
 
 
@@ -102,7 +107,7 @@
     return body
 
 
-def decode_health(reply: Reply) -> tuple[bool, Report | None] | None:
+def decode_health(reply: Reply) -> tuple[bool, HostLoadReport | None] | None:
     """(ready, load report) of the reply to a probe; None where it is no such reply."""
     if reply.type not in (READY, NOT_READY):
         return None
@@ -115,7 +120,7 @@
     return None if result is None else (result, bounded_count(parse_figure(reply.meta.get("copies"))) or 0)
 
 
-def decode_load_report(meta: Meta) -> Report | None:
+def decode_load_report(meta: Meta) -> HostLoadReport | None:
     """A load report such as `inflight:7;util:0.61`; a figure that cannot be decoded counts as missing."""
     text = meta.get("meter")
     if not isinstance(text, str):
@@ -126,5 +131,5 @@
         figure = parse_figure(value)
         if figure is not None:
             figures[name] = figure
-    known: Report | None = read_report(figures)
+    known: HostLoadReport | None = read_report(figures)
     return known
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -19,7 +19,7 @@
 from gaproute.hosts.kserve.host_connections import HostConnections
 from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS, ClientSettings
 from gaproute.http1 import Exchange, NoResponseError, Response
-from gaproute.interface import Idempotency, Result, State
+from gaproute.interface import Idempotency, ListedHostState, Result
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.units import SECOND
@@ -80,7 +80,7 @@
         elif endpoint.address.encode() != host.address_text:
             host.close_idle()
             host.set_address(endpoint.address)
-        host.active = endpoint.listed.state is State.ACTIVE
+        host.active = endpoint.listed.state is ListedHostState.ACTIVE
 
     def sweep(self) -> None:
         """Close connections that have been idle too long, and go on doing so."""
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -14,13 +14,15 @@
 import msgspec
 
 from gaproute.hosts.load_figures import bounded_count, valid_figure
-from gaproute.interface import Found, Report
+from gaproute.interface import HostLoadReport, InstanceStatus
 
 HEADER = b"endpoint-load-metrics"
 REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # requests a report
 NAMED_PREFIX = "named_metrics."
-FOUND: dict[float | None, Found] = {found.value: found for found in Found if found is not Found.UNKNOWN}
-NO_FIGURES = Report()
+FOUND: dict[float | None, InstanceStatus] = {
+    found.value: found for found in InstanceStatus if found is not InstanceStatus.UNKNOWN
+}
+NO_FIGURES = HostLoadReport()
 
 
 class LoadReport(msgspec.Struct):
@@ -34,12 +36,12 @@
 class ReportedLoad(NamedTuple):
     """What the headers of one answer report."""
 
-    report: Report | None
-    found: Found
+    report: HostLoadReport | None
+    found: InstanceStatus
     same_function_requests: int | None
 
 
-NOTHING_REPORTED = ReportedLoad(None, Found.UNKNOWN, None)
+NOTHING_REPORTED = ReportedLoad(None, InstanceStatus.UNKNOWN, None)
 
 _decode_json = msgspec.json.Decoder(LoadReport).decode
 
@@ -77,7 +79,7 @@
     if reported is None:
         return NOTHING_REPORTED
     named = reported.named_metrics
-    report = Report(
+    report = HostLoadReport(
         valid_figure(named.get("in_hand")),
         valid_figure(named.get("queue")),
         valid_figure(reported.cpu_utilization),
@@ -85,6 +87,6 @@
     )
     return ReportedLoad(
         report if report != NO_FIGURES else None,
-        FOUND.get(named.get("copy"), Found.UNKNOWN),
+        FOUND.get(named.get("copy"), InstanceStatus.UNKNOWN),
         bounded_count(valid_figure(named.get("alike"))),
     )
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -29,8 +29,16 @@
     RejectReason,
     Wait,
 )
-from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
-from gaproute.interface.terms import Group, Idempotency, ListedHost, Request, RequestClass, State, Terms
+from gaproute.interface.outcomes import NEVER_RAN, HostLoadReport, InstanceStatus, Outcome, Result
+from gaproute.interface.terms import (
+    Idempotency,
+    IdempotencyScope,
+    ListedHost,
+    ListedHostState,
+    Request,
+    RequestClass,
+    RoutingSettings,
+)
 
 __all__ = [
     "NEVER_RAN",
@@ -38,8 +46,8 @@
     "Attempt",
     "Cancel",
     "Fail",
-    "Found",
-    "Group",
+    "InstanceStatus",
+    "IdempotencyScope",
     "Idempotency",
     "ListedHost",
     "LoadOrder",
@@ -48,11 +56,11 @@
     "Probe",
     "Reject",
     "RejectReason",
-    "Report",
+    "HostLoadReport",
     "Request",
     "RequestClass",
     "Result",
-    "State",
-    "Terms",
+    "ListedHostState",
+    "RoutingSettings",
     "Wait",
 ]
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from gaproute.interface.outcomes import Found
+from gaproute.interface.outcomes import InstanceStatus
 
 
 def always() -> bool:
@@ -42,7 +42,7 @@
     body: bytes
 
 
-class Ending(Enum):
+class FinalResult(Enum):
     """How a request ended; the values are those of counters and log lines."""
 
     DELIVERED = "delivered"
@@ -50,10 +50,10 @@
     FAILED = "failed"  # the request may have run
 
 
-class Final(NamedTuple):
+class FinalAnswer(NamedTuple):
     """The one final answer of a request."""
 
-    ending: Ending
+    ending: FinalResult
     answer: Answer | None  # with DELIVERED
     retry_after: int  # with REJECTED: how long the client should wait, ns; 0: not said
     request: str  # the gateway's id for the request
@@ -61,4 +61,4 @@
     reason: str  # a short text for a person
     never_ran: bool = False  # every attempt that was started provably did not run
     cell_unknown: bool = False  # with REJECTED: the call was forwarded here for a cell not known here
-    found: Found = Found.UNKNOWN  # with DELIVERED: what the attempt found at the host
+    found: InstanceStatus = InstanceStatus.UNKNOWN  # with DELIVERED: what the attempt found at the host
--- a/gaproute/interface/outcomes.py
+++ b/gaproute/interface/outcomes.py
@@ -24,7 +24,7 @@
 NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NOT_LOADED)
 
 
-class Found(Enum):
+class InstanceStatus(Enum):
     """What a delivered attempt found at the host, where hosts report it."""
 
     UNKNOWN = 0
@@ -34,7 +34,7 @@
     LOAD_FAILED = 4
 
 
-class Report(NamedTuple):
+class HostLoadReport(NamedTuple):
     """A host's own figures; what it did not report is None."""
 
     in_hand: float | None = None  # requests at work or waiting
@@ -52,6 +52,6 @@
     result: Result
     took: int  # from sending to outcome, ns
     ended: bool  # the request is over, by this outcome or an earlier one
-    found: Found
+    found: InstanceStatus
     same_function_requests: int | None  # requests of the same function that the host had in flight
-    report: Report | None
+    report: HostLoadReport | None
--- a/gaproute/interface/terms.py
+++ b/gaproute/interface/terms.py
@@ -12,7 +12,7 @@
     NON_IDEMPOTENT = "effectful"  # must never run twice
 
 
-class Group(Enum):
+class IdempotencyScope(Enum):
     """Which hosts know each other's idempotency keys: all, or those that share the named field."""
 
     ALL = "all"
@@ -20,7 +20,7 @@
     CELL = "cell"
 
 
-class State(Enum):
+class ListedHostState(Enum):
     """Whether a host may get requests, by the host list."""
 
     ACTIVE = "active"
@@ -32,14 +32,14 @@
     """Requests with the same limits, priority weight and idempotency."""
 
     idempotency: Idempotency
-    group: Group
+    group: IdempotencyScope
     repeat_window: int  # how long the group remembers an idempotency key, ns
     latency_objective: int  # within which an answer has its full value, ns
     hard_limit: int  # within which the final answer is owed, ns
     priority_weight: float  # the value of an answer
 
 
-class Terms(NamedTuple):
+class RoutingSettings(NamedTuple):
     """What a gateway is given once, when it starts."""
 
     request_classes: tuple[RequestClass, ...]
@@ -77,7 +77,7 @@
     host: str
     zone: int
     cell: int
-    state: State
+    state: ListedHostState
     capacity: float
     started: int | None  # clock time of its last start, ns
 
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -53,7 +53,7 @@
     """A valid configuration, with its settings decoded."""
 
     configuration: Configuration
-    terms: interface.Terms
+    terms: interface.RoutingSettings
     deployment: settings.DeploymentSettings
 
 
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from gaproute.core.core import Core
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.discovery.changelog import events
 from gaproute.discovery.changelog.members import MemberConverter
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
@@ -24,7 +24,7 @@
         self.converter = MemberConverter(loop, zones)
         self.watcher: ChangeLogWatcher | None = None  # None until `start` has applied the first events
 
-    def start(self, known: Mapping[str, object], change_log: str, chance: Chance) -> None:
+    def start(self, known: Mapping[str, object], change_log: str, chance: RandomGenerator) -> None:
         """Applies the events of the configuration (`known`) and follows the change log at its address."""
         last_seq, initial = events.decode_initial(known)
         for event in initial:
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -7,7 +7,7 @@
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import MIN_IDLE_WITH_RETRIES, Admission, response_margin
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS, split_descriptors
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
@@ -74,7 +74,7 @@
             shares.clients,
             shares.clients + 1,
             self.sockets,
-            Chance(self.seed + ADMISSION_SEED),
+            RandomGenerator(self.seed + ADMISSION_SEED),
             min_idle=MIN_IDLE_WITH_RETRIES,
             queue_when_full=True,
             reserved_descriptors=shares.hosts + PROCESS_DESCRIPTORS,
@@ -97,7 +97,7 @@
         front = self.front = self._listen()
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
             self.peers.open()
-        chance = Chance(self.seed + CHANGE_LOG_SEED)
+        chance = RandomGenerator(self.seed + CHANGE_LOG_SEED)
         self.host_list.start(self.configuration.known, self.configuration.changelog, chance)
         self._log_start(front)
         self.status = StatusLog(
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -42,13 +42,13 @@
     cancel_allowed: bool = True  # hosts may be notified of a cancelled request
 
 
-def read_terms(settings: Mapping[str, Any]) -> interface.Terms:
+def read_terms(settings: Mapping[str, Any]) -> interface.RoutingSettings:
     """The terms of the decisions."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     rules, prices = _section(settings, "rules"), _section(settings, "prices")
     report = _section(settings, "report")
     report_names = set(report.get("names") or ())
-    return interface.Terms(
+    return interface.RoutingSettings(
         request_classes=tuple(_request_class(each) for each in settings.get("lanes") or ()),
         tenant_shares=tuple(float(each.get("share") or 0.0) for each in settings.get("tenants") or ()),
         over_share_value=float(settings.get("over_share_worth", 1.0)),
@@ -73,7 +73,7 @@
         warm_up_share=float(rules.get("cold_from") or 0),
         warm_up_time=_duration(rules, "cold"),
         warm_up_overload=float(
-            rules.get("fall_multiple") or interface.Terms._field_defaults["warm_up_overload"]
+            rules.get("fall_multiple") or interface.RoutingSettings._field_defaults["warm_up_overload"]
         ),
         host_list_polled=settings.get("membership_mode") == LIST_POLLED,
         zone=settings["az"] if isinstance(settings.get("az"), int) else -1,
@@ -97,10 +97,10 @@
     )
 
 
-def read_report(figures: Mapping[str, float | None]) -> interface.Report | None:
+def read_report(figures: Mapping[str, float | None]) -> interface.HostLoadReport | None:
     """A load report by the names of its figures; None where none of them is known."""
     fields = [next((figures[name] for name in names if name in figures), None) for names in FIGURES.values()]
-    return interface.Report(*fields) if any(field is not None for field in fields) else None
+    return interface.HostLoadReport(*fields) if any(field is not None for field in fields) else None
 
 
 def _section(settings: Mapping[str, Any], key: str) -> Mapping[str, Any]:
@@ -112,7 +112,7 @@
 def _request_class(fields: Mapping[str, Any]) -> interface.RequestClass:
     return interface.RequestClass(
         idempotency=IDEMPOTENCY[fields["effect"]],
-        group=interface.Group(fields.get("group") or "all"),
+        group=interface.IdempotencyScope(fields.get("group") or "all"),
         repeat_window=_duration(fields, "dedup_window"),
         latency_objective=_duration(fields, "aim"),
         hard_limit=_duration(fields, "deadline"),
--- a/gaproute/shared/randomness.py
+++ b/gaproute/shared/randomness.py
@@ -7,7 +7,7 @@
 
 
 class RandomSource(Protocol):
-    """A seeded generator, such as `gaproute.decisions.chance.Chance`."""
+    """A seeded generator, such as `gaproute.decisions.chance.RandomGenerator`."""
 
     def below(self, bound: int, /) -> int:
         """A number from 0 to `bound` - 1, all equally likely."""
--- a/gaproute/standins/membership_network.py
+++ b/gaproute/standins/membership_network.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers.membership_wire import encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState
 from gaproute.units import MILLI
@@ -57,7 +57,7 @@
 
     def start(self, name: str, seed: int, peers: dict[str, str]) -> None:
         """Starts a gateway; `peers`: addresses by name."""
-        self.start_member(Membership(name, name, Chance(seed), self.now), peers)
+        self.start_member(Membership(name, name, RandomGenerator(seed), self.now), peers)
 
     def start_member(self, member: Membership, peers: dict[str, str]) -> None:
         """Starts a gateway that was made already, in the place of one of the same name."""
--- a/gaproute/standins/rule_violators.py
+++ b/gaproute/standins/rule_violators.py
@@ -10,7 +10,16 @@
 from gaproute.decisions.routing.host_selector import HostSelector
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
-from gaproute.interface import Attempt, ListedHost, LoadOrder, Reject, Request, RequestClass, State, Wait
+from gaproute.interface import (
+    Attempt,
+    ListedHost,
+    ListedHostState,
+    LoadOrder,
+    Reject,
+    Request,
+    RequestClass,
+    Wait,
+)
 from gaproute.interface.actions import Action
 from gaproute.units import MILLI
 
@@ -53,7 +62,9 @@
 
     def update_hosts(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
         """Takes each listed host for an active one, and forgets none."""
-        super().update_hosts(now, [row._replace(state=State.ACTIVE) for row in rows], complete=False)
+        super().update_hosts(
+            now, [row._replace(state=ListedHostState.ACTIVE) for row in rows], complete=False
+        )
 
 
 class ChoosesLastStarted(HostSelector):
--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 from gaproute.interface import Result
-from gaproute.interface.call import Ending
+from gaproute.interface.call import FinalResult
 
 MAX_EVENTS = 256  # the latest ones, which operators can read
 TRACE_ONE_IN = 32  # requests of which one is traced, by its id: the same one at every gateway
@@ -56,7 +56,7 @@
         """Counts a request whose client left before its final answer."""
         self.counts["client_left", self.class_names[request_class]] += 1
 
-    def request_ended(self, request_class: int, ending: Ending) -> None:
+    def request_ended(self, request_class: int, ending: FinalResult) -> None:
         """Counts a final answer."""
         self.counts[ending.value, self.class_names[request_class]] += 1
 
--- a/tests/appliance/test_attempt_results.py
+++ b/tests/appliance/test_attempt_results.py
@@ -75,21 +75,21 @@
         (
             b'JSON {"cpu_utilization": 0.5, "mem_utilization": 0.25, '
             b'"named_metrics": {"queue": 3, "copy": 2, "alike": 4}}',
-            face.Report(None, 3, 0.5, 0.25),
-            face.Found.BEGAN_LOAD,
+            face.HostLoadReport(None, 3, 0.5, 0.25),
+            face.InstanceStatus.BEGAN_LOAD,
             4,
         ),
         (
             b"TEXT cpu_utilization=0.5, named_metrics.in_hand=7",
-            face.Report(7, None, 0.5, None),
-            face.Found.UNKNOWN,
+            face.HostLoadReport(7, None, 0.5, None),
+            face.InstanceStatus.UNKNOWN,
             None,
         ),
-        (b'JSON {"cpu_utilization": -1}', None, face.Found.UNKNOWN, None),
-        (b'JSON {"named_metrics": {"copy": 9}}', None, face.Found.UNKNOWN, None),
-        (b"JSON {", None, face.Found.UNKNOWN, None),
-        (b"TEXT cpu_utilization=nan,named_metrics.queue=inf", None, face.Found.UNKNOWN, None),
-        (b"BIN xxxx", None, face.Found.UNKNOWN, None),
+        (b'JSON {"cpu_utilization": -1}', None, face.InstanceStatus.UNKNOWN, None),
+        (b'JSON {"named_metrics": {"copy": 9}}', None, face.InstanceStatus.UNKNOWN, None),
+        (b"JSON {", None, face.InstanceStatus.UNKNOWN, None),
+        (b"TEXT cpu_utilization=nan,named_metrics.queue=inf", None, face.InstanceStatus.UNKNOWN, None),
+        (b"BIN xxxx", None, face.InstanceStatus.UNKNOWN, None),
     ],
 )
 def test_load_reports_in_the_published_forms(value, report, found, alike):
--- a/tests/appliance/test_legacy_names.py
+++ b/tests/appliance/test_legacy_names.py
@@ -7,7 +7,7 @@
 from gaproute.appliance.legacy_names import legacy_counts
 from gaproute.appliance.status import event_table
 from gaproute.interface import Result
-from gaproute.interface.call import Ending
+from gaproute.interface.call import FinalResult
 from gaproute.telemetry.record import Record
 
 
@@ -20,7 +20,7 @@
     record.request_received(0)
     record.client_left(0)
     record.load_ordered("h")
-    for ending in Ending:
+    for ending in FinalResult:
         record.request_ended(0, ending)
     counts = legacy_counts(record.counts)
     assert counts == {
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -23,7 +23,7 @@
     MIN_SPACING,
     RestartBackoff,
 )
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop.addresses import address
 
 BODY = b'{"id": "t", "inputs": []}'
@@ -36,7 +36,7 @@
 
 
 def test_one_that_lived_well_comes_back_soon_and_one_that_dies_at_once_ever_later():
-    made, now, waits = RestartBackoff(Chance(1)), 0, []
+    made, now, waits = RestartBackoff(RandomGenerator(1)), 0, []
     for _ in range(12):
         when = made.schedule_restart(now, 0, SECOND)
         waits.append(when - now)
@@ -50,7 +50,7 @@
 
 
 def test_many_that_die_at_one_moment_are_started_apart():
-    made = RestartBackoff(Chance(1))
+    made = RestartBackoff(RandomGenerator(1))
     starts = sorted(made.schedule_restart(0, slot, HEALTHY_UPTIME) for slot in range(8))
     assert all(later - earlier >= MIN_SPACING for earlier, later in pairwise(starts))
 
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -3,7 +3,7 @@
 import pytest
 from raft_net import Net as RaftNet
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers.membership import MembershipTransport
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
 from gaproute.shared.gossip.messages import LIMITS, HostEntry, name_key
@@ -27,7 +27,7 @@
 
     def start(self, name, seed, peers):
         incarnation = BEGUN_MS + self.now // 1_000_000 + self.ahead
-        self.start_member(Membership(name, name, Chance(seed), self.now, incarnation), peers)
+        self.start_member(Membership(name, name, RandomGenerator(seed), self.now, incarnation), peers)
 
 
 # Membership
@@ -63,7 +63,7 @@
 
 
 def test_what_an_origin_sends_under_a_lower_incarnation_waits_until_it_has_outbid_its_past_one():
-    made = GossipNode("me", BEGUN_MS, Chance(7), 0)
+    made = GossipNode("me", BEGUN_MS, RandomGenerator(7), 0)
     made.set_peers(0, ["a"])
     made.set_hosts(0, {"h1": 1})
     made.receive(0, "a", in_flight(BEGUN_MS, 900, 4.0))
--- a/tests/cluster/test_conditions.py
+++ b/tests/cluster/test_conditions.py
@@ -8,7 +8,7 @@
 from gaproute.cluster.links.errors import LinkCommandError
 from gaproute.cluster.links.invariants import check_conditions
 from gaproute.cluster.links.rate_queues import MAX_QUEUE_TIME
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import MILLI, SECOND
 
 A, B, C, H = 16, 17, 18, 40
@@ -29,7 +29,7 @@
 
 
 def made(seed=1, **faults):
-    conditions = NetworkConditions(seed, Chance)
+    conditions = NetworkConditions(seed, RandomGenerator)
     place_slots(conditions, SLOTS)
     for fault_id, fault in faults.items():
         begin(conditions, fault_id, fault)
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -8,7 +8,7 @@
 from gaproute.config.directives.process import DecisionsLine
 from gaproute.config.parsing import PLAIN
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Group, Idempotency
+from gaproute.interface import Idempotency, IdempotencyScope
 
 GOOD = """
 name g1   # a comment
@@ -37,7 +37,7 @@
     )
     assert (b.idempotency, b.group, b.repeat_window) == (
         Idempotency.IDEMPOTENT_WITH_KEY,
-        Group.CELL,
+        IdempotencyScope.CELL,
         2_500_000_000,
     )
     assert configuration.models["m"].versions == ("1", "2")
--- a/tests/connections/test_eviction.py
+++ b/tests/connections/test_eviction.py
@@ -8,7 +8,7 @@
     MIN_IDLE,
     Admission,
 )
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
 
@@ -74,7 +74,7 @@
 
 def test_an_address_whose_last_connection_makes_room_for_itself_is_counted_on():
     loop = Loop()
-    connections = AcceptedConnections(loop, Admission(1, 10, 1000, Chance(1)))
+    connections = AcceptedConnections(loop, Admission(1, 10, 1000, RandomGenerator(1)))
     first = connections.admit("a", counted=True)
 
     def displace():
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -38,7 +38,7 @@
             row(
                 name,
                 zone=self.random.randrange(2),
-                state=self.random.choice([face.State.ACTIVE] * 5 + [face.State.DRAINING]),
+                state=self.random.choice([face.ListedHostState.ACTIVE] * 5 + [face.ListedHostState.DRAINING]),
                 started=self.random.choice([None, 0]),
             )
             for name in some
@@ -80,8 +80,8 @@
         )
         outcome = face.Outcome(
             name, relay, worker, result, self.now - sent, result is face.Result.OK,
-            self.random.choice(list(face.Found)), self.random.choice([None, 1, 9]),
-            face.Report(in_hand=float(self.random.randrange(20)), memory_busy=self.random.random()),
+            self.random.choice(list(face.InstanceStatus)), self.random.choice([None, 1, 9]),
+            face.HostLoadReport(in_hand=float(self.random.randrange(20)), memory_busy=self.random.random()),
         )  # fmt: skip
         self.made.attempt_ended(self.now, outcome)
         self.advance(name, (self.now, outcome))
@@ -96,7 +96,7 @@
                 self.list(self.random.random() < 0.5)
             case 1:
                 worker = self.random.choice(self.names)
-                report = face.Report(in_hand=float(self.random.randrange(9)))
+                report = face.HostLoadReport(in_hand=float(self.random.randrange(9)))
                 self.wishes.append(
                     self.made.probe_ended(self.now, worker, report, good=self.random.random() < 0.8)
                 )
--- a/tests/decisions/cells/test_cut_off.py
+++ b/tests/decisions/cells/test_cut_off.py
@@ -5,7 +5,7 @@
 from gaproute.decisions.cells.faults import CircuitState, FaultScope
 from gaproute.decisions.cells.health import MAX_RECOVERY_RAMP, CellHealth
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.interface import Result
 from gaproute.units import SECOND
 
@@ -15,7 +15,7 @@
 
 
 def made(rows=None, own=OWN):
-    health = CellHealth("gateway0", Chance(5), own)
+    health = CellHealth("gateway0", RandomGenerator(5), own)
     health.adopt(table(rows or cells(65)))
     return health
 
--- a/tests/decisions/cells/test_demand.py
+++ b/tests/decisions/cells/test_demand.py
@@ -4,7 +4,7 @@
 
 from gaproute.decisions.cells.demand import MIN_PLACEMENT_TIME, RARE, Demand, FleetScope, Placement
 from gaproute.decisions.cells.loads import CellLoads
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import SECOND
 
 SCOPE = FleetScope(16_000, 3_200, 600 * SECOND)
@@ -140,7 +140,7 @@
 
 def test_the_draw_goes_by_capacity():
     capacities = {"a": 100.0, "b": 50.0, "c": 150.0}
-    loads, chance = CellLoads(), Chance(3)
+    loads, chance = CellLoads(), RandomGenerator(3)
     counts = dict.fromkeys(capacities, 0)
     for _ in range(6000):
         counts[loads.draw(0, tuple(capacities), capacities, chance)] += 1
@@ -150,7 +150,7 @@
 
 def test_the_draw_shifts_from_the_loaded_and_hears_of_it_still():
     capacities = dict.fromkeys("abcd", 100.0)
-    loads, chance = CellLoads(), Chance(3)
+    loads, chance = CellLoads(), RandomGenerator(3)
     for now in range(0, 60 * SECOND, SECOND):
         for name in "abcd":
             loads.record(now, name, 2.0 if name == "a" else 1.0)
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -94,7 +94,7 @@
     while isinstance(action, face.Attempt):
         serve.send(attempts)
         outcome = face.Outcome(
-            "t", attempts, action.host, result, MILLI, False, face.Found.UNKNOWN, None, None
+            "t", attempts, action.host, result, MILLI, False, face.InstanceStatus.UNKNOWN, None, None
         )
         made.attempt_ended(MILLI, outcome)
         action, attempts = serve.send((MILLI, outcome)), attempts + 1
@@ -193,11 +193,11 @@
     name = homed(made, "cell7")[0]
     for number in range(20):
         drive = Drive(made, task(f"t{number}", name), number * SECOND)
-        drive.hears(number * SECOND, face.Result.OK, found=face.Found.WARM, took=50 * MILLI)
+        drive.hears(number * SECOND, face.Result.OK, found=face.InstanceStatus.WARM, took=50 * MILLI)
     usual = made.demand.mean_duration(name)
     for number in range(20, 40):
         drive = Drive(made, task(f"t{number}", name), number * SECOND)
-        drive.hears(number * SECOND, face.Result.OK, found=face.Found.BEGAN_LOAD, took=2 * SECOND)
+        drive.hears(number * SECOND, face.Result.OK, found=face.InstanceStatus.BEGAN_LOAD, took=2 * SECOND)
     assert made.demand.mean_duration(name) == usual
     assert not made.health.is_faulty("cell7")
 
@@ -211,5 +211,5 @@
     for number, name in enumerate(homed(made, "cell7", 8)):
         now = number * SECOND // 10
         drive = Drive(made, task(f"t{number}", name), now)
-        drive.hears(now, face.Result.OK, found=face.Found.WARM, took=took)
+        drive.hears(now, face.Result.OK, found=face.InstanceStatus.WARM, took=took)
     assert made.health.is_faulty("cell7") == slow
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -10,7 +10,7 @@
     MIN_RECOVERY_RAMP,
     CellHealth,
 )
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.interface import Result
 from gaproute.units import SECOND
 
@@ -18,7 +18,7 @@
 
 
 def made(count=65, name="gateway1"):
-    health = CellHealth(name, Chance(5))
+    health = CellHealth(name, RandomGenerator(5))
     health.adopt(table(cells(count)))
     return health
 
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -52,8 +52,8 @@
     "options",
     [
         {"time_left": LIMIT + 1},  # an entry might send it when the first run is forgotten
-        {"group": face.Group.ZONE},
-        {"group": face.Group.CELL},
+        {"group": face.IdempotencyScope.ZONE},
+        {"group": face.IdempotencyScope.CELL},
         {"result": face.Result.ERROR},  # the entry answered: it tried again itself as far as that is allowed
         {"result": face.Result.TIMEOUT},
         {"idempotency": face.Idempotency.NON_IDEMPOTENT},
--- a/tests/decisions/cells/test_suspicion.py
+++ b/tests/decisions/cells/test_suspicion.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.health import CellHealth
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.silence import MAX_SUSPICION
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.interface import Result
 from gaproute.units import SECOND
 
@@ -22,7 +22,7 @@
 
 def overdue(*names, heard=None):
     """Health in zone 0 with a call overdue to each of the cells; `heard`: a cell that answered before."""
-    health = CellHealth("gateway0", Chance(5), OWN)
+    health = CellHealth("gateway0", RandomGenerator(5), OWN)
     health.adopt(table(cells(65)))
     if heard is not None:
         health.record_outcome(NOW - SECOND, heard, Result.OK)
--- a/tests/decisions/reports/test_hints.py
+++ b/tests/decisions/reports/test_hints.py
@@ -4,15 +4,15 @@
 from helpers import MILLI, SECOND, Drive, gateway, row, task
 from observation_scenes import ranked
 
-from gaproute.interface import Found, Outcome, Result, State
+from gaproute.interface import InstanceStatus, ListedHostState, Outcome, Result
 
 
-def outcome(name, worker, found=Found.WARM):
+def outcome(name, worker, found=InstanceStatus.WARM):
     return Outcome(name, 0, worker, Result.OK, 100 * MILLI, True, found, None, None)
 
 
 def test_a_hint_gives_way_to_what_was_seen_and_is_void_for_hosts_not_active_or_wiped():
-    made = gateway(row("a"), row("b", state=State.DRAINING))
+    made = gateway(row("a"), row("b", state=ListedHostState.DRAINING))
     assert made.hint_instance("a", "f", 4, 5 * SECOND)
     assert not made.hint_instance("a", "f", 4, 4 * SECOND)
     assert made.hint_instance("a", "f", 4, 6 * SECOND)
@@ -39,7 +39,7 @@
         assert wish.host == name
 
 
-def trial(made, number, found=Found.WARM, told=None):
+def trial(made, number, found=InstanceStatus.WARM, told=None):
     """A function whose copy is told to stand where the hash would not send it; a task of it, answered."""
     name = f"f{number}"
     order = [worker.id for worker in ranked(made, name)]
@@ -70,8 +70,8 @@
 def test_two_wrong_hints_end_it_however_many_were_right():
     made = gateway()
     assert all(trial(made, number) for number in range(20))
-    assert trial(made, 20, Found.BEGAN_LOAD)
-    assert trial(made, 21, Found.LOAD_FAILED)
+    assert trial(made, 20, InstanceStatus.BEGAN_LOAD)
+    assert trial(made, 21, InstanceStatus.LOAD_FAILED)
     assert not trial(made, 22)
 
 
@@ -84,7 +84,7 @@
     assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used
     assert (made.hints.right, made.hints.wrong) == (0, 0)
     made = gateway()
-    assert trial(made, 0, Found.UNKNOWN)
+    assert trial(made, 0, InstanceStatus.UNKNOWN)
     assert not made.hints.trials
     assert (made.hints.right, made.hints.wrong) == (0, 0)
 
--- a/tests/decisions/reports/test_observation_follower.py
+++ b/tests/decisions/reports/test_observation_follower.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from observation_scenes import KEEP, NOW, facts, follower, hints, listed, merged, observed, ranked, warm
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.reports.follower import MAX_SLOWDOWN
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 
@@ -22,7 +22,7 @@
 
 def test_a_hint_is_older_than_told_and_differs_between_learners():
     made = observed(warm(at=NOW - MILLI))
-    seen = {follower(made, Chance(seed)).warm_hints(NOW, {"x": 0})[0][3] for seed in range(20)}
+    seen = {follower(made, RandomGenerator(seed)).warm_hints(NOW, {"x": 0})[0][3] for seed in range(20)}
     assert len(seen) > 10
     assert all(0.34 * KEEP < NOW - at < 0.71 * KEEP for at in seen)
 
@@ -69,7 +69,7 @@
             )
         ]
     )
-    assert follower(told, Chance(1), {"check": 0}).follow(made, 2, {"a": 0}, told.by_subject) == 2
+    assert follower(told, RandomGenerator(1), {"check": 0}).follow(made, 2, {"a": 0}, told.by_subject) == 2
     assert told.rejections == {"not listed": 1, "track": 1}
     assert made.hosts_by_id["a"].slowdown == MAX_SLOWDOWN
 
@@ -87,9 +87,9 @@
     for _ in range(40):
         made = gateway(*map(row, hosts))
         lives = dict.fromkeys(hosts, 0)
-        chance = Chance(seeds.getrandbits(64))
+        chance = RandomGenerator(seeds.getrandbits(64))
         follower(told, chance).follow(made, 60 * SECOND, lives, told.by_subject)
-        made.chance.state = Chance(seeds.getrandbits(64)).state
+        made.chance.state = RandomGenerator(seeds.getrandbits(64)).state
         made.mix.recent.extend(told.request_mix())
         sent[made.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28
@@ -102,7 +102,9 @@
     told = observed(warm("cold", at=60 * SECOND, started=5))
     for seed in range(10):
         made = gateway(*hosts)
-        assert follower(told, Chance(seed)).follow(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
+        assert (
+            follower(told, RandomGenerator(seed)).follow(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
+        )
         sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
         assert "cold" not in sent
         assert made.hosts_by_id["cold"].credit == 0
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -39,11 +39,25 @@
     face.RejectReason.NO_HOST_AVAILABLE: "nobody",
 }
 
-IDEMPOTENT = (face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
-KEYED = (face.Idempotency.IDEMPOTENT_WITH_KEY, face.Group.ZONE, 2 * SECOND, 400 * MILLI, 3 * SECOND, 3.0)
-KEYED_IN_CELL = (face.Idempotency.IDEMPOTENT_WITH_KEY, face.Group.CELL, SECOND, SECOND, 2 * SECOND, 0.5)
-NON_IDEMPOTENT = (face.Idempotency.NON_IDEMPOTENT, face.Group.ALL, 0, 700 * MILLI, 5 * SECOND, 2.0)
-FREE = (face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, 3 * SECOND, 9 * SECOND, 0.0)
+IDEMPOTENT = (face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, SECOND, 4 * SECOND, 1.0)
+KEYED = (
+    face.Idempotency.IDEMPOTENT_WITH_KEY,
+    face.IdempotencyScope.ZONE,
+    2 * SECOND,
+    400 * MILLI,
+    3 * SECOND,
+    3.0,
+)
+KEYED_IN_CELL = (
+    face.Idempotency.IDEMPOTENT_WITH_KEY,
+    face.IdempotencyScope.CELL,
+    SECOND,
+    SECOND,
+    2 * SECOND,
+    0.5,
+)
+NON_IDEMPOTENT = (face.Idempotency.NON_IDEMPOTENT, face.IdempotencyScope.ALL, 0, 700 * MILLI, 5 * SECOND, 2.0)
+FREE = (face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, 3 * SECOND, 9 * SECOND, 0.0)
 
 # Terms by position, after the request classes: see `face.Terms`.
 PLAIN = (
@@ -73,7 +87,7 @@
     def __init__(self, seed, classes, terms, host_count, pace):
         self.random, self.now, self.pace = Random(seed), START, pace
         self.classes = tuple(face.RequestClass(*each) for each in classes)
-        self.terms = face.Terms(self.classes, *terms)
+        self.terms = face.RoutingSettings(self.classes, *terms)
         self.digest, self.events, self.count = sha256(), [], 0
         self.gateways = [Gateway(seed + number, self.terms, self.now) for number in range(GATEWAYS)]
         self.hosts = {f"h{number}": self.row(f"h{number}") for number in range(host_count)}
@@ -84,7 +98,7 @@
         started = self.random.choice([None, self.now - 30 * SECOND, self.now - SECOND, self.now])
         zone, cell = self.random.randrange(3), self.random.randrange(4)
         capacity = self.random.choice([1.0, 1.0, 2.0, 3.5])
-        return face.ListedHost(name, zone, cell, face.State.ACTIVE, capacity, started)
+        return face.ListedHost(name, zone, cell, face.ListedHostState.ACTIVE, capacity, started)
 
     def note(self, *fields):
         self.kinds[fields[1]] = self.kinds.get(fields[1], 0) + 1
@@ -189,9 +203,9 @@
         self.at(self.now + took, self.outcome, key, number, host, result, took)
 
     def outcome(self, key, number, host, result, took):
-        found = face.Found.UNKNOWN
+        found = face.InstanceStatus.UNKNOWN
         if self.terms[8] and result is face.Result.OK:
-            found = self.random.choices(list(face.Found), [1, 12, 2, 2, 1])[0]
+            found = self.random.choices(list(face.InstanceStatus), [1, 12, 2, 2, 1])[0]
         alike = self.random.randrange(12) if self.terms[7] else None
         ends = (face.Result.OK, face.Result.CLIENT_LEFT)
         outcome = face.Outcome(
@@ -209,10 +223,10 @@
         busy = len(host) + self.random.randrange(14)
         return self.random.choice(
             [
-                face.Report(float(busy), float(busy // 2), busy / 20, self.random.random()),
-                face.Report(None, float(busy), None, 0.5),
-                face.Report(None, None, busy / 16, None),
-                face.Report(None, None, None, None),
+                face.HostLoadReport(float(busy), float(busy // 2), busy / 20, self.random.random()),
+                face.HostLoadReport(None, float(busy), None, 0.5),
+                face.HostLoadReport(None, None, busy / 16, None),
+                face.HostLoadReport(None, None, None, None),
             ]
         )
 
@@ -256,7 +270,7 @@
             self.hosts[name] = self.row(name)  # it started anew, or moved
         elif change == 3:
             listed = list(self.hosts[name])
-            listed[3] = self.random.choice([face.State.DRAINING, face.State.GONE])
+            listed[3] = self.random.choice([face.ListedHostState.DRAINING, face.ListedHostState.GONE])
             self.hosts[name] = face.ListedHost(*listed)
         elif change in (4, 5):
             self.sick[name] = self.random.choice(["silent", "failing", "full", "slow"])
--- a/tests/decisions/routing/test_host_selector.py
+++ b/tests/decisions/routing/test_host_selector.py
@@ -34,8 +34,8 @@
     now = int(age)
     for number in range(3):
         warm.in_flight["x", number] = now
-    made.loads.record(warm, now, face.Report(memory_busy=1.0))
-    made.loads.record(cold, now, face.Report(memory_busy=0.0))
+    made.loads.record(warm, now, face.HostLoadReport(memory_busy=1.0))
+    made.loads.record(cold, now, face.HostLoadReport(memory_busy=0.0))
     assert made.selector.choose(now, task(), RequestAttempts()) is warm
 
 
@@ -84,10 +84,10 @@
     own = function.ranked_hosts[made.scorer.own_choice % 2]
     other = function.ranked_hosts[1 - made.scorer.own_choice % 2]
     for host in made.active_hosts:
-        made.loads.record(host, 0, face.Report(cpu_busy=0.3, memory_busy=0.2))
-    made.loads.record(other, 0, face.Report(cpu_busy=0.1, memory_busy=0.2))
+        made.loads.record(host, 0, face.HostLoadReport(cpu_busy=0.3, memory_busy=0.2))
+    made.loads.record(other, 0, face.HostLoadReport(cpu_busy=0.1, memory_busy=0.2))
     assert made.selector.choose(0, task(), RequestAttempts()) is own
-    made.loads.record(own, 0, face.Report(cpu_busy=1.0, memory_busy=0.2))
+    made.loads.record(own, 0, face.HostLoadReport(cpu_busy=1.0, memory_busy=0.2))
     own.in_flight = {("x", number): 1 for number in range(6)}
     assert made.selector.choose(1, task(), RequestAttempts()) is other
 
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -6,13 +6,13 @@
 from hypothesis import strategies as st
 
 from gaproute import interface as face
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.reports import load_report_codec
 from gaproute.decisions.reports.load_report_codec import host_mark
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.housekeeping import PROBE_INTERVAL
 from gaproute.decisions.routing.load_report_sharing import COST_SHARE, SAVED_PROBES
-from gaproute.interface import Report, Result
+from gaproute.interface import HostLoadReport, Result
 
 SHARING_TERMS = {
     "probes_allowed": True,
@@ -45,7 +45,7 @@
 
 def test_a_load_report_sent_is_a_load_report_received():
     one, other = shared(), shared()
-    payload = one.probe_ended(0, "a", Report(cpu_busy=0.5, memory_busy=0.2), good=True)
+    payload = one.probe_ended(0, "a", HostLoadReport(cpu_busy=0.5, memory_busy=0.2), good=True)
     assert len(payload) == 4
     other.peer_message_received(SECOND, payload)
     host = other.hosts_by_id["a"]
@@ -57,13 +57,13 @@
 
 @pytest.mark.parametrize("changes", [{"peers_allowed": False}, {"gateways": 1}, {"reported_figures": ()}])
 def test_nothing_is_sent_without_a_way_a_receiver_or_a_figure(changes):
-    assert shared(**changes).probe_ended(0, "a", Report(cpu_busy=0.5), good=True) is None
+    assert shared(**changes).probe_ended(0, "a", HostLoadReport(cpu_busy=0.5), good=True) is None
 
 
 def test_a_failed_probe_and_an_unknown_host_are_not_sent():
     made = shared()
-    assert made.probe_ended(0, "a", Report(cpu_busy=0.5), good=False) is None
-    assert made.probe_ended(0, "x", Report(cpu_busy=0.5), good=True) is None
+    assert made.probe_ended(0, "a", HostLoadReport(cpu_busy=0.5), good=False) is None
+    assert made.probe_ended(0, "x", HostLoadReport(cpu_busy=0.5), good=True) is None
 
 
 def test_two_hosts_of_one_mark_are_neither_sent_nor_received(monkeypatch):
@@ -71,7 +71,7 @@
         load_report_codec, "host_mark", lambda name: b"zz" if name in "ab" else host_mark(name)
     )
     made = shared()
-    assert made.probe_ended(0, "a", Report(cpu_busy=0.5), good=True) is None
+    assert made.probe_ended(0, "a", HostLoadReport(cpu_busy=0.5), good=True) is None
     made.peer_message_received(SECOND, b"zz\1\1")
     assert made.hosts_by_id["a"].reported_at < SECOND
     assert made.hosts_by_id["b"].reported_at < SECOND
@@ -86,11 +86,11 @@
 
 def test_a_removed_host_is_no_longer_sent():
     made = shared()
-    payload = made.probe_ended(0, "a", Report(cpu_busy=0.5), good=True)
-    made.update_hosts(0, [row("a", state=face.State.GONE)], complete=False)
+    payload = made.probe_ended(0, "a", HostLoadReport(cpu_busy=0.5), good=True)
+    made.update_hosts(0, [row("a", state=face.ListedHostState.GONE)], complete=False)
     made.peer_message_received(1, payload)
     assert made.hosts_by_id["a"].reported_at < 1
-    assert made.probe_ended(1, "a", Report(cpu_busy=0.5), good=True) is None
+    assert made.probe_ended(1, "a", HostLoadReport(cpu_busy=0.5), good=True) is None
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
@@ -112,11 +112,11 @@
 def test_a_host_heard_of_lately_is_not_probed_and_the_longest_unheard_is_first():
     made = shared(probe_price=0.0, peer_price=0.0, peers_allowed=False)
     for name in "abc":
-        made.probe_ended(SECOND, name, Report(cpu_busy=0.5), good=True)
-    made.probe_ended(SECOND + 5, "a", Report(cpu_busy=0.5), good=True)
+        made.probe_ended(SECOND, name, HostLoadReport(cpu_busy=0.5), good=True)
+    made.probe_ended(SECOND + 5, "a", HostLoadReport(cpu_busy=0.5), good=True)
     pick = made.sharing.host_to_probe
-    assert pick(SECOND + PROBE_INTERVAL - 1, made.active_hosts, PROBE_INTERVAL, Chance(1)) is None
-    assert pick(SECOND + PROBE_INTERVAL, made.active_hosts, PROBE_INTERVAL, Chance(1)).id == "b"
+    assert pick(SECOND + PROBE_INTERVAL - 1, made.active_hosts, PROBE_INTERVAL, RandomGenerator(1)) is None
+    assert pick(SECOND + PROBE_INTERVAL, made.active_hosts, PROBE_INTERVAL, RandomGenerator(1)).id == "b"
 
 
 def test_gateways_that_hear_the_same_do_not_all_probe_the_same_host():
--- a/tests/decisions/routing/test_outlier_detector.py
+++ b/tests/decisions/routing/test_outlier_detector.py
@@ -67,7 +67,8 @@
     for name, track, weight in (("a", 0, 0.4), ("b", 2, 1.0)):
         made.tracker.in_flight["t", 0] = InFlightAttempt(name, "f", track, 0, True)
         made.attempt_ended(
-            SECOND, face.Outcome("t", 0, name, Result.ERROR, MILLI, False, face.Found.UNKNOWN, None, None)
+            SECOND,
+            face.Outcome("t", 0, name, Result.ERROR, MILLI, False, face.InstanceStatus.UNKNOWN, None, None),
         )
         assert made.hosts_by_id[name].results[-1] == (SECOND, track, weight)
 
--- a/tests/decisions/routing/test_ranking.py
+++ b/tests/decisions/routing/test_ranking.py
@@ -48,7 +48,7 @@
     if what == "join":
         made.update_hosts(now, [row(name)], complete=False)
     elif what == "leave":
-        made.update_hosts(now, [row(name, state=face.State.GONE)], complete=False)
+        made.update_hosts(now, [row(name, state=face.ListedHostState.GONE)], complete=False)
     elif what == "renew" and name in made.hosts_by_id and made.hosts_by_id[name].active:
         made.update_hosts(now, [row(name, capacity=3.0, zone=1)], complete=False)
     elif what == "restart" and name in made.hosts_by_id and made.hosts_by_id[name].active:
@@ -87,7 +87,7 @@
     made.update_hosts(1, [row("w1", capacity=3.0), row("w2", started=1)], complete=False)
     assert made.ranking.ranks("f", function)
     assert function.ranked_hosts is order
-    made.update_hosts(2, [row("w3", state=face.State.DRAINING)], complete=False)
+    made.update_hosts(2, [row("w3", state=face.ListedHostState.DRAINING)], complete=False)
     assert made.ranking.ranks("f", function)
     assert function.ranked_hosts is not order
 
@@ -148,7 +148,9 @@
     made.mix.recent.extend(["f"] * share + ["g"] * (256 - share))
     for number in sorted(loads.keys() & fleet):
         made.loads.record(
-            made.hosts_by_id[name_of(number)], 1, face.Report(in_hand=loads[number], memory_busy=memory)
+            made.hosts_by_id[name_of(number)],
+            1,
+            face.HostLoadReport(in_hand=loads[number], memory_busy=memory),
         )
     plain, state = plain_selector(made), made.chance.state
     for _ in range(4):
--- a/tests/decisions/routing/test_request_attempts.py
+++ b/tests/decisions/routing/test_request_attempts.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_an_attempt_that_may_have_run_binds_the_request_after_an_earlier_one_is_disproved(result):
     made = gateway(row("a"), row("b"), row("other", cell=1))
-    track, attempts = IDEMPOTENT_WITH_KEY._replace(group=face.Group.CELL), RequestAttempts()
+    track, attempts = IDEMPOTENT_WITH_KEY._replace(group=face.IdempotencyScope.CELL), RequestAttempts()
     for attempt, name in enumerate("ab"):
         made.tracker.sent(attempt, task(request_class=1), attempt, made.hosts_by_id[name], attempts)
     attempts.settle(1, result)
--- a/tests/decisions/routing/test_request_router.py
+++ b/tests/decisions/routing/test_request_router.py
@@ -56,12 +56,19 @@
     assert drive.ended
     assert drive.wishes == []
     drive = Drive(made, task("u"))
-    drive.go((MILLI, face.Outcome("u", -1, "", Result.CLIENT_LEFT, 0, True, face.Found.UNKNOWN, None, None)))
+    drive.go(
+        (
+            MILLI,
+            face.Outcome("u", -1, "", Result.CLIENT_LEFT, 0, True, face.InstanceStatus.UNKNOWN, None, None),
+        )
+    )
     assert drive.ended
     assert drive.wishes == [face.Cancel(0)]
 
 
-@pytest.mark.parametrize("change", [[row("a", state=face.State.DRAINING)], [row("a", state=face.State.GONE)]])
+@pytest.mark.parametrize(
+    "change", [[row("a", state=face.ListedHostState.DRAINING)], [row("a", state=face.ListedHostState.GONE)]]
+)
 def test_drains_stop_requests_and_orders_at_once(change):
     made = gateway(row("a"))
     drive = Drive(made, task())
--- a/tests/decisions/routing/test_retry_rules.py
+++ b/tests/decisions/routing/test_retry_rules.py
@@ -31,13 +31,13 @@
 @pytest.mark.parametrize(
     ("group", "other", "now", "lawful"),
     [
-        (face.Group.ALL, "far", 1, True),
-        (face.Group.ALL, "far", 2 * SECOND, False),
-        (face.Group.ZONE, "near", 1, True),
-        (face.Group.ZONE, "far", 1, False),
-        (face.Group.CELL, "same", 1, True),
-        (face.Group.CELL, "near", 1, False),
-        (face.Group.CELL, "same", 2 * SECOND, False),
+        (face.IdempotencyScope.ALL, "far", 1, True),
+        (face.IdempotencyScope.ALL, "far", 2 * SECOND, False),
+        (face.IdempotencyScope.ZONE, "near", 1, True),
+        (face.IdempotencyScope.ZONE, "far", 1, False),
+        (face.IdempotencyScope.CELL, "same", 1, True),
+        (face.IdempotencyScope.CELL, "near", 1, False),
+        (face.IdempotencyScope.CELL, "same", 2 * SECOND, False),
     ],
 )
 def test_keyed_goes_again_only_in_its_group_and_window(result, group, other, now, lawful):
--- a/tests/discovery/test_change_log_dials.py
+++ b/tests/discovery/test_change_log_dials.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from scripted import MILLI, SECOND, Handed, HeldDials
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.discovery.changelog import watcher as watching
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.loop import Loop, connect
@@ -178,7 +178,7 @@
         patch.setattr(watching, "connect", fakes.connect)
         patch.setattr(watching, "Stream", fakes.stream)
         loop = Loop(clock)
-        made = ChangeLogWatcher(loop, "127.0.0.1:1", 0, lambda each: None, Chance(1))
+        made = ChangeLogWatcher(loop, "127.0.0.1:1", 0, lambda each: None, RandomGenerator(1))
         for step in steps:
             fakes.step(made, step)
             assert made.timer.call is not None
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -12,7 +12,7 @@
 from gaproute.discovery.changelog import sse as sse_reader
 from gaproute.discovery.changelog import watcher as watching
 from gaproute.discovery.changelog.members import MemberConverter
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 from gaproute.loop import Loop
 from gaproute.standins.platform import ScriptedChangeLog, event, sse
 
@@ -76,7 +76,11 @@
     watch_event["fleet"]["members"][0]["up_since_ms"] = 990_000
     (row,) = converter.endpoints(events.decode_initial({"results": [watch_event]})[1][0].fleet)
     assert (row.listed.host, row.listed.zone, row.listed.cell, row.address) == ("s-1", 1, 2, "127.0.0.1:5")
-    assert (row.listed.state, row.listed.capacity, row.listed.started) == (State.ACTIVE, 4.0, 40 * SECOND)
+    assert (row.listed.state, row.listed.capacity, row.listed.started) == (
+        ListedHostState.ACTIVE,
+        4.0,
+        40 * SECOND,
+    )
     assert converter.rejected == 2
     loop.close()
 
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -4,7 +4,7 @@
 from scripted import MILLI, SECOND
 from stepped_walls import BEGUN, HOUR
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.discovery.changelog import events, watcher
 from gaproute.discovery.changelog.cell_watcher import CellWatcher
 from gaproute.discovery.changelog.members import MemberConverter
@@ -164,7 +164,7 @@
     silent = ScriptedChangeLog(loop, lambda last: b":\n\n")
     seen, troubles = [], []
     sources = (first.address, silent.address)
-    made = CellWatcher(loop, sources, b"/changes/f/c", seen.append, troubles.append, list, Chance(1))
+    made = CellWatcher(loop, sources, b"/changes/f/c", seen.append, troubles.append, list, RandomGenerator(1))
 
     def passes(span):
         end = clock.now + span
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -6,7 +6,7 @@
 from cells_tables import cells, table
 from dissemination_mesh import FLEET, StubDocument, Version, change_from
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.shared.dissemination import Candidates, Peer, bounds
 from gaproute.shared.dissemination.cell_peers import candidates
 from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
@@ -71,7 +71,7 @@
 
 
 def test_a_view_is_bounded_and_spread_over_the_zones():
-    view = PartialView("peer0", Chance(3))
+    view = PartialView("peer0", RandomGenerator(3))
     entries = {f"zone{zone}": peers(100 + zone * 50, f"zone{zone}-") for zone in range(13)}
     view.set_candidates(Candidates(peers(200), entries, peers(20, "configured"), 16_000))
     assert len(view.inside) == bounds.VIEW_NEIGHBOURS
@@ -84,7 +84,7 @@
 
 def test_few_messages_leave_a_large_cell_and_all_of_a_gateway_alone():
     entries = {"zone1": peers(1470, "entry")}
-    view = PartialView("peer0", Chance(5))
+    view = PartialView("peer0", RandomGenerator(5))
     view.set_candidates(Candidates(peers(33), entries, (), 16_000))
     drawn = [peer.name for _ in range(4_000) for peer in view.sample(1)]
     outside = sum(name.startswith("entry") for name in drawn) / len(drawn)
@@ -96,7 +96,7 @@
 
 
 def test_a_draw_names_each_once_and_not_the_one_left_out():
-    view = PartialView("peer0", Chance(9))
+    view = PartialView("peer0", RandomGenerator(9))
     view.set_candidates(Candidates(peers(4)))
     for _ in range(100):
         names = [peer.name for peer in view.sample(5, "peer2")]
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
 from gaproute.shared.gossip.invariants import AgesOnlyGrow, check, own_observations_alone
 from gaproute.shared.gossip.messages import (
@@ -26,7 +26,7 @@
 
 
 def make_node(name="me", peers=("a", "b", "c"), hosts=("h1", "h2")):
-    made = GossipNode(name, 1, Chance(7), 0)
+    made = GossipNode(name, 1, RandomGenerator(7), 0)
     made.set_peers(0, peers)
     made.set_hosts(0, dict.fromkeys(hosts, 1))
     return made
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.client import JsonLinesClient
-from gaproute.interface import Idempotency, Result, State
+from gaproute.interface import Idempotency, ListedHostState, Result
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.standins.platform import ScriptedHost
@@ -30,7 +30,7 @@
         self.loop = Loop()
         self.host = ScriptedHost(self.loop, answer)
         self.hosts = JsonLinesClient(self.loop, Pooling(), SITE, room)
-        self.list(State.ACTIVE)
+        self.list(ListedHostState.ACTIVE)
         self.heard = []
 
     def list(self, state):
@@ -149,7 +149,7 @@
     made.send()
     made.until(lambda: held)
     made.send(request_id="1" * 16)  # its connection is still being opened
-    made.list(State.DRAINING)
+    made.list(ListedHostState.DRAINING)
     made.send(request_id="2" * 16)
     made.results(2)
     made.host.serve(*held[0])
--- a/tests/hosts/test_line_messages.py
+++ b/tests/hosts/test_line_messages.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gaproute.hosts.jsonlines import line_reader, messages
-from gaproute.interface import Found, Result
+from gaproute.interface import InstanceStatus, Result
 
 
 def reply(**fields):
@@ -75,7 +75,7 @@
     heard = messages.decode_attempt(
         reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), with_count=True
     )
-    assert (heard.found, heard.same_function_requests) == (Found.AWAITED_LOAD, 3)
+    assert (heard.found, heard.same_function_requests) == (InstanceStatus.AWAITED_LOAD, 3)
     assert (heard.report.cpu_busy, heard.report.memory_busy, heard.report.in_hand) == (0.61, 0.2, None)
     assert messages.decode_attempt(reply(), with_count=True).same_function_requests == 0
     assert messages.decode_attempt(reply(), with_count=False).same_function_requests is None
@@ -88,7 +88,7 @@
     assert messages.decode_attempt(reply(data=data), with_count=True) == (
         Result.ERROR,
         None,
-        Found.UNKNOWN,
+        InstanceStatus.UNKNOWN,
         None,
         None,
     )
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -44,7 +44,7 @@
         loop = Loop(Stepped(now=7 * SECOND))
         loops.append(loop)
         made = KServeClient(loop, Pooling())
-        listed = face.ListedHost("a", 0, 0, face.State.ACTIVE, 1.0, None)
+        listed = face.ListedHost("a", 0, 0, face.ListedHostState.ACTIVE, 1.0, None)
         made.update([Endpoint(listed, "127.0.0.1:9")], complete=True)
         return made
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
 from gaproute.shared.membership.invariants import check
@@ -17,7 +17,7 @@
 
 
 def membership(*names, now=0):
-    made = Membership("me", "me", Chance(1), now)
+    made = Membership("me", "me", RandomGenerator(1), now)
     made.configure(now, {name: name for name in names})
     return made
 
@@ -176,9 +176,9 @@
 
 
 def test_a_member_back_at_another_address_with_an_older_incarnation_is_answered_there_and_outbids():
-    made = Membership("me", "me", Chance(1), 0)
+    made = Membership("me", "me", RandomGenerator(1), 0)
     made.apply(0, MemberUpdate("a", "old", MemberState.ALIVE, 9))
-    back = Membership("a", "new", Chance(2), 0)
+    back = Membership("a", "new", RandomGenerator(2), 0)
     back.configure(0, {"me": "me"})
     ((address, message),) = made.receive(1, back.tick(SECOND)[0][1])
     assert address == "new"
--- a/tests/membership/test_membership_fleets.py
+++ b/tests/membership/test_membership_fleets.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.shared.membership import MemberState
 from gaproute.shared.membership.invariants import check
 from gaproute.shared.membership.message_builder import MAX_MESSAGE_BYTES
@@ -25,7 +25,7 @@
 
 def test_lost_messages_make_suspects_that_refute_and_none_dead():
     net = MembershipNetwork(8, seed=3)
-    chance = Chance(5)
+    chance = RandomGenerator(5)
     net.is_lost = lambda sender, to: chance.below(100) < 25
     net.run(120 * SECOND)
     assert sum(node.suspicions for node in net.nodes.values()) > 0
@@ -121,7 +121,7 @@
 
 
 def test_lost_chunks_are_requested_again():
-    net, chance = MembershipNetwork(150), Chance(3)
+    net, chance = MembershipNetwork(150), RandomGenerator(3)
     net.is_lost = lambda sender, to: "new" in (sender, to) and chance.below(10) < 3
     net.start("new", 77, {"g4": "g4"})
     net.run(25 * SECOND)
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.change import TableChange, apply_change
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.version import Version
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.faultinjection.disk import FaultyDisk
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
@@ -55,13 +55,13 @@
         self.record, self.name = Record(), name
         self.peer_server = PeerServer(loop, address("127.0.0.1:0"), None, None, ())
         self.membership = MembershipTransport(
-            loop, name, self.peer_server.address, Chance(seed), self.record, partial(Datagrams, loop)
+            loop, name, self.peer_server.address, RandomGenerator(seed), self.record, partial(Datagrams, loop)
         )
         self.transport = CellTableTransport(
             loop,
             CellTableSettings(name, fleet, path=path),
             CellTableChannels(self.membership, HttpPullListener(self.peer_server), PullClient(loop)),
-            Chance(seed + 100),
+            RandomGenerator(seed + 100),
             self.record,
         )
         self.taken = []
@@ -161,7 +161,7 @@
 
 
 def test_a_newcomer_pulls_a_large_table_in_parts(fleet):
-    one, chance = fleet.add("one"), Chance(3)
+    one, chance = fleet.add("one"), RandomGenerator(3)
     rows = [replace(row, capacity=1.0 + chance.below(1 << 30) / 1_000) for row in cells(2_000, entries=0)]
     large = table(rows, number=5)
     one.transport.publish(large)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gaproute.interface import Group, Idempotency, Report
+from gaproute.interface import HostLoadReport, Idempotency, IdempotencyScope
 from gaproute.settings import read_deployment, read_report, read_terms
 
 MILLI = 1_000_000
@@ -11,7 +11,7 @@
 
 def test_a_request_class_has_its_times_in_nanoseconds():
     (each,) = read_terms({"lanes": [LANE]}).request_classes
-    assert (each.idempotency, each.group) == (Idempotency.IDEMPOTENT_WITH_KEY, Group.ZONE)
+    assert (each.idempotency, each.group) == (Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ZONE)
     assert (each.latency_objective, each.hard_limit, each.repeat_window) == (1_000_000, 40 * MILLI, 0)
     assert each.priority_weight == 2.0
 
@@ -31,7 +31,7 @@
 
 
 def test_figures_of_a_load_report_have_one_of_their_names():
-    assert read_report({"inflight": 3, "x0": 0.5, "odd": 1}) == Report(in_hand=3, memory_busy=0.5)
+    assert read_report({"inflight": 3, "x0": 0.5, "odd": 1}) == HostLoadReport(in_hand=3, memory_busy=0.5)
     assert read_report({"odd": 1}) is None
     reported = read_terms({"report": {"names": ["util", "queue"], "source": "pull"}})
     assert reported.reported_figures == ("waiting", "cpu_busy")
--- a/tests/standins/test_change_log.py
+++ b/tests/standins/test_change_log.py
@@ -4,7 +4,7 @@
 import pytest
 from helpers import makers
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.standins.platform.change_log import ChangeLogServer
 from gaproute.standins.platform.host_list import VersionedHostList, member
@@ -19,7 +19,7 @@
 
 def follow(bench, where, last):
     events = []
-    follower = ChangeLogWatcher(bench.loop, where, last, events.append, Chance(1))
+    follower = ChangeLogWatcher(bench.loop, where, last, events.append, RandomGenerator(1))
     bench.closing.append(follower.close)
     return follower, events
 
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gaproute.decisions.cells.version import Version
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers.tables import encoding
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import RaftNode
@@ -35,7 +35,7 @@
     texts = []
     disk = RaftLogFile(path, texts.append, lambda: 17).open()
     table = LeaseTable(initial_wait=False, max_duration=60 * SECOND)
-    made = RaftNode("k1", ["k1"], disk, Chance(3), 0, table)
+    made = RaftNode("k1", ["k1"], disk, RandomGenerator(3), 0, table)
     return made, disk, texts
 
 
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -12,7 +12,7 @@
 from storage_scenario import BrokenGuaranteeError, play, play_all_kills
 
 from gaproute.appliance.leases import LeaseService
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.faultinjection.disk import FaultyDisk
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script
@@ -80,7 +80,7 @@
 
     def start(self):
         record = SimpleNamespace(event=lambda level, what, **fields: self.events.append((what, fields)))
-        self.leases = LeaseService(self.loop, "a", self.line, record, Chance(1))
+        self.leases = LeaseService(self.loop, "a", self.line, record, RandomGenerator(1))
         return self.leases.hosted_node.node
 
     def run(self, span):
--- a/tests/support/dissemination_mesh.py
+++ b/tests/support/dissemination_mesh.py
@@ -2,7 +2,7 @@
 
 from benchmarks.scale.stub_document import FLEET, StubDocument, change_from, digest_of
 from gaproute.decisions.cells.version import Version
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer
 from gaproute.shared.dissemination.invariants import Watch
 from gaproute.shared.dissemination.messages import Pull
@@ -30,7 +30,9 @@
         for index in range(count):
             version = versions[index] if index < len(versions) else FIRST
             document = StubDocument(version, whole_bytes)
-            self.nodes.append(Disseminator(self.peers[index].name, document, Chance(seed + index), self.now))
+            self.nodes.append(
+                Disseminator(self.peers[index].name, document, RandomGenerator(seed + index), self.now)
+            )
             self.nodes[-1].set_candidates(Candidates(tuple(self.peers), {}, (), count))
         self.watches = [Watch(node) for node in self.nodes]
 
