--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -18,7 +18,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines import connection as connections
 from gaproute.hosts.jsonlines.client import JsonLinesClient
-from gaproute.interface.call import Call, Ending
+from gaproute.interface.call import Call, FinalResult
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
 
@@ -143,7 +143,7 @@
         assert not task.left, "begun for a client that left"
         assert now < min(task.end, self.last), "begun too late"
         assert self.incarnations[incarnation.name] is incarnation
-        assert self.rows[incarnation.name].state is face.State.ACTIVE
+        assert self.rows[incarnation.name].state is face.ListedHostState.ACTIVE
         before = [each for each in self.attempts if each.task is task]
         unclear = [each for each in before if each.said not in NEVER_RAN]
         if task.idempotency is face.Idempotency.NON_IDEMPOTENT:
@@ -248,7 +248,7 @@
         """The host drains, is gone, is named no more, or is there again."""
         name = HOSTS[place % 2]
         if way is not None:
-            state = list(face.State)[way % 3]
+            state = list(face.ListedHostState)[way % 3]
             self.rows[name] = self.rows[name]._replace(state=state)
         shown = [
             Endpoint(self.rows[each], f"127.0.0.1:{self.place(each)}")
@@ -256,7 +256,7 @@
             if way != 5 or each != name
         ]
         if way == 5:
-            self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
+            self.rows[name] = self.rows[name]._replace(state=face.ListedHostState.GONE)
         self.hosts.update(shown, complete=True)
         self.core.update_hosts([each.listed for each in shown], complete=True)
         for host in self.hosts.hosts.values():
@@ -271,7 +271,7 @@
         old = self.rows[name]
         self.incarnations[name] = SimpleNamespace(world=self, name=name)
         self.rows[name] = old._replace(
-            state=face.State.ACTIVE, cell=old.cell + way % 2, started=old.started + 1 - way % 2
+            state=face.ListedHostState.ACTIVE, cell=old.cell + way % 2, started=old.started + 1 - way % 2
         )
         self.change()
 
@@ -297,7 +297,7 @@
         self.passes(CLIENT_LIMIT)
         for task in self.tasks:
             assert len(task.finals) == (not task.left), (task, task.finals)
-            if task.finals and task.finals[0].ending is Ending.DELIVERED:
+            if task.finals and task.finals[0].ending is FinalResult.DELIVERED:
                 assert task.finals[0].answer.body.decode() in [
                     self.body(each) for each in self.attempts if each.task is task and each.said == "served"
                 ]
@@ -313,7 +313,7 @@
         assert not any(link.pending for host in self.hosts.hosts.values() for link in host.connections)
         assert not self.hosts.connection_count()
         assert not any(entry[4] for entry in self.dials.held)
-        named = {name for name in HOSTS if self.rows[name].state is not face.State.GONE}
+        named = {name for name in HOSTS if self.rows[name].state is not face.ListedHostState.GONE}
         assert set(self.hosts.hosts) == named
         assert {key[1] for key in self.record.counts if key[0] in ("attempts", "load_orders")} <= named
         assert sum(timer.call is not None for _, _, timer in self.loop.timers) == 2, "timers are left"
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -7,7 +7,7 @@
 
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.config.directives.fleet import CellHostsLine
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import CellSource
 from gaproute.standins.platform.host_list import member
@@ -43,7 +43,7 @@
         wheres = wheres or [source.address for source in self.sources]
         line = CellHostsLine(**{"from": ",".join(wheres)}, look=50 * MILLI)
         self.lists = FollowedLists(
-            self.loop, "north", line, self._adopted, self._refused, self._failed, Chance(seed)
+            self.loop, "north", line, self._adopted, self._refused, self._failed, RandomGenerator(seed)
         )
         self.zones = zones
 
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -21,12 +21,14 @@
 from gaproute.telemetry.logs import logger
 from gaproute.units import MILLI, SECOND
 
-IDEMPOTENT = face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
+IDEMPOTENT = face.RequestClass(
+    face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, SECOND, 4 * SECOND, 1.0
+)
 IDEMPOTENT_WITH_KEY = IDEMPOTENT._replace(
     idempotency=face.Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=2 * SECOND
 )
 NON_IDEMPOTENT = IDEMPOTENT._replace(idempotency=face.Idempotency.NON_IDEMPOTENT)
-TERMS = face.Terms(
+TERMS = face.RoutingSettings(
     (IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT),
     (),
     1.0,
@@ -61,7 +63,7 @@
         name,
         fields.get("zone", 0),
         fields.get("cell", 0),
-        fields.get("state", face.State.ACTIVE),
+        fields.get("state", face.ListedHostState.ACTIVE),
         fields.get("capacity", 1.0),
         fields.get("started"),
     )
@@ -110,7 +112,7 @@
             result,
             fields.get("took", 100 * MILLI),
             fields.get("ended", result is face.Result.OK),
-            fields.get("found", face.Found.WARM),
+            fields.get("found", face.InstanceStatus.WARM),
             fields.get("same_function_requests"),
             None,
         )
--- a/tests/support/observation_scenes.py
+++ b/tests/support/observation_scenes.py
@@ -2,7 +2,7 @@
 
 from hypothesis import strategies as st
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.reports.follower import ObservationFollower
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 from gaproute.decisions.reports.shared_observations import SharedObservations
@@ -58,7 +58,7 @@
 
 
 def hints(made, lives, now=NOW):
-    return follower(made, Chance(1)).warm_hints(now, lives)
+    return follower(made, RandomGenerator(1)).warm_hints(now, lives)
 
 
 def ranked(made, name):
--- a/tests/support/raft_node_scenario.py
+++ b/tests/support/raft_node_scenario.py
@@ -10,7 +10,7 @@
     StorageScenario,
 )
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.shared.raft.messages import (
@@ -45,7 +45,7 @@
     def begin(self):
         self.restarts += 1
         disk = RaftLogFile(f"{self.folder}/votes", lambda text: None, lambda: 17)
-        chance = Chance(1 + self.restarts)
+        chance = RandomGenerator(1 + self.restarts)
         self.node = RaftNode("a", ("a", "b", "c"), disk, chance, self.now, LeaseTable(initial_wait=False))
         self.disk_file = disk
 
--- a/tests/support/routing_scenes.py
+++ b/tests/support/routing_scenes.py
@@ -32,7 +32,7 @@
 
 def answered(made, host, now, sent, result=Result.OK, request_class=0):
     add_in_flight(made, host, sent, request_class=request_class)
-    took, warm = now - sent, face.Found.WARM
+    took, warm = now - sent, face.InstanceStatus.WARM
     made.attempt_ended(now, face.Outcome(f"t{sent}", 0, host, result, took, True, warm, None, None))
 
 
@@ -50,9 +50,9 @@
 
 
 def crowd(made, name, count, now=0):
-    made.loads.record(made.hosts_by_id[name], now, face.Report(in_hand=count))
+    made.loads.record(made.hosts_by_id[name], now, face.HostLoadReport(in_hand=count))
 
 
-def heard(made, name, now, sent, result=Result.OK, took=100 * MILLI, of="t", found=face.Found.WARM):
+def heard(made, name, now, sent, result=Result.OK, took=100 * MILLI, of="t", found=face.InstanceStatus.WARM):
     made.tracker.in_flight[of, sent] = InFlightAttempt(name, "f", 0, sent, True)
     made.attempt_ended(now, face.Outcome(of, sent, name, result, took, True, found, None, None))
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -6,7 +6,7 @@
 
 from helpers import turn_until
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.loop import Loop, connect
 from gaproute.platform.configuration import read_configuration
@@ -86,7 +86,12 @@
         self.loop, self.received = Loop(clock) if clock else Loop(), []
         self.log = ScriptedChangeLog(self.loop, script, **log)
         self.follower = ChangeLogWatcher(
-            self.loop, self.log.address, last, lambda each: self.received.append(each.seq), Chance(1), known
+            self.loop,
+            self.log.address,
+            last,
+            lambda each: self.received.append(each.seq),
+            RandomGenerator(1),
+            known,
         )
 
     def until(self, condition):
--- a/tests/support/written_log.py
+++ b/tests/support/written_log.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from gaproute.interface import Found, RejectReason, Result
-from gaproute.interface.call import Ending
+from gaproute.interface import InstanceStatus, RejectReason, Result
+from gaproute.interface.call import FinalResult
 
 SOURCES = Path(__file__).parents[2] / "gaproute"
 OPERATORS_TABLES = SOURCES / "appliance" / "status.py"
@@ -24,7 +24,7 @@
     levels: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
     fields: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
     common_fields: set[str] = field(default_factory=lambda: set(STRUCTLOG_FIELDS))
-    counters: set[str] = field(default_factory=lambda: {ending.value for ending in Ending})
+    counters: set[str] = field(default_factory=lambda: {ending.value for ending in FinalResult})
     values: set[str] = field(default_factory=set)
     recorded: set[str] = field(default_factory=set)
     unreadable: list[str] = field(default_factory=list)  # calls of which the event or a field is no literal
@@ -47,9 +47,9 @@
 def read_written_log():
     """All that the sources write."""
     written = WrittenLog()
-    for kind in (Ending, RejectReason, Result):
+    for kind in (FinalResult, RejectReason, Result):
         written.values |= {member.value for member in kind}
-    written.values |= {found.name for found in Found}
+    written.values |= {found.name for found in InstanceStatus}
     for path in sorted(SOURCES.rglob("*.py")):
         _read_module(written, path, ast.parse(path.read_text()))
     written.common_fields |= _literal_keys(ast.parse(PLATFORM_LOG.read_text()))
--- a/tests/telemetry/test_record.py
+++ b/tests/telemetry/test_record.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gaproute.interface import Result
-from gaproute.interface.call import Ending
+from gaproute.interface.call import FinalResult
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import MAX_EVENTS, Record
 
@@ -24,7 +24,7 @@
 def test_requests_are_counted_by_class_and_ending(record):
     record.request_received(0)
     record.request_received(1)
-    record.request_ended(0, Ending.DELIVERED)
+    record.request_ended(0, FinalResult.DELIVERED)
     record.client_left(1)
     assert record.snapshot() == {
         "received": {"check": 1, "order": 1},
