--- a/benchmarks/fleet/candidates.py
+++ b/benchmarks/fleet/candidates.py
@@ -80,7 +80,7 @@
             key=lambda host: host.index,
         )
         weights = [self.free_capacity(host) for host in near_ties]
-        drawn = self.chance.below(sum(weights))
+        drawn = self.random.below(sum(weights))
         for host, weight in zip(near_ties, weights, strict=True):
             drawn -= weight
             if drawn < 0:
@@ -140,7 +140,7 @@
             key=lambda score: score.host.index,
         )
         weights = [exp((score.total - best) / SOFTNESS) for score in near_ties]
-        drawn = self.chance.below(SECOND) / SECOND * sum(weights)
+        drawn = self.random.below(SECOND) / SECOND * sum(weights)
         for score, weight in zip(near_ties, weights, strict=True):
             drawn -= weight
             if drawn < 0:
--- a/benchmarks/fleet/cold_play.py
+++ b/benchmarks/fleet/cold_play.py
@@ -142,7 +142,7 @@
         if not self._with_hints:
             return
         for host in [host for host in gateway.active_hosts if now < host.warm_at]:
-            gateway.loads.record(host, now, face.HostLoadReport(in_hand=0))
+            gateway.host_loads.record(host, now, face.HostLoadReport(in_hand=0))
             for function in range(FUNCTIONS):
                 gateway.hint_instance(host.id, f"f{function}", LANES, now)
 
--- a/benchmarks/fleet/faults.py
+++ b/benchmarks/fleet/faults.py
@@ -80,7 +80,7 @@
         sender = world.gateways[0]
         host = f"h{chance.below(len(world.hosts))}"
         senseless = face.HostLoadReport(cpu_busy=float(chance.below(2)), memory_busy=0.2)
-        payload = sender.gateway.sharing.codec.encode(host, senseless)
+        payload = sender.gateway.report_sharing.codec.encode(host, senseless)
         if payload is not None:
             world.broadcast(sender, payload)
         world.clock.after(SENSELESS_INTERVAL, report)
--- a/benchmarks/fleet/follow.py
+++ b/benchmarks/fleet/follow.py
@@ -23,7 +23,7 @@
 from benchmarks.fleet.world import FleetWorld
 from benchmarks.rows import table, write
 from gaproute.decisions.routing.parameters import REPORT_LIFETIME
-from gaproute.decisions.routing.scorer import ROUNDING
+from gaproute.decisions.routing.scorer import ROUNDING_TOLERANCE
 
 ONLY_COPY, COPY_BY_WARMTH, COPY_BY_QUEUE = "only copy known", "copy by warmth", "copy by queue"
 PRIOR, EQUAL_PRIORS, AGAINST_PRIOR = "prior", "queue among equal priors", "queue against prior"
@@ -39,11 +39,11 @@
     if own.warmth > 0 and sum(score.warmth > 0 for score in scores) == 1:
         return ONLY_COPY
     best = max(score.total + score.queue for score in scores)
-    best_without_queue = [score for score in scores if score.total + score.queue >= best - ROUNDING]
+    best_without_queue = [score for score in scores if score.total + score.queue >= best - ROUNDING_TOLERANCE]
     if len(best_without_queue) == 1 and best_without_queue[0] is own:
         return COPY_BY_WARMTH if own.warmth > 0 else PRIOR
     is_among = any(score is own for score in best_without_queue)
-    ties = sum(score.total >= own.total - ROUNDING for score in best_without_queue)
+    ties = sum(score.total >= own.total - ROUNDING_TOLERANCE for score in best_without_queue)
     if ties > 1 and is_among:
         return CHANCE
     if own.warmth > 0:
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -136,17 +136,19 @@
 
     def _answered(self, outcome: face.Outcome, incarnation: int) -> None:
         """An attempt has ended, unless its host went down meanwhile."""
-        world, host = self.world, self.world.hosts[outcome.host]
+        world, host = self.world, self.world.hosts[outcome.host_id]
         if host.incarnation != incarnation:
-            lost = outcome._replace(result=face.Result.RESET, ended=False, found=face.InstanceStatus.UNKNOWN)
+            lost = outcome._replace(
+                result=face.Result.RESET, request_ended=False, found=face.InstanceStatus.UNKNOWN
+            )
             self.handle_outcome(world.clock.now, lost)
             return
         host.in_flight -= 1
         if self.is_down:
             return
-        if outcome.request in self.generators:
+        if outcome.request_id in self.generators:
             world.counts["delivered"] += 1
-            world.request_answered(self.requests.pop(outcome.request))
+            world.request_answered(self.requests.pop(outcome.request_id))
         began = process_time_ns()
         self.handle_outcome(world.clock.now, outcome._replace(same_function_requests=host.in_flight))
         world.cpu_time += process_time_ns() - began
--- a/benchmarks/fleet/measures.py
+++ b/benchmarks/fleet/measures.py
@@ -109,7 +109,7 @@
 
     def report_sent(self, now: int, sender: FleetGateway, payload: bytes) -> None:
         """See `Watcher`."""
-        decoded = sender.gateway.sharing.decode(payload)
+        decoded = sender.gateway.report_sharing.decode(payload)
         if decoded is not None and now >= self.since:
             host, report = decoded
             self.reports.append(ReportSeen(now, host, report.cpu_busy))
--- a/benchmarks/fleet/smoothed.py
+++ b/benchmarks/fleet/smoothed.py
@@ -49,7 +49,7 @@
 class SmoothedSelector(EqualFirstChoices):
     """Has the smoothed loads of hosts, and the one that is usual in the fleet."""
 
-    loads_type: ClassVar[type[HostLoads]] = SmoothedLoads
+    host_loads_type: ClassVar[type[HostLoads]] = SmoothedLoads
 
     def __init__(self, *parts: object) -> None:
         super().__init__(*parts)
@@ -57,7 +57,7 @@
 
     def smoothed(self, host: Host) -> float | None:
         """The host's smoothed share of CPU; None before its first report."""
-        loads = self.scorer.loads
+        loads = self.scorer.host_loads
         assert isinstance(loads, SmoothedLoads)
         return loads.smoothed.get(host)
 
@@ -114,7 +114,7 @@
     """The same with a fifth of the points, over twice as many reports."""
 
     weight = RELATIVE_WEIGHT / 5
-    loads_type = SlowlySmoothedLoads
+    host_loads_type = SlowlySmoothedLoads
 
 
 class BoundedShare(SmoothedSelector, OwnFirstChoice):
@@ -124,7 +124,7 @@
     hash. Each gateway decides by a hash of its own, so that few instances move.
     """
 
-    loads_type = SlowlySmoothedLoads
+    host_loads_type = SlowlySmoothedLoads
 
     def prior(self, name: str, host: Host, rank: int, width: int, prior: float) -> float:
         """Less for some functions of a host beyond the bound."""
@@ -140,15 +140,15 @@
 class WideMix(FunctionMix):
     """Takes each function to nearly fill a host."""
 
-    def breadth(self, name: str) -> float:
+    def host_demand(self, name: str) -> float:
         """At least two first choices' worth."""
-        return max(super().breadth(name), 2 / SPREAD_FACTOR)
+        return max(super().host_demand(name), 2 / SPREAD_FACTOR)
 
 
 class TwoFirstChoices(OwnFirstChoice):
     """Own first choices, of at least two for each function, also a rare one."""
 
-    mix_type: ClassVar[type[FunctionMix]] = WideMix
+    function_mix_type: ClassVar[type[FunctionMix]] = WideMix
 
 
 class BoundedTwoFirstChoices(BoundedShare, TwoFirstChoices):
--- a/benchmarks/fleet/split_choice.py
+++ b/benchmarks/fleet/split_choice.py
@@ -49,8 +49,8 @@
     """
 
     slack: float = 0.0
-    loads_type: ClassVar[type[HostLoads]] = HostLoads
-    mix_type: ClassVar[type[FunctionMix]] = FunctionMix
+    host_loads_type: ClassVar[type[HostLoads]] = HostLoads
+    function_mix_type: ClassVar[type[FunctionMix]] = FunctionMix
     world: Any  # GatewayWorld, with what a candidate looks at beyond it
     number = 0
 
@@ -62,16 +62,16 @@
 
     def queue(self, host: Host, request: Request, now: int) -> float:
         """Requests taken to be at the host."""
-        return self.scorer.loads.queued(host, request.lanes, now)
+        return self.scorer.host_loads.request_count(host, request.lanes, now)
 
     def queue_weight(self, heat: float) -> float:
         """Points for each request queued; `heat`: 0 to 1, how much of the traffic the function is."""
         return policy.QUEUE_POINTS + (policy.QUEUE_POINTS_HOT - policy.QUEUE_POINTS) * heat
 
     def prior(self, name: str, host: Host, rank: int, width: int, prior: float) -> float:
-        """At most prior * HASH_FALL ** (rank // width)."""
-        others = policy.OTHERS_FALL * (rank != self.scorer.own_choice % width)
-        return float(prior * candidates.HASH_FALL ** (rank // width or others))
+        """At most prior * HASH_DECAY ** (rank // width)."""
+        others = policy.OTHER_CHOICE_DECAY * (rank != self.scorer.preferred_rank % width)
+        return float(prior * candidates.HASH_DECAY ** (rank // width or others))
 
     def copy(self, name: str, host: Host, warmth: float) -> float:
         """Warmth of the host's instance, by what this gateway believes."""
@@ -83,7 +83,7 @@
         ties = [score.host for score in scores if score.total == best]
         if len(ties) > 1:
             ties.sort(key=lambda host: host.index)
-        return ties[self.chance.below(len(ties))]
+        return ties[self.random.below(len(ties))]
 
     # The whole
 
@@ -91,12 +91,12 @@
         """As of `HostSelector`."""
         function = self.functions.find_or_add(request.function, request.lanes)
         paused = now < function.paused_until and not attempts.failed_hosts
-        able = self.able_hosts(now, request, attempts, function, paused=paused)
+        able = self.eligible_hosts(now, request, attempts, function, paused=paused)
         if not able:
             return None
         self.last_scores = self.scores(now, request, attempts, function, able)
         host = self.pick(self.last_scores)
-        if now < host.warm_at and self.chance.below(SECOND) >= host.credit * SECOND:
+        if now < host.warm_at and self.random.below(SECOND) >= host.credit * SECOND:
             host.credit = 0.0
             return self.choose(now, request, attempts)
         if now < host.full_until and not paused and not attempts.failed_hosts:
@@ -115,28 +115,34 @@
         """The scores of the hosts that may be chosen."""
         scorer, name = self.scorer, request.function
         weights = scorer.weights(request, able)
-        queue_weight = self.queue_weight(min(1.0, scorer.mix.breadth(name)))
+        queue_weight = self.queue_weight(min(1.0, scorer.function_mix.host_demand(name)))
         doubts = scorer.doubts(now, request, attempts, able)
-        usual_memory = scorer.usual_memory()
+        mean_memory_busy = scorer.mean_memory_busy()
         largest = self.hosts.largest_capacity
-        reach = scorer.near_points - policy.QUEUE_POINTS / (weights.lanes * largest) + self.slack
+        reach = (
+            scorer.same_zone_points
+            - policy.QUEUE_POINTS / (weights.lanes_per_capacity * largest)
+            + self.slack
+        )
         best, scores = -float("inf"), []
-        in_order = scorer.order.candidates(now, name, function, able, weights.hash, weights.width)
+        in_order = scorer.order.candidates(
+            now, name, function, able, weights.hash_points, weights.equal_ranks
+        )
         for host, believed_warmth, rank, most in in_order:
-            if most + reach < best - policy.ROUNDING:
+            if most + reach < best - policy.ROUNDING_TOLERANCE:
                 break
             slowdown = host.slowdown if now < host.slowdown_until else 1.0
             strength = self._strength(host, slowdown, now)
             warmth = self.copy(name, host, believed_warmth) / slowdown
-            prior = self.prior(name, host, rank, weights.width, weights.hash)
+            prior = self.prior(name, host, rank, weights.equal_ranks, weights.hash_points)
             score = HostScore(
                 host,
                 warmth,
-                weights.warmth * warmth,
-                queue_weight * (self.queue(host, request, now) + 1) / (weights.lanes * strength),
-                policy.MEMORY_POINTS * (usual_memory if host.memory_busy is None else host.memory_busy),
+                weights.warmth_points * warmth,
+                queue_weight * (self.queue(host, request, now) + 1) / (weights.lanes_per_capacity * strength),
+                policy.MEMORY_POINTS * (mean_memory_busy if host.memory_busy is None else host.memory_busy),
                 prior * (1 - warmth),
-                scorer.near_points if host.zone == scorer.zone else 0.0,
+                scorer.same_zone_points if host.zone == scorer.zone else 0.0,
                 policy.DOUBT_POINTS * doubts.get(host.id, 0.0),
             )
             scores.append(score)
@@ -162,7 +168,10 @@
         selector_type: type[SplitSelector] = SplitSelector,
     ) -> None:
         self.selector_type: type[SplitSelector] = selector_type
-        self.loads_type, self.mix_type = selector_type.loads_type, selector_type.mix_type
+        self.host_loads_type, self.function_mix_type = (
+            selector_type.host_loads_type,
+            selector_type.function_mix_type,
+        )
         super().__init__(number, terms, now)
         assert isinstance(self.selector, SplitSelector)
         self.selector.world, self.selector.number = world, number
@@ -173,4 +182,4 @@
 
     def prior(self, name: str, host: Host, rank: int, width: int, prior: float) -> float:
         """Without what others' first choices lose."""
-        return float(prior * candidates.HASH_FALL ** (rank // width))
+        return float(prior * candidates.HASH_DECAY ** (rank // width))
--- a/benchmarks/fleet/warming_gateways.py
+++ b/benchmarks/fleet/warming_gateways.py
@@ -81,10 +81,10 @@
     def _attempt_ended(self, outcome: face.Outcome, incarnation: int | None) -> None:
         """`incarnation`: of the host that accepted the request, None where it did not."""
         world = self.world
-        now, host = world.clock.now, world.hosts[outcome.host]
+        now, host = world.clock.now, world.hosts[outcome.host_id]
         delivery_time = world.delivery_time(now)
         if now < delivery_time:
-            delayed = outcome._replace(took=outcome.took + delivery_time - now)
+            delayed = outcome._replace(duration=outcome.duration + delivery_time - now)
             world.clock.at(delivery_time, self._attempt_ended, delayed, incarnation)
             return
         if incarnation is not None and incarnation != host.incarnation:
@@ -96,11 +96,11 @@
 
     def _handle_ended(self, outcome: face.Outcome, host: WarmingHost) -> None:
         is_answer = outcome.result is face.Result.OK
-        if is_answer and outcome.request in self.generators:
+        if is_answer and outcome.request_id in self.generators:
             self.world.counts["delivered"] += 1
-            self.world.request_answered(self.requests.pop(outcome.request))
+            self.world.request_answered(self.requests.pop(outcome.request_id))
         report = face.HostLoadReport(in_hand=host.in_flight) if is_answer else None
-        self.handle_outcome(self.world.clock.now, outcome._replace(ended=is_answer, report=report))
+        self.handle_outcome(self.world.clock.now, outcome._replace(request_ended=is_answer, report=report))
 
     def _count_work(self, host_name: str, work: float) -> None:
         host = self.world.hosts[host_name]
@@ -119,12 +119,12 @@
 ) -> face.Outcome:
     """The outcome of an attempt, before it is known what came of its host meanwhile."""
     return face.Outcome(
-        request=key,
+        request_id=key,
         attempt=number,
-        host=host,
+        host_id=host,
         result=result,
-        took=took,
-        ended=False,
+        duration=took,
+        request_ended=False,
         found=found,
         same_function_requests=None,
         report=None,
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -57,14 +57,14 @@
             drawn = self._random.sample(self._hosts, 2)
             yield face.Attempt(min(drawn, key=lambda host: self._reported.get(host, 0)))
             _, outcome = yield face.Wait(now + request.time_left)
-            if outcome is None or outcome.ended:
+            if outcome is None or outcome.request_ended:
                 return
         yield face.Reject(0, face.RejectReason.HOST_FULL)
 
     def attempt_ended(self, now: int, outcome: face.Outcome) -> None:
         """Keep the queue that the host reported."""
         if outcome.report is not None and outcome.report.in_hand is not None:
-            self._reported[outcome.host] = outcome.report.in_hand
+            self._reported[outcome.host_id] = outcome.report.in_hand
 
     def housekeep(self, now: int) -> Generator[Any, Any, None]:
         """Nothing is to be done."""
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -27,7 +27,7 @@
     limiter = LoadOrderLimiter(terms.load_orders_free, terms.load_order_share, WINDOW)
     gap = WINDOW // calls
     for number in range(calls):
-        limiter.delivered(number * gap, number * gap)
+        limiter.record_delivery(number * gap, number * gap)
     return limiter, WINDOW, gap
 
 
@@ -42,7 +42,7 @@
     limiter, now, gap = _full_limiter(calls)
     chance = RandomGenerator(seed)
     times = iter([(now + number * gap, now + number * gap - chance.below(LATE)) for number in range(REPEATS)])
-    return cpu_ms(lambda: limiter.delivered(*next(times)), REPEATS)
+    return cpu_ms(lambda: limiter.record_delivery(*next(times)), REPEATS)
 
 
 def pick(hosts: int, seed: int) -> float:
@@ -50,11 +50,11 @@
     active, chance = Caller(hosts, seed).gateway.active_hosts, RandomGenerator(seed)
     sharing = LoadReportSharing(REPORT_SHARING_TERMS)
     for _ in range(PICKS):
-        sharing.request_delivered()
+        sharing.record_delivery()
     times = iter(range(SECOND, 2 * SECOND, MILLI))
 
     def choose() -> None:
-        sharing.request_delivered()
+        sharing.record_delivery()
         if sharing.host_to_probe(next(times), active, 0, chance) is None:
             raise RuntimeError("no host was chosen")
 
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -69,7 +69,7 @@
 
         The function called next is then rare.
         """
-        self.gateway.mix.recent.extend(f"other-{number}" for number in range(MIX_SIZE))
+        self.gateway.function_mix.recent.extend(f"other-{number}" for number in range(MIX_SIZE))
 
 
 def _rest(serve: Generator[face.Action, Any, None], heard: tuple[int, face.Outcome]) -> Iterator[face.Action]:
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -117,8 +117,8 @@
         "refused": observations.rejected(),
         "peers": client.state if client else {},
         "booked": client.hints_taken if client else 0,
-        "right": sum(gateway.hints.right for gateway in appliance.decisions),
-        "wrong": sum(gateway.hints.wrong for gateway in appliance.decisions),
+        "right": sum(gateway.hints.right_count for gateway in appliance.decisions),
+        "wrong": sum(gateway.hints.wrong_count for gateway in appliance.decisions),
     }
 
 
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -48,7 +48,7 @@
             self.request_classes[request.request_class].idempotency,
             key,
             deadline,
-            min(attempt.until, deadline),
+            min(attempt.start_by, deadline),
             partial(self._attempt_ended, key, number),
         )
         request.attempts[number] = AttemptInFlight(host, now, handle)
@@ -124,9 +124,9 @@
     log_step(
         "attempt_ended",
         attempt=outcome.attempt,
-        host=outcome.host,
+        host=outcome.host_id,
         result=outcome.result.value,
-        took_ms=outcome.took // MILLI,
+        took_ms=outcome.duration // MILLI,
         found=outcome.found.name,
         same_function_requests=outcome.same_function_requests,
     )
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -88,7 +88,7 @@
     def handle_outcome(self, now: int, outcome: interface.Outcome) -> None:
         """Accounts for an attempt that has ended, then resumes the generator of its request."""
         self.gateway.attempt_ended(now, outcome)
-        self.resume(outcome.request, now, outcome)
+        self.resume(outcome.request_id, now, outcome)
 
     def abandon(self, now: int, key: str) -> None:
         """Ends the generator of a request whose client has left; no final answer is owed."""
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -56,7 +56,7 @@
 
         Returns whether the attempt was sent by way of cells.
         """
-        key = outcome.request, outcome.attempt
+        key = outcome.request_id, outcome.attempt
         attempt = self.attempts.pop(key, None)
         if attempt is None:
             return False
@@ -69,7 +69,7 @@
         self._record_health(now, outcome, attempt)
         warm_or_unknown = outcome.found in (InstanceStatus.WARM, InstanceStatus.UNKNOWN)
         if attempt.own and outcome.result is Result.OK and warm_or_unknown:
-            self.demand.record_duration(attempt.function, outcome.took)
+            self.demand.record_duration(attempt.function, outcome.duration)
         self._record_load(now, outcome, attempt.cell)
         return True
 
@@ -90,18 +90,18 @@
         pace = None
         if outcome.result is Result.OK and outcome.found is InstanceStatus.WARM:
             mean = max(MIN_MEAN_DURATION, self.demand.mean_duration(attempt.function))
-            pace = outcome.took / mean
+            pace = outcome.duration / mean
         self.health.record_outcome(now, attempt.cell, outcome.result, pace)
 
     def _record_entry(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
         if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
-            self.entries.record_failure(now, outcome.host)
+            self.entries.record_failure(now, outcome.host_id)
         elif outcome.result is Result.TIMEOUT:
-            self.entries.record_overdue(now, outcome.host, attempt.sent_at)
+            self.entries.record_overdue(now, outcome.host_id, attempt.sent_at)
         elif outcome.result is Result.NOT_LOADED:
-            self.entries.record_cell_unknown(now, outcome.host, attempt.cell)
+            self.entries.record_cell_unknown(now, outcome.host_id, attempt.cell)
         elif outcome.result not in (Result.NOT_SENT, Result.CANCELLED):
-            self.entries.record_answer(now, outcome.host, attempt.cell)
+            self.entries.record_answer(now, outcome.host_id, attempt.cell)
 
     def _record_load(self, now: int, outcome: Outcome, name: str) -> None:
         cell = self.table.by_name.get(name) if self.table is not None else None
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -33,7 +33,7 @@
 
     def __init__(self, seed: int, terms: RoutingSettings) -> None:
         self.seed, self.terms = seed, terms
-        self.load_order_limiter = LoadOrderLimiter.of(terms)
+        self.load_order_limiter = LoadOrderLimiter.from_settings(terms)
         self.gateways: dict[str, Gateway] = {}  # by cell
         self.loads: dict[str, _CachedLoad] = {}  # by cell
         self.housekeepers: dict[str, Housekeeper] = {}  # by cell
@@ -86,7 +86,7 @@
         cached = self.loads.get(name)
         if cached is None or now - cached.counted_at >= LOAD_MAX_AGE:
             gateway = self.gateways[name]
-            load = float(sum(gateway.queued(host, 1, now) for host in gateway.active_hosts))
+            load = float(sum(gateway.request_count(host, 1, now) for host in gateway.active_hosts))
             cached = self.loads[name] = _CachedLoad(now, load)
         return cached.load
 
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -24,7 +24,7 @@
 from gaproute.decisions.cells.local_cells import LocalCells
 from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.table import Cell
-from gaproute.decisions.routing.request_router import ANSWER_BY
+from gaproute.decisions.routing.request_router import ANSWER_MARGIN
 from gaproute.interface import (
     Cancel,
     Idempotency,
@@ -91,7 +91,7 @@
     def _answer_by(self, progress: RequestProgress) -> int:
         """When the request must have its answer here: by its deadline and by the end of the process (ns)."""
         end: int = min(progress.deadline, self.local.end_by)
-        return end - ANSWER_BY
+        return end - ANSWER_MARGIN
 
     def _await_outcome(self, progress: RequestProgress, number: int, cell: Cell) -> Actions[Outcome | None]:
         """The outcome of the attempt, or None if the request is over.
@@ -108,7 +108,7 @@
             if outcome is not None and outcome.result is Result.STREAM_STARTED:
                 yield from _await_end(now, outcome)
                 return None
-            if outcome is not None and outcome.ended:
+            if outcome is not None and outcome.request_ended:
                 if number in progress.in_flight and self.cancel_allowed:
                     yield Cancel(number)
                 return None
@@ -134,15 +134,15 @@
         return True
     request_class = progress.request_class
     has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-    if not (has_key and request_class.group is IdempotencyScope.ALL and result is Result.RESET):
+    if not (has_key and request_class.idempotency_scope is IdempotencyScope.ALL and result is Result.RESET):
         return False
     assert progress.first_sent_at is not None  # it was sent, as it may have run
-    forgotten_at: int = progress.first_sent_at + request_class.repeat_window
+    forgotten_at: int = progress.first_sent_at + request_class.deduplication_window
     return progress.deadline + MAX_TRANSIT_TIME <= forgotten_at
 
 
 def _await_end(now: int, outcome: Outcome | None) -> Actions[None]:
     """Waits for the end of a streamed answer, which has no deadline."""
-    while outcome is None or not outcome.ended:
+    while outcome is None or not outcome.request_ended:
         resumed = yield Wait(now + SECOND)
         now, outcome = wakeup_of(resumed)
--- a/gaproute/decisions/routing/attempt_tracker.py
+++ b/gaproute/decisions/routing/attempt_tracker.py
@@ -8,17 +8,17 @@
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Request, RequestClass
 
-PATIENCE = 4  # usual answer times after which an attempt counts as overdue
-LEAST_PATIENCE = 2  # the same where the latency objective is short: never fewer
-LOAD_PATIENCE = 2  # usual load times that are added where a load is expected
-UNANSWERED = 1.0  # weight of an attempt without an answer among the results of a host
+OVERDUE_ANSWER_TIMES = 4  # usual answer times after which an attempt counts as overdue
+MIN_OVERDUE_ANSWER_TIMES = 2  # the same where the latency objective is short: never fewer
+OVERDUE_LOAD_TIMES = 2  # usual load times that are added where a load is expected
+UNANSWERED_WEIGHT = 1.0  # weight of an attempt without an answer among the results of a host
 
 
 class InFlightAttempt(NamedTuple):
     """What the decisions need of an attempt when its outcome arrives."""
 
-    host: str
-    function: str
+    host_id: str
+    function_name: str
     request_class: int
     sent_at: int  # ns
     warm: bool  # whether the gateway expected an instance to be loaded
@@ -38,35 +38,39 @@
         self.silent_zones = measurements.silent_zones
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
 
-    def sent(self, now: int, request: Request, attempt: int, host: Host, attempts: RequestAttempts) -> float:
+    def record_sent(
+        self, now: int, request: Request, attempt: int, host: Host, attempts: RequestAttempts
+    ) -> float:
         """Registers an attempt that was sent; returns when it counts as overdue (ns)."""
         function = self.functions.find_or_add(request.function, request.lanes)
         proven = function.proven_at.get(host.id, -1) >= host.instances_lost_at
         warm = proven and self.functions.warmth(function, host, now) > 0
-        due = self._due(now, request, function, warm=warm)
+        overdue_at = self._overdue_at(now, request, function, warm=warm)
         key = request.id, attempt
         host.in_flight[key] = now
         self.in_flight[key] = InFlightAttempt(host.id, request.function, request.request_class, now, warm)
-        attempts.sent(attempt, host, now)
-        self.silent_zones.attempt_sent(host.zone, now)
-        function.used(host.id, now)
+        attempts.record_sent(attempt, host, now)
+        self.silent_zones.record_attempt(host.zone, now)
+        function.record_use(host.id, now)
         host.spend_credit()
-        return due
+        return overdue_at
 
-    def _due(self, now: int, request: Request, function: Function, *, warm: bool) -> float:
-        usual = self.answer_times.usual(function)
+    def _overdue_at(self, now: int, request: Request, function: Function, *, warm: bool) -> float:
+        usual = self.answer_times.usual_answer_time(function)
         objective = self.request_classes[request.request_class].latency_objective
-        due = now + min(PATIENCE * usual, max(LEAST_PATIENCE * usual, objective - 2 * usual))
+        overdue_at = now + min(
+            OVERDUE_ANSWER_TIMES * usual, max(MIN_OVERDUE_ANSWER_TIMES * usual, objective - 2 * usual)
+        )
         if not warm:
-            due += LOAD_PATIENCE * self.answer_times.usual_load(request.load_time)
-        return due
+            overdue_at += OVERDUE_LOAD_TIMES * self.answer_times.usual_load_time(request.load_time)
+        return overdue_at
 
-    def in_time(self, function: Function, took: int, *, warm: bool) -> bool:
+    def is_in_time(self, function: Function, took: int, *, warm: bool) -> bool:
         """Whether an answer that took so long (ns) came before its attempt counted as overdue."""
-        load = 0 if warm else LOAD_PATIENCE * self.answer_times.usual_load()
-        return took <= PATIENCE * self.answer_times.usual(function) + load
+        load = 0 if warm else OVERDUE_LOAD_TIMES * self.answer_times.usual_load_time()
+        return took <= OVERDUE_ANSWER_TIMES * self.answer_times.usual_answer_time(function) + load
 
-    def hold_overdue_against_hosts(
+    def record_overdue_attempts(
         self, now: int, request: Request, attempts: RequestAttempts, function: Function
     ) -> float:
         """Count overdue attempts as failures of silent hosts; returns when to check again (ns).
@@ -82,6 +86,6 @@
             if silent and not host.overdue.get(key, False):
                 host.overdue[key] = bool(host.overdue)  # another is overdue there, or this one was before
                 if host.overdue[key]:
-                    self.outliers.record(host, now, request.request_class, UNANSWERED)
-        self.silent_zones.check(now)
-        return now + PATIENCE * self.answer_times.usual(function)
+                    self.outliers.record(host, now, request.request_class, UNANSWERED_WEIGHT)
+        self.silent_zones.detect(now)
+        return now + OVERDUE_ANSWER_TIMES * self.answer_times.usual_answer_time(function)
--- a/gaproute/decisions/routing/function_mix.py
+++ b/gaproute/decisions/routing/function_mix.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import MIX_SIZE
 
-LEAST_MIX = MIX_SIZE // 4  # a share is taken of at least so many requests
+MIN_MIX_SIZE = MIX_SIZE // 4  # a share is taken of at least so many requests
 
 
 class FunctionMix:
@@ -26,9 +26,9 @@
 
     def share(self, name: str) -> float:
         """The function's share of the last requests."""
-        return self.recent.count(name) / max(len(self.recent), LEAST_MIX)
+        return self.recent.count(name) / max(len(self.recent), MIN_MIX_SIZE)
 
-    def breadth(self, name: str) -> float:
+    def host_demand(self, name: str) -> float:
         """How many hosts a function could fill: its share of the last requests, times the active hosts.
 
         The figure does not depend on how many requests this gateway sees. A function that could fill one host
--- a/gaproute/decisions/routing/functions.py
+++ b/gaproute/decisions/routing/functions.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable
 
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.parameters import SAMPLES
+from gaproute.decisions.routing.parameters import MAX_SAMPLES
 
-FADE_POWER = 4  # of age over keep-alive: warmth stays above two thirds for three quarters of it
-FORGET_AFTER = 4  # times the keep-alive without use after which a function is forgotten
+WARMTH_EXPONENT = 4  # of age over keep-alive: warmth stays above two thirds for three quarters of it
+FORGET_AFTER_KEEP_ALIVES = 4  # times the keep-alive without use after which a function is forgotten
 
 
 class Function:
@@ -18,7 +18,7 @@
         self.last_used: dict[str, int] = {}  # when this gateway last sent an attempt or got an answer
         self.proven_at: dict[str, int] = {}  # when an answer last showed that an instance was loaded
         self.hinted_at: dict[str, int] = {}  # when other gateways saw an instance; not yet considered
-        self.answer_times: deque[int] = deque(maxlen=SAMPLES)  # where an instance was loaded, ns
+        self.answer_times: deque[int] = deque(maxlen=MAX_SAMPLES)  # where an instance was loaded, ns
         self.load_order_open, self.load_ordered_at = False, 0
         self.ranks: dict[str, int] = {}  # of the first hosts by the stable hash
         self.ranked_hosts: list[Host] = []  # the same hosts, in the order of their ranks
@@ -27,15 +27,15 @@
         self.paused_until: float = -1  # until then requests of the function wait for a host that is full
         self.answered_at = -1  # when an instance of the function last answered, at any host
 
-    def used(self, host_id: str, now: int) -> None:
+    def record_use(self, host_id: str, now: int) -> None:
         """Notes that an attempt uses the instance at this host, or that an order loads it."""
         self.last_used[host_id] = now
 
-    def answered(self, host_id: str, now: int) -> None:
+    def record_answer(self, host_id: str, now: int) -> None:
         """Notes an answer, which shows that an instance is loaded at this host."""
         self.last_used[host_id] = self.proven_at[host_id] = self.answered_at = now
 
-    def not_loaded(self, host_id: str) -> None:
+    def record_not_loaded(self, host_id: str) -> None:
         """Notes that the host has no instance."""
         self.last_used.pop(host_id, None)
         self.proven_at.pop(host_id, None)
@@ -60,7 +60,7 @@
         last = function.last_used.get(host.id)
         if last is None or last < host.instances_lost_at or not host.active:
             return 0.0
-        return max(0.0, 1.0 - ((now - last) / self.keep_alive) ** FADE_POWER)
+        return max(0.0, 1.0 - ((now - last) / self.keep_alive) ** WARMTH_EXPONENT)
 
     def forget_hosts(self, host_ids: Iterable[str]) -> None:
         """Forget what is known of these hosts, which are gone."""
@@ -71,7 +71,7 @@
 
     def forget_unused(self, now: int) -> None:
         """Forget functions without recent requests, except those with an open load order."""
-        since = now - FORGET_AFTER * self.keep_alive
+        since = now - FORGET_AFTER_KEEP_ALIVES * self.keep_alive
         self.by_name = {
             name: function
             for name, function in self.by_name.items()
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -20,7 +20,7 @@
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 from gaproute.decisions.routing.load_shedder import LoadShedder
 from gaproute.decisions.routing.measurements import Measurements
-from gaproute.decisions.routing.observations import BEFORE_ALL, Observation, Observations
+from gaproute.decisions.routing.observations import BEFORE_ALL_OBSERVATIONS, Observation, Observations
 from gaproute.decisions.routing.outcome_recorder import OutcomeRecorder
 from gaproute.decisions.routing.outlier_detector import OutlierDetector
 from gaproute.decisions.routing.ranking import Ranking
@@ -34,7 +34,7 @@
 from gaproute.interface import Action, HostLoadReport, ListedHost, Outcome, Request, Result, RoutingSettings
 from gaproute.units import SECOND
 
-UNANSWERED_PROBE = 1.0  # weight of a probe that failed among a host's results
+FAILED_PROBE_WEIGHT = 1.0  # weight of a probe that failed among a host's results
 
 
 class Gateway:
@@ -46,59 +46,63 @@
 
     retry_rules_type: type[RetryRules] = RetryRules
     selector_type: type[HostSelector] = HostSelector
-    mix_type: type[FunctionMix] = FunctionMix
-    loads_type: type[HostLoads] = HostLoads
+    function_mix_type: type[FunctionMix] = FunctionMix
+    host_loads_type: type[HostLoads] = HostLoads
 
     def __init__(
-        self, seed: int, terms: RoutingSettings, now: int, load_order_limiter: LoadOrderLimiter | None = None
+        self,
+        seed: int,
+        settings: RoutingSettings,
+        now: int,
+        load_order_limiter: LoadOrderLimiter | None = None,
     ) -> None:
-        self.terms, self.chance = terms, RandomGenerator(seed)
-        self._make_tables(terms)
-        self._make_measurements(terms)
-        self._make_limits(terms, load_order_limiter)
-        self._make_choice(terms, own_choice=seed)
-        self._make_request_path(terms)
-        self.housekeeping = Housekeeping(terms, self.tables, self.sharing, self.chance)
+        self.settings, self.random = settings, RandomGenerator(seed)
+        self._make_tables(settings)
+        self._make_measurements(settings)
+        self._make_limits(settings, load_order_limiter)
+        self._make_selection(settings, preferred_rank=seed)
+        self._make_request_path(settings)
+        self.housekeeping = Housekeeping(settings, self.tables, self.report_sharing, self.random)
         self.observations = Observations(self.tables, self.answer_times)
 
-    def _make_tables(self, terms: RoutingSettings) -> None:
-        self.hosts = HostTable(terms.warm_up_time)
-        self.functions = FunctionTable(max(terms.keep_alive, 1))
-        self.mix = self.mix_type(self.hosts)
+    def _make_tables(self, settings: RoutingSettings) -> None:
+        self.hosts = HostTable(settings.warm_up_time)
+        self.functions = FunctionTable(max(settings.keep_alive, 1))
+        self.function_mix = self.function_mix_type(self.hosts)
         self.ranking = Ranking(self.hosts)
-        self.tables = Tables(self.hosts, self.functions, self.mix, self.ranking)
+        self.tables = Tables(self.hosts, self.functions, self.function_mix, self.ranking)
 
-    def _make_measurements(self, terms: RoutingSettings) -> None:
-        objectives = [request_class.latency_objective for request_class in terms.request_classes]
+    def _make_measurements(self, settings: RoutingSettings) -> None:
+        objectives = [request_class.latency_objective for request_class in settings.request_classes]
         self.answer_times = AnswerTimes(min(objectives, default=SECOND))
-        self.loads = self.loads_type()
+        self.host_loads = self.host_loads_type()
         self.outliers = OutlierDetector()
         self.silent_zones = SilentZones(self.hosts)
         self.throughput = Throughput()
         self.measurements = Measurements(
-            self.answer_times, self.loads, self.outliers, self.silent_zones, self.throughput
+            self.answer_times, self.host_loads, self.outliers, self.silent_zones, self.throughput
         )
-        self.tracker = AttemptTracker(terms.request_classes, self.functions, self.measurements)
+        self.tracker = AttemptTracker(settings.request_classes, self.functions, self.measurements)
 
-    def _make_limits(self, terms: RoutingSettings, load_order_limiter: LoadOrderLimiter | None) -> None:
-        self.retry_rules = self.retry_rules_type(terms)
-        self.slow_start = SlowStart(terms, self.hosts)
-        self.load_order_limiter = load_order_limiter or LoadOrderLimiter.of(terms)
+    def _make_limits(self, settings: RoutingSettings, load_order_limiter: LoadOrderLimiter | None) -> None:
+        self.retry_rules = self.retry_rules_type(settings)
+        self.slow_start = SlowStart(settings, self.hosts)
+        self.load_order_limiter = load_order_limiter or LoadOrderLimiter.from_settings(settings)
         self.load_orders = LoadOrders(
-            self.load_order_limiter, self.answer_times, self.chance, allowed=terms.load_orders_allowed
+            self.load_order_limiter, self.answer_times, self.random, allowed=settings.load_orders_allowed
         )
-        self.sharing = LoadReportSharing(terms)
-        self.shedder = LoadShedder(terms, self.hosts, self.measurements, self.tracker, self.chance)
+        self.report_sharing = LoadReportSharing(settings)
+        self.shedder = LoadShedder(settings, self.hosts, self.measurements, self.tracker, self.random)
 
-    def _make_choice(self, terms: RoutingSettings, own_choice: int) -> None:
+    def _make_selection(self, settings: RoutingSettings, preferred_rank: int) -> None:
         order = CandidateOrder(self.tables)
-        self.scorer = Scorer(terms, self.tables, self.measurements, order, self.slow_start, own_choice)
+        self.scorer = Scorer(settings, self.tables, self.measurements, order, self.slow_start, preferred_rank)
         self.selector = self.selector_type(
-            terms.request_classes, self.tables, self.retry_rules, self.scorer, self.chance
+            settings.request_classes, self.tables, self.retry_rules, self.scorer, self.random
         )
 
-    def _make_request_path(self, terms: RoutingSettings) -> None:
-        self.hints = Hints(self.tables, self.measurements, self.chance)
+    def _make_request_path(self, settings: RoutingSettings) -> None:
+        self.hints = Hints(self.tables, self.measurements, self.random)
         self.recorder = OutcomeRecorder(
             self.tables, self.measurements, self.tracker, self.slow_start, self.hints
         )
@@ -111,10 +115,10 @@
             shedder=self.shedder,
             slow_start=self.slow_start,
             load_orders=self.load_orders,
-            sharing=self.sharing,
+            report_sharing=self.report_sharing,
             hints=self.hints,
         )
-        self.router = RequestRouter(terms, parts)
+        self.router = RequestRouter(settings, parts)
 
     # State that other modules read
 
@@ -133,9 +137,9 @@
         """The functions that are known."""
         return self.functions.by_name
 
-    def queued(self, host: Host, lanes: int, now: int) -> float:
+    def request_count(self, host: Host, lanes: int, now: int) -> float:
         """How many requests the host has, as far as this gateway knows."""
-        return self.loads.queued(host, lanes, now)
+        return self.host_loads.request_count(host, lanes, now)
 
     # Requests
 
@@ -161,7 +165,7 @@
     def update_hosts(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
         """Takes over a host list; `complete`: hosts that it does not name are gone."""
         self.hosts.update(now, rows, complete=complete)
-        self.sharing.hosts_listed([host.id for host in self.hosts.active])
+        self.report_sharing.set_hosts([host.id for host in self.hosts.active])
 
     def host_list_poll_failed(self, now: int) -> None:
         """Notes that a poll of the host list was refused: the list is polled once more."""
@@ -177,17 +181,17 @@
         """Accounts for a probe that has ended; returns the message for all other gateways, or None."""
         host = self.hosts.by_id.get(host_id)
         if host is not None:
-            self.loads.record(host, now, report)
+            self.host_loads.record(host, now, report)
             if not good:
-                self.outliers.record(host, now, None, UNANSWERED_PROBE)
-        return self.sharing.encode(host_id, report) if good else None
+                self.outliers.record(host, now, None, FAILED_PROBE_WEIGHT)
+        return self.report_sharing.encode(host_id, report) if good else None
 
     def peer_message_received(self, now: int, message: bytes) -> None:
         """Takes another gateway's message about the load of a host; one that cannot be used is ignored."""
-        decoded = self.sharing.decode(message)
+        decoded = self.report_sharing.decode(message)
         if decoded is not None:
             host_id, report = decoded
-            self.loads.record(self.hosts.by_id[host_id], now, report)
+            self.host_loads.record(self.hosts.by_id[host_id], now, report)
 
     def load_order_ended(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
         """Accounts for the end of a load order.
@@ -196,7 +200,7 @@
         """
         function = self.functions.by_name.get(name)
         if function is not None:
-            self.load_orders.end(now, function, self.hosts.by_id.get(host_id), result)
+            self.load_orders.record_end(now, function, self.hosts.by_id.get(host_id), result)
 
     def forget_departed_hosts(self) -> None:
         """Forgets hosts that left the list, for callers that run no housekeeping."""
@@ -206,24 +210,24 @@
 
     def hint_instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
         """Another gateway saw an instance of the function at the host; returns whether the hint counts."""
-        return self.hints.instance(host_id, name, lanes, seen)
+        return self.hints.add_instance(host_id, name, lanes, seen)
 
-    def hint_failures(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
+    def hint_failures(self, host_id: str, request_class: int, failure_weight: float, seen: int) -> bool:
         """Another gateway's attempts of the class failed at the host; returns whether the hint counts."""
-        return self.hints.failure(host_id, request_class, harm, seen)
+        return self.hints.add_failure(host_id, request_class, failure_weight, seen)
 
     def hint_slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
         """The host answered another gateway that many times slower than usual; whether the hint counts."""
-        return self.hints.slowdown(host_id, slowdown, seen)
+        return self.hints.add_slowdown(host_id, slowdown, seen)
 
     def hint_usual_time(self, name: str | None, took: int) -> bool:
         """The usual answer time (ns) of a function, or of loads (`name` None); whether the hint counts."""
-        return self.hints.usual_time(name, took)
+        return self.hints.add_usual_time(name, took)
 
     def hint_function_mix(self, names: Sequence[str]) -> None:
         """The functions of the last requests that other gateways served."""
-        self.hints.set_mix(names)
+        self.hints.set_function_mix(names)
 
-    def observations_since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+    def observations_since(self, now: int, since: int = BEFORE_ALL_OBSERVATIONS) -> Iterator[Observation]:
         """The observations that this gateway itself made since that time (ns)."""
         return self.observations.since(now, since)
--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -21,24 +21,24 @@
 from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import InstanceStatus
 
-WRONG_LIMIT = 2  # wrong hints after which none is followed: one may be of an instance that has just gone
-TRIAL_LIMIT = 2  # hints on trial at a time: a right one costs a tenth of a second, a wrong one a load
-PROVEN_HINTS = 8  # right hints, with none wrong, before the function mix of others is taken over
-LEAST_CHOICES = 2  # hosts among which one is drawn where the first choice of the hash was not hinted
+MAX_WRONG_HINTS = 2  # wrong hints after which none is followed: one may be of an instance that has just gone
+MAX_TRIALS = 2  # hints on trial at a time: a right one costs a tenth of a second, a wrong one a load
+MIN_RIGHT_HINTS = 8  # right hints, with none wrong, before the function mix of others is taken over
+MIN_CHOICES = 2  # hosts among which one is drawn where the first choice of the hash was not hinted
 
 
 class Hints:
     """Takes hints and follows a few of them at a time on trial, until too many have proved wrong."""
 
-    def __init__(self, tables: Tables, measurements: Measurements, chance: RandomGenerator) -> None:
-        self.hosts, self.functions, self.mix, self.ranking = tables
+    def __init__(self, tables: Tables, measurements: Measurements, random: RandomGenerator) -> None:
+        self.hosts, self.functions, self.function_mix, self.ranking = tables
         self.answer_times, self.outliers = measurements.answer_times, measurements.outliers
-        self.chance = chance
+        self.random = random
         self.trials: dict[tuple[str, str], int] = {}  # (function, host): when a hint was first followed
-        self.right, self.wrong = 0, 0  # hints that proved so
-        self.hinted_mix: Sequence[str] | None = None  # see `set_mix`
+        self.right_count, self.wrong_count = 0, 0  # hints that proved so
+        self.hinted_function_mix: Sequence[str] | None = None  # see `set_function_mix`
 
-    def instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
+    def add_instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
         """An instance was seen at the host. The hint is considered when a request of the function comes."""
         host = self.hosts.by_id.get(host_id)
         if host is None or not host.active or seen <= host.instances_lost_at:
@@ -50,31 +50,31 @@
         function.hinted_at[host_id] = seen
         return True
 
-    def failure(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
+    def add_failure(self, host_id: str, request_class: int, failure_weight: float, seen: int) -> bool:
         """Attempts of the class failed at the host: one failure is recorded where it has no results yet."""
-        host = self._unknown_since(host_id, seen)
+        host = self._active_host_running_since(host_id, seen)
         if host is None or host.results:
             return False
-        self.outliers.record(host, seen, request_class, ERROR_WEIGHT * harm)
+        self.outliers.record(host, seen, request_class, ERROR_WEIGHT * failure_weight)
         return True
 
-    def slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
+    def add_slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
         """The host answered that many times slower than usual; taken where its pace is not known yet."""
-        host = self._unknown_since(host_id, seen)
-        if host is None or host.paces:
+        host = self._active_host_running_since(host_id, seen)
+        if host is None or host.relative_answer_times:
             return False
         host.slowdown, host.slowdown_until = slowdown, seen + EVIDENCE_LIFETIME
         return True
 
-    def _unknown_since(self, host_id: str, seen: int) -> Host | None:
+    def _active_host_running_since(self, host_id: str, seen: int) -> Host | None:
         """The host, where it is active and has run since before that time."""
         host = self.hosts.by_id.get(host_id)
         return host if host is not None and host.active and seen > host.instances_lost_at else None
 
-    def usual_time(self, name: str | None, took: int) -> bool:
+    def add_usual_time(self, name: str | None, took: int) -> bool:
         """The usual answer time (ns) of a function, or of loads (`name` None); taken where none is known."""
         if name is None:
-            times = self.answer_times.loads
+            times = self.answer_times.load_times
         elif name in self.functions.by_name:
             times = self.functions.by_name[name].answer_times
         else:
@@ -84,15 +84,15 @@
         times.append(took)
         return True
 
-    def set_mix(self, names: Sequence[str]) -> None:
+    def set_function_mix(self, names: Sequence[str]) -> None:
         """The functions of the last requests that other gateways served.
 
         They are taken over once hints have proved right: a function mix spreads the hot functions over hosts
         of which this gateway knows only by hints whether they have instances.
         """
-        self.hinted_mix = names[: MIX_SIZE // 2]
+        self.hinted_function_mix = names[: MIX_SIZE // 2]
 
-    def consider(self, now: int, name: str, function: Function) -> None:
+    def follow_hint(self, now: int, name: str, function: Function) -> None:
         """Follow a hint on the instances of a function of which this gateway has seen none itself.
 
         A wrong hint costs a load that the stable hash would have avoided, so only two hints are on trial at a
@@ -102,16 +102,16 @@
         """
         hinted, function.hinted_at = function.hinted_at, {}
         order = self._ranked(name, hinted)
-        if function.proven_at or not order or self.wrong >= WRONG_LIMIT:
+        if function.proven_at or not order or self.wrong_count >= MAX_WRONG_HINTS:
             return
         self.trials = {key: at for key, at in self.trials.items() if now - at < EVIDENCE_LIFETIME}
-        if len(self.trials) >= TRIAL_LIMIT:
+        if len(self.trials) >= MAX_TRIALS:
             function.hinted_at = hinted  # its turn comes with a later request
             return
-        choices = max(LEAST_CHOICES, int(SPREAD_FACTOR * self.mix.breadth(name)))
+        choices = max(MIN_CHOICES, int(SPREAD_FACTOR * self.function_mix.host_demand(name)))
         if self.ranking.ranks(name, function).get(order[0]) == 0:
             choices = 1
-        host_id = order[self.chance.below(min(choices, len(order)))]  # not all gateways try the same
+        host_id = order[self.random.below(min(choices, len(order)))]  # not all gateways try the same
         self.trials[name, host_id] = now
         function.last_used.setdefault(host_id, hinted[host_id])
 
@@ -126,10 +126,10 @@
         if self.trials.pop((name, host_id), None) is None or found is InstanceStatus.UNKNOWN:
             return
         if found is not InstanceStatus.WARM:
-            self.wrong += 1
+            self.wrong_count += 1
             return
-        self.right += 1
-        proven = self.right >= PROVEN_HINTS and not self.wrong
-        if self.hinted_mix and proven and len(self.mix.recent) < MIX_SIZE // 2:
-            self.mix.prepend(self.hinted_mix)
-            self.hinted_mix = None
+        self.right_count += 1
+        proven = self.right_count >= MIN_RIGHT_HINTS and not self.wrong_count
+        if self.hinted_function_mix and proven and len(self.function_mix.recent) < MIX_SIZE // 2:
+            self.function_mix.prepend(self.hinted_function_mix)
+            self.hinted_function_mix = None
--- a/gaproute/decisions/routing/host.py
+++ b/gaproute/decisions/routing/host.py
@@ -3,14 +3,14 @@
 from collections import deque
 from typing import NamedTuple
 
-from gaproute.decisions.routing.parameters import NEVER, REPORT_LIFETIME, SAMPLES
+from gaproute.decisions.routing.parameters import MAX_SAMPLES, NEVER, REPORT_LIFETIME
 from gaproute.decisions.routing.samples import Sample
 from gaproute.interface import HostLoadReport, ListedHost, ListedHostState
 from gaproute.units import SECOND
 
 # Unspent credit fades over this time, about that in which an overloaded host that warms up fails.
 CREDIT_LIFETIME = 2 * SECOND
-LEAST_CAPACITY = 1e-3  # a host counts with at least this capacity, whatever the host list says
+MIN_CAPACITY = 1e-3  # a host counts with at least this capacity, whatever the host list says
 
 AttemptKey = tuple[str, int]  # id of the request, number of its attempt
 
@@ -20,7 +20,7 @@
 
     at: int  # ns
     request_class: int | None  # None: a probe
-    harm: float  # 0: good, 1: unanswered
+    failure_weight: float  # 0: good, 1: unanswered
 
 
 class Host:
@@ -31,9 +31,9 @@
         self.warm_up_time = warm_up_time
         self.index = 0  # in the list of active hosts
         self.probed_at = -NEVER  # from this gateway
-        self.restart(row, -1, {})
+        self.reset(row, -1, {})
 
-    def restart(self, row: ListedHost, instances_lost_at: int, in_flight: dict[AttemptKey, int]) -> None:
+    def reset(self, row: ListedHost, instances_lost_at: int, in_flight: dict[AttemptKey, int]) -> None:
         """Reset what is known of a host that has restarted."""
         self.started = row.started
         self.warm_at = -1 if row.started is None else row.started + self.warm_up_time  # end of the warm-up
@@ -44,19 +44,21 @@
         self.overdue: dict[AttemptKey, bool] = {}
         self.results: list[HostResult] = []  # the last of each request class
         self.bad_results = 0  # of `results`
-        self.paces: deque[Sample] = deque(maxlen=SAMPLES)  # answer time divided by the function's usual one
+        self.relative_answer_times: deque[Sample] = deque(
+            maxlen=MAX_SAMPLES
+        )  # answer time divided by the function's usual one
         self.slowdown, self.slowdown_until = 1.0, -1  # times slower than usual at the last answer, until when
         self.report: HostLoadReport | None = None
         self.reported_at = -REPORT_LIFETIME
         self.memory_busy: float | None = None  # by the last report
         self.credit, self.credit_at = 0.0, 0  # attempts that a warming host may get; when last raised
         self.full_until: float = -1  # the host rejected a request as full and gets none until then
-        self.renew(row)
+        self.update_listing(row)
 
-    def renew(self, row: ListedHost) -> None:
+    def update_listing(self, row: ListedHost) -> None:
         """Take over what the host list says of the host, which has not restarted."""
         self.zone, self.cell = row.zone, row.cell
-        self.capacity = max(row.capacity, LEAST_CAPACITY)
+        self.capacity = max(row.capacity, MIN_CAPACITY)
         self.active = row.state is ListedHostState.ACTIVE
 
     def add_credit(self, now: int, share: float) -> None:
--- a/gaproute/decisions/routing/host_selector.py
+++ b/gaproute/decisions/routing/host_selector.py
@@ -15,7 +15,7 @@
 
 
 class HostSelector:
-    """Picks the host with the highest score among those that may get the request; ties break by chance."""
+    """Picks the host with the highest score among those that may get the request; ties break by random."""
 
     def __init__(
         self,
@@ -23,21 +23,21 @@
         tables: Tables,
         retry_rules: RetryRules,
         scorer: Scorer,
-        chance: RandomGenerator,
+        random: RandomGenerator,
     ) -> None:
         self.request_classes = request_classes
         self.hosts, self.functions = tables.hosts, tables.functions
-        self.retry_rules, self.scorer, self.chance = retry_rules, scorer, chance
+        self.retry_rules, self.scorer, self.random = retry_rules, scorer, random
 
     def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
         """The host that gets the request now, or None where the request has to wait."""
         function = self.functions.find_or_add(request.function, request.lanes)
         paused = now < function.paused_until and not attempts.failed_hosts
-        able = self.able_hosts(now, request, attempts, function, paused=paused)
-        if not able:
+        eligible = self.eligible_hosts(now, request, attempts, function, paused=paused)
+        if not eligible:
             return None
-        scored = self.scorer.scores(now, request, attempts, function, able)
-        host = self._best(now, scored)
+        scored = self.scorer.scores(now, request, attempts, function, eligible)
+        host = self._pick_best(now, scored)
         if host is None:
             return self.choose(now, request, attempts)  # all scored hosts were skipped: try the others
         # A host that has just rejected a request as full gets none for a moment: it answers fast, and so
@@ -48,24 +48,26 @@
             return self.choose(now, request, attempts)
         return host if now >= host.full_until else None
 
-    def able_hosts(
+    def eligible_hosts(
         self, now: int, request: Request, attempts: RequestAttempts, function: Function, *, paused: bool
     ) -> list[Host]:
         """The hosts that may get the request now; the list of active hosts itself where all of them may."""
-        able = self.hosts.active
-        if attempts.started or now < self.hosts.all_warm_at:
-            able = self.allowed_hosts(now, request, attempts, able)
+        eligible = self.hosts.active
+        if attempts.attempt_count or now < self.hosts.all_warm_at:
+            eligible = self.allowed_hosts(now, request, attempts, eligible)
         if attempts.failed_hosts:
-            able = [host for host in able if host not in attempts.failed_hosts] or able
+            eligible = [host for host in eligible if host not in attempts.failed_hosts] or eligible
             # What a full host rejected goes to a loaded instance: a further load adds to the overload.
-            able = [host for host in able if self.functions.warmth(function, host, now) > 0] or able
+            eligible = [
+                host for host in eligible if self.functions.warmth(function, host, now) > 0
+            ] or eligible
         if paused:
-            able = [
+            eligible = [
                 host
-                for host in able
+                for host in eligible
                 if now >= host.full_until and self.functions.warmth(function, host, now) > 0
             ]
-        return able
+        return eligible
 
     def allowed_hosts(
         self, now: int, request: Request, attempts: RequestAttempts, hosts: list[Host]
@@ -73,22 +75,24 @@
         """The hosts that the rules on retries and on hosts that warm up allow."""
         request_class = self.request_classes[request.request_class]
         tried = [sent.host for sent in attempts.in_flight.values()]
-        allowed = self.retry_rules.allowed
-        able = [host for host in hosts if host not in tried and allowed(host, request_class, attempts, now)]
+        allows = self.retry_rules.allows
+        eligible = [
+            host for host in hosts if host not in tried and allows(host, request_class, attempts, now)
+        ]
         # A host that warms up gets no more than its credit (see `SlowStart`), so that it does not fail.
-        return [host for host in able if now >= host.warm_at or host.credit > 0]
+        return [host for host in eligible if now >= host.warm_at or host.credit > 0]
 
-    def _best(self, now: int, scored: list[RankedScore]) -> Host | None:
+    def _pick_best(self, now: int, scored: list[RankedScore]) -> Host | None:
         """The host with the best score; a host that warms up is skipped at random, the less its credit."""
         while scored:
             ties = bisect_left(scored, (scored[0][0], NEVER))
-            host = self.hosts.active[scored.pop(self.chance.below(ties))[1]]
-            if now >= host.warm_at or self.chance.below(SECOND) < host.credit * SECOND:
+            host = self.hosts.active[scored.pop(self.random.below(ties))[1]]
+            if now >= host.warm_at or self.random.below(SECOND) < host.credit * SECOND:
                 return host
             host.credit = 0.0
         return None
 
-    def any_allowed(self, now: int, request_class: RequestClass, attempts: RequestAttempts) -> bool:
+    def is_any_host_allowed(self, now: int, request_class: RequestClass, attempts: RequestAttempts) -> bool:
         """Whether the rules allow any host, now or later."""
-        allowed = self.retry_rules.allowed
-        return any(allowed(host, request_class, attempts, now) for host in self.hosts.active)
+        allows = self.retry_rules.allows
+        return any(allows(host, request_class, attempts, now) for host in self.hosts.active)
--- a/gaproute/decisions/routing/host_table.py
+++ b/gaproute/decisions/routing/host_table.py
@@ -32,9 +32,9 @@
         if host is None:
             self.by_id[row.host] = Host(row, self.warm_up_time)
         elif row.started is not None and row.started != host.started:
-            host.restart(row, now, host.in_flight)
+            host.reset(row, now, host.in_flight)
         else:
-            host.renew(row)
+            host.update_listing(row)
 
     def _collect_active(self) -> None:
         active = [host for host in self.by_id.values() if host.active]
--- a/gaproute/decisions/routing/housekeeping.py
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -10,7 +10,7 @@
 from gaproute.units import MILLI, SECOND
 
 PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
-UNPAID_INTERVAL = 100 * MILLI  # between checks whether requests have paid for a probe
+BUDGET_CHECK_INTERVAL = 100 * MILLI  # between checks whether requests have paid for a probe
 CLEANUP_INTERVAL = SECOND  # between cleanups: each costs CPU, and unused functions take little memory
 
 
@@ -19,15 +19,15 @@
 
     def __init__(
         self,
-        terms: RoutingSettings,
+        settings: RoutingSettings,
         tables: Tables,
         sharing: LoadReportSharing,
-        chance: RandomGenerator,
+        random: RandomGenerator,
     ) -> None:
         self.hosts, self.functions = tables.hosts, tables.functions
-        self.sharing, self.chance = sharing, chance
-        self.probing = terms.probes_allowed and terms.reports_by_probe
-        self.host_list_wanted = terms.host_list_polled
+        self.report_sharing, self.random = sharing, random
+        self.probing = settings.probes_allowed and settings.reports_by_probe
+        self.host_list_wanted = settings.host_list_polled
 
     def run(self, now: int) -> Generator[Action, Any, None]:
         """The one generator of a gateway's housekeeping, for as long as the gateway runs."""
@@ -37,7 +37,7 @@
                 self.host_list_wanted = False
                 yield PollHostList()
             if self.probing:
-                host = self.sharing.host_to_probe(now, self.hosts.active, PROBE_INTERVAL, self.chance)
+                host = self.report_sharing.host_to_probe(now, self.hosts.active, PROBE_INTERVAL, self.random)
                 if host is not None:
                     yield Probe(host.id)
             if now - cleaned_at >= CLEANUP_INTERVAL:
@@ -49,8 +49,8 @@
     def _interval(self) -> int:
         if not self.probing:
             return CLEANUP_INTERVAL
-        if not self.sharing.may_probe():
-            return UNPAID_INTERVAL
+        if not self.report_sharing.can_afford_probe():
+            return BUDGET_CHECK_INTERVAL
         return PROBE_INTERVAL // max(1, len(self.hosts.active))
 
     def forget_departed(self) -> None:
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -8,8 +8,8 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.measurements import Measurements
 from gaproute.decisions.routing.parameters import (
-    JUDGEMENT_INTERVAL,
-    RATE_SAMPLES,
+    EVALUATION_INTERVAL,
+    MAX_RATE_SAMPLES,
     REPORT_LIFETIME,
     USUAL_CONCURRENCY,
 )
@@ -18,13 +18,13 @@
 
 # Of the shortest latency objective: the longest expected wait for which a request of the highest priority
 # weight is taken; half of it for one without any weight.
-BEARABLE_WAIT = 2.0
-# Of the bearable wait: the wait in the queue of one host. The answers by which it is estimated are those that
+MAX_WAIT_SHARE = 2.0
+# Of the max_wait wait: the wait in the queue of one host. The answers by which it is estimated are those that
 # waited least.
-BEARABLE_QUEUE = 0.3
-SHED_POWER = 3  # exponent of bearable over expected wait: at twice the bearable wait one in eight is taken
-LEAST_IN_FLIGHT = 8  # attempts in flight below which nothing is rejected: too few to estimate a wait from
-DOUBTED = 0.5  # doubt from which on a host is not counted as answering as usual
+MAX_QUEUE_WAIT_SHARE = 0.3
+SHED_EXPONENT = 3  # exponent of max_wait over expected wait: at twice the max_wait wait one in eight is taken
+MIN_IN_FLIGHT = 8  # attempts in flight below which nothing is rejected: too few to estimate a wait from
+TRUSTED_DOUBT_LIMIT = 0.5  # doubt from which on a host is not counted as answering as usual
 
 
 class LoadShedder:
@@ -32,20 +32,20 @@
 
     def __init__(
         self,
-        terms: RoutingSettings,
+        settings: RoutingSettings,
         hosts: HostTable,
         measurements: Measurements,
         tracker: AttemptTracker,
-        chance: RandomGenerator,
+        random: RandomGenerator,
     ) -> None:
-        self.hosts, self.tracker, self.chance = hosts, tracker, chance
-        self.answer_times, self.loads = measurements.answer_times, measurements.loads
+        self.hosts, self.tracker, self.random = hosts, tracker, random
+        self.answer_times, self.host_loads = measurements.answer_times, measurements.host_loads
         self.outliers, self.throughput = measurements.outliers, measurements.throughput
-        self.tenant_shares, self.over_share_value = terms.tenant_shares, terms.over_share_value
-        weights = [request_class.priority_weight for request_class in terms.request_classes]
-        self.top_priority_weight = max(weights, default=1.0)
-        self.tenants: deque[int] = deque(maxlen=RATE_SAMPLES)  # of the last requests
-        self.waiting, self.counted_at = 0, -JUDGEMENT_INTERVAL  # see `_count_waiting`
+        self.tenant_shares, self.over_share_value = settings.tenant_shares, settings.over_share_value
+        weights = [request_class.priority_weight for request_class in settings.request_classes]
+        self.max_priority_weight = max(weights, default=1.0)
+        self.tenants: deque[int] = deque(maxlen=MAX_RATE_SAMPLES)  # of the last requests
+        self.waiting, self.counted_at = 0, -EVALUATION_INTERVAL  # see `_count_waiting_attempts`
 
     def record_request(self, tenant: int) -> None:
         """Count a request of the tenant."""
@@ -59,38 +59,38 @@
         the queues, so the shortest latency objective limits the wait, and requests of the lowest priority
         weight are rejected first.
         """
-        if self.throughput.mostly_refused(now):
+        if self.throughput.is_mostly_refused(now):
             return True
         rate = self.throughput.answer_rate(now)
         if rate is None:
             return False
-        if now - self.counted_at >= JUDGEMENT_INTERVAL:
+        if now - self.counted_at >= EVALUATION_INTERVAL:
             self.counted_at = now
-            self.waiting = self._count_waiting(now)
-        if self.waiting < LEAST_IN_FLIGHT:
+            self.waiting = self._count_waiting_attempts(now)
+        if self.waiting < MIN_IN_FLIGHT:
             return False
-        return self.waiting / rate > self._bearable_wait(request, request_class)
+        return self.waiting / rate > self._max_wait(request, request_class)
 
-    def _count_waiting(self, now: int) -> int:
+    def _count_waiting_attempts(self, now: int) -> int:
         """Attempts in flight that wait for loaded instances, at hosts that answer as usual."""
         in_flight = self.tracker.in_flight
-        return sum([self._waits_as_usual(now, key, attempt) for key, attempt in in_flight.items()])
+        return sum([self._waits_at_normal_host(now, key, attempt) for key, attempt in in_flight.items()])
 
-    def _waits_as_usual(self, now: int, key: AttemptKey, attempt: InFlightAttempt) -> bool:
-        host = self.hosts.by_id[attempt.host]
+    def _waits_at_normal_host(self, now: int, key: AttemptKey, attempt: InFlightAttempt) -> bool:
+        host = self.hosts.by_id[attempt.host_id]
         if not attempt.warm or key in host.overdue:
             return False
         if host.slowdown > 1 and now < host.slowdown_until:
             return False
-        return self.outliers.doubt(host, attempt.request_class, now) < DOUBTED
+        return self.outliers.doubt(host, attempt.request_class, now) < TRUSTED_DOUBT_LIMIT
 
-    def _bearable_wait(self, request: Request, request_class: RequestClass) -> float:
+    def _max_wait(self, request: Request, request_class: RequestClass) -> float:
         """The longest expected wait for which a request is taken (ns); half of it at no priority weight."""
-        value = request_class.priority_weight / self.top_priority_weight
+        value = request_class.priority_weight / self.max_priority_weight
         shares = self.tenant_shares[request.tenant : request.tenant + 1]  # empty for an unknown tenant
         if shares and self.tenants.count(request.tenant) > shares[0] * len(self.tenants):
             value *= self.over_share_value
-        return BEARABLE_WAIT * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
+        return MAX_WAIT_SHARE * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
 
     def should_shed(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
         """Whether to reject a request because of the queue at the best host.
@@ -100,16 +100,16 @@
         taken, so that the estimate stays current. This serves gateways that see too few requests to measure
         a rate of answers; it rejects wrongly where the queue of the host consists of light work.
         """
-        load = self.loads.queued(host, request.lanes, now) / host.capacity
+        load = self.host_loads.request_count(host, request.lanes, now) / host.capacity
         if host.report is None or host.reported_at < now - REPORT_LIFETIME:
-            load = max(load, self.loads.usual_load(now))
+            load = max(load, self.host_loads.usual_load(now))
         if load * host.capacity < USUAL_CONCURRENCY:
             return False
         drain_time = self.throughput.drain_time(now)
         if drain_time is None:
             return False
         wait = drain_time * load
-        bearable = BEARABLE_QUEUE * self._bearable_wait(request, request_class)
-        if wait <= bearable:
+        max_wait = MAX_QUEUE_WAIT_SHARE * self._max_wait(request, request_class)
+        if wait <= max_wait:
             return False
-        return self.chance.below(SECOND) > (bearable / wait) ** SHED_POWER * SECOND
+        return self.random.below(SECOND) > (max_wait / wait) ** SHED_EXPONENT * SECOND
--- a/gaproute/decisions/routing/measurements.py
+++ b/gaproute/decisions/routing/measurements.py
@@ -13,7 +13,7 @@
     """What was measured of hosts, of functions and of the whole fleet."""
 
     answer_times: AnswerTimes
-    loads: HostLoads
+    host_loads: HostLoads
     outliers: OutlierDetector
     silent_zones: SilentZones
     throughput: Throughput
--- a/gaproute/decisions/routing/observations.py
+++ b/gaproute/decisions/routing/observations.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME
 from gaproute.decisions.routing.tables import Tables
 
-BEFORE_ALL = -1  # a time before every observation
+BEFORE_ALL_OBSERVATIONS = -1  # a time before every observation
 
 
 class Observation(NamedTuple):
@@ -26,17 +26,17 @@
     """Reads the observations of a gateway out of its tables."""
 
     def __init__(self, tables: Tables, answer_times: AnswerTimes) -> None:
-        self.hosts, self.functions, self.mix = tables.hosts, tables.functions, tables.mix
+        self.hosts, self.functions, self.function_mix = tables.hosts, tables.functions, tables.function_mix
         self.answer_times = answer_times
 
-    def since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+    def since(self, now: int, since: int = BEFORE_ALL_OBSERVATIONS) -> Iterator[Observation]:
         """The observations since that time: of hosts first, then of functions, the last used ones first.
 
         The iterator may be read in parts, while host lists and requests change the tables in between.
         """
         for host in list(self.hosts.by_id.values()):
             yield from _of_host(host, now, since)
-        loads = self.answer_times.loads
+        loads = self.answer_times.load_times
         if loads and since < 0:
             yield Observation("load", (), (int(median(loads)),), now)
         by_name = self.functions.by_name
@@ -53,20 +53,22 @@
         if function.answer_times:
             usual = int(median(function.answer_times))
             yield Observation("usual", (name,), (usual,), function.answered_at)
-        if since < 0 and name in self.mix.recent:
-            yield Observation("share", (name,), (self.mix.share(name),), now)
+        if since < 0 and name in self.function_mix.recent:
+            yield Observation("share", (name,), (self.function_mix.share(name),), now)
 
 
 def _of_host(host: Host, now: int, since: int) -> Iterator[Observation]:
     last_failures = {
         result.request_class: result
         for result in host.results
-        if result.harm > 0 and result.request_class is not None and now - result.at < EVIDENCE_LIFETIME
+        if result.failure_weight > 0
+        and result.request_class is not None
+        and now - result.at < EVIDENCE_LIFETIME
     }
     if host.active:
         for request_class, result in last_failures.items():
             if result.at > since:
-                yield Observation("doubt", (host.id, request_class), (result.harm,), result.at)
+                yield Observation("doubt", (host.id, request_class), (result.failure_weight,), result.at)
     if host.active and host.slowdown > 1 and now < host.slowdown_until > since + EVIDENCE_LIFETIME:
         seen = host.slowdown_until - EVIDENCE_LIFETIME
         yield Observation("pace", (host.id,), (host.slowdown,), seen)
--- a/gaproute/decisions/routing/outcome_recorder.py
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -2,7 +2,7 @@
 
 from statistics import median
 
-from gaproute.decisions.routing.attempt_tracker import UNANSWERED, AttemptTracker, InFlightAttempt
+from gaproute.decisions.routing.attempt_tracker import UNANSWERED_WEIGHT, AttemptTracker, InFlightAttempt
 from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.hints import Hints
 from gaproute.decisions.routing.host import Host
@@ -14,7 +14,7 @@
 
 ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host has answered
 FAILURES = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
-GOOD = 0.0  # harm of a result
+GOOD_RESULT_WEIGHT = 0.0  # failure_weight of a result
 
 
 class OutcomeRecorder:
@@ -29,69 +29,71 @@
         hints: Hints,
     ) -> None:
         self.hosts, self.functions = tables.hosts, tables.functions
-        self.answer_times, self.loads, self.outliers, self.silent_zones, self.throughput = measurements
+        self.answer_times, self.host_loads, self.outliers, self.silent_zones, self.throughput = measurements
         self.tracker, self.slow_start, self.hints = tracker, slow_start, hints
 
     def record(self, now: int, outcome: Outcome) -> None:
         """Record the outcome of an attempt."""
-        key, result = (outcome.request, outcome.attempt), outcome.result
+        key, result = (outcome.request_id, outcome.attempt), outcome.result
         attempt = self.tracker.in_flight.pop(key, None)
-        host = self.hosts.by_id.get(outcome.host)
+        host = self.hosts.by_id.get(outcome.host_id)
         if attempt is None or host is None:
             return
         host.in_flight.pop(key, None)
         counted_as_failure = host.overdue.pop(key, False)
-        function = self.functions.find_or_add(attempt.function, 1)
-        self.loads.record(host, now, outcome.report)
+        function = self.functions.find_or_add(attempt.function_name, 1)
+        self.host_loads.record(host, now, outcome.report)
         if result in ANSWERS:
             host.answered_at[attempt.request_class] = now
-            self.silent_zones.answered(host.zone, now)
+            self.silent_zones.record_answer(host.zone, now)
         self.throughput.record_outcome(now, refused=result is Result.FULL)
         if result is Result.OK:
-            self._answered(now, outcome, attempt, host, function)
+            self._record_answer(now, outcome, attempt, host, function)
         elif result in FAILURES and not counted_as_failure:
-            self._failed(now, result, attempt, host)
+            self._record_failure(now, result, attempt, host)
         if result is Result.FULL:
-            host.full_until = now + self.answer_times.usual(function)  # about when a request there ends
+            host.full_until = now + self.answer_times.usual_answer_time(
+                function
+            )  # about when a request there ends
         if result is Result.NOT_LOADED or outcome.found is InstanceStatus.LOAD_FAILED:
-            self.hints.verify(attempt.function, host.id, InstanceStatus.LOAD_FAILED)
-            function.not_loaded(host.id)
+            self.hints.verify(attempt.function_name, host.id, InstanceStatus.LOAD_FAILED)
+            function.record_not_loaded(host.id)
         if result is Result.RESET and not host.in_flight:
             host.instances_lost_at = now  # a process that ended with all its attempts has no instances
 
-    def _answered(
+    def _record_answer(
         self, now: int, outcome: Outcome, attempt: InFlightAttempt, host: Host, function: Function
     ) -> None:
-        self.outliers.record(host, now, attempt.request_class, GOOD)
+        self.outliers.record(host, now, attempt.request_class, GOOD_RESULT_WEIGHT)
         host.full_until = -1
         if attempt.warm:
             self.throughput.record_answer(now)
         if now < self.hosts.all_warm_at:
             # After a stall many answers arrive at one moment: they do not show the rate of warm hosts now.
-            in_time = self.tracker.in_time(function, outcome.took, warm=attempt.warm)
+            in_time = self.tracker.is_in_time(function, outcome.duration, warm=attempt.warm)
             if now < host.warm_at or in_time:
-                self.slow_start.answered(now, host)
+                self.slow_start.record_answer(now, host)
         if attempt.sent_at >= host.instances_lost_at:
-            function.answered(host.id, now)
-        self.hints.verify(attempt.function, host.id, outcome.found)
+            function.record_answer(host.id, now)
+        self.hints.verify(attempt.function_name, host.id, outcome.found)
         if outcome.found is InstanceStatus.WARM or outcome.found is InstanceStatus.UNKNOWN and attempt.warm:
-            self._warm_answer(now, outcome.took, host, function)
+            self._record_warm_answer(now, outcome.duration, host, function)
         else:
-            self.answer_times.loads.append(outcome.took)
+            self.answer_times.load_times.append(outcome.duration)
 
-    def _warm_answer(self, now: int, took: int, host: Host, function: Function) -> None:
+    def _record_warm_answer(self, now: int, took: int, host: Host, function: Function) -> None:
         """Record the answer time of an instance that was loaded, which shows how fast the host is."""
         if function.answer_times:
-            host.paces.append((now, took / max(1, median(function.answer_times))))
+            host.relative_answer_times.append((now, took / max(1, median(function.answer_times))))
             host.slowdown = self.outliers.slowdown(host, now)
             host.slowdown_until = now + EVIDENCE_LIFETIME
         function.answer_times.append(took)
-        queued = self.loads.queued(host, 1, now)
+        queued = self.host_loads.request_count(host, 1, now)
         if queued >= USUAL_CONCURRENCY and host.slowdown <= 1:
             self.throughput.record_drain_time(now, took * host.capacity / queued)
 
-    def _failed(self, now: int, result: Result, attempt: InFlightAttempt, host: Host) -> None:
+    def _record_failure(self, now: int, result: Result, attempt: InFlightAttempt, host: Host) -> None:
         request_class = self.tracker.request_classes[attempt.request_class]
         may_run_again = request_class.idempotency is Idempotency.IDEMPOTENT
-        harm = ERROR_WEIGHT if result is Result.ERROR and may_run_again else UNANSWERED
-        self.outliers.record(host, now, attempt.request_class, harm)
+        failure_weight = ERROR_WEIGHT if result is Result.ERROR and may_run_again else UNANSWERED_WEIGHT
+        self.outliers.record(host, now, attempt.request_class, failure_weight)
--- a/gaproute/decisions/routing/outlier_detector.py
+++ b/gaproute/decisions/routing/outlier_detector.py
@@ -3,31 +3,33 @@
 from statistics import median
 
 from gaproute.decisions.routing.host import Host, HostResult
-from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME, JUDGEMENT_INTERVAL, SAMPLES
+from gaproute.decisions.routing.parameters import EVALUATION_INTERVAL, EVIDENCE_LIFETIME, MAX_SAMPLES
 
-SUSPECT_SHARE = 0.4  # of bad results, up to which no host is doubted: lost answers happen at every host
-GOOD_SAMPLES_GRANTED = 1.0  # good results that each host starts with, so that one failure decides little
+TRUSTED_BAD_SHARE = 0.4  # of bad results, up to which no host is doubted: lost answers happen at every host
+INITIAL_GOOD_RESULTS = 1.0  # good results that each host starts with, so that one failure decides little
 RECOVERY_DOUBT = 0.5  # of a host whose last results were bad: it gets one attempt at a time until it answers
-SLOW = 1.5  # times slower than usual that do not count: kinds of machine and of work differ by as much
-LEAST_PACES = 3  # samples that are needed before a host counts as slow
+SLOWDOWN_TOLERANCE = (
+    1.5  # times slower than usual that do not count: kinds of machine and of work differ by as much
+)
+MIN_RELATIVE_TIMES = 3  # samples that are needed before a host counts as slow
 
 
 class OutlierDetector:
     """Judges hosts by the results of their last attempts. Judgements are cached to save CPU time."""
 
     def __init__(self) -> None:
-        self.judged_at = -JUDGEMENT_INTERVAL
-        self.doubts: dict[tuple[str, int], float] = {}  # by (host, request class): those of `judged_at`
+        self.doubts_at = -EVALUATION_INTERVAL
+        self.doubts: dict[tuple[str, int], float] = {}  # by (host, request class): those of `doubts_at`
 
-    def record(self, host: Host, now: int, request_class: int | None, harm: float) -> None:
-        """Record a result; `harm`: 0 if good, 1 if unanswered; `request_class`: None for a probe."""
+    def record(self, host: Host, now: int, request_class: int | None, failure_weight: float) -> None:
+        """Record a result; `failure_weight` is 0 for a good result; `request_class` is None for a probe."""
         results = host.results
         same_class = [result for result in results if result.request_class == request_class]
         # The oldest result of the same class is dropped: good answers to other classes say nothing about it.
-        if len(same_class) >= SAMPLES:
+        if len(same_class) >= MAX_SAMPLES:
             results.remove(same_class[0])
-        results.append(HostResult(now, request_class, harm))
-        host.bad_results = sum([harm > 0 for _, _, harm in results])
+        results.append(HostResult(now, request_class, failure_weight))
+        host.bad_results = sum([failure_weight > 0 for _, _, failure_weight in results])
 
     def doubt(self, host: Host, request_class: int, now: int) -> float:
         """0 to 1: how likely the host fails a request of the class.
@@ -37,11 +39,11 @@
         """
         if not host.bad_results:
             return 0.0
-        if now - self.judged_at >= JUDGEMENT_INTERVAL:
-            self.judged_at, self.doubts = now, {}
+        if now - self.doubts_at >= EVALUATION_INTERVAL:
+            self.doubts_at, self.doubts = now, {}
         doubt = self.doubts.get((host.id, request_class))
         if doubt is None:
-            doubt = self.doubts[host.id, request_class] = _judge(host, request_class, now)
+            doubt = self.doubts[host.id, request_class] = _estimate_doubt(host, request_class, now)
         return doubt
 
     def slowdown(self, host: Host, now: int) -> float:
@@ -51,18 +53,18 @@
         slow host otherwise looks warm and idle. A host that happens to get the heaviest requests of a
         function is taken for slow; as samples expire, it is tried again.
         """
-        recent = [pace for at, pace in host.paces if now - at < EVIDENCE_LIFETIME]
-        return max(1.0, median(recent) / SLOW) if len(recent) >= LEAST_PACES else 1.0
+        recent = [pace for at, pace in host.relative_answer_times if now - at < EVIDENCE_LIFETIME]
+        return max(1.0, median(recent) / SLOWDOWN_TOLERANCE) if len(recent) >= MIN_RELATIVE_TIMES else 1.0
 
 
-def _judge(host: Host, request_class: int, now: int) -> float:
+def _estimate_doubt(host: Host, request_class: int, now: int) -> float:
     recent = [result for result in host.results if now - result.at < EVIDENCE_LIFETIME]
-    harms = [result.harm for result in recent if result.request_class == request_class]
-    harms = harms or [result.harm for result in recent]
-    known = len(harms) + GOOD_SAMPLES_GRANTED
-    bad = sum([harm > 0 for harm in harms])
-    doubt = sum(harms) / known if bad > SUSPECT_SHARE * known else 0.0
-    last = [result.harm for result in host.results[-2:]]
+    failure_weights = [result.failure_weight for result in recent if result.request_class == request_class]
+    failure_weights = failure_weights or [result.failure_weight for result in recent]
+    known = len(failure_weights) + INITIAL_GOOD_RESULTS
+    bad = sum([failure_weight > 0 for failure_weight in failure_weights])
+    doubt = sum(failure_weights) / known if bad > TRUSTED_BAD_SHARE * known else 0.0
+    last = [result.failure_weight for result in host.results[-2:]]
     if host.in_flight and len(last) == 2 and min(last) > 0:
         doubt = max(doubt, RECOVERY_DOUBT)
     return doubt
--- a/gaproute/decisions/routing/parameters.py
+++ b/gaproute/decisions/routing/parameters.py
@@ -4,12 +4,12 @@
 
 NEVER = 1 << 62  # a time that never comes
 
-SAMPLES = 8  # last samples that are stored of each measured figure: two outliers do not move their median
+MAX_SAMPLES = 8  # last samples that are stored of each measured figure: two outliers do not move their median
 EVIDENCE_LIFETIME = 5 * SECOND  # older samples do not count, so that a suspected host is tried again
 REPORT_LIFETIME = 8 * SECOND  # older load reports are ignored; overload by the stable hash lasts as long
 # Between judgements of hosts and of the attempts in flight, to save CPU time: signs of a fault take longer.
-JUDGEMENT_INTERVAL = 40 * MILLI
-RATE_SAMPLES = 64  # answers from which the rate of answers is computed
+EVALUATION_INTERVAL = 40 * MILLI
+MAX_RATE_SAMPLES = 64  # answers from which the rate of answers is computed
 MIX_SIZE = 256  # last requests from which the share of a function is computed
 # First choices of the stable hash that a hot function uses, for each host that it could fill: the requests of
 # other functions need the rest of each host.
--- a/gaproute/decisions/routing/ranking.py
+++ b/gaproute/decisions/routing/ranking.py
@@ -8,8 +8,8 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_table import HostTable
 
-FIRST_DEPTH = 32  # hosts that are ranked at first: lower ranks are seldom needed
-FIRST_PART = 16  # or one in so many of the active hosts, where that is more
+MIN_RANKED_HOSTS = 32  # hosts that are ranked at first: lower ranks are seldom needed
+RANKED_HOSTS_DIVISOR = 16  # or one in so many of the active hosts, where that is more
 KEY_BYTES = 8
 
 
@@ -30,12 +30,12 @@
     def __init__(self, hosts: HostTable) -> None:
         self.hosts = hosts
 
-    def ranks(self, name: str, function: Function, depth: int = FIRST_DEPTH) -> dict[str, int]:
+    def ranks(self, name: str, function: Function, depth: int = MIN_RANKED_HOSTS) -> dict[str, int]:
         """The ranks of the first hosts of a function, `depth` or more; a large fleet needs only a few."""
         hosts = self.hosts
         ranked = len(function.ranked_hosts)
         if function.ranked_version != hosts.version or ranked < min(depth, len(hosts.active)):
-            depth = max(depth, len(hosts.active) // FIRST_PART, ranked)
+            depth = max(depth, len(hosts.active) // RANKED_HOSTS_DIVISOR, ranked)
             first = nsmallest(depth, rendezvous_keys(name, hosts.active))
             function.ranked_hosts = [hosts.by_id[host_id] for _, host_id in first]
             function.ranks = {host_id: rank for rank, (_, host_id) in enumerate(first)}
--- a/gaproute/decisions/routing/request_attempts.py
+++ b/gaproute/decisions/routing/request_attempts.py
@@ -16,27 +16,29 @@
 class RequestAttempts:
     """The attempts of one request."""
 
-    __slots__ = ("in_flight", "may_have_run", "first_run", "failed_hosts", "started")
+    __slots__ = ("in_flight", "may_have_run", "first_possible_run", "failed_hosts", "attempt_count")
 
     def __init__(self) -> None:
         self.in_flight: dict[int, SentAttempt] = {}
         self.may_have_run: list[SentAttempt] = []  # attempts that have ended and may have run
-        self.first_run: SentAttempt | None = None  # the first attempt that may have run or may still run
+        self.first_possible_run: SentAttempt | None = (
+            None  # the first attempt that may have run or may still run
+        )
         self.failed_hosts: list[Host] = []
-        self.started = 0
+        self.attempt_count = 0
 
-    def sent(self, attempt: int, host: Host, now: int) -> None:
+    def record_sent(self, attempt: int, host: Host, now: int) -> None:
         """Register an attempt that was sent."""
         sent = self.in_flight[attempt] = SentAttempt(host, now)
-        self.started += 1
-        self.first_run = self.first_run or sent
+        self.attempt_count += 1
+        self.first_possible_run = self.first_possible_run or sent
 
-    def settle(self, attempt: int, result: Result) -> None:
+    def record_end(self, attempt: int, result: Result) -> None:
         """Note the end of an attempt: one that provably did not run does not restrict further attempts."""
         sent = self.in_flight.pop(attempt)
         if result not in NEVER_RAN:
             self.may_have_run.append(sent)
-        self.first_run = min(
+        self.first_possible_run = min(
             [*self.may_have_run, *self.in_flight.values()], key=lambda each: each.sent_at, default=None
         )
         if result is not Result.NOT_LOADED:
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -36,10 +36,10 @@
 
 PAUSE = 100 * MILLI  # between searches while a request waits for a host: about half an answer time
 RETRY_AFTER_SHARE = 1.0  # of the latency objective: the Retry-After of a rejected request
-ANSWER_BY = 4 * MILLI  # before the deadline: when the final answer is sent at the latest
+ANSWER_MARGIN = 4 * MILLI  # before the deadline: when the final answer is sent at the latest
 
 # Returns the reason to reject the request, or None where the request is over.
-Steps = Generator[Action, Any, RejectReason | None]
+RequestSteps = Generator[Action, Any, RejectReason | None]
 
 
 class RouterParts(NamedTuple):
@@ -53,21 +53,25 @@
     shedder: LoadShedder
     slow_start: SlowStart
     load_orders: LoadOrders
-    sharing: LoadReportSharing
+    report_sharing: LoadReportSharing
     hints: Hints
 
 
 class RequestRouter:
     """Serves each request by a generator; has the parts that all requests use."""
 
-    def __init__(self, terms: RoutingSettings, parts: RouterParts) -> None:
-        self.request_classes = terms.request_classes
-        self.cancel_allowed, self.retry_after_limit = terms.cancel_allowed, terms.retry_after_limit
-        self.functions, self.mix = parts.tables.functions, parts.tables.mix
+    def __init__(self, settings: RoutingSettings, parts: RouterParts) -> None:
+        self.request_classes = settings.request_classes
+        self.cancel_allowed, self.retry_after_limit = settings.cancel_allowed, settings.retry_after_limit
+        self.functions, self.function_mix = parts.tables.functions, parts.tables.function_mix
         self.answer_times, self.tracker = parts.answer_times, parts.tracker
         self.retry_rules, self.selector = parts.retry_rules, parts.selector
         self.shedder, self.slow_start = parts.shedder, parts.slow_start
-        self.load_orders, self.sharing, self.hints = parts.load_orders, parts.sharing, parts.hints
+        self.load_orders, self.report_sharing, self.hints = (
+            parts.load_orders,
+            parts.report_sharing,
+            parts.hints,
+        )
         self.end_by = NEVER  # when every request must have its final answer, as the process stops
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
@@ -75,8 +79,8 @@
         function = self.functions.find_or_add(request.function, request.lanes)
         function.lanes, function.used_at = request.lanes, now
         if function.hinted_at:
-            self.hints.consider(now, request.function, function)
-        self.mix.add(request.function)
+            self.hints.follow_hint(now, request.function, function)
+        self.function_mix.add(request.function)
         self.shedder.record_request(request.tenant)
         self.slow_start.record_request(now)
         request_class = self.request_classes[request.request_class]
@@ -91,7 +95,7 @@
                 yield Cancel(attempt)
         if reason is None:
             return
-        if attempts.first_run is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+        if attempts.first_possible_run is None or request_class.idempotency is Idempotency.IDEMPOTENT:
             retry_after = int(RETRY_AFTER_SHARE * request_class.latency_objective)
             yield Reject(min(self.retry_after_limit, retry_after), reason)
         else:
@@ -110,10 +114,10 @@
         "arrived_at",
         "end",
         "give_up_at",
-        "look_at",
+        "search_at",
         "now",
         "reason",
-        "settled_host",
+        "ended_host",
     )
 
     def __init__(
@@ -127,62 +131,62 @@
         self.router, self.request, self.function, self.attempts = router, request, function, attempts
         self.request_class = router.request_classes[request.request_class]
         self.arrived_at = self.now = now
-        self.end = now + request.time_left - ANSWER_BY
+        self.end = now + request.time_left - ANSWER_MARGIN
         self.give_up_at = now + self.request_class.latency_objective  # when the search for a first host ends
-        self.look_at: Any = now  # when to search for a host again; ns, perhaps not a whole number
+        self.search_at: Any = now  # when to search for a host again; ns, perhaps not a whole number
         self.reason: RejectReason | None = None  # why the request is rejected, once it is
-        self.settled_host: Host | None = None  # the host of the attempt that ended last, if it was in flight
+        self.ended_host: Host | None = None  # the host of the attempt that ended last, if it was in flight
 
-    def steps(self) -> Steps:
+    def steps(self) -> RequestSteps:
         """Yields attempts and waits; returns None once the request is over, else why it is rejected."""
         router, request, attempts = self.router, self.request, self.attempts
         while self.reason is None and self.now < min(self.end, router.end_by):
-            if self.now >= self.look_at:
+            if self.now >= self.search_at:
                 host = self._choose_host()
                 if host is not None:
-                    begin_by = router.retry_rules.begin_by(self.request_class, attempts, self.end)
-                    attempt = yield Attempt(host.id, begin_by)
-                    self.look_at = router.tracker.sent(self.now, request, attempt, host, attempts)
+                    start_by = router.retry_rules.start_by(self.request_class, attempts, self.end)
+                    attempt = yield Attempt(host.id, start_by)
+                    self.search_at = router.tracker.record_sent(self.now, request, attempt, host, attempts)
                 elif self.reason is not None:
                     break
             give_up_at = self.give_up_at if self.now < self.give_up_at else self.end
-            self.now, outcome = yield Wait(min(self.look_at, self.end, give_up_at))
+            self.now, outcome = yield Wait(min(self.search_at, self.end, give_up_at))
             if outcome is None:
-                self._wait_elapsed()
+                self._handle_elapsed_wait()
             elif outcome.result is Result.STREAM_STARTED:
                 yield from self._follow_stream(outcome)
                 return None
             else:
-                order = self._settle(outcome)
+                order = self._record_end(outcome)
                 if order is not None:
                     yield order
-                if outcome.ended:
+                if outcome.request_ended:
                     return None
-                yield from self._not_delivered(outcome)
+                yield from self._handle_undelivered(outcome)
         return self.reason or RejectReason.NO_HOST_AVAILABLE
 
     def _is_overloaded(self) -> bool:
         return self.router.shedder.is_overloaded(self.now, self.request, self.request_class)
 
     def _choose_host(self) -> Host | None:
-        """The host that gets the request now; None: wait until `look_at`, or reject for `reason`."""
+        """The host that gets the request now; None: wait until `search_at`, or reject for `reason`."""
         router, now, attempts = self.router, self.now, self.attempts
         host = router.selector.choose(now, self.request, attempts)
         if host is not None:
-            if attempts.started or not router.shedder.should_shed(
+            if attempts.attempt_count or not router.shedder.should_shed(
                 now, self.request, self.request_class, host
             ):
                 return host
             self.reason = RejectReason.QUEUE_TOO_LONG
         elif attempts.in_flight:
-            self.look_at = now + router.answer_times.usual(self.function)
-        elif now < self.give_up_at and router.selector.any_allowed(now, self.request_class, attempts):
-            self.look_at = now + PAUSE
+            self.search_at = now + router.answer_times.usual_answer_time(self.function)
+        elif now < self.give_up_at and router.selector.is_any_host_allowed(now, self.request_class, attempts):
+            self.search_at = now + PAUSE
         else:
             self.reason = RejectReason.NO_HOST_AVAILABLE
         return None
 
-    def _wait_elapsed(self) -> None:
+    def _handle_elapsed_wait(self) -> None:
         """Handles the end of a wait without an outcome: judges overdue attempts, or rejects the request."""
         now, attempts = self.now, self.attempts
         if not attempts.in_flight:
@@ -192,47 +196,47 @@
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
         if now >= self.give_up_at and idempotent and self._is_overloaded():
             self.reason = RejectReason.LATENCY_OBJECTIVE_MISSED
-        elif self.look_at <= now < self.end:
+        elif self.search_at <= now < self.end:
             tracker = self.router.tracker
-            self.look_at = tracker.hold_overdue_against_hosts(now, self.request, attempts, self.function)
+            self.search_at = tracker.record_overdue_attempts(now, self.request, attempts, self.function)
 
     def _follow_stream(self, outcome: Outcome | None) -> Generator[Action, Any, None]:
         """Waits for the end of a streamed answer, which has no deadline."""
-        while outcome is None or not outcome.ended:
+        while outcome is None or not outcome.request_ended:
             self.now, outcome = yield Wait(self.now + SECOND)
         self.attempts.in_flight.clear()  # so that the attempt is not cancelled
 
-    def _settle(self, outcome: Outcome) -> LoadOrder | None:
+    def _record_end(self, outcome: Outcome) -> LoadOrder | None:
         """Accounts for the end of an attempt.
 
         Returns an order for one more instance where the host that answered has many requests of the function.
         """
         sent = self.attempts.in_flight.get(outcome.attempt)
-        self.settled_host = None
+        self.ended_host = None
         if sent is None:
             return None
-        host = self.settled_host = sent.host
-        self.attempts.settle(outcome.attempt, outcome.result)
+        host = self.ended_host = sent.host
+        self.attempts.record_end(outcome.attempt, outcome.result)
         if outcome.result is not Result.OK:
             return None
         load_orders = self.router.load_orders
-        load_orders.limiter.delivered(self.now, self.arrived_at)
-        self.router.sharing.request_delivered()
-        return load_orders.for_busy_function(self.now, self.request, self.function, host, outcome)
+        load_orders.limiter.record_delivery(self.now, self.arrived_at)
+        self.router.report_sharing.record_delivery()
+        return load_orders.order_for_busy_function(self.now, self.request, self.function, host, outcome)
 
-    def _not_delivered(self, outcome: Outcome) -> Generator[Action, Any, None]:
+    def _handle_undelivered(self, outcome: Outcome) -> Generator[Action, Any, None]:
         """Handles an attempt without an answer: searches for another host at once, or rejects the request.
 
         Where the host had no instance of the function, it is ordered to load one.
         """
-        now, host = self.now, self.settled_host
-        self.look_at = now
+        now, host = self.now, self.ended_host
+        self.search_at = now
         if outcome.result is Result.FULL and not self.attempts.in_flight and self._is_overloaded():
             # Further attempts in a full fleet would only delay the answer.
             self.reason = RejectReason.HOST_FULL
         elif outcome.result is Result.NOT_LOADED and host is not None:
-            order = self.router.load_orders.after_miss(now, self.request, self.function, host)
+            order = self.router.load_orders.order_after_miss(now, self.request, self.function, host)
             if order is not None:
                 yield order
-                self.function.used(host.id, now)
-                self.look_at = now + outcome.took  # one round trip later: the order has arrived by then
+                self.function.record_use(host.id, now)
+                self.search_at = now + outcome.duration  # one round trip later: the order has arrived by then
--- a/gaproute/decisions/routing/silent_zones.py
+++ b/gaproute/decisions/routing/silent_zones.py
@@ -22,26 +22,26 @@
         self.answered_at: dict[int, int] = {}  # by zone: when one of its hosts last answered
         self.silent_until: dict[int, int] = {}  # by zone: until when it counts as silent
 
-    def answered(self, zone: int, now: int) -> None:
+    def record_answer(self, zone: int, now: int) -> None:
         """Note an answer of a host of the zone."""
         self.answered_at[zone] = now
         self.silent_until.pop(zone, None)
 
-    def attempt_sent(self, zone: int, now: int) -> None:
+    def record_attempt(self, zone: int, now: int) -> None:
         """Note an attempt in the zone: a silent one gets one attempt at a time until an answer comes."""
         if zone in self.silent_until:
             self.silent_until[zone] = now + EVIDENCE_LIFETIME
 
-    def check(self, now: int) -> None:
+    def detect(self, now: int) -> None:
         """Find zones that have become silent."""
         unanswered = Counter(
-            [host.zone for host in self.hosts.active if host.overdue and self._unanswered(host)]
+            [host.zone for host in self.hosts.active if host.overdue and self._has_silent_zone(host)]
         )
         for zone, count in unanswered.items():
             if count >= SILENT_HOSTS:
                 self.silent_until[zone] = now + EVIDENCE_LIFETIME
 
-    def _unanswered(self, host: Host) -> bool:
+    def _has_silent_zone(self, host: Host) -> bool:
         """Whether no host of the zone has answered since the host's last overdue attempt."""
         last_overdue = max([host.in_flight[key] for key in host.overdue])
         return last_overdue > self.answered_at.get(host.zone, -1)
--- a/gaproute/decisions/routing/slow_start.py
+++ b/gaproute/decisions/routing/slow_start.py
@@ -5,28 +5,28 @@
 from gaproute.interface import RoutingSettings
 from gaproute.units import SECOND
 
-SAFE_SHARE = 0.8  # of the load at which a host that warms up fails: the rest is a margin
-FIRST_SHARE = (
-    0.25  # of the share in the terms, for requests: answers then show what hosts that warm up can do
+SAFE_LOAD_SHARE = 0.8  # of the load at which a host that warms up fails: the rest is a margin
+ALL_COLD_CREDIT_SHARE = (
+    0.25  # of the share in the settings, for requests: answers then show what hosts that warm up can do
 )
-FIRST_RATE = 1 / SECOND  # of these at each host at most: within the margin of the smallest host
+ALL_COLD_CREDIT_RATE = 1 / SECOND  # of these at each host at most: within the margin of the smallest host
 
 
 class SlowStart:
     """Gives hosts that warm up credit for attempts, by the share of its capacity that each has at least."""
 
-    def __init__(self, terms: RoutingSettings, hosts: HostTable) -> None:
+    def __init__(self, settings: RoutingSettings, hosts: HostTable) -> None:
         self.hosts = hosts
-        self.first_share, self.warm_up_time = terms.warm_up_share, terms.warm_up_time
+        self.initial_share, self.warm_up_time = settings.warm_up_share, settings.warm_up_time
         # The largest share of its capacity with which a host that warms up is counted.
-        self.most_share = SAFE_SHARE * terms.warm_up_overload * terms.warm_up_share
-        self.gateways = max(1, terms.gateways)
+        self.max_counted_share = SAFE_LOAD_SHARE * settings.warm_up_overload * settings.warm_up_share
+        self.gateways = max(1, settings.gateways)
         self.last_request_at = -1  # when a request last gave credit
 
     def available_share(self, host: Host, now: int) -> float:
         """The share of its capacity that a host has at least."""
         left = max(0, host.warm_at - now) / max(1, self.warm_up_time)
-        return 1.0 - (1.0 - self.first_share) * left
+        return 1.0 - (1.0 - self.initial_share) * left
 
     def record_request(self, now: int) -> None:
         """Gives credit for a request where no host is warm, so that some request is tried at all.
@@ -37,13 +37,13 @@
         active = self.hosts.active
         if now >= self.hosts.all_warm_at or not all([now < host.warm_at for host in active]):
             return
-        share = FIRST_SHARE * self.first_share / (len(active) / 2)
-        most = FIRST_RATE * (now - self.last_request_at) / self.gateways
+        share = ALL_COLD_CREDIT_SHARE * self.initial_share / (len(active) / 2)
+        most = ALL_COLD_CREDIT_RATE * (now - self.last_request_at) / self.gateways
         self.last_request_at = now
         for host in active:
             host.add_credit(now, min(self.hosts.relative_capacity(host) * share, most))
 
-    def answered(self, now: int, by: Host) -> None:
+    def record_answer(self, now: int, by: Host) -> None:
         """Give credit to hosts that warm up, for an answer of the host `by`.
 
         An answer of a warm host gives each warming host as much as a warm host answers on average, reduced by
@@ -61,5 +61,5 @@
             by.add_credit(now, max(0.0, 1 - warm / half))
             return
         for host in warming:
-            share = min(self.available_share(host, now), self.most_share)
+            share = min(self.available_share(host, now), self.max_counted_share)
             host.add_credit(now, self.hosts.relative_capacity(host) * share / max(warm, half))
--- a/gaproute/decisions/routing/tables.py
+++ b/gaproute/decisions/routing/tables.py
@@ -13,5 +13,5 @@
 
     hosts: HostTable
     functions: FunctionTable
-    mix: FunctionMix
+    function_mix: FunctionMix
     ranking: Ranking
--- a/gaproute/decisions/routing/throughput.py
+++ b/gaproute/decisions/routing/throughput.py
@@ -3,7 +3,7 @@
 from collections import deque
 from statistics import median
 
-from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME, RATE_SAMPLES, SAMPLES
+from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME, MAX_RATE_SAMPLES, MAX_SAMPLES
 from gaproute.decisions.routing.samples import Sample
 from gaproute.units import SECOND
 
@@ -15,10 +15,12 @@
     """The last outcomes of this gateway's attempts."""
 
     def __init__(self) -> None:
-        self.refusals: deque[Sample] = deque(maxlen=SAMPLES)  # whether the last outcomes were refusals
-        self.answers: deque[int] = deque(maxlen=RATE_SAMPLES)  # times of the answers of loaded instances
+        self.refusals: deque[Sample] = deque(maxlen=MAX_SAMPLES)  # whether the last outcomes were refusals
+        self.answered_at: deque[int] = deque(
+            maxlen=MAX_RATE_SAMPLES
+        )  # times of the answers of loaded instances
         # Answer time divided by load, of hosts with a queue.
-        self.drain_times: deque[Sample] = deque(maxlen=RATE_SAMPLES)
+        self.drain_times: deque[Sample] = deque(maxlen=MAX_RATE_SAMPLES)
 
     def record_outcome(self, now: int, *, refused: bool) -> None:
         """Record the end of an attempt; `refused`: the host was full."""
@@ -26,24 +28,24 @@
 
     def record_answer(self, now: int) -> None:
         """Record an answer of an instance that was loaded."""
-        self.answers.append(now)
+        self.answered_at.append(now)
 
     def record_drain_time(self, now: int, drain_time: float) -> None:
         """Record what a host with a queue took for each unit of its load (ns)."""
         self.drain_times.append((now, drain_time))
 
-    def mostly_refused(self, now: int) -> bool:
+    def is_mostly_refused(self, now: int) -> bool:
         """Whether most hosts are full, so that further attempts would only overload the others."""
         recent = sum([refused and now - at < REFUSAL_LIFETIME for at, refused in self.refusals])
-        return recent > FULL_FLEET_SHARE * SAMPLES
+        return recent > FULL_FLEET_SHARE * MAX_SAMPLES
 
     def answer_rate(self, now: int) -> float | None:
         """Answers per nanosecond; None where too few have come."""
-        if len(self.answers) < RATE_SAMPLES // 2:
+        if len(self.answered_at) < MAX_RATE_SAMPLES // 2:
             return None
-        return len(self.answers) / max(now - self.answers[0], 1)
+        return len(self.answered_at) / max(now - self.answered_at[0], 1)
 
     def drain_time(self, now: int) -> float | None:
         """What a unit of load took lately at hosts with a queue (ns); None with too few samples."""
         recent = [drain_time for at, drain_time in self.drain_times if now - at < EVIDENCE_LIFETIME]
-        return median(recent) if len(recent) >= SAMPLES else None
+        return median(recent) if len(recent) >= MAX_SAMPLES else None
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -177,12 +177,12 @@
         """Sends the final answer of a request, unless the client has cancelled it meanwhile."""
         number = request.number
         open_request = connection.open_requests.get(number)
-        if open_request is None or open_request.key != final.request:
+        if open_request is None or open_request.key != final.request_id:
             return  # the request was cancelled; a new one may have its number by now
         del connection.open_requests[number], self.open_request_ids[request.request_id]
-        if final.answer is not None and final.ending is FinalResult.DELIVERED:
+        if final.answer is not None and final.result is FinalResult.DELIVERED:
             connection.write(responses.encode_result(number, final.answer.body))
-        elif final.ending is FinalResult.REJECTED:
+        elif final.result is FinalResult.REJECTED:
             code = ErrorCode.REJECTED
             connection.write(responses.encode_error(number, code, final.reason, final.retry_after))
         else:
--- a/gaproute/fronts/kserve/responses.py
+++ b/gaproute/fronts/kserve/responses.py
@@ -70,8 +70,8 @@
 
 
 def _request_id(final: FinalAnswer) -> Header:
-    return b"Gaproute-Task", final.request.encode()
+    return b"Gaproute-Task", final.request_id.encode()
 
 
 def _attempts(final: FinalAnswer) -> Header:
-    return b"Gaproute-Relays", b"%d" % final.attempts
+    return b"Gaproute-Relays", b"%d" % final.attempt_count
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -142,9 +142,9 @@
 
     def finish_request(self, request: Request, final: FinalAnswer) -> None:
         """Sends the final answer to a request."""
-        if final.answer is not None and final.ending is FinalResult.DELIVERED:
+        if final.answer is not None and final.result is FinalResult.DELIVERED:
             answer = responses.delivered(final, final.answer)
-        elif final.ending is FinalResult.REJECTED:
+        elif final.result is FinalResult.REJECTED:
             answer = responses.rejected(final, self._rejected_status(request, final))
         else:
             answer = responses.failed(final)
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -11,7 +11,7 @@
 from gaproute.hosts.jsonlines.host import Host
 from gaproute.hosts.jsonlines.pending_request import OnRequestEnded, PendingRequest
 from gaproute.interface import Idempotency, ListedHostState
-from gaproute.interface.call import always
+from gaproute.interface.call import assume_client_present
 from gaproute.loop import Loop
 from gaproute.settings import DeploymentSettings
 from gaproute.units import MILLI, SECOND
@@ -76,7 +76,7 @@
         until: int,
         idempotency: Idempotency,
         on_ended: OnRequestEnded,
-        wanted: Callable[[], bool] = always,
+        wanted: Callable[[], bool] = assume_client_present,
     ) -> PendingRequest | None:
         """Submit a request on an idle connection that pooling picks, else on a new one, else on a shared one.
 
--- a/gaproute/hosts/jsonlines/pending_request.py
+++ b/gaproute/hosts/jsonlines/pending_request.py
@@ -7,7 +7,7 @@
 
 from gaproute.hosts.jsonlines.messages import Reply
 from gaproute.interface import Result
-from gaproute.interface.call import always
+from gaproute.interface.call import assume_client_present
 from gaproute.loop import Stream
 
 NO_DEADLINE = 1 << 62  # a time that never comes, for requests that have a timeout of their own
@@ -65,7 +65,7 @@
         until: int,
         on_ended: OnRequestEnded | None,
         now: int,
-        wanted: Callable[[], bool] = always,
+        wanted: Callable[[], bool] = assume_client_present,
     ) -> None:
         self.connection, self.id, self.until, self.created_at = connection, request_id, until, now
         self.encode = encode
--- a/gaproute/interface/actions.py
+++ b/gaproute/interface/actions.py
@@ -8,7 +8,7 @@
     """Send the request to this host; resumed with the attempt's number."""
 
     host: str
-    until: int = 1 << 62  # when it may begin at the latest, where it has to wait for its connection
+    start_by: int = 1 << 62  # when it may begin at the latest, where it has to wait for its connection
 
 
 class Wait(NamedTuple):
@@ -28,7 +28,7 @@
 
     host: str
     function: str
-    copies: int  # how many instances are to be loaded there
+    instances: int  # how many instances are to be loaded there
 
 
 class Probe(NamedTuple):
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -7,7 +7,7 @@
 from gaproute.interface.outcomes import InstanceStatus
 
 
-def always() -> bool:
+def assume_client_present() -> bool:
     """The `client_present` of requests for which the gateway cannot see whether the client has left."""
     return True
 
@@ -26,7 +26,9 @@
     origin: str = ""  # the id that the first gateway gave the request, where another gateway forwarded it
     # (cell, hops) as `decisions.cells` has it, where another gateway forwarded the request
     forwarded: tuple[str, int] | None = None
-    client_present: Callable[[], bool] = always  # whether the client still waits; asked as attempts begin
+    client_present: Callable[[], bool] = (
+        assume_client_present  # whether the client still waits; asked as attempts begin
+    )
 
     @property
     def function(self) -> str:
@@ -53,11 +55,11 @@
 class FinalAnswer(NamedTuple):
     """The one final answer of a request."""
 
-    ending: FinalResult
+    result: FinalResult
     answer: Answer | None  # with DELIVERED
     retry_after: int  # with REJECTED: how long the client should wait, ns; 0: not said
-    request: str  # the gateway's id for the request
-    attempts: int  # how many were started for it
+    request_id: str  # the gateway's id for the request
+    attempt_count: int  # how many were started for it
     reason: str  # a short text for a person
     never_ran: bool = False  # every attempt that was started provably did not run
     cell_unknown: bool = False  # with REJECTED: the call was forwarded here for a cell not known here
--- a/gaproute/interface/outcomes.py
+++ b/gaproute/interface/outcomes.py
@@ -46,12 +46,12 @@
 class Outcome(NamedTuple):
     """What became of one attempt."""
 
-    request: str
+    request_id: str
     attempt: int
-    host: str
+    host_id: str
     result: Result
-    took: int  # from sending to outcome, ns
-    ended: bool  # the request is over, by this outcome or an earlier one
+    duration: int  # from sending to outcome, ns
+    request_ended: bool  # the request is over, by this outcome or an earlier one
     found: InstanceStatus
     same_function_requests: int | None  # requests of the same function that the host had in flight
     report: HostLoadReport | None
--- a/gaproute/interface/terms.py
+++ b/gaproute/interface/terms.py
@@ -32,8 +32,8 @@
     """Requests with the same limits, priority weight and idempotency."""
 
     idempotency: Idempotency
-    group: IdempotencyScope
-    repeat_window: int  # how long the group remembers an idempotency key, ns
+    idempotency_scope: IdempotencyScope
+    deduplication_window: int  # how long the group remembers an idempotency key, ns
     latency_objective: int  # within which an answer has its full value, ns
     hard_limit: int  # within which the final answer is owed, ns
     priority_weight: float  # the value of an answer
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -82,7 +82,7 @@
 
     def _make_core(self) -> None:
         self.gateway = Gateway(self.seed, self.terms, self.loop.now())
-        longest = self.gateway.load_order_limiter.travel_time
+        longest = self.gateway.load_order_limiter.max_transit_time
         if longest:
             self.hosts.order_timeout = min(self.hosts.order_timeout, longest)
         self.core = Core(self.loop, self.gateway, self.terms, self.hosts, self.record, self.name)
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -66,7 +66,11 @@
         """By host: [queue, slowdown, own attempts in flight], for hosts that are in use or slow."""
         gateway, now = self.gateway, self.loop.now()
         return {
-            host.id: [round(gateway.queued(host, 1, now), 1), round(host.slowdown, 1), len(host.in_flight)]
+            host.id: [
+                round(gateway.request_count(host, 1, now), 1),
+                round(host.slowdown, 1),
+                len(host.in_flight),
+            ]
             for host in gateway.active_hosts
             if host.in_flight or host.slowdown > 1
         }
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -112,8 +112,8 @@
 def _request_class(fields: Mapping[str, Any]) -> interface.RequestClass:
     return interface.RequestClass(
         idempotency=IDEMPOTENCY[fields["effect"]],
-        group=interface.IdempotencyScope(fields.get("group") or "all"),
-        repeat_window=_duration(fields, "dedup_window"),
+        idempotency_scope=interface.IdempotencyScope(fields.get("group") or "all"),
+        deduplication_window=_duration(fields, "dedup_window"),
         latency_objective=_duration(fields, "aim"),
         hard_limit=_duration(fields, "deadline"),
         priority_weight=float(fields.get("worth") or 1.0),
--- a/gaproute/standins/baselines.py
+++ b/gaproute/standins/baselines.py
@@ -20,7 +20,7 @@
 
     def pick(self, able: list[Host]) -> Host:
         """One of these hosts by chance."""
-        return able[self.chance.below(len(able))]
+        return able[self.random.below(len(able))]
 
 
 class LeastQueueSelector(PlainSelector):
--- a/gaproute/standins/false_reports.py
+++ b/gaproute/standins/false_reports.py
@@ -9,7 +9,7 @@
 from typing import ClassVar
 
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.observations import BEFORE_ALL, Observation
+from gaproute.decisions.routing.observations import BEFORE_ALL_OBSERVATIONS, Observation
 
 WARM_INSTANCE = "warm"  # the kind of observation, as in `decisions/reports/observation_kinds.py`
 THOUSAND = 1000
@@ -20,7 +20,7 @@
 
     SHARE: ClassVar[float] = 1.0
 
-    def observations_since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+    def observations_since(self, now: int, since: int = BEFORE_ALL_OBSERVATIONS) -> Iterator[Observation]:
         """What this gateway saw since then, some of it falsified."""
         active = [host.id for host in self.active_hosts]
         for observation in super().observations_since(now, since):
@@ -28,12 +28,12 @@
             yield self._falsified(observation, active) if falsified else observation
 
     def _draws_falsehood(self) -> bool:
-        return self.chance.below(THOUSAND) < THOUSAND * self.SHARE
+        return self.random.below(THOUSAND) < THOUSAND * self.SHARE
 
     def _falsified(self, observation: Observation, active: list[str]) -> Observation:
         host, function = observation.names
         others = [name for name in active if name != host]
-        return observation._replace(names=(others[self.chance.below(len(others))], function))
+        return observation._replace(names=(others[self.random.below(len(others))], function))
 
 
 class ReportsFalselyAtTimes(FalseReporter):
--- a/gaproute/standins/rule_violators.py
+++ b/gaproute/standins/rule_violators.py
@@ -33,7 +33,7 @@
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
         """Rejects some requests, and sends them a little later."""
-        if self.chance.below(VIOLATES_ONE_IN):
+        if self.random.below(VIOLATES_ONE_IN):
             yield from super().serve(now, request)
             return
         yield Reject(0)
@@ -46,7 +46,7 @@
 class AllowsAllRetries(RetryRules):
     """Allows every attempt at an active host."""
 
-    def allowed(self, host: Host, request_class: RequestClass, attempts: RequestAttempts, now: int) -> bool:
+    def allows(self, host: Host, request_class: RequestClass, attempts: RequestAttempts, now: int) -> bool:
         """Whether the host is active."""
         return host.active
 
@@ -73,7 +73,7 @@
     def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
         """The host that started last, for the first attempt."""
         started = [(host.started, host) for host in self.hosts.active if host.started is not None]
-        if not started or attempts.started:
+        if not started or attempts.attempt_count:
             return super().choose(now, request, attempts)
         return max(started, key=lambda entry: entry[0])[1]
 
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -149,7 +149,7 @@
     caller = Caller(100, 1)
     caller.fill_mix()
     caller.call("f")
-    assert caller.gateway.mix.breadth("f") < 1
+    assert caller.gateway.function_mix.host_demand("f") < 1
 
 
 def count_hashes(monkeypatch):
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -35,7 +35,7 @@
         5_000_000_000,
         3,
     )
-    assert (b.idempotency, b.group, b.repeat_window) == (
+    assert (b.idempotency, b.idempotency_scope, b.deduplication_window) == (
         Idempotency.IDEMPOTENT_WITH_KEY,
         IdempotencyScope.CELL,
         2_500_000_000,
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -81,9 +81,9 @@
     submit(made)
     made.hosts.sent[0](DONE)
     run(made)
-    assert [final.ending for final in made.finals] == [FinalResult.DELIVERED]
+    assert [final.result for final in made.finals] == [FinalResult.DELIVERED]
     assert made.finals[0].answer.body == b"done"
-    assert made.gateway.outcomes[0].ended
+    assert made.gateway.outcomes[0].request_ended
     assert not made.in_flight
     assert not made.wait_timers
 
@@ -96,7 +96,7 @@
     made = core(serve)
     submit(made)
     run(made)
-    assert [final.ending for final in made.finals] == [FinalResult.REJECTED]
+    assert [final.result for final in made.finals] == [FinalResult.REJECTED]
     assert made.finals[0].retry_after == 5
 
 
@@ -112,12 +112,12 @@
     made = core(serve)
     submit(made)
     run(made, 2 * MILLI)
-    assert [final.ending for final in made.finals] == [FinalResult.FAILED]
+    assert [final.result for final in made.finals] == [FinalResult.FAILED]
     made.gateway.serve = attempt_and_wait
     submit(made)
     made.hosts.sent[-1](DONE)
     run(made)
-    assert made.finals[-1].ending is FinalResult.DELIVERED
+    assert made.finals[-1].result is FinalResult.DELIVERED
 
 
 def test_a_request_that_the_decisions_never_end_fails_at_its_deadline():
@@ -127,7 +127,7 @@
     run(made, 299 * MILLI)
     assert not made.finals
     run(made, 2 * MILLI)
-    assert [final.ending for final in made.finals] == [FinalResult.FAILED]
+    assert [final.result for final in made.finals] == [FinalResult.FAILED]
     assert made.hosts.cancelled == ["w"]
     assert made.gateway.outcomes[0].result is face.Result.TIMEOUT
     assert not made.in_flight
@@ -179,7 +179,7 @@
     made.hosts.started = False
     submit(made)
     run(made, 2 * MILLI)
-    assert made.finals[0].ending is FinalResult.REJECTED
+    assert made.finals[0].result is FinalResult.REJECTED
     assert made.hosts.cancelled == ["w"]
     assert not made.in_flight
     assert made.gateway.outcomes[0].result is face.Result.NOT_SENT
@@ -234,5 +234,5 @@
     made = core(serve)
     submit(made)
     run(made)
-    assert [final.ending for final in made.finals] == [FinalResult.FAILED]
+    assert [final.result for final in made.finals] == [FinalResult.FAILED]
     assert not made.in_flight
--- a/tests/decisions/cells/test_entry_requests.py
+++ b/tests/decisions/cells/test_entry_requests.py
@@ -68,7 +68,7 @@
     made.end_by = 2 * SECOND
     wish = Drive(made, task("t", function_of(made, "cell7")), now=SECOND).wishes[0]
     assert isinstance(wish, ForwardAttempt)
-    assert wish.until < 2 * SECOND
+    assert wish.start_by < 2 * SECOND
     late = Drive(made, task("u", function_of(made, "cell7")), now=2 * SECOND)
     assert isinstance(late.wishes[-1], face.Reject)
     assert late.sent == []
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -13,7 +13,7 @@
 
 MILLI = 1_000_000
 IDEMPOTENT_WITH_KEY = 1
-LIMIT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].repeat_window - MAX_TRANSIT_TIME
+LIMIT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].deduplication_window - MAX_TRANSIT_TIME
 
 
 def broken_off(result=face.Result.RESET, time_left=LIMIT, **options):
@@ -52,8 +52,8 @@
     "options",
     [
         {"time_left": LIMIT + 1},  # an entry might send it when the first run is forgotten
-        {"group": face.IdempotencyScope.ZONE},
-        {"group": face.IdempotencyScope.CELL},
+        {"idempotency_scope": face.IdempotencyScope.ZONE},
+        {"idempotency_scope": face.IdempotencyScope.CELL},
         {"result": face.Result.ERROR},  # the entry answered: it tried again itself as far as that is allowed
         {"result": face.Result.TIMEOUT},
         {"idempotency": face.Idempotency.NON_IDEMPOTENT},
--- a/tests/decisions/reports/test_hints.py
+++ b/tests/decisions/reports/test_hints.py
@@ -63,7 +63,7 @@
     assert not trial(made, 2, None)
     made.attempt_ended(7 * SECOND, outcome("t0", ranked(made, "f0")[1].id))
     assert made.functions_by_name["f2"].hinted_at
-    made.hints.consider(8 * SECOND, "f2", made.functions_by_name["f2"])
+    made.hints.follow_hint(8 * SECOND, "f2", made.functions_by_name["f2"])
     assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used
 
 
@@ -80,13 +80,13 @@
     assert trial(made, 0, None)
     assert trial(made, 1, None)
     assert not trial(made, 2, None)
-    made.hints.consider(20 * SECOND, "f2", made.functions_by_name["f2"])
+    made.hints.follow_hint(20 * SECOND, "f2", made.functions_by_name["f2"])
     assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used
-    assert (made.hints.right, made.hints.wrong) == (0, 0)
+    assert (made.hints.right_count, made.hints.wrong_count) == (0, 0)
     made = gateway()
     assert trial(made, 0, InstanceStatus.UNKNOWN)
     assert not made.hints.trials
-    assert (made.hints.right, made.hints.wrong) == (0, 0)
+    assert (made.hints.right_count, made.hints.wrong_count) == (0, 0)
 
 
 def test_the_first_choice_of_the_hash_is_tried_where_it_was_told():
@@ -94,7 +94,7 @@
     first, second = (worker.id for worker in ranked(made, "f")[:2])
     made.hint_instance(second, "f", 4, 5 * SECOND)
     made.hint_instance(first, "f", 4, 4 * SECOND)
-    made.hints.consider(6 * SECOND, "f", made.functions_by_name["f"])
+    made.hints.follow_hint(6 * SECOND, "f", made.functions_by_name["f"])
     assert made.functions_by_name["f"].last_used == {first: 4 * SECOND}
     assert set(made.hints.trials) == {("f", first)}
 
@@ -134,18 +134,18 @@
     made = gateway()
     made.hint_function_mix(["f"] * 64 + [""] * 64)
     assert all(trial(made, number) for number in range(7))
-    assert made.mix.recent.count("f") == 0
-    made.hints.wrong = wrong
+    assert made.function_mix.recent.count("f") == 0
+    made.hints.wrong_count = wrong
     assert trial(made, 7)
-    assert made.mix.recent.count("f") == taken
+    assert made.function_mix.recent.count("f") == taken
 
 
 def test_the_mix_told_is_not_taken_after_own_tasks_have_made_one():
     made = gateway()
-    made.mix.recent.extend(["own"] * 128)
+    made.function_mix.recent.extend(["own"] * 128)
     made.hint_function_mix(["f"] * 128)
     assert all(trial(made, number) for number in range(9))
-    assert made.mix.recent.count("f") == 0
+    assert made.function_mix.recent.count("f") == 0
 
 
 def test_only_what_was_answered_is_told_on():
--- a/tests/decisions/reports/test_observation_follower.py
+++ b/tests/decisions/reports/test_observation_follower.py
@@ -89,8 +89,8 @@
         lives = dict.fromkeys(hosts, 0)
         chance = RandomGenerator(seeds.getrandbits(64))
         follower(told, chance).follow(made, 60 * SECOND, lives, told.by_subject)
-        made.chance.state = RandomGenerator(seeds.getrandbits(64)).state
-        made.mix.recent.extend(told.request_mix())
+        made.random.state = RandomGenerator(seeds.getrandbits(64)).state
+        made.function_mix.recent.extend(told.request_mix())
         sent[made.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28
     assert len(sent) >= (2 if share < 0.1 else 4)
--- a/tests/decisions/routing/test_host_loads.py
+++ b/tests/decisions/routing/test_host_loads.py
@@ -17,4 +17,4 @@
 def test_a_reported_queue_counts_for_as_long_as_crowds_last(age, counts):
     made = gateway()
     crowd(made, "a", 50)
-    assert (made.queued(made.hosts_by_id["a"], 1, age) == 50) is counts
+    assert (made.request_count(made.hosts_by_id["a"], 1, age) == 50) is counts
--- a/tests/decisions/routing/test_host_selector.py
+++ b/tests/decisions/routing/test_host_selector.py
@@ -34,8 +34,8 @@
     now = int(age)
     for number in range(3):
         warm.in_flight["x", number] = now
-    made.loads.record(warm, now, face.HostLoadReport(memory_busy=1.0))
-    made.loads.record(cold, now, face.HostLoadReport(memory_busy=0.0))
+    made.host_loads.record(warm, now, face.HostLoadReport(memory_busy=1.0))
+    made.host_loads.record(cold, now, face.HostLoadReport(memory_busy=0.0))
     assert made.selector.choose(now, task(), RequestAttempts()) is warm
 
 
@@ -43,7 +43,7 @@
     picks = []
     for seed in range(200):
         made = gateway(row("cold", started=0))
-        made.chance.state = seed << 40
+        made.random.state = seed << 40
         made.hosts_by_id["cold"].credit = 0.25
         picks.append(made.selector.choose(0, task(), RequestAttempts()))
         assert picks[-1] or made.hosts_by_id["cold"].credit == 0
@@ -55,9 +55,9 @@
     function = made.functions.find_or_add("f", 4)
     function.last_used["a"] = 10 * SECOND
     made.hosts_by_id["a"].in_flight = {("x", n): 10 * SECOND for n in range(34)}
-    made.mix.recent.extend(["f"] * 2 + ["g"] * 254)
+    made.function_mix.recent.extend(["f"] * 2 + ["g"] * 254)
     assert made.selector.choose(10 * SECOND, task(), RequestAttempts()).id == "a"
-    made.mix.recent.extend(["f"] * 160)
+    made.function_mix.recent.extend(["f"] * 160)
     assert made.selector.choose(10 * SECOND, task(), RequestAttempts()).id == "b"
 
 
@@ -65,8 +65,8 @@
     def firsts(seed, name):
         made = Gateway(seed, TERMS, 0)
         made.update_hosts(0, list(map(row, "abcdefgh")), complete=True)
-        made.mix.recent.extend((["f"] + ["g"] * 7) * 32)
-        assert made.mix.breadth("f") == 1
+        made.function_mix.recent.extend((["f"] + ["g"] * 7) * 32)
+        assert made.function_mix.host_demand("f") == 1
         ranks = made.ranking.ranks(name, made.functions.find_or_add(name, 4))
         return {ranks[made.selector.choose(0, task(function=name), RequestAttempts()).id] for _ in range(9)}
 
@@ -78,16 +78,16 @@
 
 def test_a_small_difference_of_reports_does_not_draw_all_gateways_to_one_host():
     made = gateway(*map(row, "abcdefgh"))
-    made.mix.recent.extend((["f"] + ["g"] * 7) * 32)
+    made.function_mix.recent.extend((["f"] + ["g"] * 7) * 32)
     function = made.functions.find_or_add("f", 4)
     made.ranking.ranks("f", function)
-    own = function.ranked_hosts[made.scorer.own_choice % 2]
-    other = function.ranked_hosts[1 - made.scorer.own_choice % 2]
+    own = function.ranked_hosts[made.scorer.preferred_rank % 2]
+    other = function.ranked_hosts[1 - made.scorer.preferred_rank % 2]
     for host in made.active_hosts:
-        made.loads.record(host, 0, face.HostLoadReport(cpu_busy=0.3, memory_busy=0.2))
-    made.loads.record(other, 0, face.HostLoadReport(cpu_busy=0.1, memory_busy=0.2))
+        made.host_loads.record(host, 0, face.HostLoadReport(cpu_busy=0.3, memory_busy=0.2))
+    made.host_loads.record(other, 0, face.HostLoadReport(cpu_busy=0.1, memory_busy=0.2))
     assert made.selector.choose(0, task(), RequestAttempts()) is own
-    made.loads.record(own, 0, face.HostLoadReport(cpu_busy=1.0, memory_busy=0.2))
+    made.host_loads.record(own, 0, face.HostLoadReport(cpu_busy=1.0, memory_busy=0.2))
     own.in_flight = {("x", number): 1 for number in range(6)}
     assert made.selector.choose(1, task(), RequestAttempts()) is other
 
@@ -148,5 +148,5 @@
     ranked(made, "b", "a", "c").last_used["a"] = 0
     crowd(made, "a", 100)
     assert made.selector.choose(MILLI, single(), RequestAttempts()).id == "b"
-    made.answer_times.loads.append(4 * SECOND)
+    made.answer_times.load_times.append(4 * SECOND)
     assert made.selector.choose(MILLI, single(), RequestAttempts()).id == "a"
--- a/tests/decisions/routing/test_load_order_limiter.py
+++ b/tests/decisions/routing/test_load_order_limiter.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from gaproute import interface as face
-from gaproute.decisions.routing.load_order_limiter import TRAVEL_SHARE, LoadOrderLimiter
+from gaproute.decisions.routing.load_order_limiter import TRANSIT_SHARE, LoadOrderLimiter
 from gaproute.interface import Result
 
 WINDOW = 10 * SECOND
-WAY = int(TRAVEL_SHARE * WINDOW)
+WAY = int(TRANSIT_SHARE * WINDOW)
 at = st.integers(0, 50).map(lambda half: half * SECOND // 2)
 
 
@@ -37,12 +37,12 @@
     arrivals, ends = [], []
     for now, kind, detail in happened:
         for end in sorted(end for end in ends if end <= now):
-            made.ended(end)
+            made.record_end(end)
         ends = [end for end in ends if end > now]
         if kind == 0:
-            made.delivered(now, detail)
+            made.record_delivery(now, detail)
         elif made.allows(now):
-            made.sent()
+            made.record_sent()
             arrivals.append(now + detail[0])
             ends.append(now + detail[0] + detail[1])
     taken = [came for came, _, real in tasks if real]
@@ -54,11 +54,11 @@
 def test_the_limit_is_no_tighter_than_it_must_be():
     made = LoadOrderLimiter(2, 0.3, WINDOW)
     for _ in range(10):
-        made.delivered(SECOND, SECOND)
+        made.record_delivery(SECOND, SECOND)
     for _ in range(5):
         assert made.allows(SECOND)
-        made.sent()
-        made.ended(SECOND)
+        made.record_sent()
+        made.record_end(SECOND)
     assert not made.allows(SECOND)
     assert not made.allows(SECOND + WINDOW)
     assert made.allows(SECOND + WINDOW + 1)
@@ -66,7 +66,7 @@
 
 def test_without_a_window_every_order_may_go():
     made = LoadOrderLimiter(0, 0, 0)
-    made.delivered(1, 1)
+    made.record_delivery(1, 1)
     assert made.allows(1)
     assert not made.arrivals
 
@@ -85,7 +85,7 @@
 def test_an_order_counts_until_a_window_after_its_end():
     made = gateway(load_orders_free=1, load_order_share=0, load_order_window=WINDOW)
     function = made.functions.find_or_add("f", 4)
-    made.load_orders.start(0, function)
+    made.load_orders.record_sent(0, function)
     assert not made.load_orders.may_order(3 * WINDOW, made.functions.find_or_add("g", 4))
     made.load_order_ended(3 * WINDOW, "a", "f", Result.TIMEOUT, 0)
     assert not made.load_orders.may_order(4 * WINDOW, function)
@@ -109,11 +109,11 @@
 def test_orders_that_find_their_instances_standing_are_made_seldom():
     """Each costs what a probe costs; hosts that add copies by themselves answer at once."""
     made = gateway(load_order_window=0)
-    made.answer_times.loads.append(SECOND)
+    made.answer_times.load_times.append(SECOND)
     assert 3 < orders(made, SECOND // 100) < 40
 
 
 def test_orders_that_bring_instances_go_on():
     made = gateway(load_order_window=0)
-    made.answer_times.loads.append(SECOND)
+    made.answer_times.load_times.append(SECOND)
     assert orders(made, SECOND // 2) == 200
--- a/tests/decisions/routing/test_load_orders.py
+++ b/tests/decisions/routing/test_load_orders.py
@@ -14,7 +14,7 @@
 def test_one_open_order_for_a_function():
     made = gateway(load_order_window=0)
     function = made.functions.find_or_add("f", 4)
-    made.load_orders.start(0, function)
+    made.load_orders.record_sent(0, function)
     assert not made.load_orders.may_order(0, function)
     made.load_order_ended(1, "a", "f", Result.OK, 1)
     assert made.load_orders.may_order(1, function)
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.reports.load_report_codec import host_mark
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.housekeeping import PROBE_INTERVAL
-from gaproute.decisions.routing.load_report_sharing import COST_SHARE, SAVED_PROBES
+from gaproute.decisions.routing.load_report_sharing import MAX_COST_SHARE, MAX_PROBE_BUDGET
 from gaproute.interface import HostLoadReport, Result
 
 SHARING_TERMS = {
@@ -101,7 +101,11 @@
         Drive(made, task(str(number)), number * SECOND).hears(number * SECOND, Result.OK)
         probes += len(play(made, (number + 1) * SECOND, number * SECOND))
     cost = 0.025 + 0.01 * gateways * 4 / 256
-    assert 0.9 * COST_SHARE * requests <= probes * cost <= COST_SHARE * requests + SAVED_PROBES * cost
+    assert (
+        0.9 * MAX_COST_SHARE * requests
+        <= probes * cost
+        <= MAX_COST_SHARE * requests + MAX_PROBE_BUDGET * cost
+    )
 
 
 def test_probes_that_cost_nothing_are_made_without_requests():
@@ -114,7 +118,7 @@
     for name in "abc":
         made.probe_ended(SECOND, name, HostLoadReport(cpu_busy=0.5), good=True)
     made.probe_ended(SECOND + 5, "a", HostLoadReport(cpu_busy=0.5), good=True)
-    pick = made.sharing.host_to_probe
+    pick = made.report_sharing.host_to_probe
     assert pick(SECOND + PROBE_INTERVAL - 1, made.active_hosts, PROBE_INTERVAL, RandomGenerator(1)) is None
     assert pick(SECOND + PROBE_INTERVAL, made.active_hosts, PROBE_INTERVAL, RandomGenerator(1)).id == "b"
 
@@ -125,6 +129,6 @@
     for seed in range(40):
         one = Gateway(seed * 7919, TERMS._replace(**SHARING_TERMS), 0)
         one.update_hosts(0, rows, complete=True)
-        one.sharing.paid_probes = 1
-        picked.add(one.sharing.host_to_probe(SECOND, one.active_hosts, PROBE_INTERVAL, one.chance).id)
+        one.report_sharing.probe_budget = 1
+        picked.add(one.report_sharing.host_to_probe(SECOND, one.active_hosts, PROBE_INTERVAL, one.random).id)
     assert len(picked) > 4
--- a/tests/decisions/routing/test_load_shedder.py
+++ b/tests/decisions/routing/test_load_shedder.py
@@ -15,7 +15,7 @@
 from gaproute.decisions.routing.attempt_tracker import InFlightAttempt
 from gaproute.decisions.routing.parameters import (
     EVIDENCE_LIFETIME,
-    SAMPLES,
+    MAX_SAMPLES,
     USUAL_CONCURRENCY,
 )
 from gaproute.decisions.routing.throughput import REFUSAL_LIFETIME
@@ -23,7 +23,7 @@
 
 
 def queues(made, count):
-    made.throughput.drain_times.extend([(0, 100 * MILLI)] * SAMPLES)
+    made.throughput.drain_times.extend([(0, 100 * MILLI)] * MAX_SAMPLES)
     for name in ("a", "b", "c"):
         crowd(made, name, count, SECOND)
 
@@ -31,8 +31,8 @@
 def test_the_shortest_latency_objective_sets_the_queue_and_least_weight_go_first():
     short = IDEMPOTENT._replace(latency_objective=SECOND // 2, priority_weight=3.0)
     made = gateway()
-    made.answer_times.shortest_objective, made.shedder.top_priority_weight = short.latency_objective, 3.0
-    made.throughput.answers.extend(range(0, 640 * MILLI, 10 * MILLI))
+    made.answer_times.shortest_objective, made.shedder.max_priority_weight = short.latency_objective, 3.0
+    made.throughput.answered_at.extend(range(0, 640 * MILLI, 10 * MILLI))
     made.tracker.in_flight = {(str(n), 0): InFlightAttempt("a", "f", 0, n, True) for n in range(75)}
     assert made.shedder.is_overloaded(640 * MILLI, task(), IDEMPOTENT)
     assert not made.shedder.is_overloaded(640 * MILLI, task(), short)
@@ -65,7 +65,10 @@
     host = made.hosts_by_id["d"]
     assert (
         sum(
-            [made.shedder.should_shed(SECOND, task(), made.terms.request_classes[0], host) for _ in range(20)]
+            [
+                made.shedder.should_shed(SECOND, task(), made.settings.request_classes[0], host)
+                for _ in range(20)
+            ]
         )
         > 15
     )
@@ -90,20 +93,20 @@
 
 def test_a_queue_shorter_than_a_host_runs_at_once_promises_no_wait():
     made = gateway()
-    made.throughput.drain_times.extend([(0, 2 * SECOND)] * SAMPLES)
+    made.throughput.drain_times.extend([(0, 2 * SECOND)] * MAX_SAMPLES)
     crowd(made, "a", USUAL_CONCURRENCY - 1, SECOND)
     assert not any(
-        made.shedder.should_shed(SECOND, task(), made.terms.request_classes[0], made.hosts_by_id["a"])
+        made.shedder.should_shed(SECOND, task(), made.settings.request_classes[0], made.hosts_by_id["a"])
         for _ in range(20)
     )
 
 
 def test_a_slow_host_sets_no_pace_for_the_others_queues():
     made = gateway()
-    made.functions.find_or_add("f", 4).answer_times.extend([100 * MILLI] * SAMPLES)
+    made.functions.find_or_add("f", 4).answer_times.extend([100 * MILLI] * MAX_SAMPLES)
     for slow in (0, 1):
         host = made.hosts_by_id["ab"[slow]]
-        host.paces.extend([(SECOND, 9.0 if slow else 1.0)] * 4)
+        host.relative_answer_times.extend([(SECOND, 9.0 if slow else 1.0)] * 4)
         crowd(made, host.id, 12, SECOND)
         heard(made, host.id, SECOND, 0, took=900 * MILLI if slow else 100 * MILLI)
         assert len(made.throughput.drain_times) == 1
--- a/tests/decisions/routing/test_ranking.py
+++ b/tests/decisions/routing/test_ranking.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from gaproute import interface as face
-from gaproute.decisions.routing.candidates import HASH_FALL, UNBOUNDED, CandidateOrder
-from gaproute.decisions.routing.ranking import FIRST_DEPTH
+from gaproute.decisions.routing.candidates import HASH_DECAY, UNBOUNDED, CandidateOrder
+from gaproute.decisions.routing.ranking import MIN_RANKED_HOSTS
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 
-MOST = 4 * FIRST_DEPTH
+MOST = 4 * MIN_RANKED_HOSTS
 HOST_NUMBERS = st.integers(0, MOST - 1)
 FLEETS = st.builds(  # mostly larger than what is ranked at first
     lambda size, missing: set(range(size)) - missing or {0},
@@ -67,7 +67,7 @@
     function = made.functions.find_or_add(name, 4)
     for now, (what, number) in enumerate(changes, 1):
         change(made, now, what, number)
-        depth = number if what == "ask" else FIRST_DEPTH
+        depth = number if what == "ask" else MIN_RANKED_HOSTS
         ranks, order = made.ranking.ranks(name, function, depth), whole(made.active_hosts, name)
         assert len(ranks) >= min(depth, len(order))
         assert function.ranked_hosts == order[: len(ranks)]
@@ -77,7 +77,7 @@
 def test_few_hosts_of_a_large_fleet_are_ranked():
     made = fleet_of(range(MOST))
     function = made.functions.find_or_add("f", 4)
-    assert len(made.ranking.ranks("f", function)) == FIRST_DEPTH < len(made.active_hosts)
+    assert len(made.ranking.ranks("f", function)) == MIN_RANKED_HOSTS < len(made.active_hosts)
 
 
 def test_a_change_of_a_line_that_leaves_the_fleet_as_it_is_keeps_the_ranks():
@@ -106,7 +106,7 @@
                 yield host, warmth, ranks[host], UNBOUNDED
         for host in order:
             if host in able and host not in warm:
-                yield host, 0.0, ranks[host], hash_points * HASH_FALL ** (ranks[host] // width)
+                yield host, 0.0, ranks[host], hash_points * HASH_DECAY ** (ranks[host] // width)
 
 
 def plain_order(made):
@@ -145,19 +145,19 @@
     made = fleet_of(fleet)
     function = made.functions.find_or_add("f", 4)
     function.last_used = {name_of(number): 1 for number in sorted(seen & fleet)}
-    made.mix.recent.extend(["f"] * share + ["g"] * (256 - share))
+    made.function_mix.recent.extend(["f"] * share + ["g"] * (256 - share))
     for number in sorted(loads.keys() & fleet):
-        made.loads.record(
+        made.host_loads.record(
             made.hosts_by_id[name_of(number)],
             1,
             face.HostLoadReport(in_hand=loads[number], memory_busy=memory),
         )
-    plain, state = plain_selector(made), made.chance.state
+    plain, state = plain_selector(made), made.random.state
     for _ in range(4):
-        made.chance.state = state
+        made.random.state = state
         chosen = made.selector.choose(SECOND, task(), RequestAttempts())
-        made.chance.state = state
+        made.random.state = state
         assert plain.choose(SECOND, task(), RequestAttempts()) is chosen
-        state = made.chance.state
+        state = made.random.state
         chosen.in_flight["x", len(chosen.in_flight)] = SECOND
         function.last_used[chosen.id] = SECOND
--- a/tests/decisions/routing/test_retry_rules.py
+++ b/tests/decisions/routing/test_retry_rules.py
@@ -22,8 +22,8 @@
 @pytest.mark.parametrize("result", NEVER_RAN)
 def test_a_proof_that_nothing_ran_frees_every_class(track, result):
     made = gateway(row("a"), row("b", cell=1))
-    assert made.retry_rules.allowed(
-        made.hosts_by_id["b"], made.terms.request_classes[track], attempts_with(made, result), SECOND
+    assert made.retry_rules.allows(
+        made.hosts_by_id["b"], made.settings.request_classes[track], attempts_with(made, result), SECOND
     )
 
 
@@ -42,10 +42,10 @@
 )
 def test_keyed_goes_again_only_in_its_group_and_window(result, group, other, now, lawful):
     made = gateway(row("a"), row("same"), row("near", cell=1), row("far", zone=1, cell=2))
-    track = IDEMPOTENT_WITH_KEY._replace(group=group)
+    track = IDEMPOTENT_WITH_KEY._replace(idempotency_scope=group)
     for still_out in (True, False):
         assert (
-            made.retry_rules.allowed(
+            made.retry_rules.allows(
                 made.hosts_by_id[other], track, attempts_with(made, result, 0, still_out=still_out), now
             )
             is lawful
@@ -54,13 +54,13 @@
 
 def test_non_idempotent_never_goes_again_while_a_attempt_is_out():
     made = gateway()
-    assert not made.retry_rules.allowed(
+    assert not made.retry_rules.allows(
         made.hosts_by_id["b"], NON_IDEMPOTENT, attempts_with(made, None, still_out=True), 1
     )
 
 
 def test_no_second_attempt_out_where_forbidden():
     made = gateway(hedging_allowed=False)
-    assert not made.retry_rules.allowed(
+    assert not made.retry_rules.allows(
         made.hosts_by_id["b"], IDEMPOTENT, attempts_with(made, None, still_out=True), 1
     )
--- a/tests/decisions/routing/test_scorer.py
+++ b/tests/decisions/routing/test_scorer.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gaproute.decisions.routing.functions import FADE_POWER
+from gaproute.decisions.routing.functions import WARMTH_EXPONENT
 from gaproute.decisions.routing.parameters import (
     USUAL_CONCURRENCY,
 )
@@ -20,7 +20,7 @@
     ("weight", "prior"), [(QUEUE_POINTS, HASH_POINTS), (QUEUE_POINTS_HOT, HASH_POINTS_HOT)]
 )
 def test_weights_keep_warm_with_a_free_lane_ahead_for_three_quarters_of_the_keep_alive(weight, prior):
-    warmth = 1 - 0.75**FADE_POWER
+    warmth = 1 - 0.75**WARMTH_EXPONENT
     assert (
         WARMTH_POINTS * warmth + prior * (1 - warmth) > weight * 3 / USUAL_CONCURRENCY + MEMORY_POINTS + prior
     )
--- a/tests/decisions/routing/test_silent_zones.py
+++ b/tests/decisions/routing/test_silent_zones.py
@@ -30,7 +30,7 @@
 def test_a_zone_with_two_silent_hosts_is_left_alone_until_it_is_heard():
     made = zoned()
     ranked(made, "12", "00", "01", "02", "10", "11").last_used["12"] = 0
-    made.silent_zones.check(SECOND)
+    made.silent_zones.detect(SECOND)
     assert made.selector.choose(SECOND, task(), RequestAttempts()).zone == 0
     heard(made, "10", SECOND, 0)
     assert made.selector.choose(SECOND, task(), RequestAttempts()).id == "12"
@@ -39,19 +39,19 @@
 def test_one_silent_host_or_a_zone_heard_since_is_no_silent_zone():
     made = zoned()
     made.hosts_by_id["11"].overdue.clear()
-    made.silent_zones.check(SECOND)
+    made.silent_zones.detect(SECOND)
     assert not made.silent_zones.silent_until
     made = zoned()
     made.silent_zones.answered_at[1] = 2
-    made.silent_zones.check(SECOND)
+    made.silent_zones.detect(SECOND)
     assert not made.silent_zones.silent_until
 
 
 def test_a_silent_zone_gets_one_trial_in_a_while():
     made = zoned()
     ranked(made, "12", "00", "01", "02", "10", "11").last_used["12"] = SECOND + EVIDENCE_LIFETIME
-    made.silent_zones.check(SECOND)
+    made.silent_zones.detect(SECOND)
     now = SECOND + EVIDENCE_LIFETIME
     assert made.selector.choose(now, task(), RequestAttempts()).id == "12"
-    made.tracker.sent(now, task(), 0, made.hosts_by_id["12"], RequestAttempts())
+    made.tracker.record_sent(now, task(), 0, made.hosts_by_id["12"], RequestAttempts())
     assert made.selector.choose(now + MILLI, task("u"), RequestAttempts()).zone == 0
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -28,10 +28,10 @@
 def test_with_few_warm_answers_of_cold_hosts_earn_so_that_none_starve():
     made = gateway(row("a"), *[row(f"c{number}", started=0) for number in range(9)])
     cold = [host for host in made.active_hosts if host.id != "a"]
-    made.slow_start.answered(1, cold[0])
+    made.slow_start.record_answer(1, cold[0])
     assert sum([host.credit for host in cold]) == pytest.approx(0.8)  # one warm, five would do
     half = gateway(row("a"), row("b", started=0))
-    half.slow_start.answered(1, half.hosts_by_id["b"])
+    half.slow_start.record_answer(1, half.hosts_by_id["b"])
     assert half.hosts_by_id["b"].credit == 0
 
 
@@ -39,8 +39,8 @@
     """How it gains is not known: it may have nothing but its first share until the last moment."""
     made = gateway(row("a"), row("cold", started=0))
     late = made.hosts_by_id["cold"].warm_at - 1
-    made.slow_start.answered(late, made.hosts_by_id["a"])
-    bears = made.terms.warm_up_overload * made.terms.warm_up_share
+    made.slow_start.record_answer(late, made.hosts_by_id["a"])
+    bears = made.settings.warm_up_overload * made.settings.warm_up_share
     assert read_terms({"rules": {"fall_multiple": 3}}).warm_up_overload == 3
     assert (
         made.slow_start.available_share(made.hosts_by_id["cold"], late)
@@ -66,7 +66,7 @@
         row("small", capacity=1.0, started=0),
         row("large", capacity=4.0, started=0),
     )
-    made.slow_start.answered(1, made.hosts_by_id["a"])
+    made.slow_start.record_answer(1, made.hosts_by_id["a"])
     small, large = made.hosts_by_id["small"], made.hosts_by_id["large"]
     assert small.credit == pytest.approx(
         large.credit / 3
@@ -84,7 +84,7 @@
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)])
     quick, slow = made.hosts_by_id["c0"], made.hosts_by_id["c1"]
     for now in range(10):
-        made.slow_start.answered(now, quick)
+        made.slow_start.record_answer(now, quick)
     assert quick.credit == pytest.approx(10)
     assert slow.credit == 0
 
@@ -116,7 +116,7 @@
     """A load is waited for: four usual answer times and two usual loads are in time."""
     made = gateway(row("warm"), row("cold", started=0))
     made.functions.find_or_add("f", 4).answer_times.append(SECOND // 10)
-    made.answer_times.loads.append(SECOND // 2)
+    made.answer_times.load_times.append(SECOND // 2)
     drive = Drive(made, task())
     drive.hears(int(took * SECOND), Result.OK, took=int(took * SECOND))
     assert drive.sent == ["warm"]
@@ -157,12 +157,12 @@
     made = gateway(row("a"), row("cold", started=0))
     cold = made.hosts_by_id["cold"]
     for now in range(0, 5 * SECOND, SECOND // 10):
-        made.slow_start.answered(now, made.hosts_by_id["a"])
+        made.slow_start.record_answer(now, made.hosts_by_id["a"])
     last = made.slow_start.available_share(cold, now)
     assert last <= cold.credit <= 10 * last  # no more than the last second's answers earned
-    made.slow_start.answered(8 * SECOND, made.hosts_by_id["a"])
+    made.slow_start.record_answer(8 * SECOND, made.hosts_by_id["a"])
     fresh = gateway(row("a"), row("cold", started=0))
-    fresh.slow_start.answered(8 * SECOND, fresh.hosts_by_id["a"])
+    fresh.slow_start.record_answer(8 * SECOND, fresh.hosts_by_id["a"])
     assert cold.credit == fresh.hosts_by_id["cold"].credit > 0
 
 
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -11,8 +11,11 @@
 
 def test_a_request_class_has_its_times_in_nanoseconds():
     (each,) = read_terms({"lanes": [LANE]}).request_classes
-    assert (each.idempotency, each.group) == (Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ZONE)
-    assert (each.latency_objective, each.hard_limit, each.repeat_window) == (1_000_000, 40 * MILLI, 0)
+    assert (each.idempotency, each.idempotency_scope) == (
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        IdempotencyScope.ZONE,
+    )
+    assert (each.latency_objective, each.hard_limit, each.deduplication_window) == (1_000_000, 40 * MILLI, 0)
     assert each.priority_weight == 2.0
 
 
--- a/tests/storage/test_observation_writer.py
+++ b/tests/storage/test_observation_writer.py
@@ -76,7 +76,7 @@
     assert made.wait(made.ask("lamp", "w2")).status == 200
     assert len(made.seen("loaded")) == loads
     known = second.core.gateway
-    assert known.answer_times.loads or known.functions_by_name["lamp"].answer_times
+    assert known.answer_times.load_times or known.functions_by_name["lamp"].answer_times
 
 
 def test_a_gateway_without_a_place_for_its_store_serves_all_the_same(fleet):
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -26,7 +26,7 @@
 CLIENT_LIMIT = 3 * SECOND  # that each client waits
 REPEAT_WINDOW = 300 * MILLI  # in which hosts recognize an idempotency key
 REQUEST_CLASSES = tuple(
-    each._replace(repeat_window=REPEAT_WINDOW, latency_objective=200 * MILLI)
+    each._replace(deduplication_window=REPEAT_WINDOW, latency_objective=200 * MILLI)
     for each in TERMS.request_classes
 )
 NEVER_RAN = ("overload", "not_here", "nobody")
@@ -297,7 +297,7 @@
         self.passes(CLIENT_LIMIT)
         for task in self.tasks:
             assert len(task.finals) == (not task.left), (task, task.finals)
-            if task.finals and task.finals[0].ending is FinalResult.DELIVERED:
+            if task.finals and task.finals[0].result is FinalResult.DELIVERED:
                 assert task.finals[0].answer.body.decode() in [
                     self.body(each) for each in self.attempts if each.task is task and each.said == "served"
                 ]
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -25,7 +25,7 @@
     face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, SECOND, 4 * SECOND, 1.0
 )
 IDEMPOTENT_WITH_KEY = IDEMPOTENT._replace(
-    idempotency=face.Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=2 * SECOND
+    idempotency=face.Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window=2 * SECOND
 )
 NON_IDEMPOTENT = IDEMPOTENT._replace(idempotency=face.Idempotency.NON_IDEMPOTENT)
 TERMS = face.RoutingSettings(
--- a/tests/support/routing_scenes.py
+++ b/tests/support/routing_scenes.py
@@ -17,10 +17,10 @@
 def attempts_with(made, result, sent=0, *, still_out=False):
     attempts = RequestAttempts()
     attempts.in_flight[0] = SentAttempt(made.hosts_by_id["a"], sent)
-    attempts.first_run = attempts.in_flight[0]
-    attempts.started = 1
+    attempts.first_possible_run = attempts.in_flight[0]
+    attempts.attempt_count = 1
     if not still_out:
-        attempts.settle(0, result)
+        attempts.record_end(0, result)
     return attempts
 
 
@@ -50,7 +50,7 @@
 
 
 def crowd(made, name, count, now=0):
-    made.loads.record(made.hosts_by_id[name], now, face.HostLoadReport(in_hand=count))
+    made.host_loads.record(made.hosts_by_id[name], now, face.HostLoadReport(in_hand=count))
 
 
 def heard(made, name, now, sent, result=Result.OK, took=100 * MILLI, of="t", found=face.InstanceStatus.WARM):
