--- a/gaproute/decisions/__init__.py
+++ b/gaproute/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Choices, one folder for each subject: no I/O, the clock and the chance handed in."""
+"""Decisions, one package for each subject, without I/O; times and random numbers are arguments."""
--- a/gaproute/decisions/chance.py
+++ b/gaproute/decisions/chance.py
@@ -1,4 +1,4 @@
-"""Chance from a seed: the same numbers on every machine and every run."""
+"""Seeded pseudo-random numbers, the same on every machine and in every run."""
 
 
 class RandomGenerator:
@@ -9,6 +9,6 @@
         self.below(2)
 
     def below(self, n: int) -> int:
-        """A number from 0 to `n` - 1, each as likely as the others."""
+        """Returns a number from 0 to `n` - 1, all equally likely."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (2**64 - 1)
         return (self.state >> 32) * n >> 32
--- a/gaproute/errors.py
+++ b/gaproute/errors.py
@@ -1,7 +1,7 @@
-"""The root of the exceptions that gaproute raises itself.
+"""The base class of the exceptions that gaproute raises itself.
 
-Each says what was being done, with what, what was found and what was expected. Errors of the operating system
-stay `OSError`.
+Each message says what was being done, with what, what was found and what was expected. Errors of the
+operating system remain `OSError`.
 """
 
 
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -1,20 +1,21 @@
-"""What the decisions are given and what they yield: types only, no decisions.
+"""Types that the decisions take and yield; this package makes no decisions.
 
-Every time is an int of nanoseconds and every id is passed on as it came.
+Every time is an int of nanoseconds, and every id is passed on unchanged.
 
-The caller (the bench's adapter, a gateway program) makes one `Gateway` of `gaproute.decisions.routing`, feeds
-it host lists and answers to probes and load orders through its methods, and drives its generators:
+The driver (the adapter of the simulator, or a gateway program) creates one `Gateway` of
+`gaproute.decisions.routing`, calls its methods with host lists and with the ends of probes and load orders,
+and drives its generators:
 
 - `serve(now, request)`, one for each request, from acceptance to its one final answer;
-- `housekeep(now)`, one for each gateway, for as long as the gateway runs.
+- `housekeep(now)`, one for each gateway, as long as the gateway runs.
 
-A generator yields one of the actions of `actions.py` and is resumed at once with None, except for
-`Attempt`, resumed with the attempt's number, and `Wait`, resumed later with `(now, outcome)`, where the
-outcome is None when the time came first. A request's generator ends after `Reject` or `Fail`, or after an
-outcome that ended the request.Before the caller resumes a generator with an outcome, and also where the
-request has no generator any more, it hands the outcome to `Gateway.attempt_ended`. Outcomes that have arrived
-are handed over before waits whose time has come are resumed: a gateway that stalled must not treat as overdue
-what was answered meanwhile.
+A generator yields an action (`actions.py`) and is resumed at once with None, except after `Attempt`, when it
+is resumed with the number of the attempt, and after `Wait`, when it is resumed later with `(now, outcome)`;
+the outcome is None if the time of the wait elapsed first. The generator of a request ends after `Reject` or
+`Fail`, or after an outcome that ended the request. The driver passes each outcome to `Gateway.attempt_ended`
+before it resumes the generator with the outcome, and also if the request no longer has a generator. It passes
+on the outcomes that have arrived before it resumes waits that have elapsed, because a gateway that stalled
+must not treat attempts as overdue that were answered in the meantime.
 """
 
 from gaproute.interface.actions import (
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -1,4 +1,4 @@
-"""What fronts and hosts exchange through the core: types only; nothing of a protocol, no decisions."""
+"""Types that fronts and hosts exchange through the core, independent of protocols and decisions."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -8,36 +8,35 @@
 
 
 def assume_client_present() -> bool:
-    """The `client_present` of requests for which the gateway cannot see whether the client has left."""
+    """The `client_present` of requests for which the gateway cannot detect that the client has left."""
     return True
 
 
 class Call(NamedTuple):
-    """The content of a request. The body and the fields pass through as they came."""
+    """The content of a request. The body and the header fields are passed on unchanged."""
 
     model: str
-    version: str  # "" where the client named none
+    version: str  # "" if the client specified none
     fields: tuple[tuple[bytes, bytes], ...]
     body: bytes
-    request_id: str = ""  # the client's own id of the request, where hosts are to see it
-    request_class: str = ""  # the name of the request class, where hosts get it
-    idempotency_key: str = ""  # by which hosts know a repeat, where clients send one
-    tenant: bytes = b""  # as the client named it, where other gateways get it
-    origin: str = ""  # the id that the first gateway gave the request, where another gateway forwarded it
-    # (cell, hops) as `decisions.cells` has it, where another gateway forwarded the request
+    request_id: str = ""  # id that the client gave the request, if hosts receive it
+    request_class: str = ""  # name of the request class, if hosts receive it
+    idempotency_key: str = ""  # by which hosts recognize a retry, if clients send one
+    tenant: bytes = b""  # as specified by the client, if other gateways receive it
+    origin: str = ""  # id of the request at the gateway that received it first, if it was forwarded
+    # (cell, hops) as in `decisions.cells`, if another gateway forwarded the request.
     forwarded: tuple[str, int] | None = None
-    client_present: Callable[[], bool] = (
-        assume_client_present  # whether the client still waits; asked as attempts begin
-    )
+    # Whether the client still waits; called when an attempt starts.
+    client_present: Callable[[], bool] = assume_client_present
 
     @property
     def function(self) -> str:
-        """The name by which the decisions know the model and its version."""
+        """Returns the function name that the decisions use for the model and its version."""
         return f"{self.model}/{self.version}" if self.version else self.model
 
 
 class Answer(NamedTuple):
-    """A host's full answer, as it came."""
+    """The complete answer of a host, unchanged."""
 
     status: int
     fields: tuple[tuple[bytes, bytes], ...]
@@ -45,22 +44,22 @@
 
 
 class FinalResult(Enum):
-    """How a request ended; the values are those of counters and log lines."""
+    """How a request ended. The values appear in counters and log lines."""
 
     DELIVERED = "delivered"
-    REJECTED = "rejected"  # a retry is safe
+    REJECTED = "rejected"  # the client may safely retry
     FAILED = "failed"  # the request may have run
 
 
 class FinalAnswer(NamedTuple):
-    """The one final answer of a request."""
+    """The one final answer to a request."""
 
     result: FinalResult
-    answer: Answer | None  # with DELIVERED
-    retry_after: int  # with REJECTED: how long the client should wait, ns; 0: not said
-    request_id: str  # the gateway's id for the request
-    attempt_count: int  # how many were started for it
-    reason: str  # a short text for a person
-    never_ran: bool = False  # every attempt that was started provably did not run
-    cell_unknown: bool = False  # with REJECTED: the call was forwarded here for a cell not known here
-    found: InstanceStatus = InstanceStatus.UNKNOWN  # with DELIVERED: what the attempt found at the host
+    answer: Answer | None  # of the host; only with DELIVERED
+    retry_after: int  # only with REJECTED: how long the client should wait, ns; 0 if not specified
+    request_id: str  # id that the gateway gave the request
+    attempt_count: int  # attempts started for the request
+    reason: str  # short text for people
+    never_ran: bool = False  # whether the request provably did not run at any host
+    cell_unknown: bool = False  # with REJECTED: forwarded here for a cell that is unknown here
+    found: InstanceStatus = InstanceStatus.UNKNOWN  # only with DELIVERED
--- a/gaproute/units.py
+++ b/gaproute/units.py
@@ -1,8 +1,8 @@
-"""Units of time: all times in this project are whole nanoseconds, unless a name says otherwise.
+"""Units of time: every time in this project is a whole number of nanoseconds unless its name says otherwise.
 
-A span is written as a number of a unit, such as `250 * MILLI`.
+A duration is written as a multiple of a unit, such as `250 * MILLI`.
 """
 
-MICRO = 1_000  # ns, as all units here
+MICRO = 1_000  # all units here are in ns
 MILLI = 1_000_000
 SECOND = 1_000_000_000
