--- a/gaproute/decisions/routing/attempt_tracker.py
+++ b/gaproute/decisions/routing/attempt_tracker.py
@@ -1,4 +1,4 @@
-"""The attempts in flight, and those that are overdue."""
+"""Tracks the attempts in flight and detects overdue ones."""
 
 from typing import NamedTuple
 
@@ -8,24 +8,26 @@
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Request, RequestClass
 
-OVERDUE_ANSWER_TIMES = 4  # usual answer times after which an attempt counts as overdue
-MIN_OVERDUE_ANSWER_TIMES = 2  # the same where the latency objective is short: never fewer
-OVERDUE_LOAD_TIMES = 2  # usual load times that are added where a load is expected
-UNANSWERED_WEIGHT = 1.0  # weight of an attempt without an answer among the results of a host
+# An attempt is overdue after this many usual answer times.
+OVERDUE_ANSWER_TIMES = 4
+# Lower limit of the same number, which a short latency objective reduces.
+MIN_OVERDUE_ANSWER_TIMES = 2
+OVERDUE_LOAD_TIMES = 2  # usual load times added to the limit for an attempt that probably waits for a load
+UNANSWERED_WEIGHT = 1.0  # failure weight of an attempt without an answer
 
 
 class InFlightAttempt(NamedTuple):
-    """What the decisions need of an attempt when its outcome arrives."""
+    """What is stored of a sent attempt until its outcome arrives."""
 
     host_id: str
     function_name: str
     request_class: int
     sent_at: int  # ns
-    warm: bool  # whether the gateway expected an instance to be loaded
+    warm: bool  # whether an instance was expected to be loaded at the host
 
 
 class AttemptTracker:
-    """Owns the attempts in flight of all requests."""
+    """Owns the attempts in flight of all requests of this gateway."""
 
     def __init__(
         self,
@@ -41,7 +43,7 @@
     def record_sent(
         self, now: int, request: Request, attempt: int, host: Host, attempts: RequestAttempts
     ) -> float:
-        """Registers an attempt that was sent; returns when it counts as overdue (ns)."""
+        """Registers a sent attempt; returns the time from which the attempt is overdue (ns)."""
         function = self.functions.find_or_add(request.function, request.lanes)
         proven = function.proven_at.get(host.id, -1) >= host.instances_lost_at
         warm = proven and self.functions.warmth(function, host, now) > 0
@@ -65,26 +67,29 @@
             overdue_at += OVERDUE_LOAD_TIMES * self.answer_times.usual_load_time(request.load_time)
         return overdue_at
 
-    def is_in_time(self, function: Function, took: int, *, warm: bool) -> bool:
-        """Whether an answer that took so long (ns) came before its attempt counted as overdue."""
-        load = 0 if warm else OVERDUE_LOAD_TIMES * self.answer_times.usual_load_time()
-        return took <= OVERDUE_ANSWER_TIMES * self.answer_times.usual_answer_time(function) + load
+    def is_in_time(self, function: Function, duration: int, *, warm: bool) -> bool:
+        """Whether an answer after `duration` (ns) arrives before its attempt is overdue."""
+        load_allowance = 0 if warm else OVERDUE_LOAD_TIMES * self.answer_times.usual_load_time()
+        answer_allowance = OVERDUE_ANSWER_TIMES * self.answer_times.usual_answer_time(function)
+        return duration <= answer_allowance + load_allowance
 
     def record_overdue_attempts(
         self, now: int, request: Request, attempts: RequestAttempts, function: Function
     ) -> float:
-        """Count overdue attempts as failures of silent hosts; returns when to check again (ns).
+        """Counts overdue attempts as failures of silent hosts; returns the time of the next check (ns).
 
         A host is silent for a request class if it has answered no request of the class since the attempt was
-        sent: it hangs, has vanished, is cut off, or does not answer this class. One slow request proves
-        little, so a failure is counted once two attempts at the host are overdue, or one at two checks in a
-        row. The attempt itself goes on: to send the request again would be late and twice the work.
+        sent: the host hangs, has vanished, is cut off, or does not answer this class. One slow request proves
+        little, so a failure is counted only when two attempts at the host are overdue, or when one attempt is
+        overdue at two consecutive checks. The attempt continues, because sending the request again would be
+        late and would double the work.
         """
         for attempt, (host, sent_at) in attempts.in_flight.items():
             key = request.id, attempt
             silent = host.answered_at.get(request.request_class, -1) < sent_at
             if silent and not host.overdue.get(key, False):
-                host.overdue[key] = bool(host.overdue)  # another is overdue there, or this one was before
+                # Another attempt at the host is overdue, or this one already was at the previous check.
+                host.overdue[key] = bool(host.overdue)
                 if host.overdue[key]:
                     self.outliers.record(host, now, request.request_class, UNANSWERED_WEIGHT)
         self.silent_zones.detect(now)
--- a/gaproute/decisions/routing/candidates.py
+++ b/gaproute/decisions/routing/candidates.py
@@ -1,4 +1,4 @@
-"""The order in which hosts are scored, chosen so that hosts that cannot win need not be scored."""
+"""The order in which hosts are scored, so that hosts that cannot win do not have to be scored."""
 
 from collections.abc import Iterator, Sequence
 
@@ -7,18 +7,19 @@
 from gaproute.decisions.routing.parameters import NEVER
 from gaproute.decisions.routing.tables import Tables
 
-# Factor on the points of the stable hash from each choice to the next: where the first choices are full, all
-# gateways go to the same next ones, about ten of them.
+# Factor on the points of the stable hash from one choice to the next. When the first choices are full, all
+# gateways use the same next choices, about ten of them.
 HASH_DECAY = 0.85
-RANK_DEPTH_FACTOR = 4  # times as many hosts are ranked where those ranked so far did not settle a choice
-UNBOUNDED = NEVER  # more points than any host can have
+# Growth of the number of ranked hosts when the hosts ranked so far are not enough for a choice.
+RANK_DEPTH_FACTOR = 4
+UNBOUNDED = NEVER  # a score limit above the score of any host
 
-# (host, warmth, rank, max_score points). A plain tuple, as one is made for each host that is scored.
+# (host, warmth, rank, upper limit of the score). A plain tuple, because one is created for each scored host.
 Candidate = tuple[Host, float, int, float]
 
 
 class CandidateOrder:
-    """Yields the hosts that are eligible to get a request, the likeliest first."""
+    """Yields the eligible hosts of a request, those likeliest to win first."""
 
     def __init__(self, tables: Tables) -> None:
         self.hosts, self.functions, self.ranking = tables.hosts, tables.functions, tables.ranking
@@ -32,13 +33,13 @@
         hash_points: float,
         equal_ranks: int,
     ) -> Iterator[Candidate]:
-        """The eligible hosts: first those that are expected to have an instance, then the others by rank.
+        """Yields the eligible hosts: those expected to have an instance first, then the others by rank.
 
-        The last field of a candidate bounds the score, before the cost of a queue, of this host and of all
-        that follow. Hosts with an instance are not bounded; the others can have no more than the points of
-        the stable hash. The caller stops at a bound below the best score so far. The caller thus scores few
-        hosts of a large fleet and makes the same choice as if it had scored all of them. `equal_ranks` is the
-        number of first ranks that get the same points.
+        The last field of a candidate is an upper limit of the score, without the cost of a queue, of this
+        host and of all later hosts. Hosts with an instance have no limit; the others cannot exceed the points
+        of the stable hash. The caller stops at the first limit below the best score so far. It thus scores
+        few hosts of a large fleet and makes the same choice as if it had scored all of them.
+        `equal_ranks` is the number of first ranks that get equal points.
         """
         active, ranking = self.hosts.active, self.ranking
         ranks = ranking.ranks(name, function)
--- a/gaproute/decisions/routing/function_mix.py
+++ b/gaproute/decisions/routing/function_mix.py
@@ -1,4 +1,4 @@
-"""Which functions the last requests were for."""
+"""The share of each function in the recent requests."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -6,34 +6,34 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import MIX_SIZE
 
-MIN_MIX_SIZE = MIX_SIZE // 4  # a share is taken of at least so many requests
+MIN_MIX_SIZE = MIX_SIZE // 4  # requests; with fewer recent ones, shares are still computed of this number
 
 
 class FunctionMix:
-    """The functions of this gateway's last requests."""
+    """The functions of the last requests of this gateway."""
 
     def __init__(self, hosts: HostTable) -> None:
         self.hosts = hosts
         self.recent: deque[str] = deque(maxlen=MIX_SIZE)
 
     def add(self, name: str) -> None:
-        """Adds a request of the function."""
+        """Records a request of the function."""
         self.recent.append(name)
 
     def prepend(self, names: Iterable[str]) -> None:
-        """Adds functions of requests that count as older than all own ones, which replace them in time."""
+        """Adds functions as if their requests were older than all others, so that these are dropped last."""
         self.recent.extendleft(names)
 
     def share(self, name: str) -> float:
-        """The function's share of the last requests."""
+        """Returns the share of the function in the last requests."""
         return self.recent.count(name) / max(len(self.recent), MIN_MIX_SIZE)
 
     def host_demand(self, name: str) -> float:
-        """How many hosts a function could fill: its share of the last requests, times the active hosts.
+        """Returns how many hosts the function could fill: its share of requests times the active hosts.
 
-        The figure does not depend on how many requests this gateway sees. A function that could fill one host
+        The number does not depend on how many requests this gateway sees. A function that could fill one host
         or more is hot: its requests go to further hosts early, and SPREAD_FACTOR times as many first choices
-        of the stable hash count alike, so that gateways use different ones. Requests of a rare function wait
-        for its loaded instance, as further loads would overload the model store.
+        of the stable hash get equal points, so that gateways use different ones. Requests of a rare function
+        wait for its loaded instance, because further loads would overload the model store.
         """
         return self.share(name) * len(self.hosts.active)
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway's decisions: their parts, and the methods that callers use."""
+"""The routing decisions of one gateway: their parts, and the methods that the driver calls."""
 
 from collections.abc import Generator, Iterator, Mapping, Sequence
 from typing import Any
@@ -34,14 +34,14 @@
 from gaproute.interface import Action, HostLoadReport, ListedHost, Outcome, Request, Result, RoutingSettings
 from gaproute.units import SECOND
 
-FAILED_PROBE_WEIGHT = 1.0  # weight of a probe that failed among a host's results
+FAILED_PROBE_WEIGHT = 1.0  # failure weight of a failed probe among the results of a host
 
 
 class Gateway:
-    """Makes the parts, each of which owns its state, and passes on to them what callers hand in.
+    """Creates the parts, each of which owns its state, and delegates the calls of the driver to them.
 
-    Subclasses may replace parts by naming other types. `load_order_limiter` is given where several gateways
-    of one process share a limit.
+    Subclasses replace a part by overriding its type. `load_order_limiter` is passed if several gateways of
+    one process share a limit.
     """
 
     retry_rules_type: type[RetryRules] = RetryRules
@@ -124,36 +124,36 @@
 
     @property
     def hosts_by_id(self) -> Mapping[str, Host]:
-        """All hosts that are listed or have attempts in flight."""
+        """Returns all hosts that are listed or have attempts in flight."""
         return self.hosts.by_id
 
     @property
     def active_hosts(self) -> Sequence[Host]:
-        """The hosts that may get requests, by the host list."""
+        """Returns the hosts that the host list allows to get requests."""
         return self.hosts.active
 
     @property
     def functions_by_name(self) -> Mapping[str, Function]:
-        """The functions that are known."""
+        """Returns the known functions."""
         return self.functions.by_name
 
     def request_count(self, host: Host, lanes: int, now: int) -> float:
-        """How many requests the host has, as far as this gateway knows."""
+        """Returns the estimated number of requests at the host, waiting or running."""
         return self.host_loads.request_count(host, lanes, now)
 
     # Requests
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
-        """The generator of one request, from acceptance to its one final answer."""
+        """Returns the generator of one request, from acceptance to its one final answer."""
         return self.router.serve(now, request)
 
     def attempt_ended(self, now: int, outcome: Outcome) -> None:
-        """Accounts for an attempt that has ended, whether or not its request is still waiting."""
+        """Records the outcome of an attempt, whether or not its request still waits."""
         self.recorder.record(now, outcome)
 
     @property
     def end_by(self) -> int:
-        """When every request must have its final answer, as the process stops (ns)."""
+        """The time by which every request must have its final answer because the process stops (ns)."""
         return self.router.end_by
 
     @end_by.setter
@@ -163,22 +163,22 @@
     # The host list, probes and load orders
 
     def update_hosts(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
-        """Takes over a host list; `complete`: hosts that it does not name are gone."""
+        """Applies a host list; if it is `complete`, hosts that it does not name are gone."""
         self.hosts.update(now, rows, complete=complete)
         self.report_sharing.set_hosts([host.id for host in self.hosts.active])
 
     def host_list_poll_failed(self, now: int) -> None:
-        """Notes that a poll of the host list was refused: the list is polled once more."""
+        """Polls the host list again, because the last poll failed."""
         self.housekeeping.host_list_wanted = True
 
     def housekeep(self, now: int) -> Generator[Action, Any, None]:
-        """The generator of polls, probes and cleanup, for as long as the gateway runs."""
+        """Returns the generator of polls, probes and cleanup, which lasts as long as the gateway runs."""
         return self.housekeeping.run(now)
 
     def probe_ended(
         self, now: int, host_id: str, report: HostLoadReport | None, *, good: bool
     ) -> bytes | None:
-        """Accounts for a probe that has ended; returns the message for all other gateways, or None."""
+        """Records the end of a probe; returns the message to send to all other gateways, or None."""
         host = self.hosts.by_id.get(host_id)
         if host is not None:
             self.host_loads.record(host, now, report)
@@ -187,47 +187,52 @@
         return self.report_sharing.encode(host_id, report) if good else None
 
     def peer_message_received(self, now: int, message: bytes) -> None:
-        """Takes another gateway's message about the load of a host; one that cannot be used is ignored."""
+        """Records the load report in another gateway's message; ignores a message that cannot be used."""
         decoded = self.report_sharing.decode(message)
         if decoded is not None:
             host_id, report = decoded
             self.host_loads.record(self.hosts.by_id[host_id], now, report)
 
-    def load_order_ended(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
-        """Accounts for the end of a load order.
+    def load_order_ended(
+        self, now: int, host_id: str, name: str, result: Result | None, instances: int
+    ) -> None:
+        """Records the end of a load order.
 
-        `result` is None where the answer cannot be decoded; `copies`: instances that are loaded there now.
+        `result` is None if the answer cannot be decoded; `instances` is the number now loaded at the host.
         """
         function = self.functions.by_name.get(name)
         if function is not None:
             self.load_orders.record_end(now, function, self.hosts.by_id.get(host_id), result)
 
     def forget_departed_hosts(self) -> None:
-        """Forgets hosts that left the list, for callers that run no housekeeping."""
+        """Forgets hosts that left the list; for drivers that do not run `housekeep`."""
         self.housekeeping.forget_departed()
 
-    # Observations of other gateways, and of this one
+    # Observations of other gateways (hints) and of this gateway
 
     def hint_instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
-        """Another gateway saw an instance of the function at the host; returns whether the hint counts."""
+        """Adds a hint: an instance of the function was seen at the host. Returns whether it is accepted."""
         return self.hints.add_instance(host_id, name, lanes, seen)
 
     def hint_failures(self, host_id: str, request_class: int, failure_weight: float, seen: int) -> bool:
-        """Another gateway's attempts of the class failed at the host; returns whether the hint counts."""
+        """Adds a hint: attempts of the class failed at the host. Returns whether it is accepted."""
         return self.hints.add_failure(host_id, request_class, failure_weight, seen)
 
     def hint_slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
-        """The host answered another gateway that many times slower than usual; whether the hint counts."""
+        """Adds a hint: the host is `slowdown` times slower than usual. Returns whether it is accepted."""
         return self.hints.add_slowdown(host_id, slowdown, seen)
 
-    def hint_usual_time(self, name: str | None, took: int) -> bool:
-        """The usual answer time (ns) of a function, or of loads (`name` None); whether the hint counts."""
-        return self.hints.add_usual_time(name, took)
+    def hint_usual_time(self, name: str | None, duration: int) -> bool:
+        """Adds a hint: the usual answer time (ns) of a function. Returns whether it is accepted.
+
+        If `name` is None, it is the usual answer time of requests that wait for a load.
+        """
+        return self.hints.add_usual_time(name, duration)
 
     def hint_function_mix(self, names: Sequence[str]) -> None:
-        """The functions of the last requests that other gateways served."""
+        """Adds a hint: the functions of the last requests that other gateways served."""
         self.hints.set_function_mix(names)
 
     def observations_since(self, now: int, since: int = BEFORE_ALL_OBSERVATIONS) -> Iterator[Observation]:
-        """The observations that this gateway itself made since that time (ns)."""
+        """Yields the observations that this gateway itself made since that time (ns)."""
         return self.observations.since(now, since)
--- a/gaproute/decisions/routing/host_selector.py
+++ b/gaproute/decisions/routing/host_selector.py
@@ -1,4 +1,4 @@
-"""The choice of a host for a request."""
+"""Selects the host for an attempt of a request."""
 
 from bisect import bisect_left
 
@@ -15,7 +15,7 @@
 
 
 class HostSelector:
-    """Picks the host with the highest score among those that may get the request; ties break by random."""
+    """Picks the host with the highest score among the eligible hosts; ties are broken at random."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.retry_rules, self.scorer, self.random = retry_rules, scorer, random
 
     def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
-        """The host that gets the request now, or None where the request has to wait."""
+        """Returns the host that gets the request now, or None if the request has to wait."""
         function = self.functions.find_or_add(request.function, request.lanes)
         paused = now < function.paused_until and not attempts.failed_hosts
         eligible = self.eligible_hosts(now, request, attempts, function, paused=paused)
@@ -39,10 +39,10 @@
         scored = self.scorer.scores(now, request, attempts, function, eligible)
         host = self._pick_best(now, scored)
         if host is None:
-            return self.choose(now, request, attempts)  # all scored hosts were skipped: try the others
-        # A host that has just rejected a request as full gets none for a moment: it answers fast, and so
-        # looks idle. Other requests of the function wait as well: if they went to further hosts, or caused
-        # loads there, they would overload these too. Only the request that was rejected is sent elsewhere.
+            return self.choose(now, request, attempts)  # all scored hosts were skipped
+        # A host that has just rejected a request as full gets none for a moment: it answers fast and
+        # therefore looks idle. Other requests of the function wait as well, because at other hosts they would
+        # cause loads and overload these hosts too. Only the rejected request is sent elsewhere.
         if now < host.full_until and not paused and not attempts.failed_hosts:
             function.paused_until = host.full_until
             return self.choose(now, request, attempts)
@@ -51,13 +51,13 @@
     def eligible_hosts(
         self, now: int, request: Request, attempts: RequestAttempts, function: Function, *, paused: bool
     ) -> list[Host]:
-        """The hosts that may get the request now; the list of active hosts itself where all of them may."""
+        """Returns the hosts that may get the request now, or the list of active hosts itself if all may."""
         eligible = self.hosts.active
         if attempts.attempt_count or now < self.hosts.all_warm_at:
             eligible = self.allowed_hosts(now, request, attempts, eligible)
         if attempts.failed_hosts:
             eligible = [host for host in eligible if host not in attempts.failed_hosts] or eligible
-            # What a full host rejected goes to a loaded instance: a further load adds to the overload.
+            # A request that a full host rejected goes to a loaded instance: a load would add to the overload.
             eligible = [
                 host for host in eligible if self.functions.warmth(function, host, now) > 0
             ] or eligible
@@ -72,18 +72,22 @@
     def allowed_hosts(
         self, now: int, request: Request, attempts: RequestAttempts, hosts: list[Host]
     ) -> list[Host]:
-        """The hosts that the rules on retries and on hosts that warm up allow."""
+        """Returns the hosts that the retry rules and the limit for hosts that warm up allow."""
         request_class = self.request_classes[request.request_class]
         tried = [sent.host for sent in attempts.in_flight.values()]
         allows = self.retry_rules.allows
         eligible = [
             host for host in hosts if host not in tried and allows(host, request_class, attempts, now)
         ]
-        # A host that warms up gets no more than its credit (see `SlowStart`), so that it does not fail.
+        # A host that warms up gets only as many attempts as its credit (see `SlowStart`), so that it does
+        # not fail.
         return [host for host in eligible if now >= host.warm_at or host.credit > 0]
 
     def _pick_best(self, now: int, scored: list[RankedScore]) -> Host | None:
-        """The host with the best score; a host that warms up is skipped at random, the less its credit."""
+        """Returns the host with the best score.
+
+        A host that warms up is skipped at random, the more often the lower its credit.
+        """
         while scored:
             ties = bisect_left(scored, (scored[0][0], NEVER))
             host = self.hosts.active[scored.pop(self.random.below(ties))[1]]
@@ -93,6 +97,6 @@
         return None
 
     def is_any_host_allowed(self, now: int, request_class: RequestClass, attempts: RequestAttempts) -> bool:
-        """Whether the rules allow any host, now or later."""
+        """Whether the retry rules allow an attempt at any active host."""
         allows = self.retry_rules.allows
         return any(allows(host, request_class, attempts, now) for host in self.hosts.active)
--- a/gaproute/decisions/routing/host_table.py
+++ b/gaproute/decisions/routing/host_table.py
@@ -1,4 +1,4 @@
-"""The hosts by the host list."""
+"""The table of hosts, maintained from the host list."""
 
 from collections.abc import Sequence
 
@@ -13,12 +13,12 @@
         self.warm_up_time = warm_up_time
         self.by_id: dict[str, Host] = {}
         self.active: list[Host] = []
-        self.version = 0  # grows when the set of active hosts changes
+        self.version = 0  # incremented when the list of active hosts changes
         self.total_capacity, self.largest_capacity = 0.0, 1.0  # of the active hosts
-        self.all_warm_at = -1  # when none of the active hosts warms up any more
+        self.all_warm_at = -1  # time from which no active host warms up
 
     def update(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
-        """Take over a host list; `complete`: hosts that it does not name are gone."""
+        """Applies a host list; if it is `complete`, hosts that it does not name are gone."""
         for row in rows:
             self._update_host(now, row)
         if complete:
@@ -38,7 +38,7 @@
 
     def _collect_active(self) -> None:
         active = [host for host in self.by_id.values() if host.active]
-        if active != self.active:  # a change that leaves the active hosts as they are leaves their ranks too
+        if active != self.active:  # an unchanged list keeps its version, and so the ranks of its hosts
             self.active = active
             self.version += 1
         for index, host in enumerate(self.active):
@@ -48,13 +48,13 @@
         self.all_warm_at = max([host.warm_at for host in self.active], default=-1)
 
     def relative_capacity(self, host: Host) -> float:
-        """The host's capacity as a share of the mean of the active hosts, at most 1."""
+        """Returns the capacity of the host divided by the mean of the active hosts, at most 1."""
         return min(1.0, host.capacity * len(self.active) / self.total_capacity)
 
     def remove_departed(self) -> list[str]:
-        """Forget hosts that left the list with no attempt in flight; returns their ids.
+        """Forgets hosts that left the list and have no attempt in flight; returns their ids.
 
-        Otherwise the table of a process that runs for long would grow with every host that ever existed.
+        Otherwise the table of a process that runs for a long time would grow with every replaced host.
         """
         departed = [host.id for host in self.by_id.values() if not (host.active or host.in_flight)]
         for host_id in departed:
--- a/gaproute/decisions/routing/housekeeping.py
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -1,4 +1,4 @@
-"""What a gateway does beside its requests: polls, probes and cleanup."""
+"""Polls of the host list, probes of hosts and cleanup, independent of requests."""
 
 from collections.abc import Generator
 from typing import Any
@@ -9,13 +9,13 @@
 from gaproute.interface import Action, PollHostList, Probe, RoutingSettings, Wait
 from gaproute.units import MILLI, SECOND
 
-PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
-BUDGET_CHECK_INTERVAL = 100 * MILLI  # between checks whether requests have paid for a probe
-CLEANUP_INTERVAL = SECOND  # between cleanups: each costs CPU, and unused functions take little memory
+PROBE_INTERVAL = 700 * MILLI  # between probes of one host if load reports come only in answer to probes
+BUDGET_CHECK_INTERVAL = 100 * MILLI  # between checks whether the budget allows a probe
+CLEANUP_INTERVAL = SECOND  # between cleanups: a cleanup costs CPU, and unused functions need little memory
 
 
 class Housekeeping:
-    """Polls the host list where it must be polled, probes hosts that report only to probes, and cleans up."""
+    """Polls the host list if it has to be polled, probes hosts that report only to probes, and cleans up."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.host_list_wanted = settings.host_list_polled
 
     def run(self, now: int) -> Generator[Action, Any, None]:
-        """The one generator of a gateway's housekeeping, for as long as the gateway runs."""
+        """Runs the housekeeping of one gateway as long as the gateway runs."""
         cleaned_at = now
         while True:
             if self.host_list_wanted:
@@ -54,5 +54,5 @@
         return PROBE_INTERVAL // max(1, len(self.hosts.active))
 
     def forget_departed(self) -> None:
-        """Forget hosts that left the list and have no attempt in flight."""
+        """Forgets hosts that left the list and have no attempt in flight."""
         self.functions.forget_hosts(self.hosts.remove_departed())
--- a/gaproute/decisions/routing/load_order_limiter.py
+++ b/gaproute/decisions/routing/load_order_limiter.py
@@ -1,18 +1,19 @@
-"""The limit on load orders; times are handed in, in ns.
-
-The platform allows so many load orders for the requests that were taken within a window of time. It counts an
-order at the moment at which the host has received it completely, and the requests that were taken in the
-window before that moment. A gateway can see neither: an order may be on its way for long, and the platform
-leaves out some requests (malformed or repeated ones). So the gateway counts both on the safe side:
-
-- an order counts from when it is sent until one window after its end;
-- a request counts once it was delivered, as a host answers only requests that the platform counts, and only
-  while it is younger than the window less `max_transit_time`, the longest time that an order is on its way.
-
-Then a limit that holds whenever an order is sent also holds whenever one arrives. Let an order arrive at time
-`t`, and let `w` be the last time up to `t` at which one was sent; `t - w` is at most `max_transit_time`.
-Every order that the platform counts at `t` was counted here at `w`, and every request counted here at `w` was
-taken within the window before `t`.
+"""Limits load orders; every time is an argument, in ns.
+
+The platform limits the load orders by the number of requests accepted within a window of time. It counts an
+order at the moment at which the host has received it completely, and the requests accepted in the window
+before that moment. A gateway can observe neither: an order may be in transit for a long time, and the
+platform does not count some requests (malformed or repeated ones). The gateway therefore counts both
+conservatively:
+
+- an order counts from its sending until one window after its end;
+- a request counts after its delivery, because a host answers only requests that the platform counts, and only
+  while it is younger than the window minus `max_transit_time`, the longest time that an order is in transit.
+
+A limit that holds whenever an order is sent then also holds whenever an order arrives. Let an order arrive at
+time `t`, and let `w` be the last time up to `t` at which an order was sent; `t - w` is at most
+`max_transit_time`. Every order that the platform counts at `t` was counted here at `w`, and every request
+counted here at `w` was accepted within the window before `t`.
 """
 
 from bisect import bisect_right, insort
@@ -22,36 +23,37 @@
 from gaproute.decisions.routing.parameters import MAX_SAMPLES
 from gaproute.interface import RoutingSettings
 
-# Of the window: the longest time that an order may be on its way; the connection of one that may still be on
-# its way then is closed. Only the requests in the rest of the window count, half of them: that still allows
-# one order for every seven requests.
+# Longest time that an order may be in transit, as a share of the window; the connection of an order that may
+# still be in transit after that time is closed. Only the requests in the rest of the window count, which is
+# half of them and still allows one order for every seven requests.
 TRANSIT_SHARE = 0.5
-ALREADY_LOADED_SHARE = (
-    0.25  # of the usual time of a load: an order that ends sooner found its instances loaded
-)
-MIN_ORDER_SAMPLES = 3  # ended orders from which on their results predict that of the next order
-TRIAL_ODDS = 16  # of so many orders that are probably useless one is sent, as hosts may have changed
+# Share of the usual load time: an order that ends sooner found its instances already loaded.
+ALREADY_LOADED_SHARE = 0.25
+MIN_ORDER_SAMPLES = 3  # ended orders that are needed to predict whether the next order is useful
+TRIAL_ODDS = 16  # one in so many probably useless orders is sent, because hosts may have changed
 
 
 class LoadOrderLimiter:
-    """Allows `free` load orders and `share` times the requests within `window` (ns; 0: no limit)."""
+    """Allows `free` load orders plus `share` times the requests within `window` (ns; 0 for no limit)."""
 
     def __init__(self, free: float, share: float, window: int) -> None:
         self.free, self.share, self.window = free, share, window
-        self.max_transit_time = int(TRANSIT_SHARE * window)  # an order that takes longer must never arrive
-        self.open_orders = 0  # sent and not ended
-        self.ends: deque[int] = deque()  # of the orders that ended within the window
-        # Whether each of the last orders found its instances loaded already.
+        self.max_transit_time = int(
+            TRANSIT_SHARE * window
+        )  # an order in transit for longer must never arrive
+        self.open_orders = 0  # number of orders sent and not ended
+        self.ends: deque[int] = deque()  # end times of the orders that ended within the window
+        # For each of the last orders, whether its instances were already loaded.
         self.already_loaded: deque[bool] = deque(maxlen=MAX_SAMPLES)
-        self.arrivals: list[int] = []  # when the delivered requests had arrived, sorted
+        self.arrivals: list[int] = []  # arrival times of the delivered requests, sorted
 
     @classmethod
     def from_settings(cls, settings: RoutingSettings) -> "LoadOrderLimiter":
-        """The limit that the terms give."""
+        """Creates the limiter that the settings describe."""
         return cls(settings.load_orders_free, settings.load_order_share, settings.load_order_window)
 
     def record_delivery(self, now: int, arrived_at: int) -> None:
-        """Counts a request that was delivered, by the time at which it had arrived."""
+        """Counts a delivered request at the time of its arrival."""
         if self.window <= 0:
             return
         insort(self.arrivals, arrived_at)
@@ -59,7 +61,7 @@
             del self.arrivals[: bisect_right(self.arrivals, now - self.window)]
 
     def allows(self, now: int) -> bool:
-        """Whether one more order may be sent."""
+        """Whether the limit allows one more order."""
         while self.ends and self.ends[0] < now - self.window:
             self.ends.popleft()
         if self.window <= 0:
@@ -69,22 +71,22 @@
         return self.open_orders + len(self.ends) + 1 <= self.free + self.share * requests
 
     def record_sent(self) -> None:
-        """Counts an order that is sent."""
+        """Counts an order as it is sent."""
         self.open_orders += 1
 
     def record_end(self, now: int, *, good: bool = False, relative_duration: float = 1.0) -> None:
-        """Notes the end of an order; `relative_duration`: its time divided by the usual time of a load."""
+        """Records the end of an order; `relative_duration` is in units of the usual load time."""
         self.open_orders -= 1
         self.ends.append(now)
         self.already_loaded.append(good and relative_duration < ALREADY_LOADED_SHARE)
 
     def is_likely_useful(self, random: RandomGenerator) -> bool:
-        """Whether an order for more instances probably brings any.
+        """Whether an order for more instances probably causes a load.
 
         Hosts that add instances by themselves have loaded them before the order arrives, and each order has
-        a price. Now and then an order is sent nevertheless, to notice a change.
+        a cost. An order is sent occasionally nevertheless, to detect a change.
         """
-        found = sum(self.already_loaded)
-        if len(self.already_loaded) < MIN_ORDER_SAMPLES or 2 * found <= len(self.already_loaded):
+        useless = sum(self.already_loaded)
+        if len(self.already_loaded) < MIN_ORDER_SAMPLES or 2 * useless <= len(self.already_loaded):
             return True
         return not random.below(TRIAL_ODDS)
--- a/gaproute/decisions/routing/load_orders.py
+++ b/gaproute/decisions/routing/load_orders.py
@@ -1,4 +1,4 @@
-"""Decides when hosts are ordered to load instances."""
+"""Decides when a host is ordered to load instances of a function."""
 
 from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.answer_times import AnswerTimes
@@ -7,11 +7,11 @@
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.interface import LoadOrder, Outcome, Request, Result
 
-MAX_INSTANCES_PER_ORDER = 16  # of one function that one order asks a host for
+MAX_INSTANCES_PER_ORDER = 16  # instances that one order requests from a host
 
 
 class LoadOrders:
-    """Load orders within the limit, at most one open order for each function."""
+    """Creates load orders within the limit, with at most one open order for each function."""
 
     def __init__(
         self, limiter: LoadOrderLimiter, answer_times: AnswerTimes, random: RandomGenerator, *, allowed: bool
@@ -20,16 +20,16 @@
         self.allowed = allowed
 
     def may_order(self, now: int, function: Function) -> bool:
-        """Whether an order for the function may be sent."""
+        """Whether a load order for the function may be sent."""
         return self.allowed and not function.load_order_open and self.limiter.allows(now)
 
     def record_sent(self, now: int, function: Function) -> None:
-        """Note that an order for the function is sent."""
+        """Records that an order for the function is sent."""
         function.load_order_open, function.load_ordered_at = True, now
         self.limiter.record_sent()
 
     def record_end(self, now: int, function: Function, host: Host | None, result: Result | None) -> None:
-        """Note the end of the open order for the function; `host`: None where it has left the list."""
+        """Records the end of the open order for the function; `host` is None if it has left the list."""
         if not function.load_order_open:
             return
         function.load_order_open = False
@@ -42,7 +42,7 @@
     def order_after_miss(
         self, now: int, request: Request, function: Function, host: Host
     ) -> LoadOrder | None:
-        """An order for an instance at a host that had none of the function."""
+        """Returns an order for an instance at a host that had none of the function, if one may be sent."""
         if not host.active or not self.may_order(now, function):
             return None
         self.record_sent(now, function)
@@ -51,10 +51,11 @@
     def order_for_busy_function(
         self, now: int, request: Request, function: Function, host: Host, outcome: Outcome
     ) -> LoadOrder | None:
-        """An order for one more instance, or None.
+        """Returns an order for one more instance, or None.
 
-        It is sent where a host has more requests of the function than its instances run at a time. Hot
-        functions need it where hosts add no instances by themselves; see `LoadOrderLimiter.is_likely_useful`.
+        The order is sent if a host has more requests of the function than its instances run at a time. Hot
+        functions need it at hosts that do not add instances by themselves; see
+        `LoadOrderLimiter.is_likely_useful`.
         """
         requests = outcome.same_function_requests or 0
         if not host.active or requests < request.lanes or not self.limiter.is_likely_useful(self.random):
--- a/gaproute/decisions/routing/load_report_sharing.py
+++ b/gaproute/decisions/routing/load_report_sharing.py
@@ -1,10 +1,10 @@
-"""Load reports that gateways send each other; no I/O here: time and random numbers are handed in.
+"""Load reports that gateways share with each other; without I/O, times and random numbers are arguments.
 
-Probes have a price, which requests pay for. A gateway that sees few requests could send few probes, and its
-reports would be old before they are used. All gateways use the same hosts, so each gateway probes the host
-with the oldest report and sends the new report to all others. A shared report carries only the load of a
-host: it gives no credit to a host that warms up, causes no load order and lifts no limit. A gateway that
-receives none relies on its own probes and requests.
+Probes have a cost, and each request adds to the budget for them. A gateway that sees few requests could send
+few probes, and its reports would be outdated before they are used. All gateways use the same hosts, so each
+gateway probes the host with the oldest report and sends the new report to all others. A shared report
+contains only the load of a host: it gives no credit to a host that warms up, causes no load order and lifts
+no limit. A gateway that receives no reports relies on its own probes and requests.
 """
 
 from collections.abc import Sequence
@@ -14,16 +14,16 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.interface import HostLoadReport, RoutingSettings
 
-MAX_COST_SHARE = 0.006  # of the result: what probes and shared reports may cost together
-MAX_PROBE_BUDGET = 4  # probes that requests may save up: no burst after a rest, no gap at a steady pace
-# The host to probe is drawn among the hosts with the oldest reports, one in so many of the fleet: all
-# gateways know the same reports, and must not all probe the same host at one moment.
+MAX_COST_SHARE = 0.006  # share of the result that probes and shared reports may cost together
+MAX_PROBE_BUDGET = 4  # probes; prevents a burst after a pause, and a gap at a steady rate of requests
+# The host to probe is drawn from the hosts with the oldest reports, one in so many hosts of the fleet: all
+# gateways know the same reports and must not all probe the same host at one moment.
 OLDEST_HOSTS_DIVISOR = 4
-MESSAGE_BYTES = 256  # size that the price counts as one message
+MESSAGE_BYTES = 256  # bytes to which the price of a message to another gateway refers
 
 
 class LoadReportSharing:
-    """Chooses the hosts to probe, within what the requests pay for, and encodes reports for the others."""
+    """Chooses the hosts to probe within the budget, and encodes and decodes shared load reports."""
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.codec = LoadReportCodec(settings.reported_figures)
@@ -32,24 +32,27 @@
         price = settings.probe_price + (sharing_price if self.is_enabled else 0.0)
         self.probes_are_free = price <= 0
         self.probes_per_request = MAX_COST_SHARE / price if price > 0 else 0.0
-        self.probe_budget = 0.0  # probes that requests have paid for and that were not sent yet
+        self.probe_budget = 0.0  # probes that the requests so far allow and that were not sent yet
 
     def set_hosts(self, host_ids: Sequence[str]) -> None:
-        """Take over the ids of the active hosts, which messages refer to."""
+        """Sets the ids of the active hosts, to which messages refer."""
         self.codec.set_hosts(host_ids)
 
     def record_delivery(self) -> None:
-        """Count a request, which pays its part of a probe."""
+        """Adds the share of a delivered request to the probe budget."""
         self.probe_budget = min(self.probe_budget + self.probes_per_request, MAX_PROBE_BUDGET)
 
     def can_afford_probe(self) -> bool:
-        """Whether requests have paid for a probe, or probes are free."""
+        """Whether the budget allows a probe, or probes have no cost."""
         return self.probes_are_free or self.probe_budget >= 1
 
     def host_to_probe(
         self, now: int, active: Sequence[Host], interval: int, random: RandomGenerator
     ) -> Host | None:
-        """The host to probe, or None while all reports are younger than `interval` (ns) or none is paid."""
+        """Returns the host to probe.
+
+        Returns None while all reports are younger than `interval` (ns) or the budget allows no probe.
+        """
         if not active or not self.can_afford_probe():
             return None
         reported = sorted([(max(host.reported_at, host.probed_at), host.index) for host in active])
@@ -64,11 +67,11 @@
         return active[index]
 
     def encode(self, host_id: str, report: HostLoadReport | None) -> bytes | None:
-        """The message for all other gateways, or None where reports are not shared."""
+        """Returns the message for all other gateways, or None if reports are not shared."""
         if not self.is_enabled or report is None:
             return None
         return self.codec.encode(host_id, report)
 
     def decode(self, message: bytes) -> tuple[str, HostLoadReport] | None:
-        """(host id, report) of a message of another gateway; None where it cannot be used."""
+        """Returns (host id, report) from a message of another gateway, or None if it cannot be used."""
         return self.codec.decode(message)
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -1,4 +1,4 @@
-"""Decides which requests are rejected early, because they would wait too long."""
+"""Load shedding: rejects requests early that would wait too long."""
 
 from collections import deque
 
@@ -16,19 +16,19 @@
 from gaproute.interface import Request, RequestClass, RoutingSettings
 from gaproute.units import SECOND
 
-# Of the shortest latency objective: the longest expected wait for which a request of the highest priority
-# weight is taken; half of it for one without any weight.
-MAX_WAIT_SHARE = 2.0
-# Of the max_wait wait: the wait in the queue of one host. The answers by which it is estimated are those that
-# waited least.
+# Longest expected wait for which a request of the highest priority weight is accepted, as a multiple of the
+# shortest latency objective; half of it for a request without any weight.
+MAX_WAIT_OBJECTIVES = 2.0
+# Longest wait in the queue of one host, as a share of the longest expected wait. It is lower because the
+# answers from which the wait in a queue is estimated are those that waited least.
 MAX_QUEUE_WAIT_SHARE = 0.3
-SHED_EXPONENT = 3  # exponent of max_wait over expected wait: at twice the max_wait wait one in eight is taken
-MIN_IN_FLIGHT = 8  # attempts in flight below which nothing is rejected: too few to estimate a wait from
-TRUSTED_DOUBT_LIMIT = 0.5  # doubt from which on a host is not counted as answering as usual
+SHED_EXPONENT = 3  # exponent of (longest / expected wait): at twice the longest wait one in eight is accepted
+MIN_IN_FLIGHT = 8  # attempts in flight below which nothing is rejected: too few to estimate a wait
+TRUSTED_DOUBT_LIMIT = 0.5  # attempts at hosts with this doubt or more do not count as waiting
 
 
 class LoadShedder:
-    """Estimates how long a request would wait, and whether its priority weight is worth the wait."""
+    """Estimates the wait of a request and decides whether its priority weight justifies the wait."""
 
     def __init__(
         self,
@@ -44,20 +44,20 @@
         self.tenant_shares, self.over_share_value = settings.tenant_shares, settings.over_share_value
         weights = [request_class.priority_weight for request_class in settings.request_classes]
         self.max_priority_weight = max(weights, default=1.0)
-        self.tenants: deque[int] = deque(maxlen=MAX_RATE_SAMPLES)  # of the last requests
+        self.recent_tenants: deque[int] = deque(maxlen=MAX_RATE_SAMPLES)  # tenants of the last requests
         self.waiting, self.counted_at = 0, -EVALUATION_INTERVAL  # see `_count_waiting_attempts`
 
     def record_request(self, tenant: int) -> None:
-        """Count a request of the tenant."""
-        self.tenants.append(tenant)
+        """Records a request of the tenant."""
+        self.recent_tenants.append(tenant)
 
     def is_overloaded(self, now: int, request: Request, request_class: RequestClass) -> bool:
-        """Whether to reject a request at once, as the expected wait is too long.
+        """Whether to reject a request at once because the expected wait is too long.
 
         The expected wait is the number of attempts in flight divided by the rate of answers. Both count only
-        attempts at loaded instances: waiting for loads is no sign of too much work. All request classes share
-        the queues, so the shortest latency objective limits the wait, and requests of the lowest priority
-        weight are rejected first.
+        attempts at loaded instances, because waiting for loads is not a sign of overload. All request classes
+        share the queues, so the shortest latency objective limits the wait, and requests of the lowest
+        priority weight are rejected first.
         """
         if self.throughput.is_mostly_refused(now):
             return True
@@ -72,7 +72,7 @@
         return self.waiting / rate > self._max_wait(request, request_class)
 
     def _count_waiting_attempts(self, now: int) -> int:
-        """Attempts in flight that wait for loaded instances, at hosts that answer as usual."""
+        """Counts the attempts in flight that wait for loaded instances at hosts that answer as usual."""
         in_flight = self.tracker.in_flight
         return sum([self._waits_at_normal_host(now, key, attempt) for key, attempt in in_flight.items()])
 
@@ -85,20 +85,21 @@
         return self.outliers.doubt(host, attempt.request_class, now) < TRUSTED_DOUBT_LIMIT
 
     def _max_wait(self, request: Request, request_class: RequestClass) -> float:
-        """The longest expected wait for which a request is taken (ns); half of it at no priority weight."""
+        """Returns the longest expected wait for which a request is accepted (ns)."""
         value = request_class.priority_weight / self.max_priority_weight
         shares = self.tenant_shares[request.tenant : request.tenant + 1]  # empty for an unknown tenant
-        if shares and self.tenants.count(request.tenant) > shares[0] * len(self.tenants):
+        if shares and self.recent_tenants.count(request.tenant) > shares[0] * len(self.recent_tenants):
             value *= self.over_share_value
-        return MAX_WAIT_SHARE * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
+        return MAX_WAIT_OBJECTIVES * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
 
     def should_shed(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
         """Whether to reject a request because of the queue at the best host.
 
-        The expected wait is the load of the host (the usual load where it has no fresh report) times what a
-        unit of load took lately. The longer the wait, the likelier the rejection; some requests are always
-        taken, so that the estimate stays current. This serves gateways that see too few requests to measure
-        a rate of answers; it rejects wrongly where the queue of the host consists of light work.
+        The expected wait is the load of the host (the usual load if it has no fresh report) times the recent
+        answer time per unit of load. The longer the wait, the more likely the rejection; some requests are
+        always accepted, so that the estimate stays current. This rule is for gateways that see too few
+        requests to measure a rate of answers; it rejects wrongly if the queue of the host consists of light
+        work.
         """
         load = self.host_loads.request_count(host, request.lanes, now) / host.capacity
         if host.report is None or host.reported_at < now - REPORT_LIFETIME:
--- a/gaproute/decisions/routing/measurements.py
+++ b/gaproute/decisions/routing/measurements.py
@@ -1,4 +1,4 @@
-"""The measurements of a gateway, bundled for the parts that read them."""
+"""The measurements of a gateway, grouped for the parts that use them."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class Measurements(NamedTuple):
-    """What was measured of hosts, of functions and of the whole fleet."""
+    """Measurements of hosts, of functions and of the whole fleet."""
 
     answer_times: AnswerTimes
     host_loads: HostLoads
--- a/gaproute/decisions/routing/observations.py
+++ b/gaproute/decisions/routing/observations.py
@@ -1,4 +1,4 @@
-"""What this gateway itself observed, for other gateways and for its own next run."""
+"""The observations of this gateway, for other gateways and for its own next run."""
 
 from collections.abc import Iterator
 from statistics import median
@@ -10,29 +10,29 @@
 from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME
 from gaproute.decisions.routing.tables import Tables
 
-BEFORE_ALL_OBSERVATIONS = -1  # a time before every observation
+BEFORE_ALL_OBSERVATIONS = -1  # ns, earlier than the time of any observation
 
 
 class Observation(NamedTuple):
-    """One fact that this gateway saw; kinds and values as in `decisions/reports/observation_kinds.py`."""
+    """One observation; `decisions/reports/observation_kinds.py` defines the kinds and their values."""
 
     kind: str
-    names: tuple[str | int, ...]  # the host, function or request class that the fact is about
-    value: tuple[float, ...]  # as its kind defines it
+    names: tuple[str | int, ...]  # the host, function or request class that was observed
+    value: tuple[float, ...]  # defined by the kind
     at: int  # ns
 
 
 class Observations:
-    """Reads the observations of a gateway out of its tables."""
+    """Derives the observations of a gateway from its tables."""
 
     def __init__(self, tables: Tables, answer_times: AnswerTimes) -> None:
         self.hosts, self.functions, self.function_mix = tables.hosts, tables.functions, tables.function_mix
         self.answer_times = answer_times
 
     def since(self, now: int, since: int = BEFORE_ALL_OBSERVATIONS) -> Iterator[Observation]:
-        """The observations since that time: of hosts first, then of functions, the last used ones first.
+        """Yields the observations after `since`: first of hosts, then of functions, most recently used first.
 
-        The iterator may be read in parts, while host lists and requests change the tables in between.
+        The iterator may be consumed in parts while host lists and requests change the tables.
         """
         for host in list(self.hosts.by_id.values()):
             yield from _of_host(host, now, since)
--- a/gaproute/decisions/routing/outcome_recorder.py
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""Records what the outcome of an attempt shows about its host, its function and the fleet."""
+"""Records what the outcome of an attempt reveals about its host, its function and the fleet."""
 
 from statistics import median
 
@@ -12,13 +12,13 @@
 from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Idempotency, InstanceStatus, Outcome, Result
 
-ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host has answered
-FAILURES = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
-GOOD_RESULT_WEIGHT = 0.0  # failure_weight of a result
+ANSWERED_RESULTS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host has answered
+FAILED_RESULTS = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
+GOOD_RESULT_WEIGHT = 0.0  # failure weight of a good answer
 
 
 class OutcomeRecorder:
-    """Records outcomes, whether or not their requests are still waiting."""
+    """Records outcomes of attempts, whether or not their requests still wait."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.tracker, self.slow_start, self.hints = tracker, slow_start, hints
 
     def record(self, now: int, outcome: Outcome) -> None:
-        """Record the outcome of an attempt."""
+        """Records the outcome of an attempt in the tables and measurements."""
         key, result = (outcome.request_id, outcome.attempt), outcome.result
         attempt = self.tracker.in_flight.pop(key, None)
         host = self.hosts.by_id.get(outcome.host_id)
@@ -43,23 +43,23 @@
         counted_as_failure = host.overdue.pop(key, False)
         function = self.functions.find_or_add(attempt.function_name, 1)
         self.host_loads.record(host, now, outcome.report)
-        if result in ANSWERS:
+        if result in ANSWERED_RESULTS:
             host.answered_at[attempt.request_class] = now
             self.silent_zones.record_answer(host.zone, now)
         self.throughput.record_outcome(now, refused=result is Result.FULL)
         if result is Result.OK:
             self._record_answer(now, outcome, attempt, host, function)
-        elif result in FAILURES and not counted_as_failure:
+        elif result in FAILED_RESULTS and not counted_as_failure:
             self._record_failure(now, result, attempt, host)
         if result is Result.FULL:
             host.full_until = now + self.answer_times.usual_answer_time(
                 function
-            )  # about when a request there ends
+            )  # about the time at which a request there ends
         if result is Result.NOT_LOADED or outcome.found is InstanceStatus.LOAD_FAILED:
             self.hints.verify(attempt.function_name, host.id, InstanceStatus.LOAD_FAILED)
             function.record_not_loaded(host.id)
         if result is Result.RESET and not host.in_flight:
-            host.instances_lost_at = now  # a process that ended with all its attempts has no instances
+            host.instances_lost_at = now  # the process ended, and its instances with it
 
     def _record_answer(
         self, now: int, outcome: Outcome, attempt: InFlightAttempt, host: Host, function: Function
@@ -69,7 +69,7 @@
         if attempt.warm:
             self.throughput.record_answer(now)
         if now < self.hosts.all_warm_at:
-            # After a stall many answers arrive at one moment: they do not show the rate of warm hosts now.
+            # After a stall many answers arrive at one moment and do not show the current rate of warm hosts.
             in_time = self.tracker.is_in_time(function, outcome.duration, warm=attempt.warm)
             if now < host.warm_at or in_time:
                 self.slow_start.record_answer(now, host)
@@ -81,16 +81,16 @@
         else:
             self.answer_times.load_times.append(outcome.duration)
 
-    def _record_warm_answer(self, now: int, took: int, host: Host, function: Function) -> None:
-        """Record the answer time of an instance that was loaded, which shows how fast the host is."""
+    def _record_warm_answer(self, now: int, duration: int, host: Host, function: Function) -> None:
+        """Records the answer time of a loaded instance, which shows how fast the host is."""
         if function.answer_times:
-            host.relative_answer_times.append((now, took / max(1, median(function.answer_times))))
+            host.relative_answer_times.append((now, duration / max(1, median(function.answer_times))))
             host.slowdown = self.outliers.slowdown(host, now)
             host.slowdown_until = now + EVIDENCE_LIFETIME
-        function.answer_times.append(took)
-        queued = self.host_loads.request_count(host, 1, now)
-        if queued >= USUAL_CONCURRENCY and host.slowdown <= 1:
-            self.throughput.record_drain_time(now, took * host.capacity / queued)
+        function.answer_times.append(duration)
+        request_count = self.host_loads.request_count(host, 1, now)
+        if request_count >= USUAL_CONCURRENCY and host.slowdown <= 1:
+            self.throughput.record_drain_time(now, duration * host.capacity / request_count)
 
     def _record_failure(self, now: int, result: Result, attempt: InFlightAttempt, host: Host) -> None:
         request_class = self.tracker.request_classes[attempt.request_class]
--- a/gaproute/decisions/routing/outlier_detector.py
+++ b/gaproute/decisions/routing/outlier_detector.py
@@ -1,40 +1,41 @@
-"""Detects hosts that fail more often, or are slower, than the others."""
+"""Detects hosts that fail more often or answer more slowly than the others."""
 
 from statistics import median
 
 from gaproute.decisions.routing.host import Host, HostResult
 from gaproute.decisions.routing.parameters import EVALUATION_INTERVAL, EVIDENCE_LIFETIME, MAX_SAMPLES
 
-TRUSTED_BAD_SHARE = 0.4  # of bad results, up to which no host is doubted: lost answers happen at every host
-INITIAL_GOOD_RESULTS = 1.0  # good results that each host starts with, so that one failure decides little
-RECOVERY_DOUBT = 0.5  # of a host whose last results were bad: it gets one attempt at a time until it answers
-SLOWDOWN_TOLERANCE = (
-    1.5  # times slower than usual that do not count: kinds of machine and of work differ by as much
-)
-MIN_RELATIVE_TIMES = 3  # samples that are needed before a host counts as slow
+# Share of bad results up to which no host is doubted: answers of any host can be lost.
+TRUSTED_BAD_SHARE = 0.4
+INITIAL_GOOD_RESULTS = 1.0  # good results that each host starts with, so that one failure has little effect
+# Minimum doubt about a host whose last results were bad: it gets one attempt at a time until it answers.
+RECOVERY_DOUBT = 0.5
+# A host up to so many times slower than usual is not slow: kinds of machines and of work differ by as much.
+SLOWDOWN_TOLERANCE = 1.5
+MIN_RELATIVE_TIMES = 3  # samples needed before a host can be slow
 
 
 class OutlierDetector:
-    """Judges hosts by the results of their last attempts. Judgements are cached to save CPU time."""
+    """Estimates doubt about hosts from their last results. Doubts are cached to save CPU time."""
 
     def __init__(self) -> None:
         self.doubts_at = -EVALUATION_INTERVAL
-        self.doubts: dict[tuple[str, int], float] = {}  # by (host, request class): those of `doubts_at`
+        self.doubts: dict[tuple[str, int], float] = {}  # by (host id, request class), computed at `doubts_at`
 
     def record(self, host: Host, now: int, request_class: int | None, failure_weight: float) -> None:
-        """Record a result; `failure_weight` is 0 for a good result; `request_class` is None for a probe."""
+        """Records a result; `failure_weight` is 0 for a good one; `request_class` is None for a probe."""
         results = host.results
         same_class = [result for result in results if result.request_class == request_class]
-        # The oldest result of the same class is dropped: good answers to other classes say nothing about it.
+        # The oldest result of the same class is dropped: answers to other classes say nothing about it.
         if len(same_class) >= MAX_SAMPLES:
             results.remove(same_class[0])
         results.append(HostResult(now, request_class, failure_weight))
         host.bad_results = sum([failure_weight > 0 for _, _, failure_weight in results])
 
     def doubt(self, host: Host, request_class: int, now: int) -> float:
-        """0 to 1: how likely the host fails a request of the class.
+        """Returns how likely the host fails a request of the class, from 0 to 1.
 
-        It is judged by the last results of that class, or of all classes where there is none. This guards
+        The doubt is computed from the last results of that class, or of all classes if it has none. It guards
         against hosts that hang, do not answer or fail fast, some of them for one class only: they look idle.
         """
         if not host.bad_results:
@@ -47,13 +48,15 @@
         return doubt
 
     def slowdown(self, host: Host, now: int) -> float:
-        """How many times slower than usual the host answers, beyond ordinary differences; 1: not slower.
+        """Returns how many times slower than usual the host answers, beyond the tolerance; 1 if not slower.
 
-        The score of a host divides its capacity and the points for its instances by this figure, as a very
-        slow host otherwise looks warm and idle. A host that happens to get the heaviest requests of a
-        function is taken for slow; as samples expire, it is tried again.
+        The score of a host divides its capacity and the points for its instances by this figure, because a
+        very slow host otherwise looks warm and idle. A host that happens to get the heaviest requests of a
+        function is wrongly classified as slow; it is tried again when its samples have expired.
         """
-        recent = [pace for at, pace in host.relative_answer_times if now - at < EVIDENCE_LIFETIME]
+        recent = [
+            relative_time for at, relative_time in host.relative_answer_times if now - at < EVIDENCE_LIFETIME
+        ]
         return max(1.0, median(recent) / SLOWDOWN_TOLERANCE) if len(recent) >= MIN_RELATIVE_TIMES else 1.0
 
 
--- a/gaproute/decisions/routing/ranking.py
+++ b/gaproute/decisions/routing/ranking.py
@@ -1,4 +1,4 @@
-"""The stable hash: an order of the hosts for each function, which is the same at every gateway."""
+"""The stable hash: a ranking of the hosts for each function that is the same at every gateway."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -8,13 +8,17 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_table import HostTable
 
-MIN_RANKED_HOSTS = 32  # hosts that are ranked at first: lower ranks are seldom needed
-RANKED_HOSTS_DIVISOR = 16  # or one in so many of the active hosts, where that is more
+# Hosts that are ranked at first, or one in RANKED_HOSTS_DIVISOR active hosts if that is more: lower ranks are
+# rarely needed.
+MIN_RANKED_HOSTS = 32
+RANKED_HOSTS_DIVISOR = 16
 KEY_BYTES = 8
 
 
 def rendezvous_keys(name: str, hosts: Iterable[Host]) -> list[tuple[bytes, str]]:
-    """(key, id) of each host by rendezvous hashing: their order is the same at every gateway and restart."""
+    """Returns (key, id) of each host by rendezvous hashing; the order of the keys is the same at every
+    gateway and after every restart.
+    """
     hasher = blake2b(f"{name} ".encode(), digest_size=KEY_BYTES)
     keys = []
     for host in hosts:
@@ -25,13 +29,13 @@
 
 
 class Ranking:
-    """Ranks the active hosts for functions; the ranks are stored in each `Function`."""
+    """Ranks the active hosts for each function; the ranks are stored in the `Function`."""
 
     def __init__(self, hosts: HostTable) -> None:
         self.hosts = hosts
 
     def ranks(self, name: str, function: Function, depth: int = MIN_RANKED_HOSTS) -> dict[str, int]:
-        """The ranks of the first hosts of a function, `depth` or more; a large fleet needs only a few."""
+        """Returns the ranks of at least the first `depth` hosts; in a large fleet only a few are needed."""
         hosts = self.hosts
         ranked = len(function.ranked_hosts)
         if function.ranked_version != hosts.version or ranked < min(depth, len(hosts.active)):
--- a/gaproute/decisions/routing/request_attempts.py
+++ b/gaproute/decisions/routing/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request, and what their results prove so far."""
+"""The attempts of one request, and whether the request may have run."""
 
 from typing import NamedTuple
 
@@ -7,34 +7,33 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt that was sent."""
+    """A sent attempt."""
 
     host: Host
     sent_at: int  # ns
 
 
 class RequestAttempts:
-    """The attempts of one request."""
+    """Tracks the attempts of one request and where it may have run first."""
 
     __slots__ = ("in_flight", "may_have_run", "first_possible_run", "failed_hosts", "attempt_count")
 
     def __init__(self) -> None:
         self.in_flight: dict[int, SentAttempt] = {}
-        self.may_have_run: list[SentAttempt] = []  # attempts that have ended and may have run
-        self.first_possible_run: SentAttempt | None = (
-            None  # the first attempt that may have run or may still run
-        )
-        self.failed_hosts: list[Host] = []
-        self.attempt_count = 0
+        self.may_have_run: list[SentAttempt] = []  # ended attempts that may have run
+        # The earliest attempt that may have run or may still run.
+        self.first_possible_run: SentAttempt | None = None
+        self.failed_hosts: list[Host] = []  # hosts of ended attempts, except those with no instance loaded
+        self.attempt_count = 0  # attempts sent so far
 
     def record_sent(self, attempt: int, host: Host, now: int) -> None:
-        """Register an attempt that was sent."""
+        """Registers a sent attempt."""
         sent = self.in_flight[attempt] = SentAttempt(host, now)
         self.attempt_count += 1
         self.first_possible_run = self.first_possible_run or sent
 
     def record_end(self, attempt: int, result: Result) -> None:
-        """Note the end of an attempt: one that provably did not run does not restrict further attempts."""
+        """Records the end of an attempt; one that provably did not run does not restrict further attempts."""
         sent = self.in_flight.pop(attempt)
         if result not in NEVER_RAN:
             self.may_have_run.append(sent)
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -1,4 +1,4 @@
-"""One request, from acceptance to its one final answer."""
+"""Serves one request, from acceptance to its one final answer."""
 
 from collections.abc import Generator
 from typing import Any, NamedTuple
@@ -34,16 +34,16 @@
 )
 from gaproute.units import MILLI, SECOND
 
-PAUSE = 100 * MILLI  # between searches while a request waits for a host: about half an answer time
-RETRY_AFTER_SHARE = 1.0  # of the latency objective: the Retry-After of a rejected request
-ANSWER_MARGIN = 4 * MILLI  # before the deadline: when the final answer is sent at the latest
+HOST_SEARCH_INTERVAL = 100 * MILLI  # while a request waits for a host; about half an answer time
+RETRY_AFTER_SHARE = 1.0  # Retry-After of a rejected request as a share of the latency objective
+ANSWER_MARGIN = 4 * MILLI  # the final answer is sent at least this long before the deadline
 
-# Returns the reason to reject the request, or None where the request is over.
+# Returns the reason to reject the request, or None if the request has ended.
 RequestSteps = Generator[Action, Any, RejectReason | None]
 
 
 class RouterParts(NamedTuple):
-    """The parts of a gateway that the router of its requests uses."""
+    """The parts of a gateway that its request router uses."""
 
     tables: Tables
     answer_times: AnswerTimes
@@ -58,7 +58,7 @@
 
 
 class RequestRouter:
-    """Serves each request by a generator; has the parts that all requests use."""
+    """Serves each request with a generator; holds the parts that all requests use."""
 
     def __init__(self, settings: RoutingSettings, parts: RouterParts) -> None:
         self.request_classes = settings.request_classes
@@ -72,10 +72,10 @@
             parts.report_sharing,
             parts.hints,
         )
-        self.end_by = NEVER  # when every request must have its final answer, as the process stops
+        self.end_by = NEVER  # final answers are due by then because the process stops
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
-        """One request, from acceptance to its one final answer."""
+        """Serves one request, from acceptance to its one final answer."""
         function = self.functions.find_or_add(request.function, request.lanes)
         function.lanes, function.used_at = request.lanes, now
         if function.hinted_at:
@@ -103,7 +103,7 @@
 
 
 class _RequestRun:
-    """One request in progress: its attempts, until it is over or another attempt would not help."""
+    """A request in progress: its attempts, until it has ended or another attempt would not help."""
 
     __slots__ = (
         "router",
@@ -112,7 +112,7 @@
         "function",
         "attempts",
         "arrived_at",
-        "end",
+        "answer_by",
         "give_up_at",
         "search_at",
         "now",
@@ -131,26 +131,26 @@
         self.router, self.request, self.function, self.attempts = router, request, function, attempts
         self.request_class = router.request_classes[request.request_class]
         self.arrived_at = self.now = now
-        self.end = now + request.time_left - ANSWER_MARGIN
-        self.give_up_at = now + self.request_class.latency_objective  # when the search for a first host ends
-        self.search_at: Any = now  # when to search for a host again; ns, perhaps not a whole number
-        self.reason: RejectReason | None = None  # why the request is rejected, once it is
-        self.ended_host: Host | None = None  # the host of the attempt that ended last, if it was in flight
+        self.answer_by = now + request.time_left - ANSWER_MARGIN
+        self.give_up_at = now + self.request_class.latency_objective  # end of the search for a first host
+        self.search_at: Any = now  # time of the next search for a host; ns, may be a float
+        self.reason: RejectReason | None = None  # set when the request is rejected
+        self.ended_host: Host | None = None  # host of the last outcome, if its attempt was in flight
 
     def steps(self) -> RequestSteps:
-        """Yields attempts and waits; returns None once the request is over, else why it is rejected."""
+        """Yields attempts and waits; returns None if the request has ended, else the reason to reject it."""
         router, request, attempts = self.router, self.request, self.attempts
-        while self.reason is None and self.now < min(self.end, router.end_by):
+        while self.reason is None and self.now < min(self.answer_by, router.end_by):
             if self.now >= self.search_at:
                 host = self._choose_host()
                 if host is not None:
-                    start_by = router.retry_rules.start_by(self.request_class, attempts, self.end)
+                    start_by = router.retry_rules.start_by(self.request_class, attempts, self.answer_by)
                     attempt = yield Attempt(host.id, start_by)
                     self.search_at = router.tracker.record_sent(self.now, request, attempt, host, attempts)
                 elif self.reason is not None:
                     break
-            give_up_at = self.give_up_at if self.now < self.give_up_at else self.end
-            self.now, outcome = yield Wait(min(self.search_at, self.end, give_up_at))
+            give_up_at = self.give_up_at if self.now < self.give_up_at else self.answer_by
+            self.now, outcome = yield Wait(min(self.search_at, self.answer_by, give_up_at))
             if outcome is None:
                 self._handle_elapsed_wait()
             elif outcome.result is Result.STREAM_STARTED:
@@ -169,7 +169,10 @@
         return self.router.shedder.is_overloaded(self.now, self.request, self.request_class)
 
     def _choose_host(self) -> Host | None:
-        """The host that gets the request now; None: wait until `search_at`, or reject for `reason`."""
+        """Returns the host that gets the request now, or None.
+
+        With None the request waits until `search_at`, or is rejected if `reason` is set.
+        """
         router, now, attempts = self.router, self.now, self.attempts
         host = router.selector.choose(now, self.request, attempts)
         if host is not None:
@@ -181,22 +184,22 @@
         elif attempts.in_flight:
             self.search_at = now + router.answer_times.usual_answer_time(self.function)
         elif now < self.give_up_at and router.selector.is_any_host_allowed(now, self.request_class, attempts):
-            self.search_at = now + PAUSE
+            self.search_at = now + HOST_SEARCH_INTERVAL
         else:
             self.reason = RejectReason.NO_HOST_AVAILABLE
         return None
 
     def _handle_elapsed_wait(self) -> None:
-        """Handles the end of a wait without an outcome: judges overdue attempts, or rejects the request."""
+        """Handles a wait that ended without an outcome: records overdue attempts or rejects the request."""
         now, attempts = self.now, self.attempts
         if not attempts.in_flight:
             return
-        # A late answer has little value, and its work delays others in an overloaded fleet: the request is
-        # given up where a client may safely send it again.
+        # A late answer has little value, and its work delays other requests in an overloaded fleet: the
+        # request is rejected if the client may safely send it again.
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
         if now >= self.give_up_at and idempotent and self._is_overloaded():
             self.reason = RejectReason.LATENCY_OBJECTIVE_MISSED
-        elif self.search_at <= now < self.end:
+        elif self.search_at <= now < self.answer_by:
             tracker = self.router.tracker
             self.search_at = tracker.record_overdue_attempts(now, self.request, attempts, self.function)
 
@@ -207,9 +210,9 @@
         self.attempts.in_flight.clear()  # so that the attempt is not cancelled
 
     def _record_end(self, outcome: Outcome) -> LoadOrder | None:
-        """Accounts for the end of an attempt.
+        """Records the end of an attempt.
 
-        Returns an order for one more instance where the host that answered has many requests of the function.
+        Returns an order for one more instance if the host that answered has many requests of the function.
         """
         sent = self.attempts.in_flight.get(outcome.attempt)
         self.ended_host = None
@@ -227,7 +230,7 @@
     def _handle_undelivered(self, outcome: Outcome) -> Generator[Action, Any, None]:
         """Handles an attempt without an answer: searches for another host at once, or rejects the request.
 
-        Where the host had no instance of the function, it is ordered to load one.
+        A host that had no instance of the function is ordered to load one.
         """
         now, host = self.now, self.ended_host
         self.search_at = now
@@ -239,4 +242,4 @@
             if order is not None:
                 yield order
                 self.function.record_use(host.id, now)
-                self.search_at = now + outcome.duration  # one round trip later: the order has arrived by then
+                self.search_at = now + outcome.duration  # one round trip: the order arrives in that time
--- a/gaproute/decisions/routing/retry_rules.py
+++ b/gaproute/decisions/routing/retry_rules.py
@@ -1,4 +1,4 @@
-"""The rules on whether a request may be sent once more, and to which hosts."""
+"""Rules on whether a request may be sent again, and to which hosts."""
 
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.parameters import NEVER
@@ -7,13 +7,13 @@
 
 
 class RetryRules:
-    """The rules on further attempts, by request class; an attempt in flight counts as one that has run."""
+    """Rules on further attempts by request class; an attempt in flight counts as one that may have run."""
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.attempt_limit, self.hedging_allowed = settings.attempt_limit, settings.hedging_allowed
 
     def allows(self, host: Host, request_class: RequestClass, attempts: RequestAttempts, now: int) -> bool:
-        """Whether the host may be sent the request now."""
+        """Whether the request may be sent to the host now."""
         if attempts.attempt_count >= self.attempt_limit or not host.active:
             return False
         if attempts.in_flight and not self.hedging_allowed:
@@ -27,20 +27,23 @@
             return False
         return now < self.start_by(request_class, attempts, NEVER)
 
-    def start_by(self, request_class: RequestClass, attempts: RequestAttempts, end: int) -> int:
-        """When an attempt may begin at the latest, where it has to wait for its connection (ns)."""
+    def start_by(self, request_class: RequestClass, attempts: RequestAttempts, latest: int) -> int:
+        """Returns the latest time at which an attempt may start after waiting for its connection (ns).
+
+        `latest` is the limit apart from idempotency keys.
+        """
         if (
             attempts.first_possible_run is None
             or request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY
         ):
-            return end
-        return min(end, attempts.first_possible_run.sent_at + request_class.deduplication_window)
+            return latest
+        return min(latest, attempts.first_possible_run.sent_at + request_class.deduplication_window)
 
 
-def _share_idempotency_keys(group: IdempotencyScope, one: Host, other: Host) -> bool:
-    """Whether both hosts know each other's idempotency keys."""
-    if group is IdempotencyScope.ZONE:
+def _share_idempotency_keys(scope: IdempotencyScope, one: Host, other: Host) -> bool:
+    """Whether both hosts recognize the same idempotency keys."""
+    if scope is IdempotencyScope.ZONE:
         return one.zone == other.zone
-    if group is IdempotencyScope.CELL:
+    if scope is IdempotencyScope.CELL:
         return one.cell == other.cell
     return True
--- a/gaproute/decisions/routing/samples.py
+++ b/gaproute/decisions/routing/samples.py
@@ -1,3 +1,3 @@
-"""The type of a measured value with the time of its measurement."""
+"""A measured value with the time of its measurement."""
 
-Sample = tuple[int, float]  # (when it was measured in ns, value); plain, as several are made for each answer
+Sample = tuple[int, float]  # (time in ns, value); a plain tuple, as each answer adds several
--- a/gaproute/decisions/routing/scorer.py
+++ b/gaproute/decisions/routing/scorer.py
@@ -1,4 +1,4 @@
-"""The score of each host for a request: the highest wins."""
+"""Scores hosts for a request: the host with the highest score wins."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -13,39 +13,43 @@
 from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Request, RoutingSettings
 
-WARMTH_POINTS = 6.0  # for a fresh instance: it outweighs a free lane, all memory and the stable hash
-QUEUE_POINTS = (
-    0.5  # lost for each USUAL_CONCURRENCY of requests queued, where a load serves one request alone
-)
-QUEUE_POINTS_HOT = 1.6  # the same for a hot function: a shorter queue is worth one more instance
-MEMORY_POINTS = 1.0  # between an empty and a full memory: decides among hosts without an instance only
-HASH_POINTS = 2.0  # for the first choice of the stable hash: a third of the points of a fresh instance
-HASH_POINTS_HOT = 3.3  # the same for a hot function; an instance with a free lane still outweighs it
-# Of one step of HASH_DECAY: what first choices lose that count alike but belong to other gateways.
+# Points of a recently used instance: they outweigh a free lane, all memory and the stable hash.
+WARMTH_POINTS = 6.0
+# Points lost for each USUAL_CONCURRENCY queued requests of a rare function, where a load serves one request.
+QUEUE_POINTS = 0.5
+# Points lost likewise for a hot function: a shorter queue is worth one more instance.
+QUEUE_POINTS_HOT = 1.6
+# Difference between empty and full memory: it decides only among hosts without an instance.
+MEMORY_POINTS = 1.0
+# Points of the first choice of the stable hash: a third of the points of a recently used instance.
+HASH_POINTS = 2.0
+# Points likewise for a hot function: an instance with a free lane still outweighs them.
+HASH_POINTS_HOT = 3.3
+# Exponent of HASH_DECAY for those of the equal first choices that other gateways prefer.
 OTHER_CHOICE_DECAY = 0.45
-DOUBT_POINTS = (
-    12.0  # lost by a host that is sure to fail: twice a fresh instance, so that doubts decide first
-)
-# For a host of the own zone, times the price of a crossing in values of a request: an instance has six points
-# and saves a load, which costs over half of the value of a request.
+# Points lost by a host that certainly fails: twice those of an instance, so that doubt decides first.
+DOUBT_POINTS = 12.0
+# Points of a host in the gateway's own zone, if a zone crossing costs the whole value of a request: an
+# instance has six points and saves a load, which costs over half of the value of a request.
 SAME_ZONE_POINTS = 10.0
-ROUNDING_TOLERANCE = 1e-9  # points by which two sums of the same terms may differ by rounding alone
+# Points by which two sums of the same terms may differ because of rounding.
+ROUNDING_TOLERANCE = 1e-9
 
-RankedScore = tuple[float, int]  # (minus the score, index of the host): sorts the best first
+RankedScore = tuple[float, int]  # (negative score, index of the host), which sorts the best first
 
 
 class Weights(NamedTuple):
-    """The weights of one choice, the same for all hosts."""
+    """The weights of one choice of a host, the same for all hosts."""
 
-    lanes_per_capacity: float  # requests that a unit of capacity runs at a time
-    equal_ranks: int  # first choices of the stable hash that count alike
-    warmth_points: float  # points for a fresh instance
-    queue_points: float  # points for each `lanes_per_capacity` of queue
-    hash_points: float  # points for the first choice of the stable hash
+    lanes_per_capacity: float  # requests that one unit of capacity runs at a time
+    equal_ranks: int  # first choices of the stable hash that get equal points
+    warmth_points: float  # points of a recently used instance
+    queue_points: float  # points lost for each `lanes_per_capacity` queued requests
+    hash_points: float  # points of the first choice of the stable hash
 
 
 class Scorer:
-    """Scores hosts; `preferred_rank`: which of the first choices that count alike this gateway prefers."""
+    """Scores hosts; `preferred_rank`, modulo their number, selects one of the equal first choices."""
 
     def __init__(
         self,
@@ -63,7 +67,7 @@
         self.zone, self.same_zone_points = settings.zone, SAME_ZONE_POINTS * settings.crossing_price
 
     def weights(self, request: Request, eligible: Sequence[Host]) -> Weights:
-        """The weights of a choice among these hosts."""
+        """Returns the weights for a choice among these hosts."""
         hosts = self.hosts
         capacity = (
             hosts.total_capacity if eligible is hosts.active else sum([host.capacity for host in eligible])
@@ -81,7 +85,7 @@
     def doubts(
         self, now: int, request: Request, attempts: RequestAttempts, eligible: Sequence[Host]
     ) -> dict[str, float]:
-        """The doubt, 0 to 1, about each host that may fail the request, by its id."""
+        """Returns the doubt, from 0 to 1, by host id, about each host that may fail the request."""
         doubt, request_class = self.outliers.doubt, request.request_class
         doubts = {host.id: doubt(host, request_class, now) for host in eligible if host.bad_results}
         for zone, until in self.silent_zones.silent_until.items():
@@ -90,7 +94,7 @@
         return doubts
 
     def mean_memory_busy(self) -> float:
-        """The mean share of busy memory of the hosts that report it, for the hosts that do not."""
+        """Returns the mean share of busy memory where it is reported, as an estimate for other hosts."""
         reported = [host.memory_busy for host in self.hosts.active if host.memory_busy is not None]
         return sum(reported) / len(reported) if reported else 0.0
 
@@ -102,7 +106,7 @@
         function: Function,
         eligible: Sequence[Host],
     ) -> list[RankedScore]:
-        """The scores of those eligible hosts that may win, the best first."""
+        """Returns the scores of the eligible hosts that may win, best first."""
         lanes_per_capacity, equal_ranks, warmth_points, queue_points, hash_points = self.weights(
             request, eligible
         )
@@ -144,7 +148,7 @@
                 - DOUBT_POINTS * doubts.get(host.id, 0.0)
             )
             scored.append((-score, host.index))
-            if not warming_up:  # a host that warms up may be skipped, so it does not end the search
+            if not warming_up:  # one that warms up may be skipped, so it does not end the search
                 best_score = max(best_score, score)
         scored.sort()
         return scored
--- a/gaproute/decisions/routing/tables.py
+++ b/gaproute/decisions/routing/tables.py
@@ -1,4 +1,4 @@
-"""The tables of a gateway, bundled for the parts that read them."""
+"""The tables of a gateway, grouped for the parts that use them."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class Tables(NamedTuple):
-    """What is known of hosts and functions."""
+    """What the gateway knows of hosts and functions."""
 
     hosts: HostTable
     functions: FunctionTable
