--- a/gaproute/decisions/routing/attempt_tracker.py
+++ b/gaproute/decisions/routing/attempt_tracker.py
@@ -69,9 +69,8 @@
 
     def is_in_time(self, function: Function, duration: int, *, warm: bool) -> bool:
         """Whether an answer after `duration` (ns) arrives before its attempt is overdue."""
-        load_allowance = 0 if warm else OVERDUE_LOAD_TIMES * self.answer_times.usual_load_time()
-        answer_allowance = OVERDUE_ANSWER_TIMES * self.answer_times.usual_answer_time(function)
-        return duration <= answer_allowance + load_allowance
+        load_limit = 0 if warm else OVERDUE_LOAD_TIMES * self.answer_times.usual_load_time()
+        return duration <= OVERDUE_ANSWER_TIMES * self.answer_times.usual_answer_time(function) + load_limit
 
     def record_overdue_attempts(
         self, now: int, request: Request, attempts: RequestAttempts, function: Function
--- a/tests/decisions/routing/test_host_loads.py
+++ b/tests/decisions/routing/test_host_loads.py
@@ -1,11 +1,9 @@
-"""How many requests hosts have."""
+"""The estimated number of requests at hosts."""
 
 import pytest
-from helpers import (
-    gateway,
-)
+from helpers import gateway as make_gateway
 from routing_scenes import (
-    crowd,
+    report_load,
 )
 
 from gaproute.decisions.routing.parameters import (
@@ -13,8 +11,8 @@
 )
 
 
-@pytest.mark.parametrize(("age", "counts"), [(REPORT_LIFETIME, True), (REPORT_LIFETIME + 1, False)])
-def test_a_reported_queue_counts_for_as_long_as_crowds_last(age, counts):
-    made = gateway()
-    crowd(made, "a", 50)
-    assert (made.request_count(made.hosts_by_id["a"], 1, age) == 50) is counts
+@pytest.mark.parametrize(("age", "is_fresh"), [(REPORT_LIFETIME, True), (REPORT_LIFETIME + 1, False)])
+def test_a_load_report_counts_until_the_end_of_its_lifetime(age, is_fresh):
+    gateway = make_gateway()
+    report_load(gateway, "a", 50)
+    assert (gateway.request_count(gateway.hosts_by_id["a"], 1, age) == 50) is is_fresh
--- a/tests/decisions/routing/test_outcome_recorder.py
+++ b/tests/decisions/routing/test_outcome_recorder.py
@@ -1,32 +1,32 @@
-"""What outcomes show of loaded instances."""
+"""What outcomes show about loaded instances."""
 
 from helpers import (
     SECOND,
-    gateway,
 )
-from routing_scenes import heard, ranked
+from helpers import gateway as make_gateway
+from routing_scenes import end_attempt, set_ranks
 
 from gaproute.interface import Result
 
 
-def test_a_failed_connection_leaves_the_belief_in_instances_a_broken_one_does_not():
-    made = gateway()
-    heard(made, "a", 1, 0)
-    heard(made, "a", 2, 1, Result.CONNECT_FAILED)
-    function, host = made.functions_by_name["f"], made.hosts_by_id["a"]
-    assert made.functions.warmth(function, host, 3) > 0.9
-    heard(made, "a", 4, 3, Result.RESET)
-    assert made.functions.warmth(function, host, 5) == 0
+def test_a_failed_connection_keeps_the_warmth_of_a_host_and_a_reset_one_does_not():
+    gateway = make_gateway()
+    end_attempt(gateway, "a", 1, 0)
+    end_attempt(gateway, "a", 2, 1, Result.CONNECT_FAILED)
+    function, host = gateway.functions_by_name["f"], gateway.hosts_by_id["a"]
+    assert gateway.functions.warmth(function, host, 3) > 0.9
+    end_attempt(gateway, "a", 4, 3, Result.RESET)
+    assert gateway.functions.warmth(function, host, 5) == 0
 
 
-def test_a_broken_attempt_voids_the_belief_in_instances_only_as_the_last_out():
-    made = gateway()
-    function = ranked(made, "a", "b", "c")
+def test_a_reset_connection_removes_warmth_only_if_no_other_attempt_is_in_flight():
+    gateway = make_gateway()
+    function = set_ranks(gateway, "a", "b", "c")
     function.last_used["a"] = 0
-    host = made.hosts_by_id["a"]
+    host = gateway.hosts_by_id["a"]
     host.in_flight = {("other", 0): 0}
-    heard(made, "a", SECOND, 0, Result.RESET)
-    assert made.functions.warmth(function, host, SECOND) > 0
+    end_attempt(gateway, "a", SECOND, 0, Result.RESET)
+    assert gateway.functions.warmth(function, host, SECOND) > 0
     host.in_flight = {}
-    heard(made, "a", SECOND, 1, Result.RESET, of="u")
-    assert made.functions.warmth(function, host, SECOND) == 0
+    end_attempt(gateway, "a", SECOND, 1, Result.RESET, request="u")
+    assert gateway.functions.warmth(function, host, SECOND) == 0
--- a/tests/decisions/routing/test_scorer.py
+++ b/tests/decisions/routing/test_scorer.py
@@ -19,7 +19,7 @@
 @pytest.mark.parametrize(
     ("weight", "prior"), [(QUEUE_POINTS, HASH_POINTS), (QUEUE_POINTS_HOT, HASH_POINTS_HOT)]
 )
-def test_weights_keep_warm_with_a_free_lane_ahead_for_three_quarters_of_the_keep_alive(weight, prior):
+def test_a_warm_host_with_a_free_lane_leads_for_three_quarters_of_the_keep_alive_time(weight, prior):
     warmth = 1 - 0.75**WARMTH_EXPONENT
     assert (
         WARMTH_POINTS * warmth + prior * (1 - warmth) > weight * 3 / USUAL_CONCURRENCY + MEMORY_POINTS + prior
--- a/tests/support/routing_scenes.py
+++ b/tests/support/routing_scenes.py
@@ -1,11 +1,11 @@
-"""Scenes for the tests of routing: hosts with a queue, attempts in flight, ranks set by hand."""
+"""Helpers for the tests of routing: load reports, attempts in flight and their outcomes, fixed ranks."""
 
 from helpers import (
     MILLI,
     task,
 )
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.decisions.routing.attempt_tracker import InFlightAttempt
 from gaproute.decisions.routing.request_attempts import RequestAttempts, SentAttempt
 from gaproute.interface import Result
@@ -14,45 +14,62 @@
 NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NOT_LOADED]
 
 
-def attempts_with(made, result, sent=0, *, still_out=False):
+def attempts_after(gateway, result, sent_at=0, *, in_flight=False):
+    """Returns the attempts of a request after one at host "a", which has ended unless it is `in_flight`."""
     attempts = RequestAttempts()
-    attempts.in_flight[0] = SentAttempt(made.hosts_by_id["a"], sent)
+    attempts.in_flight[0] = SentAttempt(gateway.hosts_by_id["a"], sent_at)
     attempts.first_possible_run = attempts.in_flight[0]
     attempts.attempt_count = 1
-    if not still_out:
+    if not in_flight:
         attempts.record_end(0, result)
     return attempts
 
 
-def add_in_flight(made, host, sent, attempt=0, request_class=0):
-    """An attempt in flight at the host, as the gateway counts it."""
-    made.hosts_by_id[host].in_flight[f"t{sent}", attempt] = sent
-    made.tracker.in_flight[f"t{sent}", attempt] = InFlightAttempt(host, "f", request_class, sent, True)
+def add_in_flight(gateway, host, sent_at, attempt=0, request_class=0):
+    """Registers an attempt in flight at the host."""
+    gateway.hosts_by_id[host].in_flight[f"t{sent_at}", attempt] = sent_at
+    gateway.tracker.in_flight[f"t{sent_at}", attempt] = InFlightAttempt(
+        host, "f", request_class, sent_at, True
+    )
 
 
-def answered(made, host, now, sent, result=Result.OK, request_class=0):
-    add_in_flight(made, host, sent, request_class=request_class)
-    took, warm = now - sent, face.InstanceStatus.WARM
-    made.attempt_ended(now, face.Outcome(f"t{sent}", 0, host, result, took, True, warm, None, None))
+def send_and_end_attempt(gateway, host, now, sent_at, result=Result.OK, request_class=0):
+    add_in_flight(gateway, host, sent_at, request_class=request_class)
+    duration, warm = now - sent_at, interface.InstanceStatus.WARM
+    gateway.attempt_ended(
+        now, interface.Outcome(f"t{sent_at}", 0, host, result, duration, True, warm, None, None)
+    )
 
 
-def ranked(made, *order, function="f"):
-    """The hash's order set by hand."""
-    known = made.functions.find_or_add(function, 1)
-    known.ranked_hosts = [made.hosts_by_id[name] for name in order]
-    known.ranks = {name: rank for rank, name in enumerate(order)}
-    known.ranked_version = made.hosts.version
-    return known
+def set_ranks(gateway, *order, name="f"):
+    """Replaces the ranks of the stable hash by this order of hosts."""
+    function = gateway.functions.find_or_add(name, 1)
+    function.ranked_hosts = [gateway.hosts_by_id[host_id] for host_id in order]
+    function.ranks = {host_id: rank for rank, host_id in enumerate(order)}
+    function.ranked_version = gateway.hosts.version
+    return function
 
 
-def single(name="t"):
+def single_lane_request(name="t"):
     return task(name)._replace(lanes=1)
 
 
-def crowd(made, name, count, now=0):
-    made.host_loads.record(made.hosts_by_id[name], now, face.HostLoadReport(in_hand=count))
-
-
-def heard(made, name, now, sent, result=Result.OK, took=100 * MILLI, of="t", found=face.InstanceStatus.WARM):
-    made.tracker.in_flight[of, sent] = InFlightAttempt(name, "f", 0, sent, True)
-    made.attempt_ended(now, face.Outcome(of, sent, name, result, took, True, found, None, None))
+def report_load(gateway, host, count, now=0):
+    gateway.host_loads.record(gateway.hosts_by_id[host], now, interface.HostLoadReport(in_hand=count))
+
+
+def end_attempt(
+    gateway,
+    host,
+    now,
+    attempt,
+    result=Result.OK,
+    duration=100 * MILLI,
+    request="t",
+    found=interface.InstanceStatus.WARM,
+):
+    """Passes the outcome of an attempt that is registered only in the tracker, not at its host."""
+    gateway.tracker.in_flight[request, attempt] = InFlightAttempt(host, "f", 0, attempt, True)
+    gateway.attempt_ended(
+        now, interface.Outcome(request, attempt, host, result, duration, True, found, None, None)
+    )
