--- a/benchmarks/fleet/split_choice.py
+++ b/benchmarks/fleet/split_choice.py
@@ -70,7 +70,7 @@
 
     def prior(self, name: str, host: Host, rank: int, width: int, prior: float) -> float:
         """At most prior * HASH_DECAY ** (rank // width)."""
-        others = policy.OTHER_CHOICE_DECAY * (rank != self.scorer.preferred_rank % width)
+        others = policy.OTHER_CHOICE_EXPONENT * (rank != self.scorer.preferred_rank % width)
         return float(prior * candidates.HASH_DECAY ** (rank // width or others))
 
     def copy(self, name: str, host: Host, warmth: float) -> float:
--- a/gaproute/decisions/routing/attempt_tracker.py
+++ b/gaproute/decisions/routing/attempt_tracker.py
@@ -10,7 +10,7 @@
 
 # An attempt is overdue after this many usual answer times.
 OVERDUE_ANSWER_TIMES = 4
-# Lower limit of the same number, which a short latency objective reduces.
+# Lower limit of that number, for classes with a short latency objective.
 MIN_OVERDUE_ANSWER_TIMES = 2
 OVERDUE_LOAD_TIMES = 2  # usual load times added to the limit for an attempt that probably waits for a load
 UNANSWERED_WEIGHT = 1.0  # failure weight of an attempt without an answer
--- a/gaproute/decisions/routing/function_mix.py
+++ b/gaproute/decisions/routing/function_mix.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import MIX_SIZE
 
-MIN_MIX_SIZE = MIX_SIZE // 4  # requests; with fewer recent ones, shares are still computed of this number
+MIN_MIX_SIZE = MIX_SIZE // 4  # requests; shares are computed of at least this number
 
 
 class FunctionMix:
@@ -21,7 +21,7 @@
         self.recent.append(name)
 
     def prepend(self, names: Iterable[str]) -> None:
-        """Adds functions as if their requests were older than all others, so that these are dropped last."""
+        """Adds functions as the oldest ones, which are the first to be replaced."""
         self.recent.extendleft(names)
 
     def share(self, name: str) -> float:
--- a/gaproute/decisions/routing/outcome_recorder.py
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -52,9 +52,8 @@
         elif result in FAILED_RESULTS and not counted_as_failure:
             self._record_failure(now, result, attempt, host)
         if result is Result.FULL:
-            host.full_until = now + self.answer_times.usual_answer_time(
-                function
-            )  # about the time at which a request there ends
+            # About the time at which a request at the host ends.
+            host.full_until = now + self.answer_times.usual_answer_time(function)
         if result is Result.NOT_LOADED or outcome.found is InstanceStatus.LOAD_FAILED:
             self.hints.verify(attempt.function_name, host.id, InstanceStatus.LOAD_FAILED)
             function.record_not_loaded(host.id)
--- a/gaproute/decisions/routing/parameters.py
+++ b/gaproute/decisions/routing/parameters.py
@@ -6,9 +6,8 @@
 
 MAX_SAMPLES = 8  # samples stored of each measured figure: two outliers do not move the median of eight
 EVIDENCE_LIFETIME = 5 * SECOND  # older samples are ignored, so that a suspected host is tried again
-REPORT_LIFETIME = (
-    8 * SECOND
-)  # older load reports are ignored; overload caused by the stable hash lasts as long
+# Older load reports are ignored; overload that the stable hash causes lasts as long.
+REPORT_LIFETIME = 8 * SECOND
 # Minimum time between evaluations of hosts and of the attempts in flight, to save CPU time; signs of a fault
 # take longer to appear.
 EVALUATION_INTERVAL = 40 * MILLI
--- a/gaproute/decisions/routing/retry_rules.py
+++ b/gaproute/decisions/routing/retry_rules.py
@@ -30,7 +30,7 @@
     def start_by(self, request_class: RequestClass, attempts: RequestAttempts, latest: int) -> int:
         """Returns the latest time at which an attempt may start after waiting for its connection (ns).
 
-        `latest` is the limit apart from idempotency keys.
+        The result is `latest` unless the hosts forget the idempotency key of the request earlier.
         """
         if (
             attempts.first_possible_run is None
--- a/gaproute/decisions/routing/scorer.py
+++ b/gaproute/decisions/routing/scorer.py
@@ -26,7 +26,7 @@
 # Points likewise for a hot function: an instance with a free lane still outweighs them.
 HASH_POINTS_HOT = 3.3
 # Exponent of HASH_DECAY for those of the equal first choices that other gateways prefer.
-OTHER_CHOICE_DECAY = 0.45
+OTHER_CHOICE_EXPONENT = 0.45
 # Points lost by a host that certainly fails: twice those of an instance, so that doubt decides first.
 DOUBT_POINTS = 12.0
 # Points of a host in the gateway's own zone, if a zone crossing costs the whole value of a request: an
@@ -135,7 +135,7 @@
                 memory = mean_memory_busy
             warmth /= slowdown
             hash_decay = HASH_DECAY ** (
-                rank // equal_ranks or OTHER_CHOICE_DECAY * (rank != preferred_rank % equal_ranks)
+                rank // equal_ranks or OTHER_CHOICE_EXPONENT * (rank != preferred_rank % equal_ranks)
             )
             score = (
                 warmth_points * warmth
--- a/gaproute/decisions/routing/silent_zones.py
+++ b/gaproute/decisions/routing/silent_zones.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME
 
-SILENT_HOSTS = 2  # silent hosts from which a zone is silent: a single host may run slow work
+MIN_SILENT_HOSTS = 2  # silent hosts that make their zone silent: a single host may run slow work
 
 
 class SilentZones:
@@ -38,7 +38,7 @@
             [host.zone for host in self.hosts.active if host.overdue and self._has_silent_zone(host)]
         )
         for zone, count in unanswered.items():
-            if count >= SILENT_HOSTS:
+            if count >= MIN_SILENT_HOSTS:
                 self.silent_until[zone] = now + EVIDENCE_LIFETIME
 
     def _has_silent_zone(self, host: Host) -> bool:
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -30,8 +30,7 @@
     RejectReason,
     Wait,
 )
-from gaproute.interface.outcomes import NEVER_RAN, HostLoadReport, InstanceStatus, Outcome, Result
-from gaproute.interface.terms import (
+from gaproute.interface.inputs import (
     Idempotency,
     IdempotencyScope,
     ListedHost,
@@ -40,6 +39,7 @@
     RequestClass,
     RoutingSettings,
 )
+from gaproute.interface.outcomes import NEVER_RAN, HostLoadReport, InstanceStatus, Outcome, Result
 
 __all__ = [
     "NEVER_RAN",
