--- a/gaproute/fronts/kserve/inference.py
+++ b/gaproute/fronts/kserve/inference.py
@@ -1,7 +1,7 @@
-"""Inference requests: what their headers say, checked, and the call that is made of them.
+"""Inference requests: checks their headers and makes the call for the core.
 
-A client may shorten the time limit of its request class by `Gaproute-Limit-Ms`, counted from its first byte,
-never lengthen it. `Gaproute-Tenant` names a tenant of the configuration.
+By `Gaproute-Limit-Ms` a client may shorten the time limit of its request class, which begins with the first
+byte of the request, but not lengthen it. `Gaproute-Tenant` names a tenant of the configuration.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from gaproute.http1 import Request
 from gaproute.interface.call import Call, FinalAnswer
 
-MAX_DIGITS = 12  # of a number in a header
+MAX_HEADER_NUMBER_DIGITS = 12
 
-TIME_LIMIT, TENANT = b"gaproute-limit-ms", b"gaproute-tenant"
-JSON_LENGTH = b"inference-header-content-length"
+TIME_LIMIT_HEADER, TENANT_HEADER = b"gaproute-limit-ms", b"gaproute-tenant"
+JSON_LENGTH_HEADER = b"inference-header-content-length"
 FORWARDED_HEADERS = (
     b"content-type",
     b"content-encoding",
     b"accept",
     b"accept-encoding",
-    JSON_LENGTH,
+    JSON_LENGTH_HEADER,
     b"traceparent",
     b"tracestate",
     b"x-request-id",
@@ -36,56 +36,56 @@
     core: Core
 
     def finish_request(self, request: Request, final: FinalAnswer) -> None:
-        """Answers a request by its final answer."""
+        """Sends the final answer to a request."""
 
     def answer_half_closed(self, request: Request) -> None:
-        """Answers a request whose client has closed its side."""
+        """Answers a request whose client has closed its side and may still read."""
 
 
 class PendingInference:
-    """An inference that the core has, until its final answer or until its client has left."""
+    """A submitted inference request, until its final answer or until its client leaves."""
 
-    __slots__ = ("front", "request", "key", "abandoned")
+    __slots__ = ("front", "request", "gateway_request_id", "abandoned")
 
     def __init__(self, front: InferenceFront, request: Request) -> None:
         self.front, self.request = front, request
-        self.key = ""  # the gateway's id of the request
+        self.gateway_request_id = ""  # the id that the gateway gave it
         self.abandoned = False
 
     def finish(self, final: FinalAnswer) -> None:
-        """Sends the final answer, where the client still waits."""
+        """Sends the final answer if the client still waits."""
         if not self.abandoned:
             self.front.finish_request(self.request, final)
 
     def abandon(self) -> None:
-        """The client has closed its side: the request ends."""
+        """Ends the request because its client has closed its side."""
         self.abandoned = True
-        self.front.core.client_left(self.key)
+        self.front.core.client_left(self.gateway_request_id)
         self.front.answer_half_closed(self.request)
 
 
 def time_limit(headers: Mapping[bytes, bytes], class_limit: int) -> int:
-    """How long the request may take, ns, where its class has that limit. Errors: RequestError."""
-    value = headers.get(TIME_LIMIT)
+    """How long a request may take by its headers and its class, ns. Errors: RequestError."""
+    value = headers.get(TIME_LIMIT_HEADER)
     if value is None:
         return class_limit
-    if not value.isdigit() or len(value) > MAX_DIGITS or int(value) == 0:
+    if not value.isdigit() or len(value) > MAX_HEADER_NUMBER_DIGITS or int(value) == 0:
         raise RequestError(BAD_REQUEST, "Gaproute-Limit-Ms is a whole number of milliseconds, 1 or more")
     return min(class_limit, int(value) * NS_PER_MS)
 
 
 def check_json_length(request: Request) -> None:
-    """Checks the length of the JSON before binary tensors. Errors: RequestError."""
-    value = request.headers.get(JSON_LENGTH)
+    """Checks the stated length of the JSON that precedes binary tensors. Errors: RequestError."""
+    value = request.headers.get(JSON_LENGTH_HEADER)
     if value is None:
         return
-    if not value.isdigit() or len(value) > MAX_DIGITS or int(value) > len(request.body):
+    if not value.isdigit() or len(value) > MAX_HEADER_NUMBER_DIGITS or int(value) > len(request.body):
         raise RequestError(BAD_REQUEST, "Inference-Header-Content-Length is at most the body's length")
 
 
 def tenant_index(headers: Mapping[bytes, bytes], tenants: Mapping[str, int]) -> int:
-    """The index of the request's tenant; one above all of them where it names none. Errors: RequestError."""
-    value = headers.get(TENANT)
+    """The index of the request's tenant; the number of tenants if it has none. Errors: RequestError."""
+    value = headers.get(TENANT_HEADER)
     if value is None or not tenants:
         return len(tenants)
     index = tenants.get(value.decode("latin-1"))
@@ -94,14 +94,14 @@
     return index
 
 
-def call_of(request: Request, model: str, version: str) -> Call:
-    """The call of an inference request; it asks its connection whether the client still waits."""
+def build_call(request: Request, model: str, version: str) -> Call:
+    """Makes the call of an inference request; `client_present` asks the connection of the request."""
     headers = request.headers
     return Call(
         model,
         version,
         tuple([(name, headers[name]) for name in FORWARDED_HEADERS if name in headers]),
         request.body,
-        tenant=headers.get(TENANT, b""),
+        tenant=headers.get(TENANT_HEADER, b""),
         client_present=request.connection.client_present,
     )
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline of a connection in use: for a request to arrive, for its client to read, or for parking."""
+"""The deadline of a connection in use: to receive a request, to send answers, or to be parked."""
 
 from __future__ import annotations
 
@@ -12,52 +12,53 @@
 from gaproute.loop.timers import Timer
 from gaproute.units import SECOND
 
-QUIET_TIME = SECOND  # after its last answer until a connection is parked
-SWEEP_INTERVAL = SECOND // 4  # between checks for quiet connections: one timer for all of them
+QUIET_TIME = SECOND  # after the last answer, before a connection is parked
+SWEEP_INTERVAL = SECOND // 4  # between checks for quiet connections, by one timer for all of them
 
 
 class DeadlineOwner(Protocol):
-    """The part of `Server` that the deadlines of its connections need."""
+    """The part of `Server` that the deadlines of its connections use."""
 
     loop: Loop
     limits: Limits
-    last_request_by: int | None  # after a stop with grace: when the last request must be complete, ns
+    # After a stop with grace: until when requests may arrive, ns
+    request_arrival_deadline: int | None
 
-    def idle_end(self, now: int) -> int:
+    def idle_deadline(self, now: int) -> int:
         """When a connection that is idle from `now` on is closed, ns."""
 
     def enqueue_quiet(self, connection: DeadlineConnection, due: int) -> None:
-        """Queues a quiet connection for parking."""
+        """Queues a quiet connection, to be parked at `due` (ns)."""
 
 
 class DeadlineConnection:
-    """The base of a server's connection: its one timer, and what happens when the timer fires.
+    """The base class of a server's connection, with its one timer and what the timer does.
 
-    A subclass sets all fields, and implements `park`, `_reject` and `_on_closed`.
+    A subclass sets all fields and implements `park`, `_reject` and `_on_closed`.
     """
 
     __slots__ = (
         "server",
         "stream",
         "reader",
-        "queue",
+        "pending_answers",
         "closing",
         "timer",
         "deadline",
-        "idle_end",
+        "idle_deadline",
         "in_quiet_queue",
     )
 
     server: DeadlineOwner
     stream: Stream
     reader: RequestReader
-    queue: list[PendingAnswer]  # in the order of the requests
-    # Whether no further request is taken and the connection closes after the answers that are owed
+    pending_answers: list[PendingAnswer]  # one for each open request, in the order of the requests
+    # Whether no further request is taken and the connection closes after the answers to open requests
     closing: bool
     timer: Timer | None
-    deadline: int | None  # of the timer, or of the queue of quiet connections; ns of the loop's clock
-    idle_end: int  # when the connection is closed if no further request comes
-    # Whether the server's queue has the connection, to park it at its deadline if it is still quiet then
+    deadline: int | None  # when the timer acts, or the queue of quiet connections; ns
+    idle_deadline: int  # when the connection closes if no further request comes, ns
+    # Whether the server's queue of quiet connections has this one, to park it at its deadline
     in_quiet_queue: bool
 
     def park(self) -> None:
@@ -71,21 +72,21 @@
         raise NotImplementedError
 
     def _set_deadline(self) -> None:
-        """Sets the deadline for an incomplete request, for the client to read, or for parking.
+        """Sets the deadline: to receive the rest of a request, to send answers, or to be parked.
 
-        There is none while an answer is owed. The timer is moved only when it fires, as most deadlines move
-        before that.
+        While an answer is not ready yet there is no deadline. A later deadline moves the timer only when the
+        timer fires, as most deadlines change before they pass.
         """
         server = self.server
-        read_time = server.limits.read_time
+        read_timeout = server.limits.read_timeout
         if self.reader.message is not None:
-            self.deadline = self.reader.message.arrived_at + read_time
-            if server.last_request_by is not None:
-                self.deadline = min(self.deadline, server.last_request_by)
+            self.deadline = self.reader.message.arrived_at + read_timeout
+            if server.request_arrival_deadline is not None:
+                self.deadline = min(self.deadline, server.request_arrival_deadline)
         elif self.stream.bytes_unsent:
-            self.deadline = server.loop.now() + read_time
-        elif not self.queue and not self.closing:
-            if self._wait_for_parking():
+            self.deadline = server.loop.now() + read_timeout
+        elif not self.pending_answers and not self.closing:
+            if self._schedule_parking():
                 return
         else:
             self.deadline = None
@@ -93,20 +94,20 @@
         if self.deadline is not None and (self.timer is None or self.timer.when > self.deadline):
             self._start_timer(self.deadline)
 
-    def _wait_for_parking(self) -> bool:
-        """Arranges for a quiet connection to be parked.
+    def _schedule_parking(self) -> bool:
+        """Sets when a quiet connection is parked.
 
-        Returns whether the server's queue of quiet connections sees to that, so that no timer is needed.
+        Returns whether the server's queue of quiet connections parks it, so that it needs no timer.
         """
         server = self.server
         now = server.loop.now()
-        if server.limits.idle_time <= 2 * QUIET_TIME:
-            self.idle_end = server.idle_end(now)
-            self.deadline = min(now + QUIET_TIME, self.idle_end)
+        if server.limits.idle_timeout <= 2 * QUIET_TIME:
+            self.idle_deadline = server.idle_deadline(now)
+            self.deadline = min(now + QUIET_TIME, self.idle_deadline)
             return False
         deadline = now + QUIET_TIME
         if not self.in_quiet_queue or self.deadline is None or deadline - self.deadline > SWEEP_INTERVAL:
-            self.idle_end = server.idle_end(now)
+            self.idle_deadline = server.idle_deadline(now)
             self.deadline = deadline
             self.in_quiet_queue = True
             server.enqueue_quiet(self, deadline)
@@ -115,9 +116,9 @@
     def _start_timer(self, deadline: int) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.server.loop.at(deadline, self._deadline_passed)
+        self.timer = self.server.loop.at(deadline, self._on_deadline)
 
-    def _deadline_passed(self) -> None:
+    def _on_deadline(self) -> None:
         self.timer = None
         if self.deadline is None or self.in_quiet_queue:
             return
@@ -128,15 +129,15 @@
             self._on_closed(None)
         elif not self.reader.mid_message:
             self.park()
-        elif self._rest_arrived():
+        elif self._read_overdue_rest():
             return
-        elif self.queue:
-            self.closing = True  # answers that are owed are sent first
+        elif self.pending_answers:
+            self.closing = True  # the connection closes after the answers to earlier requests
         else:
             self._reject(HttpError(408, "the request did not come in whole in time"))
 
-    def _rest_arrived(self) -> bool:
-        """Reads now; returns whether the rest of the overdue request had already arrived."""
+    def _read_overdue_rest(self) -> bool:
+        """Reads what has arrived; returns whether this ends the wait for the rest of an overdue request."""
         self.stream.read_now()
         return not self.stream.open or not self.reader.mid_message
 
