--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -23,7 +23,11 @@
 from gaproute.units import MICRO
 
 MICROS_PER_MILLI = 1_000
-STATES = {"active": interface.State.ACTIVE, "leaving": interface.State.DRAINING, "left": interface.State.GONE}
+STATES = {
+    "active": interface.ListedHostState.ACTIVE,
+    "leaving": interface.ListedHostState.DRAINING,
+    "left": interface.ListedHostState.GONE,
+}
 RESULTS = {
     "0": interface.Result.OK,
     "1": interface.Result.ERROR,
@@ -75,7 +79,7 @@
 
 
 @decoder
-def decode_terms(text: str) -> interface.Terms:
+def decode_terms(text: str) -> interface.RoutingSettings:
     """Converts the settings of an instance to terms of the decisions."""
     return settings.read_terms(json.loads(text))
 
@@ -130,7 +134,7 @@
         result,
         _parse_duration(line.elapsed) or 0,
         _parse_flag(line.ended),
-        interface.Found(found if found <= MAX_FOUND else 0),
+        interface.InstanceStatus(found if found <= MAX_FOUND else 0),
         remark >> FOUND_BITS if result in results_with_request_count else None,
         _parse_report(line.report),
     )
@@ -146,14 +150,14 @@
         interface.Result.STREAM_STARTED,
         _parse_duration(line.elapsed) or 0,
         False,
-        interface.Found.UNKNOWN,
+        interface.InstanceStatus.UNKNOWN,
         None,
         None,
     )
 
 
 @decoder
-def decode_probe_report(line: ProbeAnswered) -> interface.Report | None:
+def decode_probe_report(line: ProbeAnswered) -> interface.HostLoadReport | None:
     """Converts the load report in the answer to a health check."""
     return _parse_report(line.report)
 
@@ -184,7 +188,7 @@
     return FLAGS[text]
 
 
-def _parse_report(text: str) -> interface.Report | None:
+def _parse_report(text: str) -> interface.HostLoadReport | None:
     if text in (ABSENT, ""):
         return None
     pairs = dict(pair.split(":", 1) for pair in text.split(","))
@@ -192,4 +196,4 @@
     def figure(name: str) -> float | None:
         return float(pairs[name]) if pairs.get(name, ABSENT) != ABSENT else None
 
-    return interface.Report(figure("busy_reqs"), figure("pending"), figure("cpu_share"), figure("x0"))
+    return interface.HostLoadReport(figure("busy_reqs"), figure("pending"), figure("cpu_share"), figure("x0"))
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -7,7 +7,9 @@
 from gaproute.core.driver import Driver
 from gaproute.core.ports import DecisionModule
 
-GatewayFactory = Callable[[int, interface.Terms, int], DecisionModule]  # takes seed, terms and time
+GatewayFactory = Callable[
+    [int, interface.RoutingSettings, int], DecisionModule
+]  # takes seed, terms and time
 
 
 class Instance(Driver):
@@ -17,7 +19,9 @@
     contains.
     """
 
-    def __init__(self, gateway_factory: GatewayFactory, seed: int, terms: interface.Terms, now: int) -> None:
+    def __init__(
+        self, gateway_factory: GatewayFactory, seed: int, terms: interface.RoutingSettings, now: int
+    ) -> None:
         super().__init__(gateway_factory(seed, terms, now))
         self.results_with_request_count = RESULTS_WITH_REQUEST_COUNT if terms.same_function_counted else ()
         self.wait_numbers: dict[str, str] = {}  # by key: the number of the current wait
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -7,7 +7,7 @@
 from gaproute.core.completion import RequestCompletion
 from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts, RequestSender
-from gaproute.interface.call import Ending
+from gaproute.interface.call import FinalResult
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 from gaproute.units import MILLI
@@ -48,7 +48,7 @@
             self.request_classes[request.request_class].idempotency,
             key,
             deadline,
-            min(attempt.until, deadline),
+            min(attempt.start_by, deadline),
             partial(self._attempt_ended, key, number),
         )
         request.attempts[number] = AttemptInFlight(host, now, handle)
@@ -70,7 +70,7 @@
             request.may_have_run = True
         if result is interface.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
-            self._give_final_answer(request, Ending.DELIVERED, "", answer=attempt_result.answer)
+            self._give_final_answer(request, FinalResult.DELIVERED, "", answer=attempt_result.answer)
         self.record.attempt_ended(host, request.request_class, result)
         outcome = interface.Outcome(
             key,
@@ -125,9 +125,9 @@
     log_step(
         "attempt_ended",
         attempt=outcome.attempt,
-        host=outcome.host,
+        host=outcome.host_id,
         result=outcome.result.value,
-        took_ms=outcome.took // MILLI,
+        took_ms=outcome.duration // MILLI,
         found=outcome.found.name,
         same_function_requests=outcome.same_function_requests,
     )
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -7,7 +7,7 @@
 from gaproute.core.driver import HOUSEKEEPING, Driver
 from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule
-from gaproute.interface.call import Answer, Ending, Final
+from gaproute.interface.call import Answer, FinalAnswer, FinalResult
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 from gaproute.units import MILLI
@@ -42,17 +42,17 @@
         """Gives the final answer that a retry is safe: the request did not run, or may run again."""
         request = self.in_flight[key]
         self._give_final_answer(
-            request, Ending.REJECTED, REJECTED_TEXT, retry_after=rejection.retry_after, cause=rejection.reason
+            request, FinalResult.REJECTED, REJECTED_TEXT, retry_after=rejection.retry_after, cause=rejection.reason
         )
 
     def fail_request(self, key: str) -> None:
         """Gives the final answer that the request has failed and may have run."""
-        self._give_final_answer(self.in_flight[key], Ending.FAILED, MAY_HAVE_RUN_TEXT)
+        self._give_final_answer(self.in_flight[key], FinalResult.FAILED, MAY_HAVE_RUN_TEXT)
 
     def _give_final_answer(
         self,
         request: RequestInFlight,
-        ending: Ending,
+        ending: FinalResult,
         reason: str,
         *,
         answer: Answer | None = None,
@@ -68,7 +68,7 @@
         never_ran = not request.may_have_run and not any(
             attempt.handle.started for attempt in request.attempts.values()
         )
-        final = Final(
+        final = FinalAnswer(
             ending,
             answer,
             retry_after,
@@ -83,7 +83,7 @@
         self._withdraw_attempts(request)
 
     def _record_end(
-        self, request: RequestInFlight, ending: Ending, cause: interface.RejectReason | None
+        self, request: RequestInFlight, ending: FinalResult, cause: interface.RejectReason | None
     ) -> None:
         now = self.loop.now()
         took = now - request.first_byte_at
@@ -107,7 +107,7 @@
         if request.on_final is not None:
             self.record.internal_error("no final answer by the deadline", key)
             self.drop_generator(key)
-            self._give_final_answer(request, Ending.FAILED, DEADLINE_PASSED_TEXT)
+            self._give_final_answer(request, FinalResult.FAILED, DEADLINE_PASSED_TEXT)
         self._release_if_complete(request)
 
     # State of requests
@@ -147,5 +147,5 @@
             return
         request = self.in_flight.get(key)
         if request is not None and request.on_final is not None:
-            self._give_final_answer(request, Ending.FAILED, GATEWAY_ERROR_TEXT)
+            self._give_final_answer(request, FinalResult.FAILED, GATEWAY_ERROR_TEXT)
         self.drop_generator(key)
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -88,7 +88,7 @@
     def handle_outcome(self, now: int, outcome: interface.Outcome) -> None:
         """Accounts for an attempt that has ended, then resumes the generator of its request."""
         self.gateway.attempt_ended(now, outcome)
-        self.resume_generator(outcome.request, now, outcome)
+        self.resume_generator(outcome.request_id, now, outcome)
 
     def abandon_request(self, now: int, key: str) -> None:
         """Ends the generator of a request whose client has left and needs no final answer."""
@@ -96,7 +96,9 @@
             self.resume_generator(key, now, _client_left_outcome(key))
             self.drop_generator(key)
 
-    def probe_answered(self, now: int, host: str, report: interface.Report | None, *, good: bool) -> None:
+    def probe_answered(
+        self, now: int, host: str, report: interface.HostLoadReport | None, *, good: bool
+    ) -> None:
         """Accounts for the end of a health check; broadcasts the message that the decisions return."""
         payload = self.gateway.probe_ended(now, host, report, good=good)
         if payload is not None:
@@ -159,5 +161,13 @@
 def _client_left_outcome(request_id: str) -> interface.Outcome:
     """Creates the outcome that tells a generator that the client of its request has left."""
     return interface.Outcome(
-        request_id, -1, "", interface.Result.CLIENT_LEFT, 0, True, interface.Found.UNKNOWN, None, None
+        request_id,
+        -1,
+        "",
+        interface.Result.CLIENT_LEFT,
+        0,
+        True,
+        interface.InstanceStatus.UNKNOWN,
+        None,
+        None,
     )
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -38,7 +38,7 @@
         """Accounts for the outcome of an attempt."""
 
     def probe_ended(
-        self, now: int, host: str, report: interface.Report | None, /, *, good: bool
+        self, now: int, host: str, report: interface.HostLoadReport | None, /, *, good: bool
     ) -> bytes | None:
         """Accounts for the end of a health check; returns the message for all other gateways, or None."""
 
@@ -81,7 +81,7 @@
 class OnProbeEnded(Protocol):
     """The callback for the end of a health check."""
 
-    def __call__(self, report: interface.Report | None, /, *, good: bool) -> object:
+    def __call__(self, report: interface.HostLoadReport | None, /, *, good: bool) -> object:
         """`report`: the load report of the host; `good`: whether the host can serve requests."""
 
 
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from enum import Enum
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import MILLI, SECOND
 
 # Longest time that a turn of the event loop spends on the queues, and so the longest delay that the queues
@@ -94,7 +94,7 @@
         max_connections: int,
         max_per_address: int,
         descriptors: int,
-        chance: Chance,
+        chance: RandomGenerator,
         *,
         min_eviction_idle_time: int = MIN_EVICTION_IDLE_TIME,
         queue_when_full: bool = False,
--- a/gaproute/decisions/admission/restarts.py
+++ b/gaproute/decisions/admission/restarts.py
@@ -5,7 +5,7 @@
 soon.
 """
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import MILLI, SECOND
 
 FIRST_DELAY = 100 * MILLI  # delay before the first restart: short, so that a single crash costs little time
@@ -22,7 +22,7 @@
 class RestartBackoff:
     """Exponential backoff for each process slot; all starts are at least `MIN_START_INTERVAL` apart."""
 
-    def __init__(self, chance: Chance) -> None:
+    def __init__(self, chance: RandomGenerator) -> None:
         self.early_exit_counts: dict[int, int] = {}  # by process slot: consecutive early exits
         self.last_start_time: int | None = None  # time of the latest start, which may be in the future
         self._chance = chance
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.request_progress import AttemptInFlight
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Found, Outcome, Result
+from gaproute.interface import InstanceStatus, Outcome, Result
 from gaproute.units import MILLI
 
 # Lower bound of the mean duration by which a duration is divided. Without it, a stall of this gateway would
@@ -57,7 +57,7 @@
 
         Returns whether the attempt is one of those that were registered here.
         """
-        key = outcome.request, outcome.attempt
+        key = outcome.request_id, outcome.attempt
         attempt = self.attempts.pop(key, None)
         if attempt is None:
             return False
@@ -68,9 +68,9 @@
         else:
             self._record_entry_outcome(now, outcome, attempt)
         self._record_health(now, outcome, attempt)
-        warm_or_unknown = outcome.found in (Found.WARM, Found.UNKNOWN)
+        warm_or_unknown = outcome.found in (InstanceStatus.WARM, InstanceStatus.UNKNOWN)
         if attempt.from_own_client and outcome.result is Result.OK and warm_or_unknown:
-            self.demand.record_duration(attempt.function, outcome.took)
+            self.demand.record_duration(attempt.function, outcome.duration)
         self._record_load(now, outcome, attempt.cell)
         return True
 
@@ -89,20 +89,20 @@
         if not _shows_cell_state(outcome.result, attempt):
             return
         relative_duration = None
-        if outcome.result is Result.OK and outcome.found is Found.WARM:
+        if outcome.result is Result.OK and outcome.found is InstanceStatus.WARM:
             mean = max(MIN_MEAN_DURATION, self.demand.mean_duration(attempt.function))
-            relative_duration = outcome.took / mean
+            relative_duration = outcome.duration / mean
         self.health.record_outcome(now, attempt.cell, outcome.result, relative_duration)
 
     def _record_entry_outcome(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
         if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
-            self.entries.record_failure(now, outcome.host)
+            self.entries.record_failure(now, outcome.host_id)
         elif outcome.result is Result.TIMEOUT:
-            self.entries.record_overdue(now, outcome.host, attempt.sent_at)
+            self.entries.record_overdue(now, outcome.host_id, attempt.sent_at)
         elif outcome.result is Result.NOT_LOADED:
-            self.entries.record_cell_unknown(now, outcome.host, attempt.cell)
+            self.entries.record_cell_unknown(now, outcome.host_id, attempt.cell)
         elif outcome.result not in (Result.NOT_SENT, Result.CANCELLED):
-            self.entries.record_answer(now, outcome.host, attempt.cell)
+            self.entries.record_answer(now, outcome.host_id, attempt.cell)
 
     def _record_load(self, now: int, outcome: Outcome, name: str) -> None:
         cell = self.table.by_name.get(name) if self.table is not None else None
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -27,9 +27,18 @@
 from gaproute.decisions.cells.spill import SpillBudget
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.views import CellView
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import ListedHost, Outcome, RejectReason, Report, Request, Result, Terms, Wait
+from gaproute.interface import (
+    HostLoadReport,
+    ListedHost,
+    Outcome,
+    RejectReason,
+    Request,
+    Result,
+    RoutingSettings,
+    Wait,
+)
 
 # Combined with the seed, so that the random numbers for cells differ from those for hosts
 CHANCE_SALT = 0x63656C6C
@@ -43,13 +52,15 @@
     `single_gateway` is None.
     """
 
-    def __init__(self, seed: int, terms: Terms, now: int, location: GatewayLocation | None = None) -> None:
+    def __init__(
+        self, seed: int, terms: RoutingSettings, now: int, location: GatewayLocation | None = None
+    ) -> None:
         """Without a `location`, tables with several cells are rejected."""
         self.terms, self.location = terms, location
         self.single_gateway: Gateway | None = Gateway(seed, terms, now)
         self.previous_single_gateway: Gateway | None = None
         self.table: CellTable | None = None
-        self.chance = Chance(seed ^ CHANCE_SALT)
+        self.chance = RandomGenerator(seed ^ CHANCE_SALT)
         self.local = LocalCells(seed, terms)
         self.entries = EntrySelector(location.name if location else "")
         self.demand = Demand(now, self._fleet_scope(1.0))
@@ -177,7 +188,7 @@
         if gateway is not None:
             gateway.attempt_ended(now, outcome)
 
-    def probe_ended(self, now: int, host: str, report: Report | None, *, good: bool) -> bytes | None:
+    def probe_ended(self, now: int, host: str, report: HostLoadReport | None, *, good: bool) -> bytes | None:
         """Records the result of a health check; returns the message for all other gateways, or None."""
         gateway = self.single_gateway or self.local.gateway_of_host(host)
         if gateway is None:
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.decisions.routing.parameters import NEVER
-from gaproute.interface import Action, ListedHost, Report, Terms
+from gaproute.interface import Action, HostLoadReport, ListedHost, RoutingSettings
 from gaproute.units import SECOND
 
 LOAD_CACHE_TIME = SECOND  # for the sum of the loads of the hosts of a cell
@@ -32,9 +32,9 @@
     `end_by`: the time by which every request must have its answer because the process ends, ns, or `NEVER`.
     """
 
-    def __init__(self, seed: int, terms: Terms) -> None:
+    def __init__(self, seed: int, terms: RoutingSettings) -> None:
         self.seed, self.terms = seed, terms
-        self.load_order_limiter = LoadOrderLimiter.of(terms)
+        self.load_order_limiter = LoadOrderLimiter.from_settings(terms)
         self.gateways: dict[str, Gateway] = {}  # by cell
         self.loads: dict[str, _CachedLoad] = {}  # by cell
         self.housekeepers: dict[str, Housekeeper] = {}  # by cell
@@ -88,13 +88,13 @@
         cached = self.loads.get(name)
         if cached is None or now - cached.counted_at >= LOAD_CACHE_TIME:
             gateway = self.gateways[name]
-            load = float(sum(gateway.queued(host, 1, now) for host in gateway.active_hosts))
+            load = float(sum(gateway.request_count(host, 1, now) for host in gateway.active_hosts))
             cached = self.loads[name] = _CachedLoad(now, load)
         return cached.load
 
-    def load_report(self, now: int, name: str) -> Report | None:
+    def load_report(self, now: int, name: str) -> HostLoadReport | None:
         """The load of a known cell, which an entry gateway sends with each answer; None for other cells."""
-        return Report(in_hand=self.load(now, name)) if name in self.gateways else None
+        return HostLoadReport(in_hand=self.load(now, name)) if name in self.gateways else None
 
     def housekeep(self, now: int) -> Iterator[Action]:
         """Yields the actions of the housekeeping that is due, over all known cells."""
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -24,8 +24,17 @@
 from gaproute.decisions.cells.local_cells import LocalCells
 from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.table import Cell
-from gaproute.decisions.routing.request_router import ANSWER_BY
-from gaproute.interface import Cancel, Group, Idempotency, Outcome, Reject, RejectReason, Result, Wait
+from gaproute.decisions.routing.request_router import ANSWER_MARGIN
+from gaproute.interface import (
+    Cancel,
+    Idempotency,
+    IdempotencyScope,
+    Outcome,
+    Reject,
+    RejectReason,
+    Result,
+    Wait,
+)
 from gaproute.units import MILLI, SECOND
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
@@ -82,7 +91,7 @@
     def _answer_by(self, progress: RequestProgress) -> int:
         """The time by which this gateway must answer: the deadline or the end of the process, ns."""
         end: int = min(progress.deadline, self.local.end_by)
-        return end - ANSWER_BY
+        return end - ANSWER_MARGIN
 
     def _await_outcome(self, progress: RequestProgress, number: int, cell: Cell) -> Actions[Outcome | None]:
         """Waits for the outcome of the attempt; returns None if the request is over.
@@ -98,7 +107,7 @@
             if outcome is not None and outcome.result is Result.STREAM_STARTED:
                 yield from _await_stream_end(now, outcome)
                 return None
-            if outcome is not None and outcome.ended:
+            if outcome is not None and outcome.request_ended:
                 if number in progress.in_flight and self.cancel_allowed:
                     yield Cancel(number)
                 return None
@@ -124,15 +133,15 @@
         return True
     request_class = progress.request_class
     has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-    if not (has_key and request_class.group is Group.ALL and result is Result.RESET):
+    if not (has_key and request_class.idempotency_scope is IdempotencyScope.ALL and result is Result.RESET):
         return False
     assert progress.first_sent_at is not None  # it was sent, as it may have run
-    forgotten_at: int = progress.first_sent_at + request_class.repeat_window
+    forgotten_at: int = progress.first_sent_at + request_class.deduplication_window
     return progress.deadline + MAX_TRANSIT_TIME <= forgotten_at
 
 
 def _await_stream_end(now: int, outcome: Outcome | None) -> Actions[None]:
     """Waits for the end of a streamed answer; a stream has no deadline."""
-    while outcome is None or not outcome.ended:
+    while outcome is None or not outcome.request_ended:
         resumed = yield Wait(now + SECOND)
         now, outcome = wakeup_of(resumed)
--- a/gaproute/decisions/reports/load_report_codec.py
+++ b/gaproute/decisions/reports/load_report_codec.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable
 from hashlib import blake2b
 
-from gaproute.interface import Report
+from gaproute.interface import HostLoadReport
 
 HOST_HASH_BYTES = 2
 MAX_BYTE_VALUE = 255
@@ -23,7 +23,7 @@
     """Encodes and decodes load reports. `reported`: the names of the figures that health checks report."""
 
     def __init__(self, reported: Collection[str]) -> None:
-        self.figures = tuple(name for name in Report._fields if name in reported)
+        self.figures = tuple(name for name in HostLoadReport._fields if name in reported)
         self.encoded_size = HOST_HASH_BYTES + len(self.figures)  # bytes of an encoded report
         self._hashes: dict[str, bytes] = {}  # by host
         self._hosts_by_hash: dict[bytes, str | None] = {}  # None: several hosts have this hash
@@ -35,7 +35,7 @@
         for name, hash_bytes in self._hashes.items():
             self._hosts_by_hash[hash_bytes] = None if hash_bytes in self._hosts_by_hash else name
 
-    def encode(self, name: str, report: Report) -> bytes | None:
+    def encode(self, name: str, report: HostLoadReport) -> bytes | None:
         """Returns the bytes of a report; None if the host is unknown or shares its hash with another host."""
         hash_bytes = self._hashes.get(name)
         if hash_bytes is None or self._hosts_by_hash.get(hash_bytes) != name:
@@ -44,13 +44,13 @@
             [_encode_figure(figure, getattr(report, figure)) for figure in self.figures]
         )
 
-    def decode(self, data: bytes) -> tuple[str, Report] | None:
+    def decode(self, data: bytes) -> tuple[str, HostLoadReport] | None:
         """Returns the host and its report; None if the length is wrong or the hash is of no single host."""
         name = self._hosts_by_hash.get(bytes(data[:HOST_HASH_BYTES]))
         if len(data) != self.encoded_size or name is None:
             return None
         figures = zip(self.figures, data[HOST_HASH_BYTES:], strict=True)
-        return name, Report(**{figure: _decode_figure(figure, value) for figure, value in figures})
+        return name, HostLoadReport(**{figure: _decode_figure(figure, value) for figure, value in figures})
 
 
 def _encode_figure(figure: str, value: float | None) -> int:
--- a/gaproute/fronts/kserve/inference.py
+++ b/gaproute/fronts/kserve/inference.py
@@ -12,7 +12,7 @@
 from gaproute.core.core import Core
 from gaproute.fronts.kserve.responses import BAD_REQUEST, NS_PER_MS, RequestError
 from gaproute.http1 import Request
-from gaproute.interface.call import Call, Final
+from gaproute.interface.call import Call, FinalAnswer
 
 MAX_HEADER_NUMBER_DIGITS = 12
 
@@ -35,7 +35,7 @@
 
     core: Core
 
-    def finish_request(self, request: Request, final: Final) -> None:
+    def finish_request(self, request: Request, final: FinalAnswer) -> None:
         """Sends the final answer to a request."""
 
     def answer_half_closed(self, request: Request) -> None:
@@ -52,7 +52,7 @@
         self.gateway_request_id = ""  # the id that the gateway gave it
         self.abandoned = False
 
-    def finish(self, final: Final) -> None:
+    def finish(self, final: FinalAnswer) -> None:
         """Sends the final answer if the client still waits."""
         if not self.abandoned:
             self.front.finish_request(self.request, final)
--- a/gaproute/fronts/kserve/responses.py
+++ b/gaproute/fronts/kserve/responses.py
@@ -14,7 +14,7 @@
 
 from gaproute.errors import GaprouteError
 from gaproute.http1.rendering import Header
-from gaproute.interface.call import Answer, Final
+from gaproute.interface.call import Answer, FinalAnswer
 
 NS_PER_MS, NS_PER_S = 1_000_000, 1_000_000_000
 
@@ -40,13 +40,13 @@
     return msgspec.json.encode({"error": text})
 
 
-def delivered_answer(final: Final, answer: Answer) -> Answer:
+def delivered_answer(final: FinalAnswer, answer: Answer) -> Answer:
     """The host's answer with the headers of the gateway."""
     fields = (*answer.fields, OUTCOME_DELIVERED, _request_id_header(final), _attempts_header(final))
     return Answer(answer.status, fields, answer.body)
 
 
-def rejected_answer(final: Final, status: int) -> Answer:
+def rejected_answer(final: FinalAnswer, status: int) -> Answer:
     """The answer to a request that provably did not run or may run again."""
     fields = (
         JSON_TYPE,
@@ -58,7 +58,7 @@
     return Answer(status, fields, encode_error(final.reason))
 
 
-def failed_answer(final: Final) -> Answer:
+def failed_answer(final: FinalAnswer) -> Answer:
     """The answer to a request that may have run."""
     fields = (JSON_TYPE, OUTCOME_FAILED, _request_id_header(final), _attempts_header(final))
     return Answer(TIMEOUT, fields, encode_error(final.reason))
@@ -70,9 +70,9 @@
     return Answer(TIMEOUT, (JSON_TYPE, OUTCOME_FAILED), encode_error(text))
 
 
-def _request_id_header(final: Final) -> Header:
-    return b"Gaproute-Task", final.request.encode()
+def _request_id_header(final: FinalAnswer) -> Header:
+    return b"Gaproute-Task", final.request_id.encode()
 
 
-def _attempts_header(final: Final) -> Header:
-    return b"Gaproute-Relays", b"%d" % final.attempts
+def _attempts_header(final: FinalAnswer) -> Header:
+    return b"Gaproute-Relays", b"%d" % final.attempt_count
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -24,7 +24,7 @@
     RequestError,
 )
 from gaproute.http1 import Request, Server
-from gaproute.interface.call import Answer, Call, Ending, Final
+from gaproute.interface.call import Answer, Call, FinalAnswer, FinalResult
 
 SERVER_VERSION = "0.2.0"
 EXTENSIONS = ["binary_tensor_data"]
@@ -145,21 +145,21 @@
 
     # Answers
 
-    def finish_request(self, request: Request, final: Final) -> None:
+    def finish_request(self, request: Request, final: FinalAnswer) -> None:
         """Sends the final answer to a request."""
-        if final.answer is not None and final.ending is Ending.DELIVERED:
+        if final.answer is not None and final.result is FinalResult.DELIVERED:
             answer = responses.delivered_answer(final, final.answer)
-        elif final.ending is Ending.REJECTED:
+        elif final.result is FinalResult.REJECTED:
             answer = responses.rejected_answer(final, self._rejection_status(request, final))
         else:
             answer = responses.failed_answer(final)
         self._send_answer(request, final, answer)
 
-    def _rejection_status(self, request: Request, final: Final) -> int:
+    def _rejection_status(self, request: Request, final: FinalAnswer) -> int:
         """The status of the response to a rejected request."""
         return UNAVAILABLE
 
-    def _send_answer(self, request: Request, final: Final, answer: Answer) -> None:
+    def _send_answer(self, request: Request, final: FinalAnswer, answer: Answer) -> None:
         """Sends the answer to a submitted request."""
         self.server.answer(request, answer.status, answer.fields, answer.body)
 
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -10,8 +10,8 @@
 from gaproute.hosts.jsonlines.connection import Connection
 from gaproute.hosts.jsonlines.host import Host
 from gaproute.hosts.jsonlines.pending_request import OnRequestEnded, PendingRequest
-from gaproute.interface import Idempotency, State
-from gaproute.interface.call import always
+from gaproute.interface import Idempotency, ListedHostState
+from gaproute.interface.call import assume_client_present
 from gaproute.loop import Loop
 from gaproute.settings import DeploymentSettings
 from gaproute.units import MILLI, SECOND
@@ -66,8 +66,8 @@
         elif not host.matches_endpoint(endpoint):
             host.drain()  # its connections lead to the old address or process
             host.set_endpoint(endpoint)
-        host.active = endpoint.listed.state is State.ACTIVE
-        host.listed = endpoint.listed.state is not State.GONE
+        host.active = endpoint.listed.state is ListedHostState.ACTIVE
+        host.listed = endpoint.listed.state is not ListedHostState.GONE
 
     def submit(
         self,
@@ -77,7 +77,7 @@
         start_before: int,
         idempotency: Idempotency,
         on_ended: OnRequestEnded,
-        still_wanted: Callable[[], bool] = always,
+        still_wanted: Callable[[], bool] = assume_client_present,
     ) -> PendingRequest | None:
         """Submits a request on an idle connection picked by pooling, else on a new one, else on a shared one.
 
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -10,7 +10,7 @@
 
 from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts.load_figures import bounded_count, parse_figure
-from gaproute.interface import Found, Report, Result
+from gaproute.interface import HostLoadReport, InstanceStatus, Result
 from gaproute.interface.call import Answer, Call
 from gaproute.settings import read_report
 from gaproute.units import MILLI
@@ -23,7 +23,12 @@
     "crashed": Result.ERROR,
     "nobody": Result.NOT_SENT,
 }
-FOUND_BY_CODE = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
+FOUND_BY_CODE = {
+    "w": InstanceStatus.WARM,
+    "c": InstanceStatus.BEGAN_LOAD,
+    "j": InstanceStatus.AWAITED_LOAD,
+    "f": InstanceStatus.LOAD_FAILED,
+}
 READY_TYPE, NOT_READY_TYPE = "green", "red"
 
 Meta = dict[str, str | int | float]
@@ -90,7 +95,7 @@
     same_function_requests = None
     if same_function_counted and result in (Result.OK, Result.FULL):
         same_function_requests = bounded_count(parse_figure(reply.meta.get("queue_fn"))) or 0
-    found = FOUND_BY_CODE.get(reply.meta.get("tell"), Found.UNKNOWN)  # type: ignore[arg-type]
+    found = FOUND_BY_CODE.get(reply.meta.get("tell"), InstanceStatus.UNKNOWN)  # type: ignore[arg-type]
     return AttemptResult(result, answer, found, same_function_requests, decode_load_report(reply.meta))
 
 
@@ -106,7 +111,7 @@
     return body
 
 
-def decode_probe_reply(reply: Reply) -> tuple[bool, Report | None] | None:
+def decode_probe_reply(reply: Reply) -> tuple[bool, HostLoadReport | None] | None:
     """Decodes the reply to a probe: (ready, load report). None where it is the reply to something else."""
     if reply.type not in (READY_TYPE, NOT_READY_TYPE):
         return None
@@ -122,7 +127,7 @@
     return None if result is None else (result, bounded_count(parse_figure(reply.meta.get("copies"))) or 0)
 
 
-def decode_load_report(meta: Meta) -> Report | None:
+def decode_load_report(meta: Meta) -> HostLoadReport | None:
     """Decodes a load report such as `inflight:7;util:0.61`; a malformed figure counts as not reported."""
     text = meta.get("meter")
     if not isinstance(text, str):
@@ -133,5 +138,5 @@
         figure = parse_figure(value)
         if figure is not None:
             figures[name] = figure
-    report: Report | None = read_report(figures)
+    report: HostLoadReport | None = read_report(figures)
     return report
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -16,15 +16,15 @@
 import msgspec
 
 from gaproute.hosts.load_figures import bounded_count, valid_figure
-from gaproute.interface import Found, Report
+from gaproute.interface import HostLoadReport, InstanceStatus
 
 REPORT_HEADER = b"endpoint-load-metrics"
 REPORT_REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # asks the host for a load report
 NAMED_METRIC_PREFIX = "named_metrics."
-FOUND_BY_COPY_METRIC: dict[float | None, Found] = {
-    found.value: found for found in Found if found is not Found.UNKNOWN
+FOUND_BY_COPY_METRIC: dict[float | None, InstanceStatus] = {
+    found.value: found for found in InstanceStatus if found is not InstanceStatus.UNKNOWN
 }
-EMPTY_REPORT = Report()
+EMPTY_REPORT = HostLoadReport()
 
 
 class OrcaReport(msgspec.Struct):
@@ -38,12 +38,12 @@
 class ReportedMetrics(NamedTuple):
     """The metrics that the headers of one response report."""
 
-    report: Report | None
-    found: Found
+    report: HostLoadReport | None
+    found: InstanceStatus
     same_function_requests: int | None
 
 
-NO_METRICS = ReportedMetrics(None, Found.UNKNOWN, None)
+NO_METRICS = ReportedMetrics(None, InstanceStatus.UNKNOWN, None)
 
 _decode_json = msgspec.json.Decoder(OrcaReport).decode
 
@@ -81,7 +81,7 @@
     if decoded is None:
         return NO_METRICS
     named_metrics = decoded.named_metrics
-    report = Report(
+    report = HostLoadReport(
         valid_figure(named_metrics.get("in_hand")),
         valid_figure(named_metrics.get("queue")),
         valid_figure(decoded.cpu_utilization),
@@ -89,6 +89,6 @@
     )
     return ReportedMetrics(
         report if report != EMPTY_REPORT else None,
-        FOUND_BY_COPY_METRIC.get(named_metrics.get("copy"), Found.UNKNOWN),
+        FOUND_BY_COPY_METRIC.get(named_metrics.get("copy"), InstanceStatus.UNKNOWN),
         bounded_count(valid_figure(named_metrics.get("alike"))),
     )
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -11,7 +11,7 @@
     Admission,
     response_margin,
 )
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS, split_descriptors
 from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.decisions.routing import Gateway
@@ -78,7 +78,7 @@
             shares.clients,
             shares.clients + 1,
             self.sockets,
-            Chance(self.seed + ADMISSION_SEED),
+            RandomGenerator(self.seed + ADMISSION_SEED),
             min_eviction_idle_time=MIN_EVICTION_IDLE_TIME_WITH_RETRIES,
             queue_when_full=True,
             reserved_descriptors=shares.hosts + PROCESS_DESCRIPTORS,
@@ -86,7 +86,7 @@
 
     def _make_core(self) -> None:
         self.gateway = Gateway(self.seed, self.terms, self.loop.now())
-        longest = self.gateway.load_order_limiter.travel_time
+        longest = self.gateway.load_order_limiter.max_transit_time
         if longest:
             self.hosts.order_timeout = min(self.hosts.order_timeout, longest)
         self.core = Core(self.loop, self.gateway, self.terms, self.hosts, self.record, self.name)
@@ -101,7 +101,7 @@
         front = self.front = self._listen()
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
             self.peers.open()
-        chance = Chance(self.seed + CHANGE_LOG_SEED)
+        chance = RandomGenerator(self.seed + CHANGE_LOG_SEED)
         self.host_list.start(self.configuration.known, self.configuration.changelog, chance)
         self._log_start(front)
         self.status = StatusLog(
--- a/gaproute/standins/rule_violators.py
+++ b/gaproute/standins/rule_violators.py
@@ -10,7 +10,16 @@
 from gaproute.decisions.routing.host_selector import HostSelector
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
-from gaproute.interface import Attempt, ListedHost, LoadOrder, Reject, Request, RequestClass, State, Wait
+from gaproute.interface import (
+    Attempt,
+    ListedHost,
+    ListedHostState,
+    LoadOrder,
+    Reject,
+    Request,
+    RequestClass,
+    Wait,
+)
 from gaproute.interface.actions import Action
 from gaproute.units import MILLI
 
@@ -24,7 +33,7 @@
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
         """Rejects some requests, and sends them a little later."""
-        if self.chance.below(VIOLATES_ONE_IN):
+        if self.random.below(VIOLATES_ONE_IN):
             yield from super().serve(now, request)
             return
         yield Reject(0)
@@ -37,7 +46,7 @@
 class AllowsAllRetries(RetryRules):
     """Allows every attempt at an active host."""
 
-    def allowed(self, host: Host, request_class: RequestClass, attempts: RequestAttempts, now: int) -> bool:
+    def allows(self, host: Host, request_class: RequestClass, attempts: RequestAttempts, now: int) -> bool:
         """Whether the host is active."""
         return host.active
 
@@ -53,7 +62,9 @@
 
     def update_hosts(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
         """Takes each listed host for an active one, and forgets none."""
-        super().update_hosts(now, [row._replace(state=State.ACTIVE) for row in rows], complete=False)
+        super().update_hosts(
+            now, [row._replace(state=ListedHostState.ACTIVE) for row in rows], complete=False
+        )
 
 
 class ChoosesLastStarted(HostSelector):
@@ -62,7 +73,7 @@
     def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
         """The host that started last, for the first attempt."""
         started = [(host.started, host) for host in self.hosts.active if host.started is not None]
-        if not started or attempts.started:
+        if not started or attempts.attempt_count:
             return super().choose(now, request, attempts)
         return max(started, key=lambda entry: entry[0])[1]
 
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -6,7 +6,7 @@
 from gaproute import interface
 from gaproute.core.core import Core
 from gaproute.core.in_flight import AttemptResult
-from gaproute.interface.call import Answer, Call, Ending
+from gaproute.interface.call import Answer, Call, FinalResult
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
 
@@ -83,9 +83,9 @@
     submit(core)
     core.hosts.sent[0](DELIVERED_RESULT)
     run_loop(core)
-    assert [final.ending for final in core.finals] == [Ending.DELIVERED]
+    assert [final.result for final in core.finals] == [FinalResult.DELIVERED]
     assert core.finals[0].answer.body == b"done"
-    assert core.gateway.outcomes[0].ended
+    assert core.gateway.outcomes[0].request_ended
     assert not core.in_flight
     assert not core.wait_timers
 
@@ -98,7 +98,7 @@
     core = make_core(serve)
     submit(core)
     run_loop(core)
-    assert [final.ending for final in core.finals] == [Ending.REJECTED]
+    assert [final.result for final in core.finals] == [FinalResult.REJECTED]
     assert core.finals[0].retry_after == 5
 
 
@@ -114,12 +114,12 @@
     core = make_core(serve)
     submit(core)
     run_loop(core, 2 * MILLI)
-    assert [final.ending for final in core.finals] == [Ending.FAILED]
+    assert [final.result for final in core.finals] == [FinalResult.FAILED]
     core.gateway.serve = attempt_and_wait
     submit(core)
     core.hosts.sent[-1](DELIVERED_RESULT)
     run_loop(core)
-    assert core.finals[-1].ending is Ending.DELIVERED
+    assert core.finals[-1].result is FinalResult.DELIVERED
 
 
 def test_a_request_without_a_final_answer_of_the_decisions_fails_at_its_deadline():
@@ -129,7 +129,7 @@
     run_loop(core, 299 * MILLI)
     assert not core.finals
     run_loop(core, 2 * MILLI)
-    assert [final.ending for final in core.finals] == [Ending.FAILED]
+    assert [final.result for final in core.finals] == [FinalResult.FAILED]
     assert core.hosts.cancelled == ["w"]
     assert core.gateway.outcomes[0].result is interface.Result.TIMEOUT
     assert not core.in_flight
@@ -181,7 +181,7 @@
     core.hosts.started = False
     submit(core)
     run_loop(core, 2 * MILLI)
-    assert core.finals[0].ending is Ending.REJECTED
+    assert core.finals[0].result is FinalResult.REJECTED
     assert core.hosts.cancelled == ["w"]
     assert not core.in_flight
     assert core.gateway.outcomes[0].result is interface.Result.NOT_SENT
@@ -236,5 +236,5 @@
     core = make_core(serve)
     submit(core)
     run_loop(core)
-    assert [final.ending for final in core.finals] == [Ending.FAILED]
+    assert [final.result for final in core.finals] == [FinalResult.FAILED]
     assert not core.in_flight
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -43,7 +43,7 @@
             row(
                 name,
                 zone=self.random.randrange(2),
-                state=self.random.choice([face.State.ACTIVE] * 5 + [face.State.DRAINING]),
+                state=self.random.choice([face.ListedHostState.ACTIVE] * 5 + [face.ListedHostState.DRAINING]),
                 started=self.random.choice([None, 0]),
             )
             for name in names
@@ -85,8 +85,8 @@
         )
         outcome = face.Outcome(
             name, attempt, host, result, self.now - sent, result is face.Result.OK,
-            self.random.choice(list(face.Found)), self.random.choice([None, 1, 9]),
-            face.Report(in_hand=float(self.random.randrange(20)), memory_busy=self.random.random()),
+            self.random.choice(list(face.InstanceStatus)), self.random.choice([None, 1, 9]),
+            face.HostLoadReport(in_hand=float(self.random.randrange(20)), memory_busy=self.random.random()),
         )  # fmt: skip
         self.gateway.attempt_ended(self.now, outcome)
         self.advance(name, (self.now, outcome))
@@ -101,7 +101,7 @@
                 self.update_hosts(self.random.random() < 0.5)
             case 1:
                 host = self.random.choice(self.names)
-                report = face.Report(in_hand=float(self.random.randrange(9)))
+                report = face.HostLoadReport(in_hand=float(self.random.randrange(9)))
                 self.actions.append(
                     self.gateway.probe_ended(self.now, host, report, good=self.random.random() < 0.8)
                 )
--- a/tests/decisions/cells/test_demand.py
+++ b/tests/decisions/cells/test_demand.py
@@ -4,7 +4,7 @@
 
 from gaproute.decisions.cells.demand import MIN_PLACEMENT_TIME, RARE_PLACEMENT, Demand, FleetScope, Placement
 from gaproute.decisions.cells.loads import CellLoads
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.units import SECOND
 
 SCOPE = FleetScope(16_000, 3_200, 600 * SECOND)
@@ -144,7 +144,7 @@
 
 def test_cells_are_drawn_in_proportion_to_capacity():
     capacities = {"a": 100.0, "b": 50.0, "c": 150.0}
-    loads, chance = CellLoads(), Chance(3)
+    loads, chance = CellLoads(), RandomGenerator(3)
     counts = dict.fromkeys(capacities, 0)
     for _ in range(6000):
         counts[loads.draw(0, tuple(capacities), capacities, chance)] += 1
@@ -154,7 +154,7 @@
 
 def test_a_loaded_cell_is_drawn_rarely_but_still_drawn():
     capacities = dict.fromkeys("abcd", 100.0)
-    loads, chance = CellLoads(), Chance(3)
+    loads, chance = CellLoads(), RandomGenerator(3)
     for now in range(0, 60 * SECOND, SECOND):
         for name in "abcd":
             loads.record(now, name, 2.0 if name == "a" else 1.0)
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -93,7 +93,7 @@
     while isinstance(action, face.Attempt):
         serve.send(attempts)
         outcome = face.Outcome(
-            "t", attempts, action.host, result, MILLI, False, face.Found.UNKNOWN, None, None
+            "t", attempts, action.host, result, MILLI, False, face.InstanceStatus.UNKNOWN, None, None
         )
         gateway.attempt_ended(MILLI, outcome)
         action, attempts = serve.send((MILLI, outcome)), attempts + 1
@@ -192,11 +192,11 @@
     name = functions_with_home(gateway, "cell7")[0]
     for number in range(20):
         drive = Drive(gateway, task(f"t{number}", name), number * SECOND)
-        drive.hears(number * SECOND, face.Result.OK, found=face.Found.WARM, took=50 * MILLI)
+        drive.hears(number * SECOND, face.Result.OK, found=face.InstanceStatus.WARM, took=50 * MILLI)
     mean_before = gateway.demand.mean_duration(name)
     for number in range(20, 40):
         drive = Drive(gateway, task(f"t{number}", name), number * SECOND)
-        drive.hears(number * SECOND, face.Result.OK, found=face.Found.BEGAN_LOAD, took=2 * SECOND)
+        drive.hears(number * SECOND, face.Result.OK, found=face.InstanceStatus.BEGAN_LOAD, took=2 * SECOND)
     assert gateway.demand.mean_duration(name) == mean_before
     assert not gateway.health.is_faulty("cell7")
 
@@ -210,5 +210,5 @@
     for number, name in enumerate(functions_with_home(gateway, "cell7", 8)):
         now = number * SECOND // 10
         drive = Drive(gateway, task(f"t{number}", name), now)
-        drive.hears(now, face.Result.OK, found=face.Found.WARM, took=took)
+        drive.hears(now, face.Result.OK, found=face.InstanceStatus.WARM, took=took)
     assert gateway.health.is_faulty("cell7") == slow
--- a/tests/decisions/cells/test_entry_requests.py
+++ b/tests/decisions/cells/test_entry_requests.py
@@ -76,7 +76,7 @@
     gateway.end_by = 2 * SECOND
     action = Drive(gateway, task("t", function_with_home(gateway, "cell7")), now=SECOND).wishes[0]
     assert isinstance(action, ForwardAttempt)
-    assert action.until < 2 * SECOND
+    assert action.start_by < 2 * SECOND
     late = Drive(gateway, task("u", function_with_home(gateway, "cell7")), now=2 * SECOND)
     assert isinstance(late.wishes[-1], face.Reject)
     assert late.sent == []
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -16,7 +16,7 @@
     MIN_RECOVERY_RAMP,
     CellHealth,
 )
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.interface import Result
 from gaproute.units import SECOND
 
@@ -24,7 +24,7 @@
 
 
 def make_health(count=65, name="gateway1"):
-    health = CellHealth(name, Chance(5))
+    health = CellHealth(name, RandomGenerator(5))
     health.adopt(table(cells(count)))
     return health
 
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -13,7 +13,7 @@
 
 MILLI = 1_000_000
 IDEMPOTENT_WITH_KEY = 1
-MAX_TIME_LEFT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].repeat_window - MAX_TRANSIT_TIME
+MAX_TIME_LEFT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].deduplication_window - MAX_TRANSIT_TIME
 
 
 def drive_after_first_attempt(result=face.Result.RESET, time_left=MAX_TIME_LEFT, **options):
@@ -52,8 +52,8 @@
     "options",
     [
         {"time_left": MAX_TIME_LEFT + 1},  # an entry might send it when hosts have dropped the key
-        {"group": face.Group.ZONE},
-        {"group": face.Group.CELL},
+        {"idempotency_scope": face.IdempotencyScope.ZONE},
+        {"idempotency_scope": face.IdempotencyScope.CELL},
         {"result": face.Result.ERROR},  # the entry answered: it made the allowed retries itself
         {"result": face.Result.TIMEOUT},
         {"idempotency": face.Idempotency.NON_IDEMPOTENT},
--- a/tests/decisions/reports/test_hints.py
+++ b/tests/decisions/reports/test_hints.py
@@ -4,15 +4,15 @@
 from helpers import MILLI, SECOND, Drive, gateway, row, task
 from observation_scenes import ranked_hosts
 
-from gaproute.interface import Found, Outcome, Result, State
+from gaproute.interface import InstanceStatus, ListedHostState, Outcome, Result
 
 
-def outcome(name, host, found=Found.WARM):
+def outcome(name, host, found=InstanceStatus.WARM):
     return Outcome(name, 0, host, Result.OK, 100 * MILLI, True, found, None, None)
 
 
 def test_a_hint_is_used_only_if_it_is_recent_and_its_host_is_active_and_kept_its_instances():
-    decisions = gateway(row("a"), row("b", state=State.DRAINING))
+    decisions = gateway(row("a"), row("b", state=ListedHostState.DRAINING))
     assert decisions.hint_instance("a", "f", 4, 5 * SECOND)
     assert not decisions.hint_instance("a", "f", 4, 4 * SECOND)
     assert decisions.hint_instance("a", "f", 4, 6 * SECOND)
@@ -39,7 +39,7 @@
         assert action.host == name
 
 
-def trial(decisions, number, found=Found.WARM):
+def trial(decisions, number, found=InstanceStatus.WARM):
     """Hints an instance at a host that is not the first of the ranking; returns whether a request goes to it.
 
     The request is answered with `found`, unless that is None.
@@ -66,15 +66,15 @@
     assert not trial(decisions, 2, None)
     decisions.attempt_ended(7 * SECOND, outcome("t0", ranked_hosts(decisions, "f0")[1].id))
     assert decisions.functions_by_name["f2"].hinted_at
-    decisions.hints.consider(8 * SECOND, "f2", decisions.functions_by_name["f2"])
+    decisions.hints.follow_hint(8 * SECOND, "f2", decisions.functions_by_name["f2"])
     assert ranked_hosts(decisions, "f2")[1].id in decisions.functions_by_name["f2"].last_used
 
 
 def test_hints_are_not_used_after_two_wrong_ones_however_many_were_right():
     decisions = gateway()
     assert all(trial(decisions, number) for number in range(20))
-    assert trial(decisions, 20, Found.BEGAN_LOAD)
-    assert trial(decisions, 21, Found.LOAD_FAILED)
+    assert trial(decisions, 20, InstanceStatus.BEGAN_LOAD)
+    assert trial(decisions, 21, InstanceStatus.LOAD_FAILED)
     assert not trial(decisions, 22)
 
 
@@ -83,13 +83,13 @@
     assert trial(decisions, 0, None)
     assert trial(decisions, 1, None)
     assert not trial(decisions, 2, None)
-    decisions.hints.consider(20 * SECOND, "f2", decisions.functions_by_name["f2"])
+    decisions.hints.follow_hint(20 * SECOND, "f2", decisions.functions_by_name["f2"])
     assert ranked_hosts(decisions, "f2")[1].id in decisions.functions_by_name["f2"].last_used
-    assert (decisions.hints.right, decisions.hints.wrong) == (0, 0)
+    assert (decisions.hints.right_count, decisions.hints.wrong_count) == (0, 0)
     decisions = gateway()
-    assert trial(decisions, 0, Found.UNKNOWN)
+    assert trial(decisions, 0, InstanceStatus.UNKNOWN)
     assert not decisions.hints.trials
-    assert (decisions.hints.right, decisions.hints.wrong) == (0, 0)
+    assert (decisions.hints.right_count, decisions.hints.wrong_count) == (0, 0)
 
 
 def test_of_two_hints_the_one_that_ranks_first_is_tried():
@@ -97,7 +97,7 @@
     first, second = (host.id for host in ranked_hosts(decisions, "f")[:2])
     decisions.hint_instance(second, "f", 4, 5 * SECOND)
     decisions.hint_instance(first, "f", 4, 4 * SECOND)
-    decisions.hints.consider(6 * SECOND, "f", decisions.functions_by_name["f"])
+    decisions.hints.follow_hint(6 * SECOND, "f", decisions.functions_by_name["f"])
     assert decisions.functions_by_name["f"].last_used == {first: 4 * SECOND}
     assert set(decisions.hints.trials) == {("f", first)}
 
@@ -137,18 +137,18 @@
     decisions = gateway()
     decisions.hint_function_mix(["f"] * 64 + [""] * 64)
     assert all(trial(decisions, number) for number in range(7))
-    assert decisions.mix.recent.count("f") == 0
-    decisions.hints.wrong = wrong
+    assert decisions.function_mix.recent.count("f") == 0
+    decisions.hints.wrong_count = wrong
     assert trial(decisions, 7)
-    assert decisions.mix.recent.count("f") == used
+    assert decisions.function_mix.recent.count("f") == used
 
 
 def test_the_hinted_mix_is_not_used_after_own_requests():
     decisions = gateway()
-    decisions.mix.recent.extend(["own"] * 128)
+    decisions.function_mix.recent.extend(["own"] * 128)
     decisions.hint_function_mix(["f"] * 128)
     assert all(trial(decisions, number) for number in range(9))
-    assert decisions.mix.recent.count("f") == 0
+    assert decisions.function_mix.recent.count("f") == 0
 
 
 def test_only_instances_proven_by_an_answer_are_reported():
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.client import JsonLinesClient
-from gaproute.interface import Idempotency, Result, State
+from gaproute.interface import Idempotency, ListedHostState, Result
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.standins.platform import ScriptedHost
@@ -32,7 +32,7 @@
         self.loop = Loop()
         self.host = ScriptedHost(self.loop, answer)
         self.client = JsonLinesClient(self.loop, ConnectionReusePolicy(), DEPLOYMENT_SETTINGS, max_connections)
-        self.list_host(State.ACTIVE)
+        self.list_host(ListedHostState.ACTIVE)
         self.attempt_results = []
 
     def list_host(self, state):
@@ -151,7 +151,7 @@
     setup.send()
     setup.run_until(lambda: held)
     setup.send(request_id="1" * 16)  # its connection is still being opened
-    setup.list_host(State.DRAINING)
+    setup.list_host(ListedHostState.DRAINING)
     setup.send(request_id="2" * 16)
     setup.wait_for_results(2)
     setup.host.serve(*held[0])
--- a/tests/hosts/test_line_messages.py
+++ b/tests/hosts/test_line_messages.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gaproute.hosts.jsonlines import line_reader, messages
-from gaproute.interface import Found, Result
+from gaproute.interface import InstanceStatus, Result
 
 
 def make_reply(**fields):
@@ -83,7 +83,7 @@
         make_reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""),
         same_function_counted=True,
     )
-    assert (attempt_result.found, attempt_result.same_function_requests) == (Found.AWAITED_LOAD, 3)
+    assert (attempt_result.found, attempt_result.same_function_requests) == (InstanceStatus.AWAITED_LOAD, 3)
     assert (
         attempt_result.report.cpu_busy,
         attempt_result.report.memory_busy,
@@ -103,7 +103,7 @@
     assert messages.decode_attempt_reply(make_reply(data=data), same_function_counted=True) == (
         Result.ERROR,
         None,
-        Found.UNKNOWN,
+        InstanceStatus.UNKNOWN,
         None,
         None,
     )
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -44,7 +44,7 @@
         loop = Loop(Stepped(now=7 * SECOND))
         loops.append(loop)
         client = KServeClient(loop, ConnectionReusePolicy())
-        listed = interface.ListedHost("a", 0, 0, interface.State.ACTIVE, 1.0, None)
+        listed = interface.ListedHost("a", 0, 0, interface.ListedHostState.ACTIVE, 1.0, None)
         client.update([Endpoint(listed, "127.0.0.1:9")], complete=True)
         return client
 
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -19,7 +19,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines import connection as connections
 from gaproute.hosts.jsonlines.client import JsonLinesClient
-from gaproute.interface.call import Call, Ending
+from gaproute.interface.call import Call, FinalResult
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
 
@@ -27,7 +27,7 @@
 CLIENT_TIME_LEFT = 3 * SECOND  # for which each client waits
 REPEAT_WINDOW = 300 * MILLI  # for which hosts recognize an idempotency key
 REQUEST_CLASSES = tuple(
-    request_class._replace(repeat_window=REPEAT_WINDOW, latency_objective=200 * MILLI)
+    request_class._replace(deduplication_window=REPEAT_WINDOW, latency_objective=200 * MILLI)
     for request_class in TERMS.request_classes
 )
 NEVER_RAN_ANSWERS = ("overload", "not_here", "nobody")
@@ -150,7 +150,7 @@
         assert not request.left, "an attempt started after the client had left"
         assert now < min(request.deadline, self.end_time), "an attempt started after the deadline"
         assert self.incarnations[incarnation.name] is incarnation
-        assert self.rows[incarnation.name].state is interface.State.ACTIVE
+        assert self.rows[incarnation.name].state is interface.ListedHostState.ACTIVE
         before = [attempt for attempt in self.attempts if attempt.request is request]
         may_have_run = [attempt for attempt in before if attempt.answer not in NEVER_RAN_ANSWERS]
         if request.idempotency is interface.Idempotency.NON_IDEMPOTENT:
@@ -268,7 +268,7 @@
         """Sets a host's state or removes the host from the list; `variant` None: keeps the list."""
         name = HOSTS[index % 2]
         if variant is not None:
-            state = list(interface.State)[variant % 3]
+            state = list(interface.ListedHostState)[variant % 3]
             self.rows[name] = self.rows[name]._replace(state=state)
         listed = [
             Endpoint(self.rows[host], f"127.0.0.1:{self.port(host)}")
@@ -276,7 +276,7 @@
             if variant != 5 or host != name
         ]
         if variant == 5:
-            self.rows[name] = self.rows[name]._replace(state=interface.State.GONE)
+            self.rows[name] = self.rows[name]._replace(state=interface.ListedHostState.GONE)
         self.hosts.update(listed, complete=True)
         self.core.update_hosts([endpoint.listed for endpoint in listed], complete=True)
         for host in self.hosts.hosts.values():
@@ -291,7 +291,7 @@
         old = self.rows[name]
         self.incarnations[name] = SimpleNamespace(world=self, name=name)
         self.rows[name] = old._replace(
-            state=interface.State.ACTIVE, cell=old.cell + variant % 2, started=old.started + 1 - variant % 2
+            state=interface.ListedHostState.ACTIVE, cell=old.cell + variant % 2, started=old.started + 1 - variant % 2
         )
         self.change_host_list()
 
@@ -317,7 +317,7 @@
         self.advance_time(CLIENT_TIME_LEFT)
         for request in self.requests:
             assert len(request.finals) == (not request.left), (request, request.finals)
-            if request.finals and request.finals[0].ending is Ending.DELIVERED:
+            if request.finals and request.finals[0].result is FinalResult.DELIVERED:
                 assert request.finals[0].answer.body.decode() in [
                     self.body(attempt)
                     for attempt in self.attempts
@@ -337,7 +337,7 @@
         )
         assert not self.hosts.connection_count()
         assert not any(entry[4] for entry in self.dials.held)
-        listed = {name for name in HOSTS if self.rows[name].state is not interface.State.GONE}
+        listed = {name for name in HOSTS if self.rows[name].state is not interface.ListedHostState.GONE}
         assert set(self.hosts.hosts) == listed
         assert {key[1] for key in self.record.counts if key[0] in ("attempts", "load_orders")} <= listed
         assert sum(timer.call is not None for _, _, timer in self.loop.timers) == 2, (
--- a/tests/support/observation_scenes.py
+++ b/tests/support/observation_scenes.py
@@ -2,7 +2,7 @@
 
 from hypothesis import strategies as st
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.reports.hint_selector import HintSelector
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 from gaproute.decisions.reports.shared_observations import SharedObservations
@@ -62,7 +62,7 @@
 
 
 def warm_hints(store, start_times, now=NOW):
-    return hint_selector(store, Chance(1)).warm_hints(now, start_times)
+    return hint_selector(store, RandomGenerator(1)).warm_hints(now, start_times)
 
 
 def ranked_hosts(gateway, name):
