--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -42,7 +42,11 @@
         """Gives the final answer that a retry is safe: the request did not run, or may run again."""
         request = self.in_flight[key]
         self._give_final_answer(
-            request, FinalResult.REJECTED, REJECTED_TEXT, retry_after=rejection.retry_after, cause=rejection.reason
+            request,
+            FinalResult.REJECTED,
+            REJECTED_TEXT,
+            retry_after=rejection.retry_after,
+            cause=rejection.reason,
         )
 
     def fail_request(self, key: str) -> None:
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -46,7 +46,9 @@
         while self.idle_connections:
             connection = self.idle_connections[-1]
             idle_time = now - connection.last_used
-            if idle_time > self.pooling.max_idle_time(now, self.name, idempotency, connection.keep_alive_timeout):
+            if idle_time > self.pooling.max_idle_time(
+                now, self.name, idempotency, connection.keep_alive_timeout
+            ):
                 return None
             self.idle_connections.pop()
             connection.on_idle_end = None
--- a/tests/decisions/reports/test_hint_selector.py
+++ b/tests/decisions/reports/test_hint_selector.py
@@ -19,7 +19,7 @@
     warm_instance,
 )
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.reports.hint_selector import MAX_SLOWDOWN
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 
@@ -33,7 +33,9 @@
 
 def test_a_hint_is_older_than_its_observation_and_its_age_differs_between_gateways():
     store = store_of(warm_instance(at=NOW - MILLI))
-    seen = {hint_selector(store, Chance(seed)).warm_hints(NOW, {"x": 0})[0].seen_at for seed in range(20)}
+    seen = {
+        hint_selector(store, RandomGenerator(seed)).warm_hints(NOW, {"x": 0})[0].seen_at for seed in range(20)
+    }
     assert len(seen) > 10
     assert all(0.34 * KEEP_ALIVE < NOW - at < 0.71 * KEEP_ALIVE for at in seen)
 
@@ -91,7 +93,9 @@
         ]
     )
     assert (
-        hint_selector(store, Chance(1), {"check": 0}).apply_hints(receiver, 2, {"a": 0}, store.by_subject)
+        hint_selector(store, RandomGenerator(1), {"check": 0}).apply_hints(
+            receiver, 2, {"a": 0}, store.by_subject
+        )
         == 2
     )
     assert store.rejections == {"not listed": 1, "track": 1}
@@ -111,10 +115,10 @@
     for _ in range(40):
         receiver = gateway(*map(row, hosts))
         start_times = dict.fromkeys(hosts, 0)
-        chance = Chance(seeds.getrandbits(64))
+        chance = RandomGenerator(seeds.getrandbits(64))
         hint_selector(store, chance).apply_hints(receiver, 60 * SECOND, start_times, store.by_subject)
-        receiver.chance.state = Chance(seeds.getrandbits(64)).state
-        receiver.mix.recent.extend(store.request_mix())
+        receiver.random.state = RandomGenerator(seeds.getrandbits(64)).state
+        receiver.function_mix.recent.extend(store.request_mix())
         sent[receiver.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28
     assert len(sent) >= (2 if share < 0.1 else 4)
@@ -127,7 +131,7 @@
     for seed in range(10):
         receiver = gateway(*hosts)
         assert (
-            hint_selector(store, Chance(seed)).apply_hints(
+            hint_selector(store, RandomGenerator(seed)).apply_hints(
                 receiver, 60 * SECOND, {"cold": 5}, store.by_subject
             )
             == 1
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -31,7 +31,9 @@
     def __init__(self, answer=None, max_connections=8):
         self.loop = Loop()
         self.host = ScriptedHost(self.loop, answer)
-        self.client = JsonLinesClient(self.loop, ConnectionReusePolicy(), DEPLOYMENT_SETTINGS, max_connections)
+        self.client = JsonLinesClient(
+            self.loop, ConnectionReusePolicy(), DEPLOYMENT_SETTINGS, max_connections
+        )
         self.list_host(ListedHostState.ACTIVE)
         self.attempt_results = []
 
@@ -278,7 +280,9 @@
 def test_max_idle_time_follows_the_announced_one_and_is_shorter_for_non_idempotent_requests(
     idempotency, max_idle_seconds
 ):
-    assert ConnectionReusePolicy().max_idle_time(0, "h", idempotency, 15 * SECOND) == max_idle_seconds * SECOND
+    assert (
+        ConnectionReusePolicy().max_idle_time(0, "h", idempotency, 15 * SECOND) == max_idle_seconds * SECOND
+    )
     assert ConnectionReusePolicy().max_idle_time(0, "h", idempotency, 0) == 0
 
 
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -291,7 +291,9 @@
         old = self.rows[name]
         self.incarnations[name] = SimpleNamespace(world=self, name=name)
         self.rows[name] = old._replace(
-            state=interface.ListedHostState.ACTIVE, cell=old.cell + variant % 2, started=old.started + 1 - variant % 2
+            state=interface.ListedHostState.ACTIVE,
+            cell=old.cell + variant % 2,
+            started=old.started + 1 - variant % 2,
         )
         self.change_host_list()
 
