--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -10,7 +10,7 @@
 from gaproute.peers.ports import CallbackLoop, EventLog, RaftMessageHandler, RaftMessageTransport
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import Disk, RaftNode, Role
-from gaproute.shared.raft.invariants import replay
+from gaproute.shared.raft.invariants import node_summary_json
 from gaproute.shared.raft.messages import RaftMessage, Reply
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI
@@ -190,7 +190,9 @@
             self.record.event("warning", "raft_turn_slow", took_ms=(now - begun) // MILLI)
         self._log_changes(node)
         for violation in node.violations[self.logged_violations :]:
-            self.record.event("error", "raft_invariant_violated", violation=violation, replay=replay(node))
+            self.record.event(
+                "error", "raft_invariant_violated", violation=violation, replay=node_summary_json(node)
+            )
         self.logged_violations = len(node.violations)
         if now - self.rejections_logged_at >= REJECTIONS_INTERVAL:
             self.rejections_logged_at = now
--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -5,14 +5,14 @@
 from gaproute.shared.dissemination import bounds
 from gaproute.shared.dissemination.disseminator import Disseminator
 from gaproute.shared.dissemination.messages import changes_size
-from gaproute.shared.invariants import Bound, exceeded
+from gaproute.shared.invariants import Bound, bound_violations
 
 MAX_PEERS = bounds.VIEW_NEIGHBOURS + bounds.VIEW_ENTRIES + bounds.VIEW_CONFIGURED
 
 
 def bounded(disseminator: Disseminator) -> Iterator[str]:
     """Every collection is bounded."""
-    yield from exceeded((*_document_bounds(disseminator), *_peer_bounds(disseminator)))
+    yield from bound_violations((*_document_bounds(disseminator), *_peer_bounds(disseminator)))
 
 
 def _document_bounds(disseminator: Disseminator) -> Sequence[Bound]:
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -66,7 +66,7 @@
         """How long the asking gateway must wait for the budget; 0 if it need not."""
         if self._budget.borrow(now, size):
             return 0
-        return max(1, self._budget.wait(now, size))
+        return max(1, self._budget.wait_time(now, size))
 
     def _pay_part(self, now: int, part: Part) -> int:
         """How long the asking gateway must wait for a part; the first part pays for all of them."""
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -16,12 +16,12 @@
 )
 from gaproute.shared.gossip.node import GossipNode
 from gaproute.shared.gossip.table import SetName, Version
-from gaproute.shared.invariants import Bound, exceeded
+from gaproute.shared.invariants import Bound, bound_violations
 
 
 def bounded(node: GossipNode) -> Iterator[str]:
     """Every map is bounded. This check is cheap and can always be called."""
-    yield from exceeded((*_peer_bounds(node), *_local_bounds(node)))
+    yield from bound_violations((*_peer_bounds(node), *_local_bounds(node)))
 
 
 def _peer_bounds(node: GossipNode) -> Sequence[Bound]:
--- a/gaproute/shared/invariants.py
+++ b/gaproute/shared/invariants.py
@@ -12,7 +12,7 @@
     limit: int
 
 
-def exceeded(bounds: Iterable[Bound]) -> Iterator[str]:
+def bound_violations(bounds: Iterable[Bound]) -> Iterator[str]:
     """The violations as text, one for each size above its limit."""
     for name, size, limit in bounds:
         if size > limit:
--- a/gaproute/shared/leases/group_invariants.py
+++ b/gaproute/shared/leases/group_invariants.py
@@ -6,10 +6,10 @@
 from gaproute.shared.leases.invariants import check_clients, check_table
 from gaproute.shared.leases.table import LeaseTable
 from gaproute.shared.raft import RaftNode
-from gaproute.shared.raft.invariants import History, check_all
+from gaproute.shared.raft.invariants import CheckHistory, check_nodes
 
 
-class GroupHistory(History):
+class GroupHistory(CheckHistory):
     """The state of earlier checks, which the caller stores for a whole run."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
     nodes: Sequence[RaftNode], clients: Iterable[tuple[LeaseClient, int]], history: GroupHistory
 ) -> list[str]:
     """The violations at the nodes that are up. `clients`: each with the time of its own clock."""
-    violations = check_all(nodes, history)
+    violations = check_nodes(nodes, history)
     for node in nodes:
         table = table_of(node)
         violations += check_table(table) + _check_tokens(table, history)
--- a/gaproute/shared/membership/invariants.py
+++ b/gaproute/shared/membership/invariants.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from gaproute.shared.invariants import Bound, exceeded
+from gaproute.shared.invariants import Bound, bound_violations
 from gaproute.shared.membership.membership import Membership
 from gaproute.shared.membership.messages import MAX_INCARNATION, MemberState
 from gaproute.shared.membership.prober import MAX_INDIRECT_PROBES
@@ -21,7 +21,7 @@
         Bound("pending updates", len(table.pending_updates), count),
         Bound("suspects and departed", len(table.suspects) + len(table.departed), count),
     )
-    yield from exceeded(bounds)
+    yield from bound_violations(bounds)
 
 
 def lists_match_states(membership: Membership) -> Iterator[str]:
--- a/gaproute/shared/raft/committed.py
+++ b/gaproute/shared/raft/committed.py
@@ -4,10 +4,12 @@
 
 from gaproute.shared.raft.messages import EntryKind, Outbox
 from gaproute.shared.raft.node_state import NodeState
-from gaproute.shared.raft.requests import reply_to
+from gaproute.shared.raft.requests import reply_to_client
 
-COMPACT_AFTER = 1024  # applied entries in the log, from which on a snapshot replaces them
-# From this multiple of `COMPACT_AFTER` on it does so even if a follower that answers lacks some entries
+# A snapshot replaces the applied entries in the log once there are this many of them.
+COMPACTION_THRESHOLD_ENTRIES = 1024
+# At this multiple of `COMPACTION_THRESHOLD_ENTRIES` the log is compacted even if a responsive follower lacks
+# some of the entries and therefore needs the snapshot.
 FORCED_COMPACTION_FACTOR = 4
 
 
@@ -16,14 +18,14 @@
     while node.last_applied < node.commit_index:
         node.last_applied += 1
         entry = node.log.entry_at(node.last_applied)
-        outcome = node.sessions.apply(node.last_applied, entry)
+        result = node.sessions.apply(node.last_applied, entry)
         deadline_change = node.machine.pop_change()
         leader = node.leader_state
         if leader is None:
             continue
         if deadline_change is not None:
             leader.timers.update(now, *deadline_change)
-        reply_to(leader, node.last_applied, outcome, outbox)
+        reply_to_client(leader, node.last_applied, result, outbox)
         if entry.kind == EntryKind.MEMBERSHIP and not node.is_member:
             node.step_down(now)
 
@@ -34,9 +36,9 @@
     While a follower that answers would need the snapshot, this is done only if there are very many.
     """
     applied_count = node.last_applied - node.log.snapshot_index
-    if applied_count < COMPACT_AFTER:
+    if applied_count < COMPACTION_THRESHOLD_ENTRIES:
         return
     leader = node.leader_state
-    entries_are_needed = leader is not None and not leader.all_answering_have(now, node.last_applied)
-    if not entries_are_needed or applied_count >= FORCED_COMPACTION_FACTOR * COMPACT_AFTER:
+    entries_are_needed = leader is not None and not leader.all_responsive_have(now, node.last_applied)
+    if not entries_are_needed or applied_count >= FORCED_COMPACTION_FACTOR * COMPACTION_THRESHOLD_ENTRIES:
         node.store.compact(node.last_applied, node.sessions.pack())
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -10,7 +10,7 @@
 from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
-from gaproute.shared.raft.store import NOBODY
+from gaproute.shared.raft.store import NO_CANDIDATE
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT
 
 
@@ -47,8 +47,8 @@
 
 def on_request_vote(node: NodeState, now: int, sender: str, request: RequestVote, outbox: Outbox) -> None:
     """Answers whether the vote is granted; no answer while a leader's messages arrive."""
-    leader_heard = node.is_leader or now - node.leader_heard_at < ELECTION_TIMEOUT
-    if leader_heard and request.term > node.term:
+    leader_is_alive = node.is_leader or now - node.leader_message_at < ELECTION_TIMEOUT
+    if leader_is_alive and request.term > node.term:
         node.reject(MessageRejection.LEADER_IS_ALIVE)
         return
     up_to_date = node.log.is_up_to_date(request.last_log_index, request.last_log_term)
@@ -59,8 +59,8 @@
     if request.term > node.term:
         node.enter_term(now, request.term)
     voted_for, candidate = node.store.voted_for, (sender, request.incarnation)
-    granted = request.term == node.term and up_to_date and voted_for in (NOBODY, candidate)
-    if granted and voted_for == NOBODY:
+    granted = request.term == node.term and up_to_date and voted_for in (NO_CANDIDATE, candidate)
+    if granted and voted_for == NO_CANDIDATE:
         node.store.save_vote(node.term, sender, request.incarnation)
         node.reset_election_timer(now)
     outbox.append((sender, RequestVoteResponse(node.term, node.incarnation, False, granted)))
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -32,7 +32,7 @@
         node.record_violations([f"one leader a term: {sender} and {node.name} lead {node.term}"])
         return False
     node.step_down(now)
-    node.leader, node.leader_heard_at = sender, now
+    node.leader, node.leader_message_at = sender, now
     node.reset_election_timer(now)
     return True
 
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -1,6 +1,6 @@
 """The invariants of the nodes of a group; every check returns violations as text that begins with its name.
 
-`NodeCheck` checks one node by itself and is cheap: the node calls it after every message. `check_all`
+`NodeCheck` checks one node by itself and is cheap: the node calls it after every message. `check_nodes`
 compares all nodes. The state machine has checks of its own.
 """
 
@@ -19,7 +19,7 @@
 from gaproute.shared.raft.store import Candidate
 
 
-class _Seen(NamedTuple):
+class _CheckedState(NamedTuple):
     """The state of a node at its last check."""
 
     incarnation: int
@@ -33,12 +33,12 @@
     """Compares a node with its state at the last check."""
 
     def __init__(self) -> None:
-        self.seen: _Seen | None = None
+        self.last_checked: _CheckedState | None = None
 
     def run(self, node: NodeState) -> list[str]:
         """The violations at this node."""
         store, log = node.store, node.log
-        violations = self._compare(node)
+        violations = self._compare_with_last_check(node)
         if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
             indexes = f"{log.snapshot_index} {node.last_applied} {node.commit_index} {log.last_index}"
             violations.append(f"applied, committed and last index in order: {node.name} {indexes}")
@@ -51,12 +51,12 @@
             violations.append(f"maps are bounded: {node.name}")
         return violations
 
-    def _compare(self, node: NodeState) -> list[str]:
-        store, before = node.store, self.seen
-        present = _Seen(
+    def _compare_with_last_check(self, node: NodeState) -> list[str]:
+        store, before = node.store, self.last_checked
+        present = _CheckedState(
             store.incarnation, store.term, node.commit_index, node.machine.last_token, store.voted_for
         )
-        self.seen = present
+        self.last_checked = present
         if before is None or before.incarnation != present.incarnation:
             return []
         violations = [
@@ -75,62 +75,62 @@
         return violations
 
 
-def check_deep(node: NodeState) -> list[str]:
+def check_log_and_sessions(node: NodeState) -> list[str]:
     """Expensive checks, which read the log and all sessions."""
     log = node.log
     terms = [log.snapshot_term, *(entry.term for entry in log.entries)]
     violations = [] if terms == sorted(terms) else [f"terms grow along the log: {node.name}"]
-    table, owned = node.sessions.table, node.sessions.owned
-    if sorted(table) != sorted(number for own in owned.values() for number in own):
+    table, numbers_by_owner = node.sessions.table, node.sessions.numbers_by_owner
+    if sorted(table) != sorted(number for own in numbers_by_owner.values() for number in own):
         violations.append(f"sessions have owners: {node.name}")
-    if any(len(own) > MAX_SESSIONS_PER_CLIENT for own in owned.values()):
+    if any(len(own) > MAX_SESSIONS_PER_CLIENT for own in numbers_by_owner.values()):
         violations.append(f"session table bounded: {node.name}")
     return violations
 
 
-class History:
+class CheckHistory:
     """The state of earlier checks, which the caller stores for a whole run."""
 
     def __init__(self) -> None:
-        self.leaders: dict[int, Member] = {}  # by term: the first node that was seen to lead it
-        self.committed: dict[int, Entry] = {}  # by index: the entry that some node had committed
-        self.compared: dict[Member, int] = {}  # by node: the index up to which it was compared
-        self.states: dict[int, bytes] = {}  # by last applied index: digest of the state
+        self.leaders_by_term: dict[int, Member] = {}  # by term: the first node that was seen to lead it
+        self.committed_entries: dict[int, Entry] = {}  # by index: the entry that some node had committed
+        self.compared_indexes: dict[Member, int] = {}  # by node: the index up to which it was compared
+        self.state_digests: dict[int, bytes] = {}  # by last applied index: digest of the state
 
 
-def check_all(nodes: Iterable[NodeState], history: History) -> list[str]:
+def check_nodes(nodes: Iterable[NodeState], history: CheckHistory) -> list[str]:
     """Checks the nodes that are up against each other."""
     nodes_up = list(nodes)
     violations: list[str] = []
     for node in nodes_up:
-        violations += node.violations + check_deep(node)
+        violations += node.violations + check_log_and_sessions(node)
         if node.is_leader:
-            first = history.leaders.setdefault(node.term, node.identity)
+            first = history.leaders_by_term.setdefault(node.term, node.identity)
             if first != node.identity:
                 violations.append(f"one leader a term: {first.name} and {node.name} in {node.term}")
-        violations += _check_committed(node, history)
-    return violations + _check_matching(nodes_up)
+        violations += _check_committed_entries(node, history)
+    return violations + _check_log_matching(nodes_up)
 
 
-def _check_committed(node: NodeState, history: History) -> list[str]:
+def _check_committed_entries(node: NodeState, history: CheckHistory) -> list[str]:
     """Committed entries are the same at every node, for ever."""
     log = node.log
     violations: list[str] = []
-    compared = history.compared.get(node.identity)
+    compared = history.compared_indexes.get(node.identity)
     first = max(log.snapshot_index, min(compared or 0, node.commit_index))
     for index in range(first + 1, node.commit_index + 1):
         entry = log.entry_at(index)
-        if history.committed.setdefault(index, entry) != entry:
+        if history.committed_entries.setdefault(index, entry) != entry:
             violations.append(f"a committed entry never changes: entry {index} at {node.name}")
     if node.last_applied == node.commit_index != compared:
         state = blake2b(node.sessions.pack(), digest_size=16).digest()
-        if history.states.setdefault(node.last_applied, state) != state:
+        if history.state_digests.setdefault(node.last_applied, state) != state:
             violations.append(f"same entries, same state: {node.name} after {node.last_applied}")
-    history.compared[node.identity] = node.commit_index
+    history.compared_indexes[node.identity] = node.commit_index
     return violations
 
 
-def _check_matching(nodes: Sequence[NodeState]) -> list[str]:
+def _check_log_matching(nodes: Sequence[NodeState]) -> list[str]:
     """Log matching: with the same term at an index, the entries up to there are the same."""
     violations: list[str] = []
     for one, other in combinations(nodes, 2):
@@ -138,17 +138,17 @@
         last = min(one.log.last_index, other.log.last_index)
         while last > first and one.log.term_at(last) != other.log.term_at(last):
             last -= 1
-        if last > first and _entries(one, first, last) != _entries(other, first, last):
+        if last > first and _entries_between(one, first, last) != _entries_between(other, first, last):
             violations.append(f"log matching: {one.name} and {other.name} up to {last}")
     return violations
 
 
-def _entries(node: NodeState, after: int, last: int) -> list[Entry]:
+def _entries_between(node: NodeState, after: int, last: int) -> list[Entry]:
     base = node.log.snapshot_index
     return node.log.entries[after - base : last - base]
 
 
-def replay(node: NodeState) -> str:
+def node_summary_json(node: NodeState) -> str:
     """A line of JSON with everything that is needed to investigate a violation."""
     return msgspec.json.encode(
         {
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -25,35 +25,35 @@
     QUORUM_TIMEOUT,
 )
 
-MAX_EXPIRIES_A_TURN = 64  # deadlines; a leader whose process was stopped may find many that have passed
+MAX_EXPIRIES_PER_TICK = 64  # deadlines; a leader whose process was stopped may find many that have passed
 
 
-def _answering_incarnations(node: NodeState, leader: LeaderState, now: int) -> dict[str, int]:
+def _responsive_incarnations(node: NodeState, leader: LeaderState, now: int) -> dict[str, int]:
     """By name: the incarnations of the nodes that answered lately, including itself."""
-    answering = {
+    responsive = {
         name: progress.incarnation
         for name, progress in leader.followers.items()
-        if progress.answered_lately(now)
+        if progress.is_responsive(now)
     }
-    return {node.name: node.incarnation, **answering}
+    return {node.name: node.incarnation, **responsive}
 
 
 def tick(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
     """Does what is due: heartbeats, deadlines, a change of members, or stepping down."""
-    answering = _answering_incarnations(node, leader, now)
-    if now - leader.elected_at >= QUORUM_TIMEOUT and not is_majority(node.members, answering):
+    responsive = _responsive_incarnations(node, leader, now)
+    if now - leader.elected_at >= QUORUM_TIMEOUT and not is_majority(node.members, responsive):
         node.step_down(now)
         return
-    for token, log_index in leader.timers.pop_expired(now, MAX_EXPIRIES_A_TURN):
+    for token, log_index in leader.timers.pop_expired(now, MAX_EXPIRIES_PER_TICK):
         if not node.propose(EntryKind.COMMAND, body=node.machine.expire_command(token, log_index)):
             leader.timers.update(now, token, log_index, HEARTBEAT_INTERVAL)
     if now < leader.heartbeat_due:
         return
     leader.heartbeat_due = now + HEARTBEAT_INTERVAL
     names = node.peer_names()
-    leader.keep_only(names)
+    leader.retain_followers(names)
     for name in names:
-        leader.follower(name).in_flight = False
+        leader.progress_of(name).has_entries_in_flight = False
         _send_entries(node, leader, now, name, outbox)
     _change_membership(node, leader, now)
 
@@ -65,7 +65,7 @@
     have a flaw, which Ongaro published in 2015.
     """
     uncommitted = node.log.membership_history[-1].log_index > node.commit_index
-    if uncommitted or node.commit_index < leader.first_index:
+    if uncommitted or node.commit_index < leader.first_index_of_term:
         return
     if now - leader.membership_changed_at < MEMBERSHIP_CHANGE_INTERVAL:
         return
@@ -73,8 +73,8 @@
         name: MatchedLog(progress.incarnation, progress.match_index)
         for name, progress in leader.followers.items()
     }
-    answering = _answering_incarnations(node, leader, now)
-    members = next_membership(node.members, node.configured_members, answering, matches, node.commit_index)
+    responsive = _responsive_incarnations(node, leader, now)
+    members = next_membership(node.members, node.configured_members, responsive, matches, node.commit_index)
     if members is None:
         return
     if node.propose(EntryKind.MEMBERSHIP, body=encode_membership(Membership(members))):
@@ -101,20 +101,23 @@
 def replicate(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
     """Sends new entries to all followers that have none in flight."""
     for name in node.peer_names():
-        progress = leader.follower(name)
-        if not progress.in_flight and node.log.snapshot_index < progress.next_index <= node.log.last_index:
+        progress = leader.progress_of(name)
+        if (
+            not progress.has_entries_in_flight
+            and node.log.snapshot_index < progress.next_index <= node.log.last_index
+        ):
             _send_entries(node, leader, now, name, outbox)
 
 
 def _send_entries(node: NodeState, leader: LeaderState, now: int, name: str, outbox: Outbox) -> None:
     """Sends a follower the entries or the snapshot that it lacks, or only a heartbeat."""
-    progress, log = leader.follower(name), node.log
+    progress, log = leader.progress_of(name), node.log
     entries: tuple[Entry, ...] = ()
     if progress.next_index > log.snapshot_index:
         previous_index = progress.next_index - 1
         entries = log.entries_from(progress.next_index)
-        progress.in_flight = bool(entries)
-    elif progress.snapshot_due(now):
+        progress.has_entries_in_flight = bool(entries)
+    elif progress.is_snapshot_due(now):
         progress.snapshot_sent_at = now
         outbox.append((name, _snapshot_message(node)))
         return
@@ -147,10 +150,10 @@
     if node.role is not Role.LEADER or leader is None or response.term < node.term:
         node.reject(MessageRejection.LATE)
         return
-    progress = leader.follower(sender)
+    progress = leader.progress_of(sender)
     if progress.incarnation != response.incarnation:
-        progress.restart(response.incarnation, node.log.last_index)
-    progress.answered_at, progress.in_flight = now, False
+        progress.reset(response.incarnation, node.log.last_index)
+    progress.answered_at, progress.has_entries_in_flight = now, False
     if response.success and response.match_index > node.log.last_index:
         node.reject(MessageRejection.NEVER_SENT_ENTRY)
     elif response.success:
@@ -160,5 +163,5 @@
         # A hint that comes late must not lead back before the entries that are known to match
         hint = min(progress.next_index - 1, response.match_index)
         progress.next_index = max(progress.match_index, hint) + 1
-        if progress.next_index > node.log.snapshot_index or progress.snapshot_due(now):
+        if progress.next_index > node.log.snapshot_index or progress.is_snapshot_due(now):
             _send_entries(node, leader, now, sender, outbox)
--- a/gaproute/shared/raft/leader_state.py
+++ b/gaproute/shared/raft/leader_state.py
@@ -14,19 +14,19 @@
         self.match_index = 0  # the index up to which the logs agree
         self.incarnation = 0  # of the follower, by its last answer
         self.answered_at: int | None = None  # when the last answer came, ns
-        self.in_flight = False  # whether entries are on their way
+        self.has_entries_in_flight = False  # whether entries are on their way
         self.snapshot_sent_at: int | None = None
 
-    def restart(self, incarnation: int, last_index: int) -> None:
+    def reset(self, incarnation: int, last_index: int) -> None:
         """Resets the progress, as the node of this name has another disk."""
         self.incarnation, self.match_index, self.next_index = incarnation, 0, last_index + 1
         self.snapshot_sent_at = None
 
-    def answered_lately(self, now: int) -> bool:
+    def is_responsive(self, now: int) -> bool:
         """Whether the node counts as up."""
         return self.answered_at is not None and now - self.answered_at < QUORUM_TIMEOUT
 
-    def snapshot_due(self, now: int) -> bool:
+    def is_snapshot_due(self, now: int) -> bool:
         """Whether a snapshot may be sent, for the first time or again."""
         return self.snapshot_sent_at is None or now - self.snapshot_sent_at >= SNAPSHOT_RESEND_INTERVAL
 
@@ -40,10 +40,10 @@
 
 
 class LeaderState:
-    """The state of a leader. `first_index`: of the entry with which its term begins."""
+    """The state of a leader. `first_index_of_term`: of the entry with which its term begins."""
 
-    def __init__(self, now: int, first_index: int, timers: DeadlineTimers) -> None:
-        self.elected_at, self.first_index, self.timers = now, first_index, timers
+    def __init__(self, now: int, first_index_of_term: int, timers: DeadlineTimers) -> None:
+        self.elected_at, self.first_index_of_term, self.timers = now, first_index_of_term, timers
         self.heartbeat_due = now
         self.followers: dict[str, FollowerProgress] = {}
         self.pending_replies: dict[int, PendingReply] = {}  # by the index of the entry
@@ -55,22 +55,22 @@
         deadline = self.timers.due
         return self.heartbeat_due if deadline is None else min(self.heartbeat_due, deadline)
 
-    def follower(self, name: str) -> FollowerProgress:
+    def progress_of(self, name: str) -> FollowerProgress:
         """The progress of the node of this name."""
         if name not in self.followers:
-            self.followers[name] = FollowerProgress(self.first_index)
+            self.followers[name] = FollowerProgress(self.first_index_of_term)
         return self.followers[name]
 
-    def all_answering_have(self, now: int, index: int) -> bool:
+    def all_responsive_have(self, now: int, index: int) -> bool:
         """Whether all nodes that answer have the entries up to `index`, so that none would need a
         snapshot.
         """
         return all(
             progress.match_index >= index
             for progress in self.followers.values()
-            if progress.answered_lately(now)
+            if progress.is_responsive(now)
         )
 
-    def keep_only(self, names: list[str]) -> None:
+    def retain_followers(self, names: list[str]) -> None:
         """Forgets the progress of all other nodes."""
         self.followers = {name: each for name, each in self.followers.items() if name in names}
--- a/gaproute/shared/raft/log.py
+++ b/gaproute/shared/raft/log.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from gaproute.shared.raft.messages import MAX_ENTRIES, Entry, EntryKind, Member, Membership
+from gaproute.shared.raft.messages import MAX_ENTRIES_PER_MESSAGE, Entry, EntryKind, Member, Membership
 
 # Of the bodies in one message: the commands of several turns, far below the size of a socket's buffer.
-MAX_BATCH_BYTES = 128 << 10
+MAX_ENTRY_BYTES_PER_MESSAGE = 128 << 10
 
 _membership_decoder = msgspec.msgpack.Decoder(Membership)
 
@@ -22,7 +22,7 @@
     return msgspec.msgpack.encode(membership)
 
 
-class MembersFrom(NamedTuple):
+class LoggedMembership(NamedTuple):
     """The members by the entry at `log_index`, in force from when it is logged."""
 
     log_index: int
@@ -40,7 +40,7 @@
     ) -> None:
         self.snapshot_index, self.snapshot_term = snapshot_index, snapshot_term
         self.entries: list[Entry] = []
-        self.membership_history = [MembersFrom(snapshot_index, members)]
+        self.membership_history = [LoggedMembership(snapshot_index, members)]
 
     @property
     def last_index(self) -> int:
@@ -82,15 +82,15 @@
             self.membership_history.pop()
         self.entries.append(entry)
         if membership is not None:
-            self.membership_history.append(MembersFrom(index, membership.members))
+            self.membership_history.append(LoggedMembership(index, membership.members))
 
     def entries_from(self, index: int) -> tuple[Entry, ...]:
         """The entries from `index` on, as many as fit in one message."""
         batch: list[Entry] = []
         size = 0
-        for entry in self.entries[index - self.snapshot_index - 1 :][:MAX_ENTRIES]:
+        for entry in self.entries[index - self.snapshot_index - 1 :][:MAX_ENTRIES_PER_MESSAGE]:
             size += len(entry.body)
-            if batch and size > MAX_BATCH_BYTES:
+            if batch and size > MAX_ENTRY_BYTES_PER_MESSAGE:
                 break
             batch.append(entry)
         return tuple(batch)
@@ -115,7 +115,7 @@
         del self.entries[: index - self.snapshot_index]
         self.snapshot_index, self.snapshot_term = index, term
         later = [each for each in self.membership_history if each.log_index > index]
-        self.membership_history = [MembersFrom(index, members), *later]
+        self.membership_history = [LoggedMembership(index, members), *later]
 
     def is_up_to_date(self, last_log_index: int, last_log_term: int) -> bool:
         """Whether a log that ends with this entry is at least as up-to-date as this one (Raft 5.4.1)."""
--- a/gaproute/shared/raft/membership.py
+++ b/gaproute/shared/raft/membership.py
@@ -21,7 +21,7 @@
 UNKNOWN_LOG = MatchedLog(0, 0)
 
 
-def distinct_names(names: Iterable[str]) -> tuple[str, ...]:
+def sorted_member_names(names: Iterable[str]) -> tuple[str, ...]:
     """The configured names, sorted. Errors: ValueError if there are none or too many."""
     distinct = tuple(sorted(set(names)))
     if not 1 <= len(distinct) <= MAX_MEMBERS:
@@ -44,7 +44,7 @@
     """
     for member in members:  # one that is back with another disk is removed under its old incarnation
         if member.name in incarnations and incarnations[member.name] != member.incarnation:
-            return _without(members, member, incarnations)
+            return _members_without(members, member, incarnations)
     known = {member.name for member in members}
     for name in configured:
         incarnation, match_index = matches.get(name, UNKNOWN_LOG)
@@ -54,11 +54,11 @@
     for member in members:
         # Only after its replacement has joined, as fewer members tolerate fewer failures.
         if member.name not in configured and len(members) > len(configured):
-            return _without(members, member, incarnations)
+            return _members_without(members, member, incarnations)
     return None
 
 
-def _without(members: Members, gone: Member, incarnations: Mapping[str, int]) -> Members | None:
+def _members_without(members: Members, gone: Member, incarnations: Mapping[str, int]) -> Members | None:
     """The members except `gone`; None if the remaining ones have no majority that answers, as the group would
     stop.
     """
--- a/gaproute/shared/raft/messages.py
+++ b/gaproute/shared/raft/messages.py
@@ -14,7 +14,8 @@
 
 from gaproute.shared.messages import Count, Message, Name
 
-MAX_ENTRIES = 64  # in one message: those of about a heartbeat interval, small compared with a snapshot
+# About as many entries as are logged in one heartbeat interval; they are small compared with a snapshot.
+MAX_ENTRIES_PER_MESSAGE = 64
 MAX_COMMAND_BYTES = 2048  # of one command; names and a few numbers take a tenth of it
 MAX_SNAPSHOT_BYTES = 4 << 20  # of a snapshot; all leases and sessions at their bounds take less
 MAX_MEMBERS = 9  # of a group; 3 or 5 are intended, and one is added before another is removed
@@ -100,7 +101,7 @@
     prev_log_index: Count
     prev_log_term: Count
     leader_commit: Count
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)] = ()
+    entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES_PER_MESSAGE)] = ()
 
 
 class AppendEntriesResponse(Message, frozen=True, tag=5):
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -51,7 +51,7 @@
     """
 
     @cached_property
-    def check(self) -> NodeCheck:
+    def invariant_check(self) -> NodeCheck:
         """The check of this node against its state at the last check."""
         return NodeCheck()
 
@@ -120,8 +120,8 @@
                 break
             if self.leader_state is not None:
                 leader.replicate(self, self.leader_state, now, outbox)
-            self.record_violations(self.check.run(self))
+            self.record_violations(self.invariant_check.run(self))
             return outbox
         self.storage_failure, self.storage_retry_at = self.store.failure, now + STORAGE_RETRY_INTERVAL
-        self._follow_nobody()
+        self._become_leaderless_follower()
         return []
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -6,7 +6,7 @@
 from gaproute.shared.raft.disk import Disk
 from gaproute.shared.raft.leader_state import LeaderState
 from gaproute.shared.raft.log import ReplicatedLog
-from gaproute.shared.raft.membership import distinct_names
+from gaproute.shared.raft.membership import sorted_member_names
 from gaproute.shared.raft.messages import Entry, EntryKind, Member
 from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.role import Role
@@ -16,8 +16,10 @@
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
 from gaproute.shared.randomness import RandomSource
 
-MAX_VIOLATIONS = 16  # stored by a node; the first ones are the most useful
-MAX_UNCOMMITTED = 512  # entries, a megabyte at most; above it clients get the answer that the leader is busy
+MAX_STORED_VIOLATIONS = 16  # stored by a node; the first ones are the most useful
+MAX_UNCOMMITTED_ENTRIES = (
+    512  # entries, a megabyte at most; above it clients get the answer that the leader is busy
+)
 
 
 class NodeState:
@@ -41,7 +43,7 @@
         self.storage_failure = self.store.failure
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
         self.role, self.leader = Role.FOLLOWER, ""
-        self.leader_heard_at = now - 2 * ELECTION_TIMEOUT  # so long ago that this node may vote at once
+        self.leader_message_at = now - 2 * ELECTION_TIMEOUT  # so long ago that this node may vote at once
         self.granted_votes: dict[str, int] = {}  # by name, the incarnation of each voter in this election
         self.blank_peers: dict[str, int] = {}  # the same of each node that may take part in a bootstrap
         # After a restart only what the snapshot has is known to be committed
@@ -102,7 +104,7 @@
 
         Errors: ValueError if there are none or too many.
         """
-        self.configured_members = distinct_names(names)
+        self.configured_members = sorted_member_names(names)
 
     def peer_names(self) -> list[str]:
         """The names of all nodes with which this one exchanges messages, sorted."""
@@ -114,7 +116,7 @@
 
     def record_violations(self, violations: list[str]) -> None:
         """Stores the first few violations."""
-        self.violations += violations[: MAX_VIOLATIONS - len(self.violations)]
+        self.violations += violations[: MAX_STORED_VIOLATIONS - len(self.violations)]
 
     def reject(self, reason: MessageRejection) -> None:
         """Counts a message that was rejected."""
@@ -129,10 +131,10 @@
     def step_down(self, now: int) -> None:
         """Becomes a follower."""
         if self.role is not Role.FOLLOWER:
-            self._follow_nobody()
+            self._become_leaderless_follower()
             self.reset_election_timer(now)
 
-    def _follow_nobody(self) -> None:
+    def _become_leaderless_follower(self) -> None:
         self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
 
     def become_leader(self, now: int) -> None:
@@ -147,7 +149,7 @@
         log is known to be committed, and this entry commits the others (5.4.2).
         """
         index = self.log.last_index + 1
-        if kind != EntryKind.NOOP and index - self.commit_index > MAX_UNCOMMITTED:
+        if kind != EntryKind.NOOP and index - self.commit_index > MAX_UNCOMMITTED_ENTRIES:
             return 0
         self.store.append(index, Entry(self.term, kind, session, nonce, body))
         return index
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -7,9 +7,9 @@
 from gaproute.shared.raft.messages import EntryKind, Outbox, Reply, ReplyStatus, Request
 from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.rejections import MessageRejection
-from gaproute.shared.raft.sessions import OLD_NONCE, Outcome
+from gaproute.shared.raft.sessions import OLD_NONCE, EntryResult
 
-MAX_PENDING_PER_CLIENT = 4  # requests that wait to be committed; a client sends one at a time
+MAX_PENDING_REQUESTS_PER_CLIENT = 4  # requests that wait to be committed; a client sends one at a time
 NOT_THE_OWNER = "not the holder's own"
 
 
@@ -23,59 +23,63 @@
         reply = Reply(request.session, request.nonce, ReplyStatus.NOT_LEADER, leader=node.leader)
         outbox.append((sender, reply))
         return
-    outcome = _answer_at_once(node, leader, sender, request)
-    if outcome is None:
-        outcome = _append_request(node, leader, sender, request)
-    if outcome is not None:
-        reply = Reply(request.session, request.nonce, outcome.status, outcome.body)
+    result = _answer_without_entry(node, leader, sender, request)
+    if result is None:
+        result = _append_request(node, leader, sender, request)
+    if result is not None:
+        reply = Reply(request.session, request.nonce, result.status, result.body)
         outbox.append((sender, reply))
 
 
-def _answer_at_once(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
-    """The outcome of a request that needs no entry; None if it needs one."""
+def _answer_without_entry(
+    node: NodeState, leader: LeaderState, sender: str, request: Request
+) -> EntryResult | None:
+    """The result of a request that needs no entry; None if it needs one."""
     # Entries that were committed earlier may not be known here yet
-    if node.commit_index < leader.first_index:
-        return Outcome(ReplyStatus.BUSY)
+    if node.commit_index < leader.first_index_of_term:
+        return EntryResult(ReplyStatus.BUSY)
     if not request.session:
         return None
     session = node.sessions.table.get(request.session)
     if session is None:
-        return Outcome(ReplyStatus.UNKNOWN_SESSION)
+        return EntryResult(ReplyStatus.UNKNOWN_SESSION)
     reason = NOT_THE_OWNER if session.owner != sender else node.machine.check(sender, request.body)
     if not reason and request.nonce < session.nonce:
         reason = OLD_NONCE
     if reason:
         node.reject(MessageRejection.REFUSED_REQUEST)
-        return Outcome(ReplyStatus.REFUSED, reason.encode())
+        return EntryResult(ReplyStatus.REFUSED, reason.encode())
     if request.nonce == session.nonce:
-        return Outcome(ReplyStatus.DONE, session.result)
+        return EntryResult(ReplyStatus.DONE, session.result)
     return None
 
 
-def _append_request(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
+def _append_request(
+    node: NodeState, leader: LeaderState, sender: str, request: Request
+) -> EntryResult | None:
     """Appends the request to the log. Returns None, as it is answered once it is committed, or that the
     leader is busy.
     """
     pending = PendingReply(sender, request.session, request.nonce)
-    of_sender = [each for each in leader.pending_replies.values() if each.client == sender]
-    if pending in of_sender:
+    pending_of_sender = [each for each in leader.pending_replies.values() if each.client == sender]
+    if pending in pending_of_sender:
         return None  # it is in the log already and will be answered
     kind, body = EntryKind.COMMAND, request.body
     if not request.session:
         kind, body = EntryKind.OPEN_SESSION, sender.encode()
     index = 0
-    if len(of_sender) < MAX_PENDING_PER_CLIENT:
+    if len(pending_of_sender) < MAX_PENDING_REQUESTS_PER_CLIENT:
         index = node.propose(kind, request.session, request.nonce, body)
     if not index:
         node.reject(MessageRejection.BUSY)
-        return Outcome(ReplyStatus.BUSY)
+        return EntryResult(ReplyStatus.BUSY)
     leader.pending_replies[index] = pending
     return None
 
 
-def reply_to(leader: LeaderState, index: int, outcome: Outcome, outbox: Outbox) -> None:
+def reply_to_client(leader: LeaderState, index: int, result: EntryResult, outbox: Outbox) -> None:
     """Answers the client of the entry at `index`, if it has one."""
     pending = leader.pending_replies.pop(index, None)
     if pending is not None:
-        reply = Reply(pending.session, pending.nonce, outcome.status, outcome.body, opened=outcome.opened)
+        reply = Reply(pending.session, pending.nonce, result.status, result.body, opened=result.opened)
         outbox.append((pending.client, reply))
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -38,7 +38,7 @@
 _decoder = msgspec.msgpack.Decoder(tuple[list[SessionRow], bytes])
 
 
-class Outcome(NamedTuple):
+class EntryResult(NamedTuple):
     """The result of an entry. `opened`: the session that it opened, or 0."""
 
     status: ReplyStatus
@@ -49,55 +49,56 @@
 class Sessions:
     """The sessions, and the machine to which their commands are applied; the same at every node.
 
-    `table`: by number, the least recently used first; `owned`: by client, the numbers of its sessions.
+    `table` maps a session's number to the session, with the least recently used session first.
+    `numbers_by_owner` maps a client's name to the numbers of its sessions, with the oldest session first.
     """
 
     def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
         self.table: dict[int, Session] = {}
-        self.owned: dict[str, list[int]] = {}
+        self.numbers_by_owner: dict[str, list[int]] = {}
 
-    def apply(self, index: int, entry: Entry) -> Outcome:
+    def apply(self, index: int, entry: Entry) -> EntryResult:
         """Applies a committed entry."""
         if entry.kind == EntryKind.MEMBERSHIP:
             self.machine.raise_last_token(decode_membership(entry.body).fencing_base)
         elif entry.kind == EntryKind.OPEN_SESSION:
-            self._open(index, entry.body.decode("utf-8", "replace"))
-            return Outcome(ReplyStatus.DONE, opened=index)
+            self._open_session(index, entry.body.decode("utf-8", "replace"))
+            return EntryResult(ReplyStatus.DONE, opened=index)
         elif entry.kind == EntryKind.COMMAND and not entry.session:
             self.machine.apply(index, entry.body)  # a command of the leader itself
         elif entry.kind == EntryKind.COMMAND:
-            return self._command(index, entry)
-        return Outcome(ReplyStatus.DONE)
+            return self._apply_command(index, entry)
+        return EntryResult(ReplyStatus.DONE)
 
-    def _command(self, index: int, entry: Entry) -> Outcome:
+    def _apply_command(self, index: int, entry: Entry) -> EntryResult:
         session = self.table.get(entry.session)
         if session is None:
-            return Outcome(ReplyStatus.UNKNOWN_SESSION)
+            return EntryResult(ReplyStatus.UNKNOWN_SESSION)
         owner, nonce, result = session
         if entry.nonce < nonce:
-            return Outcome(ReplyStatus.REFUSED, OLD_NONCE.encode())
+            return EntryResult(ReplyStatus.REFUSED, OLD_NONCE.encode())
         if entry.nonce > nonce:
             result = self.machine.apply(index, entry.body, owner)
         del self.table[entry.session]  # so that the session moves to the end of the table
         self.table[entry.session] = Session(owner, entry.nonce, result)
-        return Outcome(ReplyStatus.DONE, result)
+        return EntryResult(ReplyStatus.DONE, result)
 
-    def _open(self, index: int, owner: str) -> None:
-        own = self.owned.setdefault(owner, [])
-        if len(own) >= MAX_SESSIONS_PER_CLIENT:
-            self._drop(own[0])
+    def _open_session(self, index: int, owner: str) -> None:
+        numbers = self.numbers_by_owner.setdefault(owner, [])
+        if len(numbers) >= MAX_SESSIONS_PER_CLIENT:
+            self._drop_session(numbers[0])
         if len(self.table) >= MAX_SESSIONS:
-            self._drop(next(iter(self.table)))
+            self._drop_session(next(iter(self.table)))
         # The last drop may have removed the list of this client
-        self.owned.setdefault(owner, []).append(index)
+        self.numbers_by_owner.setdefault(owner, []).append(index)
         self.table[index] = Session(owner, 0, b"")
 
-    def _drop(self, number: int) -> None:
+    def _drop_session(self, number: int) -> None:
         owner = self.table.pop(number).owner
-        self.owned[owner].remove(number)
-        if not self.owned[owner]:
-            del self.owned[owner]
+        self.numbers_by_owner[owner].remove(number)
+        if not self.numbers_by_owner[owner]:
+            del self.numbers_by_owner[owner]
 
     def pack(self) -> bytes:
         """Encodes the complete state for a snapshot. A stored form."""
@@ -109,6 +110,6 @@
         rows, state = _decoder.decode(data)
         self.machine.unpack(state)
         self.table = {row.number: Session(row.owner, row.nonce, row.result) for row in rows}
-        self.owned = {}
+        self.numbers_by_owner = {}
         for number in sorted(self.table):
-            self.owned.setdefault(self.table[number].owner, []).append(number)
+            self.numbers_by_owner.setdefault(self.table[number].owner, []).append(number)
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -31,25 +31,28 @@
     incarnation: int
 
 
-NOBODY = Candidate("", 0)
+NO_CANDIDATE = Candidate("", 0)
 
 
 class Store:
     """The state of the node called `name`.
 
-    `restore` takes over the machine's state from a snapshot; it raises ValueError for a state that is none.
+    `restore_state` restores the state of the sessions and the state machine from a snapshot; it raises
+    ValueError if the bytes are not an encoded state.
     """
 
-    def __init__(self, name: str, disk: Disk, random: RandomSource, restore: Callable[[bytes], None]) -> None:
-        self.name, self.disk, self.random, self.restore = name, disk, random, restore
+    def __init__(
+        self, name: str, disk: Disk, random: RandomSource, restore_state: Callable[[bytes], None]
+    ) -> None:
+        self.name, self.disk, self.random, self.restore_state = name, disk, random, restore_state
         self.incarnation = self.term = 0
-        self.voted_for = NOBODY  # in the present term
+        self.voted_for = NO_CANDIDATE  # in the present term
         self.log = ReplicatedLog()
         self.snapshot: bytes | None = None  # the state of sessions and machine at the log's `snapshot_index`
         self.failure = ""  # why the disk cannot be written, or ''
         self.discard_reason = ""  # why the content of the disk could not be used, or ''
         self.is_open = False  # whether the disk was read, and an incarnation is on it
-        self.dirty = False  # whether records were appended since the last sync
+        self.has_unsynced_records = False  # whether records were appended since the last sync
         self.open()
 
     @property
@@ -59,17 +62,17 @@
 
     def open(self) -> None:
         """Reads the disk. `failure` is set if it cannot be read or written at the moment."""
-        found_unusable = ""
+        unusable_reason = ""
         try:
             self._load(self.disk.read())
         except UnusableDiskError as error:
-            found_unusable = self.discard_reason = error.reason
+            unusable_reason = self.discard_reason = error.reason
         except OSError as error:
             self.failure = f"not read: {error}"
             return
         try:
-            if found_unusable:
-                self.disk.quarantine(found_unusable)
+            if unusable_reason:
+                self.disk.quarantine(unusable_reason)
             if not self.incarnation:
                 # A new disk means a new node: it does not know what the name promised or voted before.
                 incarnation = 1 + self.random.below(MAX_COUNT)
@@ -88,12 +91,12 @@
                 is_first = position == 0
                 if isinstance(record, IdentityRecord) is not is_first:
                     raise UnusableDiskError("its head is not where it belongs")
-                loaded.take(record)
+                loaded.apply_record(record)
             if loaded.log.last_term > loaded.term:
                 raise UnusableDiskError("entries of terms that it never entered")
             if loaded.snapshot is not None:
                 # Last, so that the machine stays empty if the disk cannot be used
-                self.restore(loaded.snapshot)
+                self.restore_state(loaded.snapshot)
         except ValueError as error:
             raise UnusableDiskError(f"not understood: {error}") from error
         self.incarnation, self.term, self.voted_for = loaded.incarnation, loaded.term, loaded.voted_for
@@ -102,7 +105,7 @@
     def _write(self, record: Record) -> None:
         if self.failure:
             return
-        self.dirty = True
+        self.has_unsynced_records = True
         try:
             self.disk.append(encode(record))
         except OSError as error:
@@ -120,10 +123,10 @@
 
     def sync(self) -> bool:
         """Makes everything durable; returns whether memory and disk agree."""
-        if self.dirty and not self.failure:
+        if self.has_unsynced_records and not self.failure:
             try:
                 self.disk.sync()
-                self.dirty = False
+                self.has_unsynced_records = False
             except OSError as error:
                 self.failure = f"not synced: {error}"
         return not self.failure
@@ -164,7 +167,7 @@
         except OSError as error:
             self.failure = f"not rewritten: {error}"
             return False
-        self.failure, self.dirty = "", False
+        self.failure, self.has_unsynced_records = "", False
         return True
 
 
@@ -172,11 +175,11 @@
     """The state by the records that were read so far."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.incarnation, self.term, self.voted_for = name, 0, 0, NOBODY
+        self.name, self.incarnation, self.term, self.voted_for = name, 0, 0, NO_CANDIDATE
         self.log = ReplicatedLog()
         self.snapshot: bytes | None = None
 
-    def take(self, record: Record) -> None:
+    def apply_record(self, record: Record) -> None:
         """Applies a record. Errors: UnusableDiskError; ValueError for an entry that does not fit in the
         log.
         """
--- a/gaproute/shared/token_bucket.py
+++ b/gaproute/shared/token_bucket.py
@@ -28,7 +28,7 @@
         self.tokens -= tokens
         return True
 
-    def wait(self, now: int, tokens: int) -> int:
+    def wait_time(self, now: int, tokens: int) -> int:
         """The time until there are that many tokens, ns."""
         self._fill(now)
         return max(0, round((min(tokens, self.burst) - self.tokens) * SECOND / self.rate))
--- a/gaproute/simulation/raft_group/group_checks.py
+++ b/gaproute/simulation/raft_group/group_checks.py
@@ -52,5 +52,5 @@
         if not states:
             seen = [(node.role.value, node.term, node.storage_failure) for node in nodes]
             yield f"{names.LEADER_AFTER_FAULTS}: none, {seen}"
-        elif committed < max(state.first_index for state in states):
+        elif committed < max(state.first_index_of_term for state in states):
             yield f"{names.LEADER_AFTER_FAULTS}: nothing is committed"
--- a/gaproute/simulation/raft_group/planted_raft_faults.py
+++ b/gaproute/simulation/raft_group/planted_raft_faults.py
@@ -27,7 +27,7 @@
         seed=3,
         edits=(
             Edit(
-                LoadedState.take,
+                LoadedState.apply_record,
                 "self.term, self.voted_for = record.term, Candidate(record.name, record.incarnation)",
                 "self.term = record.term",
             ),
@@ -53,13 +53,13 @@
             names.ENDLESS_MESSAGES,
         ),
         seed=2,
-        edits=(Edit(LoadedState.take, "self.log.append(record.index, record.entry)", "pass"),),
+        edits=(Edit(LoadedState.apply_record, "self.log.append(record.index, record.entry)", "pass"),),
     ),
     PlantedFault(
         "a vote is given twice",
         found_by=(names.VOTE_DURABLE_BEFORE_SENT, names.VOTE_REMEMBERED, names.ONE_VOTE, names.ONE_LEADER),
         seed=25,
-        edits=(Edit(election.on_request_vote, " and voted_for in (NOBODY, candidate)", ""),),
+        edits=(Edit(election.on_request_vote, " and voted_for in (NO_CANDIDATE, candidate)", ""),),
     ),
     PlantedFault(
         "a vote is given to a log that knows less",
@@ -183,7 +183,7 @@
         edits=(
             Edit(
                 leader.on_append_response,
-                "progress.restart(response.incarnation, node.log.last_index)",
+                "progress.reset(response.incarnation, node.log.last_index)",
                 "progress.incarnation = response.incarnation",
             ),
             Edit(leader._match_index, " and progress.incarnation == member.incarnation", ""),
@@ -200,8 +200,8 @@
         found_by=(names.ONE_ANSWER,),
         seed=2,
         edits=(
-            Edit(Sessions._command, "if entry.nonce > nonce:", "if True:"),
-            Edit(requests._answer_at_once, "if request.nonce == session.nonce:", "if False:"),
+            Edit(Sessions._apply_command, "if entry.nonce > nonce:", "if True:"),
+            Edit(requests._answer_without_entry, "if request.nonce == session.nonce:", "if False:"),
         ),
     ),
     PlantedFault(
@@ -209,7 +209,7 @@
         found_by=(names.SESSIONS_BOUNDED,),
         seed=11,
         kind=RunKind.TIGHT,
-        edits=(Edit(Sessions._open, "if len(own) >= MAX_SESSIONS_PER_CLIENT:", "if False:"),),
+        edits=(Edit(Sessions._open_session, "if len(numbers) >= MAX_SESSIONS_PER_CLIENT:", "if False:"),),
     ),
     PlantedFault(
         "a node changes its members at once",
--- a/gaproute/simulation/raft_group/run.py
+++ b/gaproute/simulation/raft_group/run.py
@@ -119,8 +119,8 @@
     """Makes and plays a run; the violation that ended it, or None."""
     simulation = RaftGroupRun(schedule, setup).simulation
     with ExitStack() as limits:
-        limits.enter_context(_replaced(committed, "COMPACT_AFTER", COMPACT_AFTER))
-        limits.enter_context(_replaced(log, "MAX_ENTRIES", MAX_ENTRIES))
+        limits.enter_context(_replaced(committed, "COMPACTION_THRESHOLD_ENTRIES", COMPACT_AFTER))
+        limits.enter_context(_replaced(log, "MAX_ENTRIES_PER_MESSAGE", MAX_ENTRIES))
         try:
             simulation.run()
         except InvariantViolationError as violation:
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -41,7 +41,7 @@
         while budget.take(now, 7):
             spent += 7
     assert 1250 <= spent <= 1300
-    assert 0 < budget.wait(10 * SECOND, 50) <= SECOND // 2
+    assert 0 < budget.wait_time(10 * SECOND, 50) <= SECOND // 2
 
 
 # Log
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -5,7 +5,7 @@
 
 from gaproute.shared.raft.membership import next_membership
 from gaproute.shared.raft.messages import AppendEntriesResponse, EntryKind, Member
-from gaproute.shared.raft.node_state import MAX_UNCOMMITTED
+from gaproute.shared.raft.node_state import MAX_UNCOMMITTED_ENTRIES
 
 A, B, C = (Member(name, number) for number, name in enumerate("abc", 1))
 ALL = (A, B, C)
@@ -119,7 +119,7 @@
     net = settled()
     lead = net.leader
     other = next(each for each in net.names if each != lead.name)
-    lead.leader_state.first_index = lead.log.last_index + 1  # as if it had just been elected
+    lead.leader_state.first_index_of_term = lead.log.last_index + 1  # as if it had just been elected
     lead.set_configured_members(net.now, [lead.name, other])
     now = net.now + 60 * SECOND
     for name in lead.peer_names():
@@ -131,7 +131,7 @@
     last = lead.log.last_index
     lead.tick(now)
     assert lead.log.last_index == last
-    lead.leader_state.first_index = last
+    lead.leader_state.first_index_of_term = last
     lead.tick(now + SECOND)
     assert lead.log.last_index == last + 1
     assert len(lead.members) == 2
@@ -140,12 +140,12 @@
 def test_a_group_whose_members_all_restart_with_a_long_log_agrees_again():
     made = Net(seed=1)
     made.run(3 * SECOND)
-    for _ in range(MAX_UNCOMMITTED // 50 + 2):
+    for _ in range(MAX_UNCOMMITTED_ENTRIES // 50 + 2):
         for _ in range(50):
             assert made.leader.propose(EntryKind.NOOP)
         made.run(SECOND)
     entries = made.leader.commit_index
-    assert entries > MAX_UNCOMMITTED
+    assert entries > MAX_UNCOMMITTED_ENTRIES
     for name in made.names:
         made.crash(name)
     made.flying.clear()  # else what the old leader had sent would still show how far all agreed
--- a/tests/raft/test_node.py
+++ b/tests/raft/test_node.py
@@ -141,7 +141,7 @@
     while one.is_leader and now < one.election_due + 10 * SECOND:
         now = one.due
         one.tick(now)
-    assert now - one.leader_heard_at >= 2 * SECOND
+    assert now - one.leader_message_at >= 2 * SECOND
     assert not one.is_leader
     other, _ = lead()
     other.hear(0, "a", AppendEntriesResponse(5, 1, False, 0))
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -155,7 +155,7 @@
         except OSError as fault:
             self.failure = str(fault)
             return False
-        self.failure, self.dirty = "", False
+        self.failure, self.has_unsynced_records = "", False
         return True
 
     patch(Store, "rewrite", rewrite)
