--- a/gaproute/shared/__init__.py
+++ b/gaproute/shared/__init__.py
@@ -1,5 +1,5 @@
-"""State that processes share, without I/O.
+"""State that several gateway processes share, without I/O.
 
-Gossip expires and is only a hint (`gossip/`, over `membership/`). Leases are agreed on by the members of a
-Raft group (`raft/`: the agreement; `leases/`: the state machine and the holder's side).
+Gossip (`gossip/`, based on `membership/`) expires and is only a hint. Leases are agreed on by a Raft group:
+`raft/` has the consensus algorithm, `leases/` its state machine and the lease holder's client.
 """
--- a/gaproute/shared/invariants.py
+++ b/gaproute/shared/invariants.py
@@ -1,11 +1,11 @@
-"""What the invariants of these packages share: bounds of sizes."""
+"""Limits on sizes, which the invariants of the packages under `gaproute.shared` check."""
 
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
 
 class Bound(NamedTuple):
-    """How many of something there are, and how many there may be."""
+    """The number of items of one kind, with the limit on that number."""
 
     name: str
     size: int
@@ -13,7 +13,7 @@
 
 
 def bound_violations(bounds: Iterable[Bound]) -> Iterator[str]:
-    """The violations as text, one for each size above its limit."""
+    """Yields one violation, as text, for each size above its limit."""
     for name, size, limit in bounds:
         if size > limit:
             yield f"{size} {name}, {limit} at most"
--- a/gaproute/shared/messages.py
+++ b/gaproute/shared/messages.py
@@ -1,13 +1,13 @@
-"""The base of all messages and records that gateways exchange or store, and the bounds of their fields.
+"""The base class of the messages and records that gateways exchange or store, and the limits of their fields.
 
-A decoder rejects values outside these bounds, so that no peer can make a gateway store too much.
+A decoder rejects values outside these limits, so that no peer can make a gateway store too much.
 """
 
 from typing import Annotated
 
 from msgspec import Meta, Struct
 
-MAX_COUNT = 1 << 48  # of a term, an index or an incarnation: no correct value comes near it
+MAX_COUNT = 1 << 48  # of terms, indexes and incarnations; no correct term or index comes near it
 MAX_NAME_LENGTH = 128  # characters of a name
 
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
@@ -15,4 +15,4 @@
 
 
 class Message(Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    """An immutable value, encoded as an array: compared by value, unknown fields are an error."""
+    """An immutable value, encoded as an array of its fields; a decoder rejects unknown fields."""
--- a/gaproute/shared/raft/__init__.py
+++ b/gaproute/shared/raft/__init__.py
@@ -1,13 +1,13 @@
-"""Raft (Ongaro and Ousterhout, 2014) among a few gateways, without I/O.
+"""The Raft consensus algorithm (Ongaro and Ousterhout, 2014) for a group of a few gateways, without I/O.
 
-`RaftNode` is one node: `due` is the time at which `tick` is to be called, `hear` takes a message, and both
-return the messages to send as (receiver's name, message). A node owns its `Store` (term, vote and log, on a
-`Disk`), its `Sessions` (commands of clients, on a `StateMachine` that is handed in) and, while it is leader,
-its `LeaderState`.
+`RaftNode` is one node of the group: `due` is the time at which the driver must call `tick`, and `hear`
+handles a received message. Both return the messages to send as (receiver's name, message). A node owns its
+`Store` (the term, the vote and the log, on a `Disk`), its `Sessions` (the clients' sessions, whose commands
+are applied to the `StateMachine` given to the node) and, while the node is leader, its `LeaderState`.
 
-Nothing is sent before it is durable: `tick` and `hear` sync first, and return nothing if that fails. To
-simulate a crash, drop the node and make a new one with the same disk; a crash may cut off unsynced records at
-any point.
+A node sends nothing before the state behind it is durable: `tick` and `hear` sync the disk first, and return
+no messages if the sync fails. To simulate a crash, drop the node and create a new one with the same disk; a
+crash may cut off the unsynced records at any point.
 """
 
 from gaproute.shared.raft.disk import Disk, UnusableDiskError
--- a/gaproute/shared/raft/bootstrap.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -1,9 +1,10 @@
-"""How the first log begins, although any node may have lost its disk.
+"""Starts the group's first log, which is safe even if any node has lost its disk.
 
-Only the first of the configured members, by name, begins a log, and only if every other one has reported, in
-answer to this incarnation, that it never voted and never took an entry. So a node that lost its disk begins
-no log while any other node has state. If the first member is the one that lost its disk, no leader of an
-older log can have been elected, as that takes the vote of another node, which is not blank after it.
+Only the first configured member, in order of names, starts a log, and only after every other member has
+reported to this incarnation of the first member that the other member is blank: it never voted and never
+stored an entry. So no log is started while any node but the first has state. If the first member itself lost
+its disk, the blank reports prove that no leader of an older log was elected: an election requires the vote of
+another node, and a node that has voted is not blank.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def tick(node: NodeState, outbox: Outbox) -> None:
-    """Asks all others whether they are blank."""
+    """Asks all other nodes whether they are blank, if this node may start a log."""
     if not _may_bootstrap(node):
         return
     others = node.peer_names()
@@ -29,7 +30,7 @@
 
 
 def on_probe(node: NodeState, now: int, sender: str, message: BootstrapProbe, outbox: Outbox) -> None:
-    """Answers a probe, or handles the answer to an own one."""
+    """Answers a probe, or handles the answer to a probe of this node."""
     if not message.echoed_incarnation:
         outbox.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
     elif message.echoed_incarnation != node.incarnation or not _may_bootstrap(node):
--- a/gaproute/shared/raft/committed.py
+++ b/gaproute/shared/raft/committed.py
@@ -1,4 +1,4 @@
-"""Applies committed entries, and replaces them by a snapshot from time to time."""
+"""Applies committed entries to the state machine and compacts the log."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def apply_entries(node: NodeState, now: int, outbox: Outbox) -> None:
-    """Applies the entries that are committed and durable here; a leader replies to their clients."""
+    """Applies the entries that are committed and durable at this node; a leader replies to their clients."""
     while node.last_applied < node.commit_index:
         node.last_applied += 1
         entry = node.log.entry_at(node.last_applied)
@@ -31,9 +31,10 @@
 
 
 def compact_log(node: NodeState, now: int) -> None:
-    """Replaces the applied entries by a snapshot if there are many.
+    """Replaces the applied entries by a snapshot once they reach `COMPACTION_THRESHOLD_ENTRIES`.
 
-    While a follower that answers would need the snapshot, this is done only if there are very many.
+    While a responsive follower lacks some of these entries, a leader waits until there are
+    `FORCED_COMPACTION_FACTOR` times as many, because that follower would then need the whole snapshot.
     """
     applied_count = node.last_applied - node.log.snapshot_index
     if applied_count < COMPACTION_THRESHOLD_ENTRIES:
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -1,7 +1,8 @@
-"""Elections (Raft 5.2, 5.4.1), with pre-vote, and with votes refused while the leader is alive.
+"""Elections (Raft paper, 5.2 and 5.4.1), with pre-vote and with protection against disruptive candidates.
 
-Pre-vote and the refusal are of Ongaro's dissertation, 9.6 and 4.2.3. A node votes once in a term, for a
-candidate whose log is at least as up-to-date as its own; the vote is durable before it is sent.
+Pre-vote is described in section 9.6 of Ongaro's dissertation. By section 4.2.3, a node ignores vote requests
+while messages of a leader arrive. A node votes once per term, for a candidate whose log is at least as
+up-to-date as its own; the vote is durable before it is sent.
 """
 
 from __future__ import annotations
@@ -21,9 +22,10 @@
 
 
 def start_pre_vote(node: NodeState, outbox: Outbox) -> None:
-    """Asks whether a majority would vote for this node.
+    """Asks the other nodes whether they would vote for this node.
 
-    Only then is the term raised, so that a node that was cut off does not disturb the others when it is back.
+    The term is raised only after a majority has agreed, so that a node that returns from a network partition
+    does not depose a working leader with a higher term.
     """
     node.role, node.leader = Role.PRE_CANDIDATE, ""
     node.granted_votes = {node.name: node.incarnation}
@@ -31,9 +33,7 @@
 
 
 def on_majority(node: NodeState, now: int, outbox: Outbox) -> None:
-    """Handles the consent of a majority: after a pre-vote the election begins, after a vote this node is
-    leader.
-    """
+    """Starts the election after a won pre-vote; makes this node the leader after a won election."""
     if node.role is Role.PRE_CANDIDATE:
         node.role = Role.CANDIDATE
         node.store.save_vote(node.term + 1, node.name, node.incarnation)
@@ -41,12 +41,12 @@
         _request_votes(node, outbox, node.term, pre_vote=False)
         return
     node.become_leader(now)
-    # Entries of earlier terms are committed only by one of the own term (5.4.2).
+    # A leader commits entries of earlier terms only with an entry of its own term (Raft paper, 5.4.2).
     node.propose(EntryKind.NOOP)
 
 
 def on_request_vote(node: NodeState, now: int, sender: str, request: RequestVote, outbox: Outbox) -> None:
-    """Answers whether the vote is granted; no answer while a leader's messages arrive."""
+    """Grants or denies a vote; a request with a higher term is not answered while a leader is alive."""
     leader_is_alive = node.is_leader or now - node.leader_message_at < ELECTION_TIMEOUT
     if leader_is_alive and request.term > node.term:
         node.reject(MessageRejection.LEADER_IS_ALIVE)
@@ -69,7 +69,7 @@
 def on_vote_response(
     node: NodeState, now: int, sender: str, response: RequestVoteResponse, outbox: Outbox
 ) -> None:
-    """Counts a vote of the present election; `RaftNode` handles a majority."""
+    """Counts a granted vote in the current election; `RaftNode` detects the majority."""
     if response.term > node.term:
         node.enter_term(now, response.term)
         return
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -1,4 +1,4 @@
-"""The follower's part: entries and snapshots from the leader of the term (Raft 5.3, 7)."""
+"""A follower's handling of entries and snapshots from the leader of the term (Raft paper, 5.3 and 7)."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 def _follow(
     node: NodeState, now: int, sender: str, message: AppendEntries | InstallSnapshot, outbox: Outbox
 ) -> bool:
-    """Whether the sender leads a term that is not over; if so, this node follows it."""
+    """Follows the sender if it leads the current or a later term; returns whether this node follows it."""
     if message.term < node.term:
         _respond(node, sender, outbox, 0, success=False)
         return False
     if message.term > node.term:
         node.enter_term(now, message.term)
     if node.role is Role.LEADER:
-        node.record_violations([f"one leader a term: {sender} and {node.name} lead {node.term}"])
+        node.record_violations([f"one leader a term: {sender} and {node.name} both lead term {node.term}"])
         return False
     node.step_down(now)
     node.leader, node.leader_message_at = sender, now
@@ -38,11 +38,11 @@
 
 
 def on_append_entries(node: NodeState, now: int, sender: str, message: AppendEntries, outbox: Outbox) -> None:
-    """Takes the leader's entries if they follow an entry of the log."""
+    """Appends the leader's entries if this node's log has the entry that precedes them."""
     if not _follow(node, now, sender, message, outbox):
         return
     log, index, entries = node.log, message.prev_log_index, message.entries
-    if index < log.snapshot_index:  # the entries in the snapshot are committed, so they equal the leader's
+    if index < log.snapshot_index:  # the snapshot has committed entries only, which equal the leader's
         entries = entries[log.snapshot_index - index :]
         index = log.snapshot_index
     elif log.term_at(index) != message.prev_log_term:
@@ -56,13 +56,13 @@
 
 
 def _append(node: NodeState, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
-    """Appends the entries that the log lacks; returns False where that is not possible."""
+    """Appends the entries that the log lacks; returns False if an entry conflicts or is invalid."""
     log = node.log
     for index, entry in enumerate(entries, prev_index + 1):
         if log.term_at(index) == entry.term:
             continue
         if index <= node.commit_index:
-            found = f"{sender} replaces {index}, committed to {node.commit_index}"
+            found = f"{sender} replaces entry {index}, commit index {node.commit_index}"
             node.record_violations([f"a committed entry never changes: {found}"])
             return False
         try:
@@ -74,7 +74,7 @@
 
 
 def _conflict_hint(log: ReplicatedLog, index: int) -> int:
-    """The index that the leader should try next: that before all entries of the term that differs."""
+    """The index that the leader should try next: the one before the first entry of the conflicting term."""
     if index > log.last_index:
         return log.last_index
     term, hint = log.term_at(index), index
@@ -86,7 +86,7 @@
 def on_install_snapshot(
     node: NodeState, now: int, sender: str, message: InstallSnapshot, outbox: Outbox
 ) -> None:
-    """Takes over the leader's snapshot if it is ahead of what is committed here."""
+    """Installs the leader's snapshot if it is ahead of this node's commit index."""
     if not _follow(node, now, sender, message, outbox):
         return
     index = message.last_included_index
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -1,7 +1,7 @@
-"""The invariants of the nodes of a group; every check returns violations as text that begins with its name.
+"""The invariants of a Raft group; every check returns violations as texts that begin with the check's name.
 
-`NodeCheck` checks one node by itself and is cheap: the node calls it after every message. `check_nodes`
-compares all nodes. The state machine has checks of its own.
+`NodeCheck` checks a single node at low cost: the node runs it after every tick and message. `check_nodes`
+compares all nodes of a group. The state machine has its own checks.
 """
 
 from __future__ import annotations
@@ -30,20 +30,22 @@
 
 
 class NodeCheck:
-    """Compares a node with its state at the last check."""
+    """Checks one node by itself and against its state at the last check."""
 
     def __init__(self) -> None:
         self.last_checked: _CheckedState | None = None
 
     def run(self, node: NodeState) -> list[str]:
-        """The violations at this node."""
+        """Returns the violations at the node."""
         store, log = node.store, node.log
         violations = self._compare_with_last_check(node)
         if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
             indexes = f"{log.snapshot_index} {node.last_applied} {node.commit_index} {log.last_index}"
             violations.append(f"applied, committed and last index in order: {node.name} {indexes}")
         if log.last_term > store.term:
-            violations.append(f"no entry of a later term: {log.last_term} above {store.term} at {node.name}")
+            violations.append(
+                f"no entry of a later term: {log.last_term} is above {store.term} at {node.name}"
+            )
         if node.is_leader is not (node.leader_state is not None):
             violations.append(f"a leader has a leader's state: {node.name}")
         followers = node.leader_state.followers if node.leader_state is not None else {}
@@ -60,7 +62,7 @@
         if before is None or before.incarnation != present.incarnation:
             return []
         violations = [
-            f"{name} only grows: {old} to {new} at {node.name}"
+            f"{name} only grows: from {old} to {new} at {node.name}"
             for name, old, new in (
                 ("term", before.term, present.term),
                 ("commit index", before.commit_index, present.commit_index),
@@ -76,7 +78,7 @@
 
 
 def check_log_and_sessions(node: NodeState) -> list[str]:
-    """Expensive checks, which read the log and all sessions."""
+    """Returns the violations in the node's whole log and session table; an expensive check."""
     log = node.log
     terms = [log.snapshot_term, *(entry.term for entry in log.entries)]
     violations = [] if terms == sorted(terms) else [f"terms grow along the log: {node.name}"]
@@ -89,31 +91,31 @@
 
 
 class CheckHistory:
-    """The state of earlier checks, which the caller stores for a whole run."""
+    """The observations of earlier checks; the caller keeps one history for a whole run."""
 
     def __init__(self) -> None:
-        self.leaders_by_term: dict[int, Member] = {}  # by term: the first node that was seen to lead it
-        self.committed_entries: dict[int, Entry] = {}  # by index: the entry that some node had committed
-        self.compared_indexes: dict[Member, int] = {}  # by node: the index up to which it was compared
-        self.state_digests: dict[int, bytes] = {}  # by last applied index: digest of the state
+        self.leaders_by_term: dict[int, Member] = {}  # the first known leader of each term
+        self.committed_entries: dict[int, Entry] = {}  # by index, as committed first by some node
+        self.compared_indexes: dict[Member, int] = {}  # by node, the last index compared
+        self.state_digests: dict[int, bytes] = {}  # of `Sessions.pack`, by last applied index
 
 
 def check_nodes(nodes: Iterable[NodeState], history: CheckHistory) -> list[str]:
-    """Checks the nodes that are up against each other."""
-    nodes_up = list(nodes)
+    """Returns the violations at each running node and between the running nodes."""
+    running_nodes = list(nodes)
     violations: list[str] = []
-    for node in nodes_up:
+    for node in running_nodes:
         violations += node.violations + check_log_and_sessions(node)
         if node.is_leader:
             first = history.leaders_by_term.setdefault(node.term, node.identity)
             if first != node.identity:
-                violations.append(f"one leader a term: {first.name} and {node.name} in {node.term}")
+                violations.append(f"one leader a term: {first.name} and {node.name} in term {node.term}")
         violations += _check_committed_entries(node, history)
-    return violations + _check_log_matching(nodes_up)
+    return violations + _check_log_matching(running_nodes)
 
 
 def _check_committed_entries(node: NodeState, history: CheckHistory) -> list[str]:
-    """Committed entries are the same at every node, for ever."""
+    """Checks that committed entries and the states after them are equal at all nodes and never change."""
     log = node.log
     violations: list[str] = []
     compared = history.compared_indexes.get(node.identity)
@@ -131,7 +133,7 @@
 
 
 def _check_log_matching(nodes: Sequence[NodeState]) -> list[str]:
-    """Log matching: with the same term at an index, the entries up to there are the same."""
+    """Checks that two logs with equal terms at an index have equal entries up to it (log matching)."""
     violations: list[str] = []
     for one, other in combinations(nodes, 2):
         first = max(one.log.snapshot_index, other.log.snapshot_index)
@@ -149,7 +151,7 @@
 
 
 def node_summary_json(node: NodeState) -> str:
-    """A line of JSON with everything that is needed to investigate a violation."""
+    """Encodes the node's state as a line of JSON, for the investigation of a violation."""
     return msgspec.json.encode(
         {
             "name": node.name,
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -1,6 +1,7 @@
-"""The leader's part: replicates entries and commits them by majority (Raft 5.3, 5.4.2).
+"""A leader's replication of entries and their commitment by a majority (Raft paper, 5.3 and 5.4.2).
 
-A leader without answers of a majority steps down (dissertation 6.2), so that clients use another one.
+A leader that gets no answers from a majority steps down (Ongaro's dissertation, 6.2), so that clients turn to
+another leader.
 """
 
 from gaproute.shared.raft.leader_state import LeaderState
@@ -25,11 +26,11 @@
     QUORUM_TIMEOUT,
 )
 
-MAX_EXPIRIES_PER_TICK = 64  # deadlines; a leader whose process was stopped may find many that have passed
+MAX_EXPIRIES_PER_TICK = 64  # deadlines; many may have passed while the leader's process was suspended
 
 
 def _responsive_incarnations(node: NodeState, leader: LeaderState, now: int) -> dict[str, int]:
-    """By name: the incarnations of the nodes that answered lately, including itself."""
+    """The incarnations of the responsive followers and of this node, by name."""
     responsive = {
         name: progress.incarnation
         for name, progress in leader.followers.items()
@@ -39,7 +40,7 @@
 
 
 def tick(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
-    """Does what is due: heartbeats, deadlines, a change of members, or stepping down."""
+    """Proposes expired deadlines, sends heartbeats and changes the members; steps down without a majority."""
     responsive = _responsive_incarnations(node, leader, now)
     if now - leader.elected_at >= QUORUM_TIMEOUT and not is_majority(node.members, responsive):
         node.step_down(now)
@@ -59,10 +60,10 @@
 
 
 def _change_membership(node: NodeState, leader: LeaderState, now: int) -> None:
-    """Takes one step of the members towards the configuration.
+    """Adds or removes one member, towards the configured members.
 
-    It waits until the last step and an entry of the own term are committed: otherwise single-server changes
-    have a flaw, which Ongaro published in 2015.
+    A change waits until the previous change and an entry of the leader's own term are committed. Without the
+    second condition single-server changes are unsafe, as Ongaro reported in 2015.
     """
     uncommitted = node.log.membership_history[-1].log_index > node.commit_index
     if uncommitted or node.commit_index < leader.first_index_of_term:
@@ -82,7 +83,7 @@
 
 
 def advance_commit_index(node: NodeState, leader: LeaderState) -> None:
-    """Commits what a majority of the members has on disk. The leader's own log was synced before."""
+    """Commits the entries that a majority of the members has on disk; this node's disk is already synced."""
     matched = sorted((_match_index(node, leader, member) for member in node.members), reverse=True)
     index = matched[len(matched) // 2]
     if index > node.commit_index and node.log.term_at(index) == node.term:
@@ -99,7 +100,7 @@
 
 
 def replicate(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
-    """Sends new entries to all followers that have none in flight."""
+    """Sends new entries to the followers to which no entries are in flight."""
     for name in node.peer_names():
         progress = leader.progress_of(name)
         if (
@@ -110,7 +111,7 @@
 
 
 def _send_entries(node: NodeState, leader: LeaderState, now: int, name: str, outbox: Outbox) -> None:
-    """Sends a follower the entries or the snapshot that it lacks, or only a heartbeat."""
+    """Sends a follower the entries or the snapshot that it lacks, or a heartbeat if neither is due."""
     progress, log = leader.progress_of(name), node.log
     entries: tuple[Entry, ...] = ()
     if progress.next_index > log.snapshot_index:
@@ -122,7 +123,7 @@
         outbox.append((name, _snapshot_message(node)))
         return
     else:
-        # Heartbeats go on, so that the follower starts no election while it decodes the snapshot
+        # Heartbeats continue, so that the follower starts no election while it decodes the snapshot
         previous_index = log.snapshot_index
     previous_term = log.term_at(previous_index) or 0
     message = AppendEntries(
@@ -142,7 +143,7 @@
 def on_append_response(
     node: NodeState, now: int, sender: str, response: AppendEntriesResponse, outbox: Outbox
 ) -> None:
-    """Handles a follower's answer: it has taken entries, or lacks those before them."""
+    """Handles a follower's answer: it has stored the entries, or lacks the entry that precedes them."""
     leader = node.leader_state
     if response.term > node.term:
         node.enter_term(now, response.term)
@@ -160,7 +161,7 @@
         progress.match_index = max(progress.match_index, response.match_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
     else:
-        # A hint that comes late must not lead back before the entries that are known to match
+        # A delayed conflict hint must not move `next_index` back below the entries that are known to match
         hint = min(progress.next_index - 1, response.match_index)
         progress.next_index = max(progress.match_index, hint) + 1
         if progress.next_index > node.log.snapshot_index or progress.is_snapshot_due(now):
--- a/gaproute/shared/raft/leader_state.py
+++ b/gaproute/shared/raft/leader_state.py
@@ -1,4 +1,4 @@
-"""The state of a leader: the progress of its followers, and requests that wait to be committed."""
+"""The state of a leader: the progress of its followers and the requests that wait to be committed."""
 
 from typing import NamedTuple
 
@@ -7,32 +7,32 @@
 
 
 class FollowerProgress:
-    """What the leader knows of another node's log."""
+    """What the leader knows of another node's log and of the messages to that node."""
 
     def __init__(self, next_index: int) -> None:
-        self.next_index = next_index  # of the next entry to send
-        self.match_index = 0  # the index up to which the logs agree
-        self.incarnation = 0  # of the follower, by its last answer
-        self.answered_at: int | None = None  # when the last answer came, ns
-        self.has_entries_in_flight = False  # whether entries are on their way
+        self.next_index = next_index  # the index of the next entry to send
+        self.match_index = 0  # the last index up to which the logs are known to agree
+        self.incarnation = 0  # the follower's incarnation in its last answer; 0 before
+        self.answered_at: int | None = None  # the time of the last answer, ns
+        self.has_entries_in_flight = False  # whether sent entries are not answered yet
         self.snapshot_sent_at: int | None = None
 
     def reset(self, incarnation: int, last_index: int) -> None:
-        """Resets the progress, as the node of this name has another disk."""
+        """Resets the progress because the node of this name has another disk."""
         self.incarnation, self.match_index, self.next_index = incarnation, 0, last_index + 1
         self.snapshot_sent_at = None
 
     def is_responsive(self, now: int) -> bool:
-        """Whether the node counts as up."""
+        """Whether the node has answered within the last `QUORUM_TIMEOUT`."""
         return self.answered_at is not None and now - self.answered_at < QUORUM_TIMEOUT
 
     def is_snapshot_due(self, now: int) -> bool:
-        """Whether a snapshot may be sent, for the first time or again."""
+        """Whether a snapshot may be sent to the node, for the first time or again."""
         return self.snapshot_sent_at is None or now - self.snapshot_sent_at >= SNAPSHOT_RESEND_INTERVAL
 
 
 class PendingReply(NamedTuple):
-    """The client and the request that are answered once the entry is committed."""
+    """The client to answer once the entry of its request is committed, and the request's identity."""
 
     client: str
     session: int
@@ -40,31 +40,29 @@
 
 
 class LeaderState:
-    """The state of a leader. `first_index_of_term`: of the entry with which its term begins."""
+    """The state of a leader. `first_index_of_term` is the index of the first entry of its term."""
 
     def __init__(self, now: int, first_index_of_term: int, timers: DeadlineTimers) -> None:
         self.elected_at, self.first_index_of_term, self.timers = now, first_index_of_term, timers
         self.heartbeat_due = now
         self.followers: dict[str, FollowerProgress] = {}
-        self.pending_replies: dict[int, PendingReply] = {}  # by the index of the entry
+        self.pending_replies: dict[int, PendingReply] = {}  # by index of the entry
         self.membership_changed_at = now
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called next, ns."""
+        """The time at which `tick` must be called next, ns."""
         deadline = self.timers.due
         return self.heartbeat_due if deadline is None else min(self.heartbeat_due, deadline)
 
     def progress_of(self, name: str) -> FollowerProgress:
-        """The progress of the node of this name."""
+        """The progress of the node called `name`, created at the first use."""
         if name not in self.followers:
             self.followers[name] = FollowerProgress(self.first_index_of_term)
         return self.followers[name]
 
     def all_responsive_have(self, now: int, index: int) -> bool:
-        """Whether all nodes that answer have the entries up to `index`, so that none would need a
-        snapshot.
-        """
+        """Whether all responsive followers have the entries up to `index`, so that none needs a snapshot."""
         return all(
             progress.match_index >= index
             for progress in self.followers.values()
@@ -72,5 +70,5 @@
         )
 
     def retain_followers(self, names: list[str]) -> None:
-        """Forgets the progress of all other nodes."""
-        self.followers = {name: each for name, each in self.followers.items() if name in names}
+        """Drops the progress of all nodes except those in `names`."""
+        self.followers = {name: progress for name, progress in self.followers.items() if name in names}
--- a/gaproute/shared/raft/messages.py
+++ b/gaproute/shared/raft/messages.py
@@ -1,10 +1,11 @@
 """The messages between the nodes of a group, and between its clients and its leader.
 
-Every message is an immutable value. All numbers are bounded, so that a decoder rejects what no node can have
-sent. Tags and the order of the fields are the form on the wire and never change.
+Every message is an immutable value. All numbers are bounded, so that a decoder rejects values that no node
+can have sent. The tags and the order of the fields define the wire format and never change.
 
-`incarnation` is the sender's: the number that its disk got when it was empty. To the group a node is (name,
-incarnation); one that lost its disk is another node, whose votes and answers do not count for the old one.
+`incarnation` is the sender's random number, drawn when its disk was empty. The group identifies a node by its
+name and incarnation: a node that lost its disk is another node, whose votes and answers do not count for the
+old one.
 """
 
 from enum import IntEnum, StrEnum
@@ -16,15 +17,15 @@
 
 # About as many entries as are logged in one heartbeat interval; they are small compared with a snapshot.
 MAX_ENTRIES_PER_MESSAGE = 64
-MAX_COMMAND_BYTES = 2048  # of one command; names and a few numbers take a tenth of it
-MAX_SNAPSHOT_BYTES = 4 << 20  # of a snapshot; all leases and sessions at their bounds take less
-MAX_MEMBERS = 9  # of a group; 3 or 5 are intended, and one is added before another is removed
+MAX_COMMAND_BYTES = 2048  # a command's names and numbers take a tenth of it
+MAX_SNAPSHOT_BYTES = 4 << 20  # all leases and sessions at their limits take less
+MAX_MEMBERS = 9  # 3 or 5 are intended; a member's replacement is added before the member is removed
 
 Body = Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
 
 class EntryKind(IntEnum):
-    """The kinds of log entries; the numbers are those on the wire and on disk."""
+    """The kinds of log entries; the numbers are part of the wire and disk formats."""
 
     NOOP = 0
     MEMBERSHIP = 1
@@ -33,7 +34,7 @@
 
 
 class Member(Message, frozen=True):
-    """A member of the group. Part of a stored form."""
+    """A member of the group. Part of the disk format."""
 
     name: Name
     incarnation: Count
@@ -43,9 +44,9 @@
 
 
 class Membership(Message, frozen=True):
-    """The body of an entry of kind MEMBERSHIP: the members from this entry on. A stored form.
+    """The body of an entry of kind MEMBERSHIP: the members from this entry on. Part of the disk format.
 
-    `fencing_base`: the fencing tokens of a new log begin above it; 0 does not change them.
+    The fencing tokens of a new log begin above `fencing_base`; 0 leaves the last token as it is.
     """
 
     members: Members
@@ -53,7 +54,7 @@
 
 
 class Entry(Message, frozen=True):
-    """An entry of the log. `session` and `nonce`: of the client's request; 0 if a node made the entry."""
+    """An entry of the log. `session` and `nonce` are the client request's; they are 0 in a node's entry."""
 
     term: Count
     kind: EntryKind
@@ -63,10 +64,11 @@
 
 
 class BootstrapProbe(Message, frozen=True, tag=1):
-    """From a node with an empty disk that may begin a log; also the answer to it.
+    """A probe by a blank node that may start a log, and also the answer to such a probe.
 
-    The answer repeats the asking node's incarnation, which proves that it was made after that began. `blank`:
-    the sender never voted and never took an entry.
+    An answer echoes the incarnation of the probing node, which proves that the answer was made after that
+    incarnation began; in a probe `echoed_incarnation` is 0. `blank` means that the sender never voted and
+    never stored an entry.
     """
 
     incarnation: Count
@@ -75,7 +77,7 @@
 
 
 class RequestVote(Message, frozen=True, tag=2):
-    """A candidate requests a vote. `pre_vote`: only the question whether it would be granted."""
+    """A candidate requests a vote. With `pre_vote` it only asks whether the vote would be granted."""
 
     term: Count
     incarnation: Count
@@ -94,7 +96,7 @@
 
 
 class AppendEntries(Message, frozen=True, tag=4):
-    """The leader's entries after the entry `prev_log_index`; without entries a heartbeat."""
+    """The leader's entries that follow the entry at `prev_log_index`; a heartbeat if it has no entries."""
 
     term: Count
     incarnation: Count
@@ -107,8 +109,8 @@
 class AppendEntriesResponse(Message, frozen=True, tag=5):
     """The answer to AppendEntries and InstallSnapshot.
 
-    `success`: the log up to `match_index` equals the leader's and is durable. Otherwise the leader should try
-    the entries after `match_index`.
+    With `success` the sender's log up to `match_index` equals the leader's log and is durable. Without it the
+    leader should next send the entries after `match_index`.
     """
 
     term: Count
@@ -118,7 +120,7 @@
 
 
 class InstallSnapshot(Message, frozen=True, tag=6):
-    """The state after the entry `last_included_index`, for a follower that is too far behind."""
+    """The state after the entry at `last_included_index`, for a follower that lacks compacted entries."""
 
     term: Count
     incarnation: Count
@@ -129,8 +131,9 @@
 
 
 class Request(Message, frozen=True, tag=7):
-    """From a client. Session 0 opens a session, with an empty body. A nonce identifies a command of a
-    session.
+    """A request of a client: a command, or the opening of a session (session 0, with an empty body).
+
+    The nonce identifies a command within its session.
     """
 
     session: Count
@@ -139,17 +142,17 @@
 
 
 class ReplyStatus(StrEnum):
-    """The result of a request; the texts are those on the wire."""
+    """The result of a request; the texts are part of the wire format."""
 
-    DONE = "done"  # the body is the machine's result; `opened` is the session where one was asked for
-    NOT_LEADER = "elsewhere"  # `leader` may name it
+    DONE = "done"  # the body is the state machine's result, or `opened` is the new session
+    NOT_LEADER = "elsewhere"  # `leader` has the leader's name if it is known
     BUSY = "busy"
     UNKNOWN_SESSION = "forgotten"
-    REFUSED = "refused"  # the body says why, as text
+    REFUSED = "refused"  # the body has the reason as text
 
 
 class Reply(Message, frozen=True, tag=8):
-    """To a client. `state`: a `ReplyStatus`. `opened`: the session that was opened, or 0."""
+    """The reply to a client's request. `state` is a `ReplyStatus`; `opened` is the new session, or 0."""
 
     session: Count
     nonce: Count
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -1,6 +1,6 @@
-"""A node of a Raft group, without I/O: each message goes to the module that handles it.
+"""A node of a Raft group, without I/O: it passes each message to the module that handles the message's type.
 
-Nothing is sent before it is durable.
+A node sends nothing before the state behind it is durable.
 """
 
 from collections.abc import Callable
@@ -25,7 +25,9 @@
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.timing import STORAGE_RETRY_INTERVAL
 
-MAX_TERM_JUMP = 1 << 30  # a term so far above the own one is invalid: an election per second for 30 years
+# A term that is higher than this node's term by more than this is invalid: one election per second would need
+# 30 years to reach it.
+MAX_TERM_JUMP = 1 << 30
 
 _HANDLERS: dict[type, Callable[..., None]] = {
     RequestVote: election.on_request_vote,
@@ -38,25 +40,25 @@
 
 
 class RaftNode(NodeState):
-    """A node called `name` of the group of `configured_members`.
+    """The node called `name` of the Raft group of `configured_members`.
 
-    `now`: ns of its own monotonic clock, here and in all calls. `machine`: the state machine of the entries,
-    a new one for every node. `fencing_base`: where fencing tokens begin if this node begins a log: Unix time
-    in ms, so that they increase even if all disks were lost.
+    `now` is the time of the node's monotonic clock in ns, here and in all calls. `machine` is the state
+    machine to which the node applies its entries; every node needs a new one. If this node starts the log,
+    fencing tokens begin above `fencing_base`, which is the Unix time in ms, so that tokens increase even if
+    all disks were lost.
 
-    After a failure of the disk the node sends nothing, as it must not promise what it cannot store:
-    `storage_failure` says why. It writes everything again every few seconds until that succeeds.
-    `rejections`: by reason, how many messages were rejected; `violations`: the first violations that the
-    invariants found.
+    After a disk failure the node sends no messages, as it must not promise what it cannot store;
+    `storage_failure` has the reason. The node rewrites its whole state every few seconds until that succeeds.
+    `rejections` counts rejected messages by reason. `violations` has the first violations of the invariants.
     """
 
     @cached_property
     def invariant_check(self) -> NodeCheck:
-        """The check of this node against its state at the last check."""
+        """The check of this node's invariants, which remembers the state at the last check."""
         return NodeCheck()
 
     def tick(self, now: int) -> Outbox:
-        """Does what is due; returns the messages to send."""
+        """Performs the node's due work; returns the messages to send."""
         if self.storage_failure:
             self._retry_storage(now)
             return []
@@ -72,7 +74,7 @@
         return self._flush(now, outbox)
 
     def hear(self, now: int, sender: str, message: RaftMessage) -> Outbox:
-        """Handles a message; returns the messages to send."""
+        """Handles a received message; returns the messages to send."""
         if self.storage_failure:
             return []
         outbox: Outbox = []
@@ -89,8 +91,9 @@
         return self._flush(now, outbox)
 
     def _retry_storage(self, now: int) -> None:
-        """Writes everything again; as nothing was sent since the disk failed, the state in memory may be
-        written.
+        """Reads the disk again if that failed, else rewrites the whole state from memory.
+
+        Rewriting is safe because the node has sent no messages since the disk failed.
         """
         if now < self.storage_retry_at:
             return
@@ -103,14 +106,14 @@
         self.storage_failure = self.store.failure
 
     def _flush(self, now: int, outbox: Outbox) -> Outbox:
-        """Syncs, then does what requires it: wins an election, commits, replies.
+        """Syncs the disk, then does the work that requires durable state: wins an election, commits, replies.
 
         Returns no messages if the disk failed.
         """
         while self.store.sync():
             campaigning = self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
             if campaigning and is_majority(self.members, self.granted_votes):
-                election.on_majority(self, now, outbox)  # it writes, which has to be synced as well
+                election.on_majority(self, now, outbox)  # this writes records, which must be synced as well
                 continue
             if self.leader_state is not None:
                 leader.advance_commit_index(self, self.leader_state)
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -1,4 +1,4 @@
-"""The state of a Raft node, and the changes to it that concern more than one value."""
+"""The state of a Raft node, and the operations that change several of its attributes together."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,14 +16,13 @@
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
 from gaproute.shared.randomness import RandomSource
 
-MAX_STORED_VIOLATIONS = 16  # stored by a node; the first ones are the most useful
-MAX_UNCOMMITTED_ENTRIES = (
-    512  # entries, a megabyte at most; above it clients get the answer that the leader is busy
-)
+MAX_STORED_VIOLATIONS = 16  # per node; the first ones are the most useful
+# One megabyte at most; while a leader has more uncommitted entries, it answers clients that it is busy.
+MAX_UNCOMMITTED_ENTRIES = 512
 
 
 class NodeState:
-    """The state and the promises of a node: see `RaftNode`, whose other modules act on this."""
+    """The state of a node, on which the modules behind `RaftNode` act; see `RaftNode` for its attributes."""
 
     def __init__(
         self,
@@ -43,12 +42,12 @@
         self.storage_failure = self.store.failure
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
         self.role, self.leader = Role.FOLLOWER, ""
-        self.leader_message_at = now - 2 * ELECTION_TIMEOUT  # so long ago that this node may vote at once
-        self.granted_votes: dict[str, int] = {}  # by name, the incarnation of each voter in this election
-        self.blank_peers: dict[str, int] = {}  # the same of each node that may take part in a bootstrap
-        # After a restart only what the snapshot has is known to be committed
+        self.leader_message_at = now - 2 * ELECTION_TIMEOUT  # long enough ago for this node to vote at once
+        self.granted_votes: dict[str, int] = {}  # the incarnations of this election's voters, by name
+        self.blank_peers: dict[str, int] = {}  # the incarnations of the peers that are blank, by name
+        # After a restart only the entries in the snapshot are known to be committed
         self.commit_index = self.last_applied = self.log.snapshot_index
-        self.leader_state: LeaderState | None = None  # set while it is leader
+        self.leader_state: LeaderState | None = None  # set while this node is leader
         self.rejections: Counter[str] = Counter()  # by the text of a `MessageRejection`
         self.violations: list[str] = []
         self.configured_members: tuple[str, ...] = ()
@@ -62,7 +61,7 @@
 
     @property
     def incarnation(self) -> int:
-        """The incarnation of its disk; 0 until that was read."""
+        """The incarnation of the node's disk; 0 until the disk has been read."""
         return self.store.incarnation
 
     @property
@@ -72,64 +71,64 @@
 
     @property
     def log(self) -> ReplicatedLog:
-        """The log."""
+        """The node's log."""
         return self.store.log
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The members by the log."""
+        """The members in force, according to the log."""
         return self.log.members
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads its term."""
+        """Whether this node leads its term."""
         return self.role is Role.LEADER
 
     @property
     def is_member(self) -> bool:
-        """Whether it is among the members, with the incarnation of its disk."""
+        """Whether this node is a member under the incarnation of its disk."""
         return self.identity in self.members
 
     @property
     def may_campaign(self) -> bool:
-        """Whether it may request votes: it is a member by the last committed membership or a later one.
+        """Whether this node may request votes: the last committed membership or a later one includes it.
 
-        A member whose removal is not committed may have more entries than all that stay (dissertation 4.2.2);
-        its own vote counts by the last membership only.
+        A member whose removal is not committed may have more entries than every remaining member (Ongaro's
+        dissertation, 4.2.2). Its own vote counts only if the last membership includes it.
         """
         return any(self.identity in members for members in self.log.memberships_since(self.commit_index))
 
     def set_configured_members(self, now: int, names: Iterable[str]) -> None:
-        """Takes over the names in the configuration; the members change one at a time.
+        """Sets the names of the configured members; the leader then changes the members one at a time.
 
         Errors: ValueError if there are none or too many.
         """
         self.configured_members = sorted_member_names(names)
 
     def peer_names(self) -> list[str]:
-        """The names of all nodes with which this one exchanges messages, sorted."""
+        """The names of all nodes with which this node exchanges messages, sorted."""
         return sorted({*self.configured_members, *(member.name for member in self.members)} - {self.name})
 
     def reset_election_timer(self, now: int) -> None:
-        """Restarts the election timeout."""
+        """Restarts the election timeout with a new random part."""
         self.election_due = now + ELECTION_TIMEOUT + self.random.below(ELECTION_TIMEOUT)
 
     def record_violations(self, violations: list[str]) -> None:
-        """Stores the first few violations."""
+        """Stores the violations, up to `MAX_STORED_VIOLATIONS` in total."""
         self.violations += violations[: MAX_STORED_VIOLATIONS - len(self.violations)]
 
     def reject(self, reason: MessageRejection) -> None:
-        """Counts a message that was rejected."""
+        """Counts a rejected message under the reason of its rejection."""
         self.rejections[reason.value] += 1
 
     def enter_term(self, now: int, term: int) -> None:
-        """Enters a term above the own one, without a leader or a vote."""
+        """Enters a higher term, without a leader or a vote in it."""
         self.store.save_vote(term)
         self.step_down(now)
-        self.leader = ""  # the leader that is followed is forgotten as well
+        self.leader = ""  # `step_down` leaves a follower's leader as it is
 
     def step_down(self, now: int) -> None:
-        """Becomes a follower."""
+        """Becomes a follower, if this node is not one already."""
         if self.role is not Role.FOLLOWER:
             self._become_leaderless_follower()
             self.reset_election_timer(now)
@@ -138,15 +137,15 @@
         self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
 
     def become_leader(self, now: int) -> None:
-        """Becomes the leader of its term."""
+        """Becomes the leader of the current term."""
         self.role, self.leader = Role.LEADER, self.name
         self.leader_state = LeaderState(now, self.log.last_index + 1, self.machine.start_timers(now))
 
     def propose(self, kind: EntryKind, session: int = 0, nonce: int = 0, body: bytes = b"") -> int:
         """Appends an entry to the leader's log; returns its index, or 0 if too many are uncommitted.
 
-        The entry with which a term begins is always appended: after a restart of all nodes no entry of a long
-        log is known to be committed, and this entry commits the others (5.4.2).
+        The NOOP entry that begins a term is always appended: after a restart of all nodes no entry of a long
+        log is known to be committed, and only the NOOP entry commits the others (Raft paper, 5.4.2).
         """
         index = self.log.last_index + 1
         if kind != EntryKind.NOOP and index - self.commit_index > MAX_UNCOMMITTED_ENTRIES:
@@ -156,7 +155,7 @@
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called next."""
+        """The time at which `tick` must be called next, ns."""
         if self.storage_failure:
             return self.storage_retry_at
         return self.election_due if self.leader_state is None else self.leader_state.due
--- a/gaproute/shared/raft/records.py
+++ b/gaproute/shared/raft/records.py
@@ -1,4 +1,4 @@
-"""The records that a node writes to its disk, and how they are decoded."""
+"""The records that a node writes to its disk, with their encoding and decoding."""
 
 from typing import TypeAlias
 
@@ -9,16 +9,14 @@
 
 
 class IdentityRecord(Message, frozen=True, tag=1):
-    """The first record of every disk: the node that owns it. The incarnation is drawn once, for an empty
-    disk.
-    """
+    """The first record of every disk: the node that owns it. The incarnation is drawn for an empty disk."""
 
     name: Name
     incarnation: Count
 
 
 class VoteRecord(Message, frozen=True, tag=2):
-    """The term, and the candidate that got the vote in it; an empty name: none yet."""
+    """The current term and the candidate that got the node's vote in it; the name is empty before a vote."""
 
     term: Count
     name: Name
@@ -26,14 +24,14 @@
 
 
 class EntryRecord(Message, frozen=True, tag=3):
-    """An entry at its index; it replaces the entry at this index and all later ones."""
+    """A log entry and its index; it replaces an earlier entry at this index and drops all later ones."""
 
     index: Count
     entry: Entry
 
 
 class SnapshotRecord(Message, frozen=True, tag=4):
-    """The state after the entry `last_included_index`; entries up to it are dropped."""
+    """The state after the entry at `last_included_index`, which replaces the entries up to that index."""
 
     last_included_index: Count
     last_included_term: Count
--- a/gaproute/shared/raft/rejections.py
+++ b/gaproute/shared/raft/rejections.py
@@ -1,10 +1,10 @@
-"""Why a node rejects a message."""
+"""The reasons for which a node rejects a message."""
 
 from enum import StrEnum
 
 
 class MessageRejection(StrEnum):
-    """The reasons; the texts are those in the log and in the node's counts."""
+    """The reasons for a rejection; the texts appear in the gateway's log and in the node's counts."""
 
     UNKNOWN_SENDER = "stranger"
     UNKNOWN_TYPE = "not a message of the group"
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients to the leader: checked, logged once, answered when they are committed."""
+"""The leader's handling of client requests: it checks them, logs each once, and replies after the commit."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from gaproute.shared.raft.rejections import MessageRejection
 from gaproute.shared.raft.sessions import OLD_NONCE, EntryResult
 
-MAX_PENDING_REQUESTS_PER_CLIENT = 4  # requests that wait to be committed; a client sends one at a time
+MAX_PENDING_REQUESTS_PER_CLIENT = 4  # uncommitted requests; a client sends one at a time
 NOT_THE_OWNER = "not the holder's own"
 
 
 def on_request(node: NodeState, sender: str, request: Request, outbox: Outbox) -> None:
-    """Logs a request, or answers it immediately."""
+    """Appends a request to the log, or answers it immediately."""
     if not 0 < len(sender) <= MAX_NAME_LENGTH or not request.nonce:
         node.reject(MessageRejection.INVALID_REQUEST)
         return
@@ -34,8 +34,8 @@
 def _answer_without_entry(
     node: NodeState, leader: LeaderState, sender: str, request: Request
 ) -> EntryResult | None:
-    """The result of a request that needs no entry; None if it needs one."""
-    # Entries that were committed earlier may not be known here yet
+    """The result of a request that needs no log entry; None if the request needs one."""
+    # Until an entry of its own term is committed, a new leader may not know all committed entries
     if node.commit_index < leader.first_index_of_term:
         return EntryResult(ReplyStatus.BUSY)
     if not request.session:
@@ -57,13 +57,14 @@
 def _append_request(
     node: NodeState, leader: LeaderState, sender: str, request: Request
 ) -> EntryResult | None:
-    """Appends the request to the log. Returns None, as it is answered once it is committed, or that the
-    leader is busy.
+    """Appends the request to the log and returns None, or returns that the leader is busy.
+
+    The client of an appended request gets its reply after the commit.
     """
     pending = PendingReply(sender, request.session, request.nonce)
-    pending_of_sender = [each for each in leader.pending_replies.values() if each.client == sender]
+    pending_of_sender = [reply for reply in leader.pending_replies.values() if reply.client == sender]
     if pending in pending_of_sender:
-        return None  # it is in the log already and will be answered
+        return None  # the request is in the log already and is answered after its commit
     kind, body = EntryKind.COMMAND, request.body
     if not request.session:
         kind, body = EntryKind.OPEN_SESSION, sender.encode()
@@ -78,7 +79,7 @@
 
 
 def reply_to_client(leader: LeaderState, index: int, result: EntryResult, outbox: Outbox) -> None:
-    """Answers the client of the entry at `index`, if it has one."""
+    """Sends the result to the client that waits for the entry at `index`, if there is one."""
     pending = leader.pending_replies.pop(index, None)
     if pending is not None:
         reply = Reply(pending.session, pending.nonce, result.status, result.body, opened=result.opened)
--- a/gaproute/shared/raft/role.py
+++ b/gaproute/shared/raft/role.py
@@ -4,9 +4,9 @@
 
 
 class Role(Enum):
-    """The roles of Raft (section 5.1) and that of pre-vote (dissertation 9.6)."""
+    """Raft's roles (Raft paper, 5.1) and that of a pre-vote (Ongaro's dissertation, 9.6)."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "pre-candidate"  # asks whether a majority would vote for it, in its old term
+    PRE_CANDIDATE = "pre-candidate"  # asks for pre-votes, without raising its term
     CANDIDATE = "candidate"
     LEADER = "leader"
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -1,7 +1,8 @@
-"""Exactly-once commands (Ongaro's dissertation, 6.3): the last nonce of each session and its result.
+"""Exactly-once application of client commands (Ongaro's dissertation, 6.3).
 
-The table is part of the replicated state, so every node knows after a change of leader which commands were
-carried out. A command of a session that the table has lost is rejected, as it may have been carried out.
+Each session stores the nonce and the result of its last command. The session table is part of the replicated
+state, so that every node knows after a change of leader which commands were applied. A command of a session
+that the table has dropped is rejected, as it may have been applied already.
 """
 
 from typing import NamedTuple
@@ -12,13 +13,13 @@
 from gaproute.shared.raft.messages import Entry, EntryKind, ReplyStatus
 from gaproute.shared.raft.state_machine import StateMachine
 
-MAX_SESSIONS = 4096  # a thousand gateways that restarted a few times; 200 bytes each
-MAX_SESSIONS_PER_CLIENT = 4  # a gateway needs one; lost answers to openings make more
+MAX_SESSIONS = 4096  # 1000 gateways that restarted a few times; 200 bytes per session
+MAX_SESSIONS_PER_CLIENT = 4  # a gateway needs one; a lost reply to an opening adds another
 OLD_NONCE = "an old nonce"
 
 
 class Session(NamedTuple):
-    """A client's session: the nonce of the last command, and its result."""
+    """A client's session: the nonce of its last command and the result of that command."""
 
     owner: str
     nonce: int
@@ -26,7 +27,7 @@
 
 
 class SessionRow(NamedTuple):
-    """A session with its number, as it is stored in a snapshot."""
+    """A session with its number; part of the snapshot format."""
 
     number: int
     owner: str
@@ -34,12 +35,12 @@
     result: bytes
 
 
-# The sessions, and the packed state of the machine
+# The sessions, and the encoded state of the state machine
 _decoder = msgspec.msgpack.Decoder(tuple[list[SessionRow], bytes])
 
 
 class EntryResult(NamedTuple):
-    """The result of an entry. `opened`: the session that it opened, or 0."""
+    """The result of an entry. `opened` is the number of the session that the entry opened, or 0."""
 
     status: ReplyStatus
     body: bytes = b""
@@ -47,7 +48,7 @@
 
 
 class Sessions:
-    """The sessions, and the machine to which their commands are applied; the same at every node.
+    """The sessions, and the state machine to which their commands are applied; equal at every node.
 
     `table` maps a session's number to the session, with the least recently used session first.
     `numbers_by_owner` maps a client's name to the numbers of its sessions, with the oldest session first.
@@ -66,7 +67,7 @@
             self._open_session(index, entry.body.decode("utf-8", "replace"))
             return EntryResult(ReplyStatus.DONE, opened=index)
         elif entry.kind == EntryKind.COMMAND and not entry.session:
-            self.machine.apply(index, entry.body)  # a command of the leader itself
+            self.machine.apply(index, entry.body)  # a command of the leader, not of a client
         elif entry.kind == EntryKind.COMMAND:
             return self._apply_command(index, entry)
         return EntryResult(ReplyStatus.DONE)
@@ -80,7 +81,7 @@
             return EntryResult(ReplyStatus.REFUSED, OLD_NONCE.encode())
         if entry.nonce > nonce:
             result = self.machine.apply(index, entry.body, owner)
-        del self.table[entry.session]  # so that the session moves to the end of the table
+        del self.table[entry.session]  # moves the session to the end of the table, as the last used one
         self.table[entry.session] = Session(owner, entry.nonce, result)
         return EntryResult(ReplyStatus.DONE, result)
 
@@ -90,7 +91,7 @@
             self._drop_session(numbers[0])
         if len(self.table) >= MAX_SESSIONS:
             self._drop_session(next(iter(self.table)))
-        # The last drop may have removed the list of this client
+        # `_drop_session` may have removed this client's list, so `numbers` may be stale
         self.numbers_by_owner.setdefault(owner, []).append(index)
         self.table[index] = Session(owner, 0, b"")
 
@@ -101,12 +102,12 @@
             del self.numbers_by_owner[owner]
 
     def pack(self) -> bytes:
-        """Encodes the complete state for a snapshot. A stored form."""
+        """Encodes the complete state for a snapshot; part of the disk and wire formats."""
         rows = [SessionRow(number, *session) for number, session in self.table.items()]
         return msgspec.msgpack.encode((rows, self.machine.pack()))
 
     def unpack(self, data: bytes) -> None:
-        """Takes over an encoded state. Errors: ValueError if `data` is none."""
+        """Replaces the state by an encoded one. Errors: ValueError if `data` is not an encoded state."""
         rows, state = _decoder.decode(data)
         self.machine.unpack(state)
         self.table = {row.number: Session(row.owner, row.nonce, row.result) for row in rows}
--- a/gaproute/shared/raft/state_machine.py
+++ b/gaproute/shared/raft/state_machine.py
@@ -1,7 +1,8 @@
 """The interface of the state machine to which a node applies its log.
 
-The machine is deterministic: the same entries give the same state at every node. Besides commands it has
-deadlines, which only the leader counts, by its own clock; a deadline takes effect by an entry of the log.
+The state machine is deterministic: the same entries produce the same state at every node. Besides commands
+it has deadlines. Only the leader measures them, by its own clock, and a deadline takes effect through a log
+entry.
 """
 
 from collections.abc import Sequence
@@ -9,16 +10,16 @@
 
 
 class MachineDeadline(NamedTuple):
-    """A deadline, identified by its token and the index of the entry that last set it."""
+    """A deadline, identified by its token and by the index of the entry that last set the deadline."""
 
     token: int
     log_index: int
 
 
 class DeadlineChange(NamedTuple):
-    """A deadline that the entry at `log_index` has set, or has removed (`wait` None).
+    """A deadline that the entry at `log_index` has set or, if `wait` is None, removed.
 
-    `wait`: ns from when the entry is applied.
+    `wait` is the time from the application of the entry to the deadline, ns.
     """
 
     token: int
@@ -27,17 +28,17 @@
 
 
 class DeadlineTimers(Protocol):
-    """The leader's timers, one for each deadline."""
+    """The leader's timers, one per deadline."""
 
     @property
     def due(self) -> int | None:
-        """The earliest deadline, ns; None while there is none."""
+        """The time of the earliest deadline, ns; None if there is no deadline."""
 
     def update(self, now: int, token: int, log_index: int, wait: int | None, /) -> None:
-        """Sets a deadline to `wait` ns from now; None removes it."""
+        """Sets a deadline to `wait` ns after `now`; a `wait` of None removes the deadline."""
 
     def pop_expired(self, now: int, limit: int, /) -> Sequence[MachineDeadline]:
-        """The deadlines that have passed, at most `limit`."""
+        """Removes and returns the deadlines that have passed, at most `limit` of them."""
 
 
 class StateMachine(Protocol):
@@ -45,30 +46,31 @@
 
     @property
     def last_token(self) -> int:
-        """The last fencing token that was given; it only increases."""
+        """The last fencing token that the state machine issued; it only increases."""
 
     def raise_last_token(self, lowest: int, /) -> None:
-        """Has later tokens be above `lowest`."""
+        """Raises the last token to at least `lowest`, so that all later tokens are above it."""
 
     def check(self, sender: str, body: bytes, /) -> str:
-        """Why the leader rejects this command before logging it; '' if it does not."""
+        """The reason to reject this command before it is logged; '' if the leader may log the command."""
 
     def apply(self, index: int, body: bytes, owner: str = "", /) -> bytes:
-        """Applies a command; returns its result. `owner`: of the session, empty for commands of the leader
-        itself.
+        """Applies a command and returns its result.
+
+        `owner` is the client that owns the session; it is empty for a command of the leader itself.
         """
 
     def pop_change(self) -> DeadlineChange | None:
-        """The last change of a deadline by the commands since the last call."""
+        """Removes and returns the last deadline change that commands made since the previous call."""
 
     def start_timers(self, now: int, /) -> DeadlineTimers:
-        """Timers of a new leader for all deadlines, counted from now."""
+        """Creates a new leader's timers for all deadlines, with each wait counted from `now`."""
 
     def expire_command(self, token: int, log_index: int, /) -> bytes:
-        """The command by which the leader records that a deadline has passed."""
+        """Encodes the command by which the leader records that a deadline has passed."""
 
     def pack(self) -> bytes:
         """Encodes the complete state."""
 
     def unpack(self, data: bytes, /) -> None:
-        """Takes over an encoded state. Errors: ValueError if `data` is none."""
+        """Replaces the state by an encoded one. Errors: ValueError if `data` is not an encoded state."""
--- a/gaproute/shared/randomness.py
+++ b/gaproute/shared/randomness.py
@@ -1,4 +1,4 @@
-"""The interface of a source of random numbers, which is handed in so that runs can be repeated."""
+"""The interface of a source of random numbers, which is passed as an argument so that runs are repeatable."""
 
 from collections.abc import MutableSequence
 from typing import Protocol, TypeVar
@@ -10,18 +10,18 @@
     """A seeded generator, such as `gaproute.decisions.chance.Chance`."""
 
     def below(self, bound: int, /) -> int:
-        """A number from 0 to `bound` - 1, all equally likely."""
+        """Draws a number from 0 to `bound` - 1, all equally likely."""
 
 
 def partial_shuffle(items: MutableSequence[Item], count: int, random: RandomSource) -> None:
-    """Puts a random sample of `count` items, in random order, in front of the others, in place."""
+    """Moves a random sample of `count` items, in random order, to the front of `items`, in place."""
     for position in range(min(count, len(items))):
         other = position + random.below(len(items) - position)
         items[position], items[other] = items[other], items[position]
 
 
 def shuffle(items: MutableSequence[Item], random: RandomSource) -> None:
-    """Puts the items in random order, in place (Fisher and Yates)."""
+    """Shuffles the items in place, by the algorithm of Fisher and Yates."""
     for position in range(len(items) - 1, 0, -1):
         other = random.below(position + 1)
         items[position], items[other] = items[other], items[position]
--- a/gaproute/shared/token_bucket.py
+++ b/gaproute/shared/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket: a rate, and a bounded burst. Times are ns."""
+"""A token bucket, which limits a rate and the size of a burst. Times are in ns."""
 
 from gaproute.units import SECOND
 
 
 class TokenBucket:
-    """`rate` tokens per second, at most `burst` of them saved; full at the beginning."""
+    """A bucket that gains `rate` tokens per second, has at most `burst` tokens, and is full at first."""
 
     __slots__ = ("rate", "burst", "tokens", "filled_at")
 
@@ -13,7 +13,7 @@
         self.tokens, self.filled_at = float(burst), now
 
     def take(self, now: int, tokens: int) -> bool:
-        """Spends that many tokens if there are enough; returns whether there were."""
+        """Removes the tokens if the bucket has them all; returns whether it did."""
         self._fill(now)
         if self.tokens < tokens:
             return False
@@ -21,7 +21,7 @@
         return True
 
     def borrow(self, now: int, tokens: int) -> bool:
-        """Like `take`, but with a full bucket more than the burst may be taken, as a debt."""
+        """Like `take`, but a full bucket also grants more tokens than the burst and goes into debt."""
         self._fill(now)
         if self.tokens < min(tokens, self.burst):
             return False
@@ -29,11 +29,11 @@
         return True
 
     def wait_time(self, now: int, tokens: int) -> int:
-        """The time until there are that many tokens, ns."""
+        """The time until `borrow` grants the tokens, ns."""
         self._fill(now)
         return max(0, round((min(tokens, self.burst) - self.tokens) * SECOND / self.rate))
 
     def _fill(self, now: int) -> None:
-        passed = max(0, now - self.filled_at)
-        self.tokens = min(self.burst, self.tokens + passed * self.rate / SECOND)
+        elapsed = max(0, now - self.filled_at)
+        self.tokens = min(self.burst, self.tokens + elapsed * self.rate / SECOND)
         self.filled_at = now
--- a/tests/raft/test_node_disk.py
+++ b/tests/raft/test_node_disk.py
@@ -81,7 +81,7 @@
         for each in (IdentityRecord("b", 2), SnapshotRecord(9, 2, MEMBERS, state), EntryRecord(10, late))
     ]
     one = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
-    assert stored_log.quarantined == ["entries of terms that it never entered"]
+    assert stored_log.quarantined == ["the log has entries of a later term than the node's term"]
     assert one.store.is_blank
     assert one.machine.leases == {}
     assert one.machine.amounts_held == {}
@@ -93,7 +93,7 @@
     stored_log.read = lambda: Disk.sync(stored_log)
     stored_log.fails = "input/output error"
     one = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
-    assert "not read" in one.storage_failure
+    assert "reading the disk failed" in one.storage_failure
     assert one.hear(0, "a", RequestVote(1, 1, 1, 0, False)) == []
     stored_log.read, stored_log.fails = lambda: good(stored_log), None
     one.tick(one.due)
