--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -1,4 +1,4 @@
-"""Raft nodes and lease clients on sockets and on disk; what a peer may not send."""
+"""Raft nodes and lease clients with sockets and log files, and the rejection of invalid messages."""
 
 from functools import partial
 
@@ -31,179 +31,187 @@
 from gaproute.storage.raft_log_file import RaftLogFile
 
 
-class Record:
+class EventRecord:
     def __init__(self):
         self.events = []
 
-    def event(self, level, what, **fields):
-        self.events.append((level, what, fields))
+    def event(self, level, event_name, **fields):
+        self.events.append((level, event_name, fields))
 
 
 class Group:
     def __init__(self, folder, names=("a", "b", "c")):
-        self.folder, self.names, self.loop, self.peers, self.hosts = folder, names, Loop(), {}, {}
+        self.folder, self.names, self.loop, self.peers, self.hosted_nodes = folder, names, Loop(), {}, {}
         for number, name in enumerate((*names, "h")):
             self.start(name, number)
 
     def start(self, name, number=9):
         disk = RaftLogFile(self.folder / name, lambda text: None).open() if name in self.names else None
-        host = HostedNode(
+        hosted = HostedNode(
             NodeEnvironment(
                 self.loop,
-                Record(),
+                EventRecord(),
                 Chance(number),
                 partial(RaftTransport, self.loop, name, self.peers),
             ),
             RaftGroupView(name, self.names),
             NodeStorage(LeaseTable(initial_wait=False), disk),
         )
-        host.disk = disk
-        self.peers[name] = host.transport.listen(self.peers.get(name, "127.0.0.1:0"))
-        self.hosts[name] = host
-
-    def end(self, name):
-        host = self.hosts.pop(name)
-        host.close()
-        if host.disk is not None:
-            host.disk.close()
-
-    def until(self, done, within=20 * SECOND):
-        end = self.loop.now() + within
-        while not done():
-            assert self.loop.now() < end, "out of time"
+        hosted.disk = disk
+        self.peers[name] = hosted.transport.listen(self.peers.get(name, "127.0.0.1:0"))
+        self.hosted_nodes[name] = hosted
+
+    def stop(self, name):
+        hosted = self.hosted_nodes.pop(name)
+        hosted.close()
+        if hosted.disk is not None:
+            hosted.disk.close()
+
+    def run_until(self, condition, timeout=20 * SECOND):
+        deadline = self.loop.now() + timeout
+        while not condition():
+            assert self.loop.now() < deadline, "timed out"
             self.loop.turn()
 
     def close(self):
-        for name in list(self.hosts):
-            self.end(name)
+        for name in list(self.hosted_nodes):
+            self.stop(name)
         self.loop.close()
 
     @property
     def leader(self):
         return next(
-            (name for name in self.names if name in self.hosts and self.hosts[name].node.is_leader), None
+            (
+                name
+                for name in self.names
+                if name in self.hosted_nodes and self.hosted_nodes[name].node.is_leader
+            ),
+            None,
         )
 
 
 @pytest.fixture
 def group(tmp_path):
-    made = Group(tmp_path)
-    yield made
-    made.close()
+    group = Group(tmp_path)
+    yield group
+    group.close()
 
 
 def post(group, to, body):
-    came = []
-    data = b"POST /keepers HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-    Exchange(group.loop, data, lambda answer, fault: came.append(answer)).connect(
-        address(group.peers[to]), SECOND, 4096, 4096, lambda link: came.append(link)
+    results = []
+    request = b"POST /keepers HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+    Exchange(group.loop, request, lambda response, error: results.append(response)).connect(
+        address(group.peers[to]), SECOND, 4096, 4096, lambda connection: results.append(connection)
     )
-    group.until(lambda: len(came) == 2)
-    came[0].abort()
-    return came[1].status
+    group.run_until(lambda: len(results) == 2)
+    results[0].abort()
+    return results[1].status
 
 
-def test_a_lease_over_sockets_outlives_the_leader_and_a_restart(group):
-    holder = group.hosts["h"].client
-    lease = holder.acquire(group.loop.now(), "host-7", 10 * SECOND)
-    group.hosts["h"].run_due()
-    group.until(lambda: lease.state == "held")
+def test_a_lease_survives_the_failure_and_the_restart_of_the_leader(group):
+    client = group.hosted_nodes["h"].client
+    lease = client.acquire(group.loop.now(), "host-7", 10 * SECOND)
+    group.hosted_nodes["h"].run_due()
+    group.run_until(lambda: lease.state == "held")
     assert lease.valid_at(group.loop.now())
     assert lease.fencing_token == 1
-    gone = group.leader
-    agreed, incarnation = group.hosts[gone].node.commit_index, group.hosts[gone].node.incarnation
-    group.end(gone)
-    other = holder.acquire(group.loop.now(), "host-8", 10 * SECOND)
-    group.hosts["h"].run_due()
-    group.until(lambda: other.state == "held")
+    stopped = group.leader
+    commit_index, incarnation = (
+        group.hosted_nodes[stopped].node.commit_index,
+        group.hosted_nodes[stopped].node.incarnation,
+    )
+    group.stop(stopped)
+    other_lease = client.acquire(group.loop.now(), "host-8", 10 * SECOND)
+    group.hosted_nodes["h"].run_due()
+    group.run_until(lambda: other_lease.state == "held")
     assert lease.valid_at(group.loop.now())
-    assert other.fencing_token == 2
-    group.start(gone)
-    node = group.hosts[gone].node
+    assert other_lease.fencing_token == 2
+    group.start(stopped)
+    node = group.hosted_nodes[stopped].node
     assert node.incarnation == incarnation
-    assert node.log.last_index >= agreed - 1
-    group.until(lambda: len(node.machine.leases) == 2)
-    assert not any(host.node.violations for host in group.hosts.values() if host.node)
+    assert node.log.last_index >= commit_index - 1
+    group.run_until(lambda: len(node.machine.leases) == 2)
+    assert not any(hosted.node.violations for hosted in group.hosted_nodes.values() if hosted.node)
     assert "leader" in [
         fields["role"]
-        for _, what, fields in group.hosts[group.leader].record.events
-        if what == "raft_role_changed"
+        for _, event, fields in group.hosted_nodes[group.leader].record.events
+        if event == "raft_role_changed"
     ]
 
 
-@pytest.mark.parametrize("harm", ["of another gateway", "torn"])
-def test_a_file_that_cannot_be_trusted_is_set_aside_and_the_node_catches_up_anew(group, harm):
-    group.until(lambda: group.leader)
-    name, other = [each for each in group.names if each != group.leader]
-    incarnation = group.hosts[name].node.incarnation
-    group.end(name)
+@pytest.mark.parametrize("damage", ["of another gateway", "torn"])
+def test_an_unusable_log_file_is_quarantined_and_the_node_joins_again(group, damage):
+    group.run_until(lambda: group.leader)
+    name, other = [name for name in group.names if name != group.leader]
+    incarnation = group.hosted_nodes[name].node.incarnation
+    group.stop(name)
     path = group.folder / name
-    if harm == "torn":
+    if damage == "torn":
         data = bytearray(path.read_bytes())
         data[len(data) // 3] ^= 1
         path.write_bytes(data)
     else:
         path.write_bytes((group.folder / other).read_bytes())
     group.start(name)
-    host = group.hosts[name]
-    assert host.node.incarnation not in (incarnation, group.hosts[other].node.incarnation)
-    assert host.node.store.is_blank
-    assert [what for _, what, _ in host.record.events] == ["raft_log_discarded"]
-    assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock, and what was set aside
-    group.until(lambda: host.node.is_member)
-
-
-def test_bad_batches_are_counted_by_reason_and_change_nothing(group):
-    group.until(lambda: group.leader)
-    host = group.hosts["a"]
-    good = wire.encode_message(AppendEntriesResponse(1, 1, True, 1))
+    hosted = group.hosted_nodes[name]
+    assert hosted.node.incarnation not in (incarnation, group.hosted_nodes[other].node.incarnation)
+    assert hosted.node.store.is_blank
+    assert [event for _, event, _ in hosted.record.events] == ["raft_log_discarded"]
+    assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock file and the quarantined file
+    group.run_until(lambda: hosted.node.is_member)
+
+
+def test_invalid_batches_are_counted_by_reason_and_ignored(group):
+    group.run_until(lambda: group.leader)
+    hosted = group.hosted_nodes["a"]
+    valid_message = wire.encode_message(AppendEntriesResponse(1, 1, True, 1))
     for body, reason in (
         (b"", "noise"),
         (b"\xff" * 65536, "noise"),
         (b"\x93\x07" + b"x", "version"),
-        (wire.encode_batch("nobody", [good]), "stranger"),
-        (wire.encode_batch("a", [good]), "stranger"),
-        (wire.encode_batch("b", [good[:-1]]), "noise"),
-        (wire.encode_batch("b", [good] * 65), "noise"),
+        (wire.encode_batch("nobody", [valid_message]), "stranger"),
+        (wire.encode_batch("a", [valid_message]), "stranger"),
+        (wire.encode_batch("b", [valid_message[:-1]]), "noise"),
+        (wire.encode_batch("b", [valid_message] * 65), "noise"),
         (wire.encode_batch("b", [msgspec.msgpack.encode([5, -1, 1, True, 1])]), "noise"),
         (wire.encode_batch("b", [wire.encode_message(Request(1, 1, b"x" * 4096))]), "noise"),
         (b"\x93\x01\xa1b" + b"\x91" * 5000, "noise"),
     ):
-        before = host.transport.counts[f"refused: {reason}"]
+        before = hosted.transport.counts[f"refused: {reason}"]
         assert post(group, "a", body) == 400
-        assert host.transport.counts[f"refused: {reason}"] == before + 1, body[:20]
-    term = host.node.term
+        assert hosted.transport.counts[f"refused: {reason}"] == before + 1, body[:20]
+    term = hosted.node.term
     assert (
         post(
             group, "a", wire.encode_batch("h", [wire.encode_message(RequestVote(term + 1, 1, 99, 99, False))])
         )
         == 204
     )
-    assert host.node.rejections["stranger"] == 1
-    assert host.node.term == term
-    assert post(group, "h", wire.encode_batch("b", [good])) == 204
-    assert group.hosts["h"].transport.counts["refused: no keeper here"] == 1
-
-
-def test_a_flood_is_refused_and_the_queue_to_a_dead_peer_is_bounded(group):
-    group.until(lambda: group.leader)
-    flood = wire.encode_batch("h", [wire.encode_message(Reply(1, 1, "busy"))] * wire.MAX_MESSAGES)
-    answers = [post(group, "a", flood) for _ in range(BURST // wire.MAX_MESSAGES + 2)]
-    assert answers[0] == 204
-    assert answers[-1] == 429
-    transport = group.hosts["h"].transport
+    assert hosted.node.rejections["stranger"] == 1
+    assert hosted.node.term == term
+    assert post(group, "h", wire.encode_batch("b", [valid_message])) == 204
+    assert group.hosted_nodes["h"].transport.counts["refused: no keeper here"] == 1
+
+
+def test_the_rate_of_messages_and_the_queue_to_an_unreachable_peer_are_bounded(group):
+    group.run_until(lambda: group.leader)
+    full_batch = wire.encode_batch("h", [wire.encode_message(Reply(1, 1, "busy"))] * wire.MAX_MESSAGES)
+    statuses = [post(group, "a", full_batch) for _ in range(BURST // wire.MAX_MESSAGES + 2)]
+    assert statuses[0] == 204
+    assert statuses[-1] == 429
+    transport = group.hosted_nodes["h"].transport
     group.peers["dead"] = "127.0.0.1:1"
     for _ in range(1000):
         transport.send("dead", BootstrapProbe(1, 0, True))
     assert len(transport.states["dead"].queue) == 256
     assert transport.counts["lost"] >= 744
-    large = AppendEntries(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
+    full_message = AppendEntries(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
     for _ in range(100):
-        transport.send("dead", large)
+        transport.send("dead", full_message)
     assert transport.states["dead"].queued_bytes <= 2 * wire.MAX_BATCH_BYTES
 
 
-def test_every_message_comes_back_as_it_was():
+def test_encoded_messages_decode_to_equal_messages():
     for message in (
         BootstrapProbe(1, 2, True),
         AppendEntries(1, 2, 3, 4, 5, (Entry(1, 0, 2, 3, b"x"),)),
--- a/tests/support/raft_net.py
+++ b/tests/support/raft_net.py
@@ -1,6 +1,6 @@
-"""Raft nodes and lease clients on a network and a clock of the test's own.
+"""Raft nodes and lease clients on a simulated network and clock.
 
-Random faults are for `gaproute/simulation`.
+Random faults are tested with `gaproute/simulation`.
 """
 
 import heapq
@@ -14,17 +14,17 @@
 
 
 class Chance(random.Random):
-    def below(self, n):
-        return self.randrange(n)
+    def below(self, bound):
+        return self.randrange(bound)
 
 
 class Disk:
-    """Records in memory; `synced` of them survive a crash. `fails`: what every write raises."""
+    """Records in memory; the first `synced` survive a crash. `fails` is the error text of every write."""
 
     def __init__(self):
         self.records, self.synced, self.fails, self.quarantined = [], 0, None, []
 
-    def _may(self):
+    def _raise_if_failing(self):
         if self.fails:
             raise OSError(self.fails)
 
@@ -32,19 +32,19 @@
         return list(self.records)
 
     def append(self, record):
-        self._may()
+        self._raise_if_failing()
         self.records.append(record)
 
     def sync(self):
-        self._may()
+        self._raise_if_failing()
         self.synced = len(self.records)
 
     def replace(self, records):
-        self._may()
+        self._raise_if_failing()
         self.records, self.synced = list(records), len(records)
 
-    def quarantine(self, why):
-        self.quarantined.append(why)
+    def quarantine(self, reason):
+        self.quarantined.append(reason)
         self.records, self.synced = [], 0
 
     def crash(self, chance):
@@ -54,14 +54,16 @@
 
 class Net:
     def __init__(self, seed, nodes=3, clients=0):
-        self.chance, self.now, self.flying, self.count = Chance(seed), 0, [], 0
-        self.names = [f"k{n}" for n in range(nodes)]
+        self.chance, self.now, self.messages_in_flight, self.sent_messages = Chance(seed), 0, [], 0
+        self.names = [f"k{number}" for number in range(nodes)]
         self.disks = {name: Disk() for name in self.names}
-        self.cut, self.history = set(), GroupHistory()
+        self.cut_links, self.history = set(), GroupHistory()
         self.nodes = {}
         for name in self.names:
             self.start(name)
-        self.clients = {f"h{n}": LeaseClient(f"h{n}", self.names, self.chance, 0) for n in range(clients)}
+        self.clients = {
+            f"h{number}": LeaseClient(f"h{number}", self.names, self.chance, 0) for number in range(clients)
+        }
 
     def start(self, name):
         self.nodes[name] = RaftNode(
@@ -76,28 +78,32 @@
 
     def send(self, sender, messages):
         for to, message in messages:
-            if (sender, to) not in self.cut:
-                self.count += 1
+            if (sender, to) not in self.cut_links:
+                self.sent_messages += 1
                 heapq.heappush(
-                    self.flying,
-                    (self.now + (1 + self.chance.below(5)) * MILLI, self.count, sender, to, message),
+                    self.messages_in_flight,
+                    (self.now + (1 + self.chance.below(5)) * MILLI, self.sent_messages, sender, to, message),
                 )
 
-    def everyone(self):
+    def participants(self):
         return {**self.nodes, **self.clients}
 
     def step(self):
-        """To the next message or tick."""
-        when, name = min((each.due, name) for name, each in self.everyone().items() if each.due is not None)
-        if self.flying and self.flying[0][0] <= when:
-            when, _, sender, to, message = heapq.heappop(self.flying)
+        """Advances the clock to the next message or tick and handles it."""
+        when, name = min(
+            (participant.due, name)
+            for name, participant in self.participants().items()
+            if participant.due is not None
+        )
+        if self.messages_in_flight and self.messages_in_flight[0][0] <= when:
+            when, _, sender, to, message = heapq.heappop(self.messages_in_flight)
             self.now = max(self.now, when)
-            each = self.everyone().get(to)
-            if each is not None:
-                self.send(to, each.hear(self.now, sender, message))
+            receiver = self.participants().get(to)
+            if receiver is not None:
+                self.send(to, receiver.hear(self.now, sender, message))
         else:
             self.now = max(self.now, when)
-            self.send(name, self.everyone()[name].tick(self.now))
+            self.send(name, self.participants()[name].tick(self.now))
 
     def run(self, span):
         end = self.now + span
@@ -106,11 +112,11 @@
             self.check()
 
     def check(self):
-        clients = [(each, self.now) for each in self.clients.values()]
+        clients = [(client, self.now) for client in self.clients.values()]
         assert check_group(list(self.nodes.values()), clients, self.history) == []
 
     @property
     def leader(self):
         return max(
-            (each for each in self.nodes.values() if each.is_leader), key=lambda each: each.term, default=None
+            (node for node in self.nodes.values() if node.is_leader), key=lambda node: node.term, default=None
         )
--- a/tests/support/raft_nodes.py
+++ b/tests/support/raft_nodes.py
@@ -1,4 +1,4 @@
-"""One node of a group of three, on a disk in memory, for tests message by message."""
+"""Single nodes of a Raft group of three, on in-memory disks, for tests that send one message at a time."""
 
 from msgspec.msgpack import encode
 from raft_net import Chance, Disk
@@ -13,42 +13,42 @@
     RequestVoteResponse,
 )
 from gaproute.shared.raft.records import EntryRecord, IdentityRecord, VoteRecord
-from gaproute.shared.raft.records import encode as record
+from gaproute.shared.raft.records import encode as encode_record
 
 NAMES = ("a", "b", "c")
 MEMBERS = tuple(Member(name, number) for number, name in enumerate(NAMES, 1))
-FIRST = Entry(0, EntryKind.MEMBERSHIP, body=encode(Membership(MEMBERS)))
+FIRST_ENTRY = Entry(0, EntryKind.MEMBERSHIP, body=encode(Membership(MEMBERS)))
 
 
-def disk(name="b", term=1, vote=("", 0), entries=()):
-    made = Disk()
-    made.replace(
+def written_disk(name="b", term=1, vote=("", 0), entries=()):
+    disk = Disk()
+    disk.replace(
         [
-            record(each)
-            for each in (
+            encode_record(record)
+            for record in (
                 IdentityRecord(name, NAMES.index(name) + 1),
                 VoteRecord(term, *vote),
-                EntryRecord(1, FIRST),
+                EntryRecord(1, FIRST_ENTRY),
                 *(EntryRecord(index, entry) for index, entry in enumerate(entries, 2)),
             )
         ]
     )
-    return made
+    return disk
 
 
-def node(*entries, now=0, **options):
-    made = disk(entries=entries, **options)
-    return RaftNode(options.get("name", "b"), NAMES, made, Chance(1), now, LeaseTable()), made
+def make_node(*entries, now=0, **options):
+    disk = written_disk(entries=entries, **options)
+    return RaftNode(options.get("name", "b"), NAMES, disk, Chance(1), now, LeaseTable()), disk
 
 
-def noop(term):
+def noop_entry(term):
     return Entry(term, EntryKind.NOOP)
 
 
-def lead(*entries):
-    one, stored_log = node(*entries)
-    one.tick(one.due)
-    one.hear(one.election_due, "a", RequestVoteResponse(1, 1, True, True))
-    one.hear(one.election_due, "a", RequestVoteResponse(2, 1, False, True))
-    assert one.is_leader
-    return one, stored_log
+def make_leader(*entries):
+    node, disk = make_node(*entries)
+    node.tick(node.due)
+    node.hear(node.election_due, "a", RequestVoteResponse(1, 1, True, True))
+    node.hear(node.election_due, "a", RequestVoteResponse(2, 1, False, True))
+    assert node.is_leader
+    return node, disk
