--- a/gaproute/shared/raft/bootstrap.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -1,10 +1,10 @@
 """Starts the group's first log, which is safe even if any node has lost its disk.
 
-Only the first configured member, in order of names, starts a log, and only after every other member has
-reported to this incarnation of the first member that the other member is blank: it never voted and never
-stored an entry. So no log is started while any node but the first has state. If the first member itself lost
-its disk, the blank reports prove that no leader of an older log was elected: an election requires the vote of
-another node, and a node that has voted is not blank.
+Only the first configured member, in order of names, starts a log. It first probes all other members, and
+each must answer this incarnation of the first member that it is blank: it never voted and never stored an
+entry. So no log is started while any node but the first has state. If the first member itself lost its disk,
+the blank reports prove that no leader of an older log was elected: an election requires the vote of another
+node, and a node that has voted is not blank.
 """
 
 from __future__ import annotations
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -40,11 +40,13 @@
         store, log = node.store, node.log
         violations = self._compare_with_last_check(node)
         if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
-            indexes = f"{log.snapshot_index} {node.last_applied} {node.commit_index} {log.last_index}"
-            violations.append(f"applied, committed and last index in order: {node.name} {indexes}")
+            indexes = f"{log.snapshot_index}, {node.last_applied}, {node.commit_index}, {log.last_index}"
+            violations.append(
+                f"applied, committed and last index in order: {node.name}, from snapshot to last: {indexes}"
+            )
         if log.last_term > store.term:
             violations.append(
-                f"no entry of a later term: {log.last_term} is above {store.term} at {node.name}"
+                f"no entry of a later term: last log term {log.last_term} above {store.term} at {node.name}"
             )
         if node.is_leader is not (node.leader_state is not None):
             violations.append(f"a leader has a leader's state: {node.name}")
@@ -73,7 +75,7 @@
         vote_changed = before.voted_for.name and before.voted_for != present.voted_for
         if before.term == present.term and vote_changed:
             votes = f"{tuple(before.voted_for)} to {tuple(present.voted_for)}"
-            violations.append(f"one vote a term: {votes} in {present.term} at {node.name}")
+            violations.append(f"one vote a term: {votes} in term {present.term} at {node.name}")
         return violations
 
 
