--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -12,20 +12,20 @@
 from gaproute.units import MICRO
 
 MICROS_PER_MILLI = 1_000
-IDEMPOTENCY = {
+IDEMPOTENCY_BY_EFFECT = {
     "free": interface.Idempotency.IDEMPOTENT,
     "guarded": interface.Idempotency.IDEMPOTENT_WITH_KEY,
     "single_shot": interface.Idempotency.NON_IDEMPOTENT,
 }
 # The fields of a load report, each with the names that it may have.
-FIGURES = {
+FIGURE_NAMES_BY_FIELD = {
     "in_hand": ("busy_reqs", "inflight"),
     "waiting": ("pending", "queue"),
     "cpu_busy": ("cpu_share", "util"),
     "memory_busy": ("x0",),
 }
-REPORTS_BY_PROBE = "pull"
-LIST_POLLED = "on_request"
+REPORT_SOURCE_PROBE = "pull"
+MEMBERSHIP_MODE_POLLED = "on_request"
 
 
 class DeploymentSettings(NamedTuple):
@@ -60,8 +60,10 @@
         same_function_counted=bool(family.get("counts_alike")),
         warmth_reported=bool(family.get("warm_notes")),
         probes_allowed=bool(limits.get("probes")),
-        reports_by_probe=report.get("source") == REPORTS_BY_PROBE,
-        reported_figures=tuple(field for field, names in FIGURES.items() if report_names & set(names)),
+        reports_by_probe=report.get("source") == REPORT_SOURCE_PROBE,
+        reported_figures=tuple(
+            field for field, names in FIGURE_NAMES_BY_FIELD.items() if report_names & set(names)
+        ),
         probe_price=float(prices.get("probe") or 0),
         peer_price=float(prices.get("peer") or 0),
         peers_allowed=bool(limits.get("peers")),
@@ -75,7 +77,7 @@
         warm_up_overload=float(
             rules.get("fall_multiple") or interface.Terms._field_defaults["warm_up_overload"]
         ),
-        host_list_polled=settings.get("membership_mode") == LIST_POLLED,
+        host_list_polled=settings.get("membership_mode") == MEMBERSHIP_MODE_POLLED,
         zone=settings["az"] if isinstance(settings.get("az"), int) else -1,
         crossing_price=float(prices.get("cross_zone") or 0),
     )
@@ -99,7 +101,10 @@
 
 def read_report(figures: Mapping[str, float | None]) -> interface.Report | None:
     """A load report by the names of its figures; None where none of them is known."""
-    fields = [next((figures[name] for name in names if name in figures), None) for names in FIGURES.values()]
+    fields = [
+        next((figures[name] for name in names if name in figures), None)
+        for names in FIGURE_NAMES_BY_FIELD.values()
+    ]
     return interface.Report(*fields) if any(field is not None for field in fields) else None
 
 
@@ -111,7 +116,7 @@
 
 def _request_class(fields: Mapping[str, Any]) -> interface.RequestClass:
     return interface.RequestClass(
-        idempotency=IDEMPOTENCY[fields["effect"]],
+        idempotency=IDEMPOTENCY_BY_EFFECT[fields["effect"]],
         group=interface.Group(fields.get("group") or "all"),
         repeat_window=_duration(fields, "dedup_window"),
         latency_objective=_duration(fields, "aim"),
