--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -198,7 +198,7 @@
         "clients' connections": front.connection_count + connections.client_count + connections.parked_count,
         "streams that close": len(scene.loop.closing_streams),
     }
-    for host in scene.process.hosts.hosts.values():
+    for host in scene.process.host_client.hosts.values():
         extra = max(0, len(host.connections) - PROBE_CONNECTIONS)
         held[f"connections to {host.name} beside its probes'"] = extra
     return held
@@ -207,12 +207,12 @@
 def _check_watched(scene: Scene) -> Iterator[Finding]:
     process = scene.process
     wanted = {scene.front.listener.sock.fileno()}
-    if process.peers.datagrams is not None:
-        wanted.add(process.peers.datagrams.sock.fileno())
+    if process.peer_reports.datagrams is not None:
+        wanted.add(process.peer_reports.datagrams.sock.fileno())
     watcher = process.host_list.watcher
     if watcher is not None and watcher.stream is not None:
         wanted.add(watcher.stream.fd)
-    for host in process.hosts.hosts.values():
+    for host in process.host_client.hosts.values():
         wanted |= {link.stream.fd for link in host.connections if link.stream is not None}
     watched = set(scene.loop.watched)
     if watched - wanted:
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -145,7 +145,7 @@
 
 
 def _check_receives_peers(scene: Scene) -> Iterator[Finding]:
-    datagrams, received = scene.process.peers.datagrams, scene.peer_messages
+    datagrams, received = scene.process.peer_reports.datagrams, scene.peer_messages
     if datagrams is None:
         yield Finding(Check.PEERS_RECOVER, "it listens for other gateways no more")
         return
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -23,7 +23,7 @@
 from gaproute.loop.addresses import SocketAddress, address
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
-from gaproute.platform.process import Process
+from gaproute.platform.process import GatewayProcess
 from gaproute.standins.platform.deployment_settings import sample_settings
 from gaproute.units import MICRO, MILLI, SECOND
 
@@ -82,7 +82,7 @@
         with plan.pause():
             self.loop = Loop(self.clock)
             loaded = read_configuration(str(self._path))
-            self.process = Process(str(self._path), loaded, loop=self.loop, log=Log(NO_LOG))
+            self.process = GatewayProcess(str(self._path), loaded, loop=self.loop, log=Log(NO_LOG))
         self.peer_messages = 0  # received from other gateways
         self._receive_broadcast = self.process.core.receive_broadcast
         self.process.core.receive_broadcast = self._count_peer_message  # type: ignore[method-assign]
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -11,14 +11,14 @@
 
 from gaproute.loop import Loop
 from gaproute.loop.starting import StartupRetries
-from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration, read_environment
-from gaproute.platform.process import Process
+from gaproute.platform.configuration import ConfigurationRejectedError, read_configuration, read_environment
+from gaproute.platform.process import GatewayProcess
 from gaproute.telemetry.record import TRACE_ONE_IN
 
 EXIT_STOPPED, EXIT_UNUSABLE_CONFIGURATION, EXIT_CANNOT_START = 0, 2, 3
 
 
-def trace_one_in() -> int:
+def read_trace_one_in() -> int:
     """By GAPROUTE_FOLLOW=N the steps of one request in N are logged; 1: of all, 0: of none.
 
     A value that is no number is ignored: a mistake in it is no reason not to start.
@@ -29,17 +29,17 @@
 
 def main() -> int:
     """Runs the gateway until it is stopped; returns the exit code."""
-    patience = StartupRetries()
+    startup_retries = StartupRetries()
     try:
-        process = make_process(patience)
-    except ConfigurationRefusedError as error:
+        process = make_process(startup_retries)
+    except ConfigurationRejectedError as error:
         print(error, file=sys.stderr)
         return EXIT_UNUSABLE_CONFIGURATION
     except OSError as error:
         print(f"cannot start: {error.strerror}", file=sys.stderr)
         return EXIT_CANNOT_START
     try:
-        patience.call(process.start)
+        startup_retries.call(process.start)
     except OSError as error:
         print(f"cannot listen on {process.listen}: {error.strerror}", file=sys.stderr)
         return EXIT_CANNOT_START
@@ -49,16 +49,18 @@
     return EXIT_STOPPED
 
 
-def make_process(patience: StartupRetries) -> Process:
+def make_process(startup_retries: StartupRetries) -> GatewayProcess:
     """Makes the gateway that the environment describes, with its signal handlers.
 
-    Errors: ConfigurationRefusedError; OSError where the operating system lacks descriptors or memory.
+    Errors: ConfigurationRejectedError; OSError where the operating system lacks descriptors or memory.
     """
     name, listen, path = read_environment()
-    loaded = patience.call(lambda: read_configuration(path))
-    loop = patience.call(Loop)
-    process = Process(path, loaded, name=name, listen=listen, loop=loop, trace_one_in=trace_one_in())
-    patience.call(process.handle_signals)
+    loaded = startup_retries.call(lambda: read_configuration(path))
+    loop = startup_retries.call(Loop)
+    process = GatewayProcess(
+        path, loaded, name=name, listen=listen, loop=loop, trace_one_in=read_trace_one_in()
+    )
+    startup_retries.call(process.handle_signals)
     return process
 
 
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -14,11 +14,11 @@
 SEED_BASE = 16
 
 
-class ConfigurationRefusedError(GaprouteError):
+class ConfigurationRejectedError(GaprouteError):
     """The configuration is invalid; the text names the file, the field and what was found."""
 
 
-class ConfigurationUnreadableError(ConfigurationRefusedError):
+class ConfigurationUnreadableError(ConfigurationRejectedError):
     """The configuration file could not be opened or read; `cause` is the OSError."""
 
     def __init__(self, text: str, cause: OSError) -> None:
@@ -68,21 +68,21 @@
 def read_configuration(path: str) -> LoadedConfiguration:
     """Reads and checks a configuration file.
 
-    Errors: `ConfigurationRefusedError`; `ConfigurationUnreadableError` where the file cannot be read.
+    Errors: `ConfigurationRejectedError`; `ConfigurationUnreadableError` where the file cannot be read.
     """
-    configuration = _decode(path, _read_bytes(path))
+    configuration = _decode_file(path, _read_bytes(path))
     _check_fields(path, configuration)
-    loaded = _load(path, configuration)
+    loaded = _decode_settings(path, configuration)
     if not loaded.terms.request_classes:
-        raise ConfigurationRefusedError(f"{path}: settings: no classes of request are named")
+        raise ConfigurationRejectedError(f"{path}: settings: no classes of request are named")
     return loaded
 
 
 def read_environment() -> Environment:
-    """Reads the environment variables. Errors: `ConfigurationRefusedError`."""
+    """Reads the environment variables. Errors: `ConfigurationRejectedError`."""
     path = os.environ.get("EDGE_CONFIG")
     if not path:
-        raise ConfigurationRefusedError("EDGE_CONFIG: not set; it names the configuration file")
+        raise ConfigurationRejectedError("EDGE_CONFIG: not set; it names the configuration file")
     return Environment(os.environ.get("EDGE_NAME"), os.environ.get("EDGE_LISTEN"), path)
 
 
@@ -94,35 +94,37 @@
         raise ConfigurationUnreadableError(f"EDGE_CONFIG: {path}: {error.strerror}", error) from error
 
 
-def _decode(path: str, data: bytes) -> Configuration:
+def _decode_file(path: str, data: bytes) -> Configuration:
     try:
         return msgspec.json.decode(data, type=Configuration)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise ConfigurationRefusedError(f"{path}: {error}") from None
+        raise ConfigurationRejectedError(f"{path}: {error}") from None
 
 
 def _check_fields(path: str, configuration: Configuration) -> None:
-    """Rejects invalid values of the right type. Errors: `ConfigurationRefusedError`."""
+    """Rejects invalid values of the right type. Errors: `ConfigurationRejectedError`."""
     for field in ADDRESS_FIELDS:
         try:
             address(getattr(configuration, field))
         except ValueError as error:
-            raise ConfigurationRefusedError(f"{path}: {field}: {error}") from None
+            raise ConfigurationRejectedError(f"{path}: {field}: {error}") from None
     try:
         int(configuration.seed, SEED_BASE)
     except ValueError:
         text = f"{path}: seed: {configuration.seed!r} is no hexadecimal number"
-        raise ConfigurationRefusedError(text) from None
+        raise ConfigurationRejectedError(text) from None
     try:
         events.decode_initial(configuration.known)
     except msgspec.ValidationError as error:
-        raise ConfigurationRefusedError(f"{path}: known: {error}") from None
+        raise ConfigurationRejectedError(f"{path}: known: {error}") from None
 
 
-def _load(path: str, configuration: Configuration) -> LoadedConfiguration:
-    """Decodes the settings of a configuration. Errors: `ConfigurationRefusedError`."""
-    given = configuration.settings
+def _decode_settings(path: str, configuration: Configuration) -> LoadedConfiguration:
+    """Decodes the settings of a configuration. Errors: `ConfigurationRejectedError`."""
+    section = configuration.settings
     try:
-        return LoadedConfiguration(configuration, settings.read_terms(given), settings.read_deployment(given))
+        return LoadedConfiguration(
+            configuration, settings.read_terms(section), settings.read_deployment(section)
+        )
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
-        raise ConfigurationRefusedError(f"{path}: settings: {error!r}") from None
+        raise ConfigurationRejectedError(f"{path}: settings: {error!r}") from None
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -18,10 +18,10 @@
     """Applies the events in the configuration, then those of the change log, in their order."""
 
     def __init__(
-        self, loop: Loop, log: Log, zones: tuple[str, ...], hosts: JsonLinesClient, core: Core
+        self, loop: Loop, log: Log, zones: tuple[str, ...], host_client: JsonLinesClient, core: Core
     ) -> None:
-        self.loop, self.log, self.hosts, self.core = loop, log, hosts, core
-        self.converter = MemberConverter(loop, zones)
+        self.loop, self.log, self.host_client, self.core = loop, log, host_client, core
+        self.member_converter = MemberConverter(loop, zones)
         self.watcher: ChangeLogWatcher | None = None  # None until `start` has applied the first events
 
     def start(self, known: Mapping[str, object], change_log: str, chance: Chance) -> None:
@@ -34,9 +34,9 @@
     def apply(self, event: events.Event) -> None:
         """Applies one event, first to the connections: the decisions may use a new host at once."""
         absent_at = self.watcher.current_at if self.watcher is not None else None
-        endpoints = self.converter.endpoints(event.fleet, absent_at)
+        endpoints = self.member_converter.endpoints(event.fleet, absent_at)
         complete = event.fleet.complete
-        self.hosts.update(endpoints, complete=complete)
+        self.host_client.update(endpoints, complete=complete)
         self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete=complete)
         self.log.info(
             "host_list_changed",
--- a/gaproute/platform/log.py
+++ b/gaproute/platform/log.py
@@ -7,7 +7,7 @@
 import msgspec
 
 MAX_LINES_PER_SECOND = 200  # so that logging many errors does not delay requests
-STANDARD_ERROR = 2
+STANDARD_ERROR_DESCRIPTOR = 2
 
 
 class Log:
@@ -15,15 +15,15 @@
 
     def __init__(
         self,
-        descriptor: int = STANDARD_ERROR,
-        wall: Callable[[], float] = time.time,
-        clock: Callable[[], float] = time.monotonic,
+        descriptor: int = STANDARD_ERROR_DESCRIPTOR,
+        wall_clock: Callable[[], float] = time.time,
+        monotonic_clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`wall()` is the time of a line; the monotonic `clock()` limits the rate of lines. Both: seconds."""
-        self.descriptor, self.wall, self.clock = descriptor, wall, clock
-        self.second = self.lines_in_second = 0
-        self.dropped = 0  # lines that were left out since the last one that was written
-        self.unwritten = b""  # the rest of the last line, where the pipe took only a part of it
+        """`wall_clock()`: the time written in a line; `monotonic_clock()`: limits the line rate; seconds."""
+        self.descriptor, self.wall_clock, self.monotonic_clock = descriptor, wall_clock, monotonic_clock
+        self.current_second = self.lines_in_current_second = 0
+        self.dropped_line_count = 0  # lines that were left out since the last one that was written
+        self.unwritten_remainder = b""  # the rest of the last line, where the pipe took only a part of it
 
     def info(self, event: str, /, **fields: object) -> None:
         """Logs an event of ordinary operation."""
@@ -39,27 +39,27 @@
 
     def write_line(self, level: str, event: str, fields: dict[str, object]) -> None:
         """Writes a line, unless the limit of this second is reached or the pipe is full."""
-        if not self._admits_line():
-            self.dropped += 1
+        if not self._admit_line():
+            self.dropped_line_count += 1
             return
-        if self.dropped:
-            fields = {**fields, "dropped_lines": self.dropped}
-            self.dropped = 0
-        line = {"at": round(self.wall(), 3), "level": level, "event": event, **fields}
-        self.unwritten = self._write(self.unwritten)
-        if not self.unwritten:
+        if self.dropped_line_count:
+            fields = {**fields, "dropped_lines": self.dropped_line_count}
+            self.dropped_line_count = 0
+        line = {"at": round(self.wall_clock(), 3), "level": level, "event": event, **fields}
+        self.unwritten_remainder = self._write_available(self.unwritten_remainder)
+        if not self.unwritten_remainder:
             data = msgspec.json.encode(line, enc_hook=repr) + b"\n"
-            remainder = self._write(data)
-            self.unwritten = remainder if len(remainder) < len(data) else b""
+            remainder = self._write_available(data)
+            self.unwritten_remainder = remainder if len(remainder) < len(data) else b""
 
-    def _admits_line(self) -> bool:
-        second = int(self.clock())
-        if second != self.second:
-            self.second, self.lines_in_second = second, 0
-        self.lines_in_second += 1
-        return self.lines_in_second <= MAX_LINES_PER_SECOND
+    def _admit_line(self) -> bool:
+        second = int(self.monotonic_clock())
+        if second != self.current_second:
+            self.current_second, self.lines_in_current_second = second, 0
+        self.lines_in_current_second += 1
+        return self.lines_in_current_second <= MAX_LINES_PER_SECOND
 
-    def _write(self, data: bytes) -> bytes:
+    def _write_available(self, data: bytes) -> bytes:
         """Writes as much as the pipe takes and returns the remainder.
 
         A line of which nothing was written is lost, so that no request waits for the log. The remainder of a
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -13,7 +13,7 @@
 BIND_BACKOFF, MAX_BIND_BACKOFF = 50 * MILLI, 5 * SECOND
 
 
-class PeerReports:
+class PeerReportSocket:
     """The socket on which this gateway sends its reports and receives those of others.
 
     Without it a gateway uses its own health checks, so an address that cannot be bound is no reason not to
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -18,24 +18,27 @@
 from gaproute.platform.configuration import Configuration, LoadedConfiguration
 from gaproute.platform.host_list import HostList
 from gaproute.platform.log import Log
-from gaproute.platform.peers import PeerReports
+from gaproute.platform.peers import PeerReportSocket
 from gaproute.platform.reload import ConfigurationReloader
 from gaproute.platform.shutdown import GracefulShutdown
 from gaproute.platform.status import StatusLog
 from gaproute.telemetry.record import TRACE_ONE_IN, Record
 
 SEED_BASE = 16
-CHANGE_LOG_SEED, ADMISSION_SEED = 1, 3  # added to the seed, so that no two parts draw the same numbers
-MAX_TRACE = 2000  # last characters of an error's traceback that are logged
-MAX_REASON = 200  # characters of the reason for rejecting a client's message that are logged
+CHANGE_LOG_SEED_OFFSET, ADMISSION_SEED_OFFSET = (
+    1,
+    3,
+)  # added to the seed, so that no two parts draw the same numbers
+MAX_TRACEBACK_CHARS = 2000  # last characters of an error's traceback that are logged
+MAX_REASON_CHARS = 200  # characters of the reason for rejecting a client's message that are logged
 
 
-class Process:
+class GatewayProcess:
     """The parts of a gateway. Call `start`, then `run`, which ends after `stop`; signals call the rest."""
 
     def __init__(
         self,
-        path: str,
+        configuration_path: str,
         loaded: LoadedConfiguration,
         *,
         name: str | None = None,
@@ -52,29 +55,33 @@
         self.log = log or Log()
         self.loop.on_error = self._log_error
         self.seed = int(self.configuration.seed, SEED_BASE)
-        self.sockets = min(self.configuration.limits.sockets, descriptors())
+        self.descriptor_limit = min(self.configuration.limits.sockets, descriptors())
         self.record = Record(self.log, self.deployment.class_names, trace_one_in)
-        self._share_sockets()
+        self._divide_descriptors()
         self._make_core()
-        self.host_list = HostList(self.loop, self.log, self.deployment.zones, self.hosts, self.core)
-        self.peers = PeerReports(self.loop, self.log, lambda: self.configuration, self._receive_report)
-        self.core.send_to_peers = self.peers.send
-        self.reloader = ConfigurationReloader(self.loop, self.log, path, self._apply)
+        self.host_list = HostList(self.loop, self.log, self.deployment.zones, self.host_client, self.core)
+        self.peer_reports = PeerReportSocket(
+            self.loop, self.log, lambda: self.configuration, self._receive_report
+        )
+        self.core.send_to_peers = self.peer_reports.send
+        self.reloader = ConfigurationReloader(
+            self.loop, self.log, configuration_path, self._apply_configuration
+        )
         deadlines = tuple(each.hard_limit for each in self.terms.request_classes)
         self.shutdown = GracefulShutdown(self.loop, self.log, self.core, deadlines)
         self.front: JsonRpcFront | None = None  # None until `start`, as the next one
         self.status: StatusLog | None = None
 
-    def _share_sockets(self) -> None:
+    def _divide_descriptors(self) -> None:
         """Divides the descriptors between connections of clients and connections to hosts."""
-        shares = split_descriptors(self.sockets)
-        self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
-        self.hosts.on_removed = self.record.forget_host
+        shares = split_descriptors(self.descriptor_limit)
+        self.host_client = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
+        self.host_client.on_removed = self.record.forget_host
         AcceptedConnections.of(self.loop).admission = Admission(
             shares.clients,
             shares.clients + 1,
-            self.sockets,
-            Chance(self.seed + ADMISSION_SEED),
+            self.descriptor_limit,
+            Chance(self.seed + ADMISSION_SEED_OFFSET),
             min_idle=MIN_IDLE_WITH_RETRIES,
             queue_when_full=True,
             reserved_descriptors=shares.hosts + PROCESS_DESCRIPTORS,
@@ -82,10 +89,10 @@
 
     def _make_core(self) -> None:
         self.gateway = Gateway(self.seed, self.terms, self.loop.now())
-        longest = self.gateway.load_order_limiter.travel_time
-        if longest:
-            self.hosts.order_timeout = min(self.hosts.order_timeout, longest)
-        self.core = Core(self.loop, self.gateway, self.terms, self.hosts, self.record, self.name)
+        travel_time = self.gateway.load_order_limiter.travel_time
+        if travel_time:
+            self.host_client.order_timeout = min(self.host_client.order_timeout, travel_time)
+        self.core = Core(self.loop, self.gateway, self.terms, self.host_client, self.record, self.name)
 
     # Start
 
@@ -96,8 +103,8 @@
         """
         front = self.front = self._listen()
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
-            self.peers.open()
-        chance = Chance(self.seed + CHANGE_LOG_SEED)
+            self.peer_reports.open()
+        chance = Chance(self.seed + CHANGE_LOG_SEED_OFFSET)
         self.host_list.start(self.configuration.known, self.configuration.changelog, chance)
         self._log_start(front)
         self.status = StatusLog(
@@ -106,7 +113,7 @@
             core=self.core,
             gateway=self.gateway,
             front=front,
-            hosts=self.hosts,
+            host_client=self.host_client,
             host_list=self.host_list,
         )
         self.status.write()
@@ -118,15 +125,15 @@
             self.core,
             self.deployment.class_names,
             self.terms.request_classes,
-            self.ready,
+            self.is_ready,
             response_margin(),
         )
         front.on_protocol_error = self._log_rejected_message
         return front
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether clients should send requests: a host is active, and the process is not stopping."""
-        return not self.shutdown.begun and any(host.active for host in self.hosts.hosts.values())
+        return not self.shutdown.has_begun and any(host.active for host in self.host_client.hosts.values())
 
     def _receive_report(self, payload: bytes) -> None:
         self.core.receive_broadcast(payload)
@@ -143,7 +150,7 @@
         """Reads the configuration file again; only a new address of the change log takes effect."""
         self.reloader.reload()
 
-    def _apply(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self.configuration = configuration
         self.host_list.set_address(configuration.changelog)
 
@@ -166,7 +173,7 @@
 
     def close(self) -> None:
         """Closes the sockets of all parts, also where closing one of them fails."""
-        for part in (self.front, self.host_list, self.hosts, self.peers):
+        for part in (self.front, self.host_list, self.host_client, self.peer_reports):
             if part is not None:
                 self.loop.guard(part.close)
 
@@ -177,10 +184,10 @@
             "started",
             name=self.name,
             listen_address=front.address,
-            hosts=len(self.hosts.hosts),
-            descriptor_limit=self.sockets,
+            hosts=len(self.host_client.hosts),
+            descriptor_limit=self.descriptor_limit,
             max_client_connections=AcceptedConnections.of(self.loop).admission.max_connections,
-            max_host_connections=self.hosts.max_connections,
+            max_host_connections=self.host_client.max_connections,
             limits=self.configuration.limits,
             report_names=self.deployment.report_names,
             prices=self.configuration.settings.get("prices"),
@@ -189,7 +196,7 @@
 
     def _log_error(self, error: BaseException) -> None:
         trace = "".join(traceback.format_exception(error))
-        self.log.error("unhandled_exception", error=repr(error), traceback=trace[-MAX_TRACE:])
+        self.log.error("unhandled_exception", error=repr(error), traceback=trace[-MAX_TRACEBACK_CHARS:])
 
     def _log_rejected_message(self, code: int, text: str) -> None:
-        self.log.info("client_message_rejected", code=code, error=text[:MAX_REASON])
+        self.log.info("client_message_rejected", code=code, error=text[:MAX_REASON_CHARS])
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -7,7 +7,7 @@
 from gaproute.loop.timers import Timer
 from gaproute.platform.configuration import (
     Configuration,
-    ConfigurationRefusedError,
+    ConfigurationRejectedError,
     ConfigurationUnreadableError,
     read_configuration,
 )
@@ -28,7 +28,7 @@
     def reload(self) -> None:
         """Reads the file; after a transient error it is retried with backoff."""
         self.backoff.reset()
-        self._read()
+        self._read_and_apply()
 
     def cancel(self) -> None:
         """Ends retries."""
@@ -36,21 +36,21 @@
             self.retry_timer.cancel()
             self.retry_timer = None
 
-    def _read(self) -> None:
+    def _read_and_apply(self) -> None:
         self.cancel()
         try:
             configuration = read_configuration(self.path).configuration
-        except ConfigurationRefusedError as error:
-            self._failed(error)
+        except ConfigurationRejectedError as error:
+            self._handle_error(error)
             return
         self.log.info("configuration_reloaded", change_log=configuration.changelog)
         self.on_reloaded(configuration)
 
-    def _failed(self, error: ConfigurationRefusedError) -> None:
+    def _handle_error(self, error: ConfigurationRejectedError) -> None:
         if isinstance(error, ConfigurationUnreadableError) and is_transient_read(error.cause):
             if error.cause.errno in SHORTAGE_ERRNOS:
                 self.loop.relieve_shortage()
             self.log.warning("configuration_read_failed", error=str(error))
-            self.retry_timer = self.loop.after(self.backoff.next_pause(), self._read)
+            self.retry_timer = self.loop.after(self.backoff.next_pause(), self._read_and_apply)
         else:
             self.log.error("configuration_rejected", error=str(error))
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -11,8 +11,8 @@
 from gaproute.platform.log import Log
 from gaproute.units import MILLI
 
-CLIENTS_NOTICE = 600 * MILLI  # time after SIGTERM in which clients still open connections
-ACCEPT_TIME = CLIENTS_NOTICE + 200 * MILLI  # time after SIGTERM in which connections are accepted
+CLIENT_NOTICE_TIME = 600 * MILLI  # time after SIGTERM in which clients still open connections
+ACCEPT_TIME = CLIENT_NOTICE_TIME + 200 * MILLI  # time after SIGTERM in which connections are accepted
 CLOSE_MARGIN = 200 * MILLI  # time before SIGKILL in which connections are closed
 
 
@@ -30,7 +30,7 @@
     of the time between the two.
     """
     kill_after = kill_delay(max(deadlines))
-    margin = min(CLOSE_MARGIN, (kill_after - CLIENTS_NOTICE) // 2)
+    margin = min(CLOSE_MARGIN, (kill_after - CLIENT_NOTICE_TIME) // 2)
     close_at = max(now, signalled_at + kill_after - margin)
     return ShutdownTimes(close_at, close_at + margin // 2)
 
@@ -45,7 +45,7 @@
         self.times: ShutdownTimes | None = None  # None until it has begun
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether SIGTERM was handled."""
         return self.times is not None
 
@@ -55,7 +55,7 @@
         New connections are accepted for `ACCEPT_TIME`; open ones are served until shortly before SIGKILL may
         come. If the loop was late, the signal may have come that long ago, and all times count from then.
         """
-        if self.begun:
+        if self.has_begun:
             return
         self.front = front
         self.log.info("stopping", requests_in_flight=len(self.core.in_flight))
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -17,7 +17,7 @@
 MEBIBYTE = 1 << 20
 STATUS_INTERVAL = 5 * SECOND
 
-Figure = TypeVar("Figure")
+Value = TypeVar("Value")
 
 
 class StatusLog:
@@ -31,11 +31,11 @@
         core: Core,
         gateway: Gateway,
         front: JsonRpcFront,
-        hosts: JsonLinesClient,
+        host_client: JsonLinesClient,
         host_list: HostList,
     ) -> None:
         self.loop, self.log, self.core, self.front = loop, log, core, front
-        self.gateway, self.hosts, self.host_list = gateway, hosts, host_list
+        self.gateway, self.host_client, self.host_list = gateway, host_client, host_list
 
     def write(self) -> None:
         """Writes a line now and sets the timer of the next one."""
@@ -47,22 +47,22 @@
             "requests_in_flight": len(self.core.in_flight),
             "counts": self.core.record.snapshot(),
             "host_connections": self._connections_in_use(),
-            "host_estimates": self._estimates(),
+            "host_estimates": self._host_estimates(),
             **self._client_fields(),
             **self._host_fields(),
             **self._process_fields(),
-            **self._list_fields(),
+            **self._host_list_fields(),
         }
 
     def _connections_in_use(self) -> dict[str, list[int]]:
         """By host: [connections, requests on them], for hosts that have a connection."""
         return {
             name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
-            for name, host in self.hosts.hosts.items()
+            for name, host in self.host_client.hosts.items()
             if host.connections
         }
 
-    def _estimates(self) -> dict[str, list[float]]:
+    def _host_estimates(self) -> dict[str, list[float]]:
         """By host: [queue, slowdown, own attempts in flight], for hosts that are in use or slow."""
         gateway, now = self.gateway, self.loop.now()
         return {
@@ -83,7 +83,7 @@
         }
 
     def _host_fields(self) -> dict[str, int]:
-        hosts = self.hosts
+        hosts = self.host_client
         return {
             "host_connections_opened": hosts.opened,
             "host_connections_reused": hosts.reused,
@@ -95,13 +95,13 @@
     def _process_fields(self) -> dict[str, float | None]:
         return {
             "late_loop_turns": self.loop.late_turns,
-            "open_descriptors": _if_readable(open_descriptors),
-            "resident_memory_mb": _if_readable(resident_memory),
+            "open_descriptors": _value_if_readable(open_descriptors),
+            "resident_memory_mb": _value_if_readable(resident_memory),
             "cpu_s": round(sum(os.times()[:2]), 2),
         }
 
-    def _list_fields(self) -> dict[str, object]:
-        watcher, rejected = self.host_list.watcher, self.host_list.converter.rejected
+    def _host_list_fields(self) -> dict[str, object]:
+        watcher, rejected = self.host_list.watcher, self.host_list.member_converter.rejected
         if watcher is None:
             return {"rejected_members": rejected}
         return {
@@ -126,7 +126,7 @@
     return round(pages * os.sysconf("SC_PAGESIZE") / MEBIBYTE, 1)
 
 
-def _if_readable(read: Callable[[], Figure]) -> Figure | None:
+def _value_if_readable(read: Callable[[], Value]) -> Value | None:
     try:
         return read()
     except OSError:
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -218,7 +218,7 @@
     made.log.head = HEAD + sse(event(1, ("s-1", made.hosts[1].address, "Ready"), complete=True))
     made.passes(watching.SILENCE_TIMEOUT)
     made.passes(watching.FIRST_BACKOFF)
-    assert [host.name for host in made.process.hosts.hosts.values() if host.listed] == ["s-1"]
+    assert [host.name for host in made.process.host_client.hosts.values() if host.listed] == ["s-1"]
     assert made.process.host_list.watcher.restarts == 1
     made.process.status.write()
     assert made.lines[-1][1]["change_log_restarts"] == 1
--- a/tests/fronts/test_descriptor_shortage.py
+++ b/tests/fronts/test_descriptor_shortage.py
@@ -97,6 +97,6 @@
 def test_what_clients_hosts_and_the_process_may_hold_is_never_more_than_the_limit(gate, sockets):
     process = gate(sockets=sockets).process
     most = process.front.connections.admission.max_connections
-    assert most + process.hosts.max_connections + PROCESS_DESCRIPTORS <= sockets
-    assert process.hosts.max_connections > 0
+    assert most + process.host_client.max_connections + PROCESS_DESCRIPTORS <= sockets
+    assert process.host_client.max_connections > 0
     assert most >= sockets // 3 or sockets < 64  # what clients may hold by the protocol
--- a/tests/fronts/test_shutdown.py
+++ b/tests/fronts/test_shutdown.py
@@ -191,7 +191,7 @@
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
             os.kill(os.getpid(), number)
         made.loop.running = True
-        made.until(lambda: made.process.shutdown.begun)
+        made.until(lambda: made.process.shutdown.has_begun)
         granted = made.process.shutdown.times.exit_at
         made.clock.now += 100 * MILLI
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -120,7 +120,7 @@
     made, link = one_connection(gate)
     full = fill_after(link, 10)
     results = []
-    made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: results.append(each))
+    made.process.host_client.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: results.append(each))
     made.passes(WRITE_TIMEOUT + 50 * MILLI)
     full.emptied()
     made.until(lambda: results)
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -107,11 +107,11 @@
 def test_what_the_full_socket_has_taken_no_byte_of_never_begins_once_its_client_left(gate, monkeypatch):
     """One connection serves all, its host reads nothing: the last request waits here, not in a buffer."""
     made = gate(hosts=1, settings=settings(cancel=False), clock=Handed())
-    made.process.hosts.max_connections = 1
+    made.process.host_client.max_connections = 1
     first = made.client()
     first.ask(1)
     made.until(lambda: first.answers)
-    (link,) = made.process.hosts.hosts["s-0"].connections
+    (link,) = made.process.host_client.hosts["s-0"].connections
     link.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     for stream in made.hosts[0].streams:
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -136,7 +136,7 @@
 @pytest.mark.parametrize("change", ["address", "start"])
 def test_a_host_back_under_its_id_is_not_sent_to_on_connections_of_its_life_before(gate, change):
     made = gate(hosts=2)
-    known, name = made.process.hosts.hosts, "s-0"
+    known, name = made.process.host_client.hosts, "s-0"
     made.until(lambda: any(link.answered for link in known[name].connections))  # a probe's
     old = next(iter(known[name].connections))
     old.pending["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
@@ -173,7 +173,7 @@
     made.until(lambda: client.answers)
     assert came[0][0] is not came[1][0]
     assert client.answers[0]["result"]["arg"] == arg(b"body 1")
-    assert made.process.hosts.unmatched == 1
+    assert made.process.host_client.unmatched == 1
 
 
 def test_an_answer_before_its_request_has_gone_out_is_no_answer(slow):
@@ -181,12 +181,12 @@
     asked(made, 1)
     made.dials.let()
     made.until(made.came)
-    (link,) = made.process.hosts.hosts["s-0"].connections
+    (link,) = made.process.host_client.hosts["s-0"].connections
     link.pending["y"] = connections.PendingRequest(
         link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0
     )
     link.on_bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert made.process.hosts.unmatched == 1
+    assert made.process.host_client.unmatched == 1
     assert len(link.pending) == 2
 
 
@@ -205,7 +205,7 @@
 
 def test_with_no_room_for_one_more_connection_a_request_is_not_sent_and_no_descriptor_is_taken(slow):
     made, heard = slow(hosts=2), []
-    hosts, end = made.process.hosts, made.loop.now() + SECOND
+    hosts, end = made.process.host_client, made.loop.now() + SECOND
     hosts.max_connections = 1
     for host in ("s-0", "s-1"):
         call = Call("7f3a9c21e0b4d655", "", (), b"", f"{host:>16}", "fault-check")
@@ -221,7 +221,9 @@
     client = made.client()
     client.ask(1)
     made.until(made.came)
-    (other,) = [each for each in made.process.hosts.hosts["s-0"].connections if f"{1:016x}" in each.pending]
+    (other,) = [
+        each for each in made.process.host_client.hosts["s-0"].connections if f"{1:016x}" in each.pending
+    ]
     other.pending["z"] = connections.PendingRequest(
         other, "z", None, 0, None, made.loop.now() + 9 * SECOND
     )  # keeps it in use
@@ -239,7 +241,9 @@
         client = made.client()
         client.ask(1, "repair-order", i=f"{number:016x}")
         made.until(lambda client=client: client.answers)
-    held = [len(link.retired_ids) for host in made.process.hosts.hosts.values() for link in host.connections]
+    held = [
+        len(link.retired_ids) for host in made.process.host_client.hosts.values() for link in host.connections
+    ]
     assert max(held) <= MAX_RETIRED_IDS
     assert len(made.hosts[0].seen("go")) == MAX_RETIRED_IDS + 3
 
@@ -275,8 +279,8 @@
     client.ask(1, "repair-order")
     made.until(made.came)
     name = "s-0" if made.hosts[0].seen("go") else "s-1"
-    (other,) = [each for each in made.process.hosts.hosts if each != name]
-    where = made.process.hosts.hosts[other].address_text
+    (other,) = [each for each in made.process.host_client.hosts if each != name]
+    where = made.process.host_client.hosts[other].address_text
     watch_event = event(2, (other, where, "Ready"), complete=True)
     made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
     for host in made.hosts:
@@ -285,16 +289,16 @@
     made.until(lambda: client.answers)
     for _ in range(3):
         made.passes(SECOND)
-    assert name not in made.process.hosts.hosts
+    assert name not in made.process.host_client.hosts
     assert not any(name in key for key in made.process.record.counts)
 
 
 def test_probes_and_orders_wear_no_connection_out(gate):
     """Their ids never come again, so none of them needs to be remembered."""
     made = gate()
-    made.until(lambda: any(link.answered for link in made.process.hosts.hosts["s-0"].connections))
+    made.until(lambda: any(link.answered for link in made.process.host_client.hosts["s-0"].connections))
     done = []
-    made.process.hosts.order("s-0", "m", 1, lambda *result: done.append(result))
+    made.process.host_client.order("s-0", "m", 1, lambda *result: done.append(result))
     made.until(lambda: done)
     assert made.hosts[0].seen("stat")
-    assert not any(link.retired_ids for link in made.process.hosts.hosts["s-0"].connections)
+    assert not any(link.retired_ids for link in made.process.host_client.hosts["s-0"].connections)
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -93,7 +93,7 @@
 
 def drop_all(made):
     """No connection to a host is left, so that the next request needs a dial."""
-    for host in made.process.hosts.hosts.values():
+    for host in made.process.host_client.hosts.values():
         for link in list(host.connections):
             link.drop()
 
@@ -126,15 +126,15 @@
     made, results = gate(clock=Handed()), []
     drop_all(made)
     monkeypatch.setattr(dialing, "socket", Sockets(errno.EMFILE))
-    made.process.hosts.probe("s-0", lambda report, *, good: results.append(good))
-    made.process.hosts.order("s-0", "f", 1, lambda result, copies: results.append(result))
+    made.process.host_client.probe("s-0", lambda report, *, good: results.append(good))
+    made.process.host_client.order("s-0", "f", 1, lambda result, copies: results.append(result))
     for _ in range(50):
         made.passes(MILLI)
     assert results == [face.Result.NOT_SENT]
     drop_all(made)
-    made.process.hosts.max_connections = 0
-    made.process.hosts.probe("s-0", lambda report, *, good: results.append(good))
-    made.process.hosts.order("s-0", "f", 1, lambda result, copies: results.append(result))
+    made.process.host_client.max_connections = 0
+    made.process.host_client.probe("s-0", lambda report, *, good: results.append(good))
+    made.process.host_client.order("s-0", "f", 1, lambda result, copies: results.append(result))
     made.turns()
     assert results == [face.Result.NOT_SENT, face.Result.NOT_SENT]
 
@@ -189,6 +189,6 @@
     log = Log(pipe[1])
     log.info("lost")
     log.info("lost")
-    assert log.unwritten == b""
+    assert log.unwritten_remainder == b""
     log.info("next")
     assert lines(pipe[0]) == ["next"]
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -21,8 +21,8 @@
     made.until(lambda: heard)
     worker = made.process.core.gateway.hosts_by_id["s-0"]
     at = worker.reported_at
-    other.send(b"noise", where % made.process.peers.datagrams.sock.getsockname()[1])
-    other.send(heard[0], where % made.process.peers.datagrams.sock.getsockname()[1])
+    other.send(b"noise", where % made.process.peer_reports.datagrams.sock.getsockname()[1])
+    other.send(heard[0], where % made.process.peer_reports.datagrams.sock.getsockname()[1])
     made.until(lambda: worker.reported_at > at)
     assert heard[0][2:] == bytes([64, 128])
     other.close()
@@ -31,7 +31,7 @@
 def test_an_address_for_peers_that_cannot_be_had_is_no_reason_not_to_start(gate):
     settings = SETTINGS | {"balancers": 2, "limits": SETTINGS["limits"] | {"peers": True}}
     made = gate(settings=settings, peer_listen="192.0.2.1:1", peers_all="127.0.0.1:9")
-    assert made.process.peers.datagrams is None
+    assert made.process.peer_reports.datagrams is None
     assert any(what == "peer_socket_unavailable" for what, _ in made.lines)
     made.client().ask(1)
     made.until(lambda: made.clients[0].answers)
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -28,14 +28,14 @@
     made.lines.clear()
     made.process.status.write()
     status = dict(made.lines)["status"]
-    assert len(made.process.hosts.hosts) >= 1000
+    assert len(made.process.host_client.hosts) >= 1000
     assert len(status["host_estimates"]) + len(status["host_connections"]) <= 1
 
 
 def test_the_log_drops_what_comes_too_fast_and_says_how_much():
     reader, writer = os.pipe()
     clock = [10.0]
-    log = Log(writer, clock=lambda: clock[0])
+    log = Log(writer, monotonic_clock=lambda: clock[0])
     for number in range(250):
         log.info("x", number=number)
     clock[0] = 11.0
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -9,7 +9,7 @@
 import pytest
 from scripted import MILLI
 
-from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
+from gaproute.platform.configuration import ConfigurationRejectedError, read_configuration
 from gaproute.standins.platform import ScriptedChangeLog, event, sse
 
 
@@ -26,7 +26,7 @@
     made.write()
     made.process.reload()
     made.process.reload()
-    made.until(lambda: not made.process.hosts.hosts["s-0"].active)
+    made.until(lambda: not made.process.host_client.hosts["s-0"].active)
     assert other.came == [1]
     assert made.process.host_list.watcher.last_seq == 2
     other.close()
@@ -87,7 +87,7 @@
     made = gate()
     made.configuration.update(change)
     made.write()
-    with pytest.raises(ConfigurationRefusedError, match=named):
+    with pytest.raises(ConfigurationRejectedError, match=named):
         read_configuration(str(made.path))
 
 
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -234,7 +234,7 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    assert made.process.shutdown.begun
+    assert made.process.shutdown.has_begun
     assert made.process.configuration.changelog == "127.0.0.1:9"
     granted = made.process.shutdown.times.exit_at
     os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -158,7 +158,7 @@
     for _ in range(MAX_LINES_PER_SECOND + 50):
         log.info("x")
     clock[0] = 11.0
-    log.wall = lambda: 500
+    log.wall_clock = lambda: 500
     log.info("y")
     os.close(writer)
     with os.fdopen(reader) as file:
--- a/tests/platform/test_syscalls_reload.py
+++ b/tests/platform/test_syscalls_reload.py
@@ -18,12 +18,12 @@
 def test_peers_that_cannot_be_heard_at_the_start_are_heard_later(gate, monkeypatch, name, code):
     made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
     monkeypatch.setattr(datagrams, "socket", FailingSocketModule(name, *[code] * 3))
-    made.process.peers.open()
-    assert made.process.peers.datagrams is None
+    made.process.peer_reports.open()
+    assert made.process.peer_reports.datagrams is None
     for _ in range(30):
         made.passes(50 * MILLI)
-    assert made.process.peers.datagrams is not None
-    assert made.process.peers.retry_timer is None
+    assert made.process.peer_reports.datagrams is not None
+    assert made.process.peer_reports.retry_timer is None
     assert [what for what, _ in made.lines if "peer_socket" in what] == [
         "peer_socket_unavailable",
         "peer_socket_bound",
@@ -35,7 +35,7 @@
     made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
     sockets = FailingSocketModule("socket", *[errno.EMFILE] * 999)
     monkeypatch.setattr(datagrams, "socket", sockets)
-    made.process.peers.open()
+    made.process.peer_reports.open()
     for _ in range(60):
         made.passes(MAX_BIND_BACKOFF // 5)
     assert 15 <= sockets.socket.failed <= 25
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -22,7 +22,7 @@
 from gaproute.platform import __main__ as program
 from gaproute.platform import configuration as platform_configuration
 from gaproute.platform.log import Log
-from gaproute.platform.process import Process
+from gaproute.platform.process import GatewayProcess
 
 
 @pytest.fixture
@@ -92,7 +92,7 @@
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     monkeypatch.setattr(program, "StartupRetries", lambda: retries)
     monkeypatch.setattr(program.gc, "freeze", lambda: None)
-    monkeypatch.setattr(Process, "run", lambda process: made.append(process))
+    monkeypatch.setattr(GatewayProcess, "run", lambda process: made.append(process))
     monkeypatch.setattr(Log, "write_line", lambda *_: None)
     before = open_descriptors()
 
@@ -108,8 +108,8 @@
     for process in made:
         process.front.close()
         process.host_list.close()
-        process.hosts.close()
-        process.peers.close()
+        process.host_client.close()
+        process.peer_reports.close()
         (pipe,) = process.loop.watched
         process.loop.close()
         os.close(pipe)
--- a/tests/support/request_scenarios.py
+++ b/tests/support/request_scenarios.py
@@ -84,10 +84,10 @@
 def connect_hosts(made):
     """Connections stand to all hosts."""
     reports = []
-    for name in made.process.hosts.hosts:
-        made.process.hosts.probe(name, lambda report, *, good: reports.append((good, report)))
+    for name in made.process.host_client.hosts:
+        made.process.host_client.probe(name, lambda report, *, good: reports.append((good, report)))
     made.until(lambda: len(reports) == len(made.hosts))
-    assert all(host.connections for host in made.process.hosts.hosts.values())
+    assert all(host.connections for host in made.process.host_client.hosts.values())
 
 
 def holding(gate, **options):
@@ -147,9 +147,9 @@
 def one_connection(gate, answer=None, **limits):
     """A gateway with one host, and its only connection to it."""
     made = gate(answer, hosts=1, settings=with_limits(**limits), clock=Handed())
-    made.process.hosts.max_connections = 1
+    made.process.host_client.max_connections = 1
     connect_hosts(made)
-    (connection,) = made.process.hosts.hosts["s-0"].connections
+    (connection,) = made.process.host_client.hosts["s-0"].connections
     return made, connection
 
 
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -11,7 +11,7 @@
 from gaproute.loop import Loop, connect
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
-from gaproute.platform.process import Process
+from gaproute.platform.process import GatewayProcess
 from gaproute.standins.platform import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
 from gaproute.standins.platform.deployment_settings import sample_settings
 from gaproute.telemetry.record import TRACE_ONE_IN
@@ -140,7 +140,7 @@
         self.write()
         log = Log(-1)
         log.write_line = lambda level, event, fields: self.lines.append((event, fields))
-        self.process = Process(
+        self.process = GatewayProcess(
             str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, trace_one_in=followed
         )
         self.process.start()
@@ -182,8 +182,8 @@
         for part in (
             self.process.front,
             self.process.host_list,
-            self.process.hosts,
-            self.process.peers,
+            self.process.host_client,
+            self.process.peer_reports,
             *self.hosts,
             self.log,
         ):
