--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -14,7 +14,7 @@
 from gaproute.loop.addresses import address
 from gaproute.peers import ObservationClient, PeerServer, observation_wire
 from gaproute.telemetry.logs import logger
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 FACTS = (256, 1_024, 4_096, 16_384)
 HOSTS = 256
@@ -50,7 +50,7 @@
             ["std"],
             cpu_clock=lambda: 0,
         )
-        record = Record(logger(io.StringIO()), ["std"])
+        record = GatewayRecord(logger(io.StringIO()), ["std"])
         self.client = ObservationClient(
             self.loop, (), SharedObservations(), lambda subjects: 0, lambda: None, record
         )
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -43,7 +43,7 @@
         self.gate = Appliance(configuration, self.loop, 1, logger(self.lines))
         self.gate.start()
         for number in range(hosts):
-            self.gate.record.attempt_ended(f"host-{number:04}", 0, Result.OK)
+            self.gate.record.count_attempt_result(f"host-{number:04}", 0, Result.OK)
         gateway, now = self.gate.core.gateway, self.loop.now()
         assert isinstance(gateway, Gateway)
         for number in range(functions):
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -12,7 +12,7 @@
 from gaproute.loop import Loop
 from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import DocumentError
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 
 class ContradictionError(TableError):
@@ -46,7 +46,7 @@
         self,
         loop: Loop,
         cells_line: CellsLine,
-        record: Record,
+        record: GatewayRecord,
         transport: CellTableTransport,
         on_table: Callable[[CellTable], None],
     ) -> None:
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -34,7 +34,7 @@
 from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
 from gaproute.peers.tables.pull_exchange import HttpPullListener, PullClient
 from gaproute.shared.dissemination import Peer
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 WRONG_LIST = "wrong host list"  # as operators read it in the status
 WRONG_MEMBER = "wrong host of a source"
@@ -53,7 +53,7 @@
         self,
         loop: Loop,
         configuration: Configuration,
-        record: Record,
+        record: GatewayRecord,
         seed: int,
         client_settings: ClientSettings,
         run_name: str,
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -27,7 +27,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from gaproute.telemetry.logs import logger
-from gaproute.telemetry.record import Log, Record
+from gaproute.telemetry.record import GatewayRecord, Log
 
 SEED_BITS = 64
 
@@ -55,7 +55,7 @@
         self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
         self.log: Log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
         self.loop.on_error = self._log_error
-        self.record = Record(self.log, [line.name for line in configuration.request_classes])
+        self.record = GatewayRecord(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
         # Whether other processes serve at the clients' addresses, even after this one has stopped
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -9,7 +9,7 @@
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.loop import Loop
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 NO_START = 0  # ns since 1970, for a host whose start the list does not give
 
@@ -20,7 +20,7 @@
     In a fleet of cells `CellServices` follows the lists, and `replace` is given the hosts of all known cells.
     """
 
-    def __init__(self, loop: Loop, configuration: Configuration, record: Record) -> None:
+    def __init__(self, loop: Loop, configuration: Configuration, record: GatewayRecord) -> None:
         self.loop, self.configuration, self.record = loop, configuration, record
         self.converter = HostLineConverter(loop, use_capacities=configuration.capacities_reported)
         self.rows: dict[str, Endpoint] = {}
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -23,7 +23,7 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.storage.files import TRANSIENT_ERRNOS
 from gaproute.storage.raft_log_file import RaftLogFile
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
 # Each run draws the first number of its requests from this range; all numbers stay below JSON's 2^53.
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, loop: Loop, name: str, line: RaftGroupLine, record: Record, chance: RandomSource
+        self, loop: Loop, name: str, line: RaftGroupLine, record: GatewayRecord, chance: RandomSource
     ) -> None:
         self.loop = loop
         self.peers: dict[str, str] = {}  # addresses by name
@@ -56,7 +56,7 @@
         self.timer: Timer | None = None
 
     @staticmethod
-    def _open_raft_log(path: str, record: Record) -> RaftLogFile:
+    def _open_raft_log(path: str, record: GatewayRecord) -> RaftLogFile:
         log_file = RaftLogFile(
             path, lambda text: record.event("warning", "raft_log_file_fault", message=text)
         )
--- a/gaproute/appliance/legacy_names.py
+++ b/gaproute/appliance/legacy_names.py
@@ -10,7 +10,7 @@
 
 from gaproute.appliance.json_object import JsonObject
 from gaproute.interface import Result
-from gaproute.telemetry.record import nested
+from gaproute.telemetry.record import nested_counters
 
 COUNTERS = {
     "attempts": "relay",
@@ -71,8 +71,8 @@
 
 
 def legacy_counts(counts: Mapping[tuple[str, ...], int]) -> JsonObject:
-    """Counters as nested plain data, by their old names."""
-    return nested({_legacy_key(key): count for key, count in counts.items()})
+    """Counters as nested_counters plain data, by their old names."""
+    return nested_counters({_legacy_key(key): count for key, count in counts.items()})
 
 
 def legacy_event(event: str, fields: Mapping[str, object]) -> JsonObject:
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -35,7 +35,7 @@
 from gaproute.peers.raft.transport import TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 LAST_RUN = "past life"  # the origin of observations from the store, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
@@ -62,7 +62,7 @@
         loop: Loop,
         configuration: Configuration,
         gateway: Gateway,
-        record: Record,
+        record: GatewayRecord,
         seed: int,
         cells: PeerListObserver | None = None,
     ) -> None:
--- a/gaproute/appliance/request_path.py
+++ b/gaproute/appliance/request_path.py
@@ -13,7 +13,7 @@
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.loop import Loop
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 
 @dataclass(frozen=True)
@@ -29,7 +29,7 @@
 def make_request_path(
     loop: Loop,
     configuration: Configuration,
-    record: Record,
+    record: GatewayRecord,
     seed: int,
     hosts_changed: Callable[[Sequence[Endpoint]], None],
 ) -> RequestPath:
--- a/gaproute/appliance/running_gateway.py
+++ b/gaproute/appliance/running_gateway.py
@@ -13,7 +13,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.loop import Loop
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 
 class Front(Protocol):
@@ -34,7 +34,7 @@
     loop: Loop
     started: int
     stopping: bool
-    record: Record
+    record: GatewayRecord
     core: Core
     hosts: KServeClient
     connections: AcceptedConnections
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -9,7 +9,7 @@
 from gaproute.core.ports import DecisionModule, Hosts, RequestSender
 from gaproute.interface.call import Ending
 from gaproute.loop import Loop
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
 
@@ -20,7 +20,7 @@
         self,
         gateway: DecisionModule,
         loop: Loop,
-        record: Record,
+        record: GatewayRecord,
         hosts: Hosts,
         request_classes: tuple[interface.RequestClass, ...],
     ) -> None:
@@ -71,7 +71,7 @@
         if result is interface.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
             self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
-        self.record.attempt_ended(host, request.request_class, result)
+        self.record.count_attempt_result(host, request.request_class, result)
         outcome = interface.Outcome(
             key,
             number,
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.entries import CellUnknown, ForwardAttempt, Forwarded
 from gaproute.loop import Loop
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 
 class Entries(Protocol):
@@ -30,7 +30,7 @@
         gateway: CellularGateway,
         terms: interface.Terms,
         hosts: Hosts,
-        record: Record,
+        record: GatewayRecord,
         name: str,
         entries: Entries,
     ) -> None:
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -9,7 +9,7 @@
 from gaproute.core.ports import DecisionModule
 from gaproute.interface.call import Answer, Ending, Final
 from gaproute.loop import Loop
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
 # The texts of final answers, as clients read them.
@@ -22,7 +22,7 @@
 class RequestCompletion(Driver):
     """The requests in flight, and how each of them ends."""
 
-    def __init__(self, gateway: DecisionModule, loop: Loop, record: Record) -> None:
+    def __init__(self, gateway: DecisionModule, loop: Loop, record: GatewayRecord) -> None:
         super().__init__(gateway)
         self.loop, self.record = loop, record
         self.in_flight: dict[str, RequestInFlight] = {}  # by id
@@ -62,7 +62,7 @@
         """Gives the one final answer; a second one is a fault of the decision module and reaches nobody."""
         on_final, request.on_final = request.on_final, None
         if on_final is None:
-            self.record.internal_error("the decisions gave a second final answer", request.id)
+            self.record.log_internal_error("the decisions gave a second final answer", request.id)
             return
         self._record_end(request, ending, cause)
         never_ran = not request.may_have_run and not any(
@@ -87,7 +87,7 @@
     ) -> None:
         now = self.loop.now()
         took = now - request.first_byte_at
-        self.record.request_ended(request.request_class, ending)
+        self.record.count_final_answer(request.request_class, ending)
         if request.log_step is not None:
             reason = cause.value if cause is not None else ""
             request.log_step(
@@ -95,7 +95,7 @@
             )
         if now > request.deadline:
             overdue = (now - request.deadline) // MILLI
-            self.record.internal_error(f"answered {overdue} ms after the deadline", request.id)
+            self.record.log_internal_error(f"answered {overdue} ms after the deadline", request.id)
 
     def _deadline_passed(self, key: str) -> None:
         """Ends a request at its deadline: its attempts have timed out, and it fails if it is unanswered.
@@ -105,7 +105,7 @@
         request = self.in_flight[key]
         self._time_out_attempts(request)
         if request.on_final is not None:
-            self.record.internal_error("no final answer by the deadline", key)
+            self.record.log_internal_error("no final answer by the deadline", key)
             self.forget(key)
             self._finish(request, Ending.FAILED, DEADLINE_PASSED)
         self._release_if_complete(request)
@@ -141,7 +141,7 @@
     def _decisions_failed(self, key: str, error: Exception) -> None:
         """Reports an error of the decision module and ends the generator that it came from."""
         self.loop.failed(error)
-        self.record.internal_error(f"the decision module failed: {error!r}", key)
+        self.record.log_internal_error(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
             self.housekeeper = None  # started again with the next host list
             return
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -14,7 +14,7 @@
 from gaproute.interface.call import Call, Final
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
 
@@ -27,7 +27,7 @@
         gateway: DecisionModule,
         terms: interface.Terms,
         hosts: Hosts,
-        record: Record,
+        record: GatewayRecord,
         name: str,
     ) -> None:
         """`name` begins the ids of its requests: no two gateways have the same."""
@@ -76,7 +76,7 @@
 
     def _record_arrival(self, request: RequestInFlight, now: int, left: int) -> None:
         call = request.call
-        self.record.request_received(request.request_class)
+        self.record.count_request(request.request_class)
         if self.on_arrival is not None:
             self.on_arrival(now, call.function, request.request_class)
         if self.record.is_traced(call.request_id):
@@ -95,7 +95,7 @@
         if request is None or request.on_final is None:
             return
         request.on_final = None
-        self.record.client_left(request.request_class)
+        self.record.count_client_left(request.request_class)
         if request.log_step is not None:
             request.log_step("client_left", attempts=len(request.attempts))
         self._guard(key, self.abandon, self.loop.now(), key)
@@ -143,7 +143,7 @@
 
     def order(self, host: str, function: str, copies: int) -> None:
         """Orders a host to load a function."""
-        self.record.load_ordered(host)
+        self.record.count_load_order(host)
         ordered_at = self.loop.now()
         self.hosts.order(
             host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
--- a/gaproute/peers/ports.py
+++ b/gaproute/peers/ports.py
@@ -34,7 +34,7 @@
 
 
 class EventLog(Protocol):
-    """The log of events for operators: `gaproute.telemetry.record.Record`."""
+    """The log of events for operators: `gaproute.telemetry.record.GatewayRecord`."""
 
     def event(self, level: str, name: str, /, **fields: object) -> None:
         """Logs one event; `level`: "info", "warning" or "error"."""
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -13,7 +13,7 @@
 from gaproute.loop.starting import StartupRetries
 from gaproute.platform.configuration import ConfigurationRejectedError, read_configuration, read_environment
 from gaproute.platform.process import GatewayProcess
-from gaproute.telemetry.record import TRACE_ONE_IN
+from gaproute.telemetry.record import DEFAULT_TRACE_ONE_IN
 
 EXIT_STOPPED, EXIT_UNUSABLE_CONFIGURATION, EXIT_CANNOT_START = 0, 2, 3
 
@@ -24,7 +24,7 @@
     A value that is no number is ignored: a mistake in it is no reason not to start.
     """
     text = os.environ.get("GAPROUTE_FOLLOW", "")
-    return int(text) if text.isdigit() else TRACE_ONE_IN
+    return int(text) if text.isdigit() else DEFAULT_TRACE_ONE_IN
 
 
 def main() -> int:
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -22,7 +22,7 @@
 from gaproute.platform.reload import ConfigurationReloader
 from gaproute.platform.shutdown import GracefulShutdown
 from gaproute.platform.status import StatusLog
-from gaproute.telemetry.record import TRACE_ONE_IN, Record
+from gaproute.telemetry.record import DEFAULT_TRACE_ONE_IN, GatewayRecord
 
 SEED_BASE = 16
 CHANGE_LOG_SEED_OFFSET, ADMISSION_SEED_OFFSET = (
@@ -45,7 +45,7 @@
         listen: str | None = None,
         loop: Loop | None = None,
         log: Log | None = None,
-        trace_one_in: int = TRACE_ONE_IN,
+        trace_one_in: int = DEFAULT_TRACE_ONE_IN,
     ) -> None:
         """`path`: the configuration file, for reloads; `name` and `listen` replace those of the file."""
         self.configuration, self.terms, self.deployment = loaded
@@ -56,7 +56,7 @@
         self.loop.on_error = self._log_error
         self.seed = int(self.configuration.seed, SEED_BASE)
         self.descriptor_limit = min(self.configuration.limits.sockets, descriptors())
-        self.record = Record(self.log, self.deployment.class_names, trace_one_in)
+        self.record = GatewayRecord(self.log, self.deployment.class_names, trace_one_in)
         self._divide_descriptors()
         self._make_core()
         self.host_list = HostList(self.loop, self.log, self.deployment.zones, self.host_client, self.core)
--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -9,7 +9,7 @@
 from gaproute.interface.call import Ending
 
 MAX_EVENTS = 256  # the latest ones, which operators can read
-TRACE_ONE_IN = 32  # requests of which one is traced, by its id: the same one at every gateway
+DEFAULT_TRACE_ONE_IN = 32  # requests of which one is traced, by its id: the same one at every gateway
 
 CounterTree = dict[str, Any]  # {what: {subject: count, or {detail: count}}}
 
@@ -27,10 +27,12 @@
         """Logs an error."""
 
 
-class Record:
+class GatewayRecord:
     """What has happened at one gateway since its start."""
 
-    def __init__(self, log: Log, class_names: Sequence[str], trace_one_in: int = TRACE_ONE_IN) -> None:
+    def __init__(
+        self, log: Log, class_names: Sequence[str], trace_one_in: int = DEFAULT_TRACE_ONE_IN
+    ) -> None:
         """`class_names`: of the request classes, by index; `trace_one_in`: 1 traces all requests, 0 none."""
         self.log, self.class_names = log, class_names
         self.trace_one_in = trace_one_in
@@ -42,31 +44,31 @@
         self.events.append((event, fields))
         getattr(self.log, level)(event, **fields)
 
-    def internal_error(self, message: str, gateway_request_id: str) -> None:
+    def log_internal_error(self, message: str, gateway_request_id: str) -> None:
         """Logs an error of the gateway itself in one of its requests; the id is the gateway's own."""
         self.event("error", "internal_error", message=message, gateway_request_id=gateway_request_id)
 
     # Counters
 
-    def request_received(self, request_class: int) -> None:
+    def count_request(self, request_class: int) -> None:
         """Counts a request."""
         self.counts["received", self.class_names[request_class]] += 1
 
-    def client_left(self, request_class: int) -> None:
+    def count_client_left(self, request_class: int) -> None:
         """Counts a request whose client left before its final answer."""
         self.counts["client_left", self.class_names[request_class]] += 1
 
-    def request_ended(self, request_class: int, ending: Ending) -> None:
+    def count_final_answer(self, request_class: int, ending: Ending) -> None:
         """Counts a final answer."""
         self.counts[ending.value, self.class_names[request_class]] += 1
 
-    def attempt_ended(self, host: str, request_class: int, result: Result) -> None:
+    def count_attempt_result(self, host: str, request_class: int, result: Result) -> None:
         """Counts the result of an attempt."""
         self.counts["attempts", host, result.value] += 1
         if result is not Result.OK:
             self.counts["failed_attempts", self.class_names[request_class], host, result.value] += 1
 
-    def load_ordered(self, host: str) -> None:
+    def count_load_order(self, host: str) -> None:
         """Counts a load order."""
         self.counts["load_orders", host] += 1
 
@@ -76,8 +78,8 @@
             del self.counts[key]
 
     def snapshot(self) -> CounterTree:
-        """The counters as nested plain data."""
-        return nested(self.counts)
+        """The counters as nested_counters plain data."""
+        return nested_counters(self.counts)
 
     # Traces
 
@@ -96,8 +98,8 @@
         self.log.info("load_order_ended", function=function, **fields)
 
 
-def nested(counts: Mapping[tuple[str, ...], int]) -> CounterTree:
-    """Counters as nested plain data, sorted by their keys."""
+def nested_counters(counts: Mapping[tuple[str, ...], int]) -> CounterTree:
+    """Counters as nested_counters plain data, sorted by their keys."""
     tree: CounterTree = {}
     for (what, *path), count in sorted(counts.items()):
         node = tree.setdefault(what, {})
--- a/tests/appliance/test_legacy_names.py
+++ b/tests/appliance/test_legacy_names.py
@@ -8,20 +8,20 @@
 from gaproute.appliance.status import event_table
 from gaproute.interface import Result
 from gaproute.interface.call import Ending
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 
 @pytest.fixture
 def record():
-    return Record(SimpleNamespace(info=lambda *_, **__: None, error=lambda *_, **__: None), ("check",))
+    return GatewayRecord(SimpleNamespace(info=lambda *_, **__: None, error=lambda *_, **__: None), ("check",))
 
 
 def test_counters_keep_their_first_names_and_their_order(record):
-    record.request_received(0)
-    record.client_left(0)
-    record.load_ordered("h")
+    record.count_request(0)
+    record.count_client_left(0)
+    record.count_load_order("h")
     for ending in Ending:
-        record.request_ended(0, ending)
+        record.count_final_answer(0, ending)
     counts = legacy_counts(record.counts)
     assert counts == {
         "taken": {"check": 1},
@@ -36,7 +36,7 @@
 
 def test_results_of_attempts_keep_their_first_names(record):
     for result in Result:
-        record.attempt_ended("h", 0, result)
+        record.count_attempt_result("h", 0, result)
     names = {
         "begun", "cancelled", "connect failed", "departed", "error", "full", "miss", "moot", "ok", "reset",
         "timeout",
@@ -48,7 +48,7 @@
 
 
 def test_events_keep_their_first_names_and_fields(record):
-    record.internal_error("a second answer", "g-1")
+    record.log_internal_error("a second answer", "g-1")
     record.event("info", "member_changed", member="g", state="dead", incarnation=2)
     record.event("info", "raft_role_changed", role="leader", term=3, leader="g")
     record.event("error", "cell_table_rejected", error="older")
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -8,7 +8,7 @@
 from gaproute.core.in_flight import AttemptResult
 from gaproute.interface.call import Answer, Call, Ending
 from gaproute.loop import Loop, Stepped
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 DONE = AttemptResult(face.Result.OK, Answer(200, (), b"done"))
@@ -58,7 +58,7 @@
 def core(serve):
     loop = Loop(Stepped())
     loop.on_error = lambda error: None
-    made = Core(loop, Scripted(serve), TERMS, Hosts(), Record(Log(), ["a", "b", "c"]), "g")
+    made = Core(loop, Scripted(serve), TERMS, Hosts(), GatewayRecord(Log(), ["a", "b", "c"]), "g")
     made.finals = []
     return made
 
@@ -203,9 +203,9 @@
 
 
 def test_the_counts_of_a_host_that_is_gone_are_forgotten():
-    made = Record(None, ["check"])
-    made.attempt_ended("a", 0, face.Result.RESET)
-    made.attempt_ended("b", 0, face.Result.OK)
+    made = GatewayRecord(None, ["check"])
+    made.count_attempt_result("a", 0, face.Result.RESET)
+    made.count_attempt_result("b", 0, face.Result.OK)
     made.forget_host("a")
     assert made.snapshot() == {"attempts": {"b": {"ok": 1}}}
 
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -6,7 +6,7 @@
 from gaproute.discovery.changelog import events
 from gaproute.platform.log import Log
 from gaproute.standins.platform import event
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
@@ -65,8 +65,8 @@
 
 def test_of_many_tasks_few_are_followed_and_the_same_ones_everywhere():
     marks = [f"{number:016x}" for number in range(6400)]
-    followed = [mark for mark in marks if Record(None, ()).is_traced(mark)]
-    again = [mark for mark in marks if Record(None, ()).is_traced(mark)]
+    followed = [mark for mark in marks if GatewayRecord(None, ()).is_traced(mark)]
+    again = [mark for mark in marks if GatewayRecord(None, ()).is_traced(mark)]
     assert 100 < len(followed) < 400
     assert followed == again
-    assert not any(Record(None, (), 0).is_traced(mark) for mark in marks)
+    assert not any(GatewayRecord(None, (), 0).is_traced(mark) for mark in marks)
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -20,7 +20,7 @@
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Loop, Stepped
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 HOSTS = ("a", "b")
 CLIENT_LIMIT = 3 * SECOND  # that each client waits
@@ -115,7 +115,7 @@
         terms = TERMS._replace(
             request_classes=REQUEST_CLASSES, cancel_allowed=cancel, hedging_allowed=hedging
         )
-        self.record = Record(
+        self.record = GatewayRecord(
             SimpleNamespace(error=lambda what, **fields: self.errors.append(fields)), "pgs", 0
         )
         self.hosts.on_removed = self.record.forget_host
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -14,7 +14,7 @@
 from gaproute.platform.process import GatewayProcess
 from gaproute.standins.platform import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
 from gaproute.standins.platform.deployment_settings import sample_settings
-from gaproute.telemetry.record import TRACE_ONE_IN
+from gaproute.telemetry.record import DEFAULT_TRACE_ONE_IN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SETTINGS = sample_settings(
@@ -111,7 +111,7 @@
     """`clock`: a `Handed` one where the test holds the time; `settings` stand in place of `SETTINGS`."""
 
     def __init__(
-        self, folder, answer=None, sockets=256, hosts=1, followed=TRACE_ONE_IN, clock=None, **options
+        self, folder, answer=None, sockets=256, hosts=1, followed=DEFAULT_TRACE_ONE_IN, clock=None, **options
     ):
         self.clock = clock
         self.loop = Loop(clock) if clock else Loop()
--- a/tests/support/written_log.py
+++ b/tests/support/written_log.py
@@ -13,7 +13,7 @@
 RECORD, PLATFORM_LOG = SOURCES / "telemetry" / "record.py", SOURCES / "platform" / "log.py"
 LEVELS = ("info", "warning", "error")
 STRUCTLOG_FIELDS = {"event", "level", "timestamp"}
-# Methods of `Record` that write an event with the fields that they are called with.
+# Methods of `GatewayRecord` that write an event with the fields that they are called with.
 EVENTS_BY_METHOD = {"log_step": "request_step", "log_load_order": "load_order_ended"}
 
 
@@ -143,7 +143,7 @@
 
 
 def _counters(tree):
-    """The first parts of the keys of `counts` that `Record` counts under."""
+    """The first parts of the keys of `counts` that `GatewayRecord` counts under."""
     keys = [
         node.slice
         for node in ast.walk(tree)
--- a/tests/telemetry/test_record.py
+++ b/tests/telemetry/test_record.py
@@ -8,7 +8,7 @@
 from gaproute.interface import Result
 from gaproute.interface.call import Ending
 from gaproute.telemetry.logs import logger
-from gaproute.telemetry.record import MAX_EVENTS, Record
+from gaproute.telemetry.record import MAX_EVENTS, GatewayRecord
 
 
 @pytest.fixture
@@ -18,14 +18,14 @@
 
 @pytest.fixture
 def record(lines):
-    return Record(logger(lines), ("check", "order"), trace_one_in=1)
+    return GatewayRecord(logger(lines), ("check", "order"), trace_one_in=1)
 
 
 def test_requests_are_counted_by_class_and_ending(record):
-    record.request_received(0)
-    record.request_received(1)
-    record.request_ended(0, Ending.DELIVERED)
-    record.client_left(1)
+    record.count_request(0)
+    record.count_request(1)
+    record.count_final_answer(0, Ending.DELIVERED)
+    record.count_client_left(1)
     assert record.snapshot() == {
         "received": {"check": 1, "order": 1},
         "delivered": {"check": 1},
@@ -34,9 +34,9 @@
 
 
 def test_a_failed_attempt_is_counted_by_host_and_by_class(record):
-    record.attempt_ended("a", 1, Result.ERROR)
-    record.attempt_ended("a", 1, Result.OK)
-    record.load_ordered("a")
+    record.count_attempt_result("a", 1, Result.ERROR)
+    record.count_attempt_result("a", 1, Result.OK)
+    record.count_load_order("a")
     assert record.snapshot() == {
         "attempts": {"a": {"error": 1, "ok": 1}},
         "failed_attempts": {"order": {"a": {"error": 1}}},
@@ -45,7 +45,7 @@
 
 
 def test_an_internal_error_is_logged_and_recorded_for_the_operators(record, lines):
-    record.internal_error("a second answer", "g-1")
+    record.log_internal_error("a second answer", "g-1")
     assert list(record.events) == [
         ("internal_error", {"message": "a second answer", "gateway_request_id": "g-1"})
     ]
