--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -116,7 +116,7 @@
             "followed": len(self.followed),
             "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
             "asked": sum(each.watcher.connection_count for each in followed),
-            "begun_anew": sum(each.watcher.restarts for each in followed),
+            "begun_anew": sum(each.watcher.restart_count for each in followed),
         }
 
     def close(self) -> None:
@@ -145,7 +145,7 @@
         if followed is None:
             return  # the cell was released as a result of an earlier event in the same bytes
         hosts_of_others = sum(
-            len(each.members.reported) for name, each in self.followed.items() if name != cell
+            len(each.members.reported_lines) for name, each in self.followed.items() if name != cell
         )
         rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - hosts_of_others)
         if rejected:
@@ -179,16 +179,16 @@
     def _put_in_force(self) -> None:
         """Uses the hosts that are consistent."""
         offered = {
-            cell: followed.members.reported
+            cell: followed.members.reported_lines
             for cell, followed in self.followed.items()
-            if followed.members.reported or cell in self.reconciler.active
+            if followed.members.reported_lines or cell in self.reconciler.lines_in_force
         }
-        before = self.reconciler.active
+        before = self.reconciler.lines_in_force
         self.reconciler.reconcile(offered, self.zones)
         self._report_conflicts()
         in_force = {
             cell: self._lines(cell, lines, unchanged=before.get(cell) is lines)
-            for cell, lines in self.reconciler.active.items()
+            for cell, lines in self.reconciler.lines_in_force.items()
             if lines or cell in self.in_force
         }
         if in_force != self.in_force:
@@ -203,7 +203,7 @@
 
     def _report_conflicts(self) -> None:
         for cell, followed in self.followed.items():
-            before, followed.conflicts = followed.conflicts, self.reconciler.rejected.get(cell, {})
+            before, followed.conflicts = followed.conflicts, self.reconciler.rejection_reasons.get(cell, {})
             new = [RejectedMember(*each) for each in followed.conflicts.items() if each not in before.items()]
             if new:
                 self.on_rejected(cell, len(new), followed.limit_for_log(new))
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -54,7 +54,7 @@
         """By host: its state, and its start by the list, in ns since 1970 or `NO_START`."""
         start_times = self.converter.start_times
         return {
-            name: (row.listed.state.value, start_times.reported(name) or NO_START)
+            name: (row.listed.state.value, start_times.reported_start(name) or NO_START)
             for name, row in self.rows.items()
         }
 
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -15,7 +15,7 @@
 from gaproute.discovery.changelog.events import FleetUpdate
 from gaproute.discovery.changelog.member_records import (
     DECODING_ERRORS,
-    STATES,
+    STATES_BY_PHASE,
     MemberRecord,
     capacity_of,
     decode_member,
@@ -27,9 +27,9 @@
 MILLIS_PER_SECOND = 1_000
 MAX_REASON_CHARS = 200
 UNKNOWN_NAME = "?"  # in place of the name of a member that has none
-EMPTY_LIST = "a whole list without hosts"
-PHASES = {state: phase for phase, state in STATES.items()}
-GONE, DRAINING = PHASES[State.GONE], PHASES[State.DRAINING]
+EMPTY_LIST_REASON = "a whole list without hosts"
+PHASES_BY_STATE = {state: phase for phase, state in STATES_BY_PHASE.items()}
+GONE_PHASE, DRAINING_PHASE = PHASES_BY_STATE[State.GONE], PHASES_BY_STATE[State.DRAINING]
 
 
 class MemberError(GaprouteError, ValueError):
@@ -48,21 +48,21 @@
     force.
     """
 
-    __slots__ = ("reported",)
+    __slots__ = ("reported_lines",)
 
     def __init__(self) -> None:
-        self.reported: dict[str, HostLine] = {}
+        self.reported_lines: dict[str, HostLine] = {}
 
     def apply(self, update: FleetUpdate, max_hosts: int = MAX_HOSTS) -> list[RejectedMember]:
         """Applies an event, after which the cell has at most `max_hosts` hosts; returns the rejected
         members.
         """
         if update.complete and not update.members:
-            return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST)]
-        after = {} if update.complete else dict(self.reported)
+            return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST_REASON)]
+        after = {} if update.complete else dict(self.reported_lines)
         max_hosts = min(max_hosts, MAX_HOSTS)
         applied = [self._apply_member(raw, after, max_hosts) for raw in update.members]
-        self.reported = after
+        self.reported_lines = after
         return [rejected for rejected in applied if rejected is not None]
 
     def _apply_member(
@@ -71,23 +71,23 @@
         name, phase = UNKNOWN_NAME, None
         try:
             name, phase = decode_member_state(raw)
-            if phase == GONE:
+            if phase == GONE_PHASE:
                 after.pop(name, None)
                 return None
-            if name not in self.reported and name not in after and len(after) >= max_hosts:
+            if name not in self.reported_lines and name not in after and len(after) >= max_hosts:
                 raise MemberError(f"more than {max_hosts} hosts")
             after[name] = _host_line(decode_member(raw))
         except DECODING_ERRORS as error:
-            known = after.get(name) or self.reported.get(name)
+            known = after.get(name) or self.reported_lines.get(name)
             if known is not None:
-                after[name] = with_state(known, State.DRAINING.value) if phase == DRAINING else known
-            return RejectedMember(name[:MAX_REASON_CHARS], _reason(error))
+                after[name] = with_state(known, State.DRAINING.value) if phase == DRAINING_PHASE else known
+            return RejectedMember(name[:MAX_REASON_CHARS], _rejection_reason(error))
         return None
 
 
 def _host_line(member: MemberRecord) -> HostLine:
     """Converts a member to a line of a host list. Errors: MemberError."""
-    state = STATES.get(member.phase)
+    state = STATES_BY_PHASE.get(member.phase)
     if state is None:
         raise MemberError(f"unknown phase {member.phase!r}")
     start = member.up_since_ms
@@ -103,7 +103,7 @@
     )
 
 
-def _reason(error: Exception) -> str:
+def _rejection_reason(error: Exception) -> str:
     text = str(error)
     if isinstance(error, ValidationError):
         first = error.errors()[0]
--- a/gaproute/discovery/cell_reconciler.py
+++ b/gaproute/discovery/cell_reconciler.py
@@ -31,12 +31,12 @@
     """
 
     def __init__(self) -> None:
-        self.active: CellLines = {}
-        self.rejected: dict[str, dict[str, str]] = {}
+        self.lines_in_force: CellLines = {}
+        self.rejection_reasons: dict[str, dict[str, str]] = {}
         # The arguments of the last `reconcile`.
-        self.reported: CellLines = {}
-        self.zones: dict[str, str] = {}
-        self.owners: Owners = {}
+        self.last_reported: CellLines = {}
+        self.last_zones: dict[str, str] = {}
+        self.last_owners: Owners = {}
 
     def reconcile(self, reported: CellLines, zones: Mapping[str, str]) -> None:
         """Puts in force what is reported (by cell and host), except lines that conflict.
@@ -46,26 +46,28 @@
         changed = {
             cell: lines for cell, lines in reported.items() if not self._is_reconciled(cell, lines, zones)
         }
-        owners: Owners = {cell: {} if cell in changed else self.owners[cell] for cell in reported}
-        chosen, self.rejected = _choose(_candidates(changed, self.active), owners, zones)
-        self.active = {
+        owners: Owners = {cell: {} if cell in changed else self.last_owners[cell] for cell in reported}
+        chosen, self.rejection_reasons = _choose_lines(
+            _ordered_candidates(changed, self.lines_in_force), owners, zones
+        )
+        self.lines_in_force = {
             cell: {name: chosen[cell][name] for name in lines if name in chosen[cell]}
             if cell in changed
-            else self.active[cell]
+            else self.lines_in_force[cell]
             for cell, lines in reported.items()
         }
-        self.owners, self.reported, self.zones = owners, dict(reported), dict(zones)
+        self.last_owners, self.last_reported, self.last_zones = owners, dict(reported), dict(zones)
 
     def _is_reconciled(self, cell: str, lines: HostLines, zones: Mapping[str, str]) -> bool:
         """Whether everything in the cell is in force as it is reported now."""
         return (
-            self.reported.get(cell) is lines
-            and self.zones.get(cell) == zones[cell]
-            and cell not in self.rejected
+            self.last_reported.get(cell) is lines
+            and self.last_zones.get(cell) == zones[cell]
+            and cell not in self.rejection_reasons
         )
 
 
-def _choose(
+def _choose_lines(
     candidates: list[Candidate], owners: Owners, zones: Mapping[str, str]
 ) -> tuple[CellLines, dict[str, dict[str, str]]]:
     """(lines in force by cell, reasons by cell and host); the first line that uses a name or an address has
@@ -77,18 +79,18 @@
     rejected: dict[str, dict[str, str]] = {}
     for cell, line, fallback in candidates:
         taken: HostLine | None = line
-        reason = _clash(cell, line, owners) or _misplacement(line, zones[cell])
+        reason = _conflict_reason(cell, line, owners) or _zone_conflict_reason(line, zones[cell])
         if reason is not None:
             rejected.setdefault(cell, {})[line.name] = reason
             taken = fallback
-        if taken is None or (reason is not None and _clash(cell, taken, owners) is not None):
+        if taken is None or (reason is not None and _conflict_reason(cell, taken, owners) is not None):
             continue
         chosen[cell][taken.name] = taken
         owners[cell][taken.name] = owners[cell][taken.where] = taken.name
     return chosen, rejected
 
 
-def _candidates(reported: CellLines, active: CellLines) -> list[Candidate]:
+def _ordered_candidates(reported: CellLines, active: CellLines) -> list[Candidate]:
     """The order of lines: first hosts that are unchanged, then those in force that changed, then others."""
     same, changed, fresh = [], [], []
     for cell, lines in reported.items():
@@ -106,7 +108,7 @@
     return same + changed + fresh
 
 
-def _clash(cell: str, line: HostLine, owners: Owners) -> str | None:
+def _conflict_reason(cell: str, line: HostLine, owners: Owners) -> str | None:
     """Why the line conflicts with those that are in force, or None."""
     for other, owned in owners.items():
         for key in (line.name, line.where):
@@ -116,7 +118,7 @@
     return None
 
 
-def _misplacement(line: HostLine, zone: str) -> str | None:
+def _zone_conflict_reason(line: HostLine, zone: str) -> str | None:
     if line.zone in ("", zone):
         return None
     return f"it stands in zone {line.zone}, its cell in {zone}"
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -21,7 +21,7 @@
 FIRST_BACKOFF = SECOND
 MAX_BACKOFF = 8 * SECOND  # while no source answers
 MAX_CELL_EVENT_BYTES = 1 << 20  # 1 KiB for each of the most hosts
-SOURCE_ENDED = (ConnectionRefusedError, FileNotFoundError)  # it may begin again in other numbers
+SOURCE_ENDED_ERRORS = (ConnectionRefusedError, FileNotFoundError)  # it may begin again in other numbers
 
 
 def cell_path(fleet: str, cell: str) -> bytes:
@@ -39,7 +39,7 @@
 
 class CellWatcher(ChangeLogWatcher):
     """Calls `on_event(event)` for each event in order; `on_lost(reason)` once the sources fail, however often
-    they are tried, and `on_found()` once one has been alive for longer than `SILENCE_TIMEOUT`."""
+    they are tried, and `on_restored()` once one has been alive for longer than `SILENCE_TIMEOUT`."""
 
     first_backoff, max_backoff = FIRST_BACKOFF, MAX_BACKOFF
     max_event_bytes = MAX_CELL_EVENT_BYTES
@@ -51,21 +51,21 @@
         path: bytes,
         on_event: Callable[[Event], object],
         on_lost: Callable[[str], object],
-        on_found: Callable[[], object],
+        on_restored: Callable[[], object],
         chance: RandomSource,
     ) -> None:
         """`sources`: their addresses; `path`: as `cell_path` gives it."""
         self.sources, self.path = shuffled(sources, chance), path
-        self.on_lost, self.on_found = on_lost, on_found
+        self.on_lost, self.on_restored = on_lost, on_restored
         self.source_index = 0  # of the source in use
-        self.has_base = False  # a whole list of this source has come
+        self.has_complete_list = False  # a whole list of this source has come
         self.failing = False
         super().__init__(loop, self.sources[0], 0, on_event, chance)
 
     def on_connected(self, number: int, sock: socket.socket | None, error: OSError | None) -> None:
         """As `ChangeLogWatcher.on_connected`; from a source that has ended a whole list is requested."""
-        if isinstance(error, SOURCE_ENDED):
-            self._forget()
+        if isinstance(error, SOURCE_ENDED_ERRORS):
+            self._forget_position()
         super().on_connected(number, sock, error)
 
     def read_now(self) -> None:
@@ -82,28 +82,28 @@
             self.source_index = (self.source_index + 1) % len(self.sources)
             self.address_text = self.sources[self.source_index]
             self.address = parse_address(self.address_text)
-            self._forget()
+            self._forget_position()
         super().reconnect_later(reason)
 
-    def connection_proved(self) -> None:
+    def on_connection_proved(self) -> None:
         """The connection has been alive for a while."""
-        super().connection_proved()
+        super().on_connection_proved()
         if self.failing and self.last_message_at >= self.connecting_since + SILENCE_TIMEOUT:
             self.failing = False
-            self.loop.guard(self.on_found)
+            self.loop.guard(self.on_restored)
 
-    def follows_on(self, event: Event) -> bool:
+    def follows_last_event(self, event: Event) -> bool:
         """Whether the event is a whole list, or one of those that follow it."""
-        return event.fleet.complete or self.has_base and event.seq <= self.last_seq + 1
+        return event.fleet.complete or self.has_complete_list and event.seq <= self.last_seq + 1
 
     def has_list(self) -> bool:
         """Whether a whole list has come of this source."""
-        return self.has_base
+        return self.has_complete_list
 
-    def request_missing(self) -> bool:
+    def request_missing_events(self) -> bool:
         """Something is missing: request a whole list."""
         reason = f"something is missing after {self.last_seq}"
-        self._forget()
+        self._forget_position()
         self.reconnect_later(reason)
         return True
 
@@ -111,9 +111,9 @@
         """A whole list that comes first on a connection is the current one, whatever its number."""
         return event.fleet.complete
 
-    def remember(self, event: Event) -> None:
+    def remember_list(self, event: Event) -> None:
         """Whole lists need not be recognized: `is_restart` accepts each."""
-        self.has_base = True
+        self.has_complete_list = True
 
-    def _forget(self) -> None:
-        self.last_seq, self.has_base = 0, False
+    def _forget_position(self) -> None:
+        self.last_seq, self.has_complete_list = 0, False
--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -43,7 +43,7 @@
 decode_event = msgspec.json.Decoder(Event, strict=False).decode  # a number may come as a string
 
 
-def decode_initial(message: object) -> InitialEvents:
+def decode_initial_events(message: object) -> InitialEvents:
     """The events that the configuration brings, as objects of JSON. Errors: msgspec.ValidationError."""
     initial = msgspec.convert(message, _InitialMessage, strict=False)
     events = [decode_event(msgspec.json.encode(result)) for result in initial.results]
--- a/gaproute/discovery/changelog/member_records.py
+++ b/gaproute/discovery/changelog/member_records.py
@@ -8,7 +8,7 @@
 from gaproute.interface import State
 from gaproute.units import MILLI
 
-STATES = {"Ready": State.ACTIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES_BY_PHASE = {"Ready": State.ACTIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
 DEFAULT_CAPACITY = 1.0  # of a host whose size makes no sense
 
 
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -8,7 +8,7 @@
 from gaproute.discovery.changelog.events import FleetUpdate
 from gaproute.discovery.changelog.member_records import (
     DECODING_ERRORS,
-    STATES,
+    STATES_BY_PHASE,
     MemberRecord,
     capacity_of,
     decode_member,
@@ -29,51 +29,55 @@
     host goes with it.
     """
 
-    def __init__(self, loop: Loop, zones: Iterable[str], wall: Callable[[], int] = time.time_ns) -> None:
+    def __init__(
+        self, loop: Loop, zones: Iterable[str], wall_clock: Callable[[], int] = time.time_ns
+    ) -> None:
         """`zones`: the first ones, in the order of their numbers."""
-        self.start_times = StartTimes(loop, wall)
+        self.start_times = StartTimes(loop, wall_clock)
         self.zones: dict[str | int, int] = {name: number for number, name in enumerate(zones)}
         self.cells: dict[str, int] = {}
-        self.rejected = 0  # members that could not be read
-        self.hosts: dict[str, Endpoint] = {}  # by id
+        self.rejected_count = 0  # members that could not be read
+        self.endpoints_by_host: dict[str, Endpoint] = {}  # by id
 
-    def endpoints(self, update: FleetUpdate, absent_at: int | None = None) -> list[Endpoint]:
+    def endpoints(self, update: FleetUpdate, last_absent_at: int | None = None) -> list[Endpoint]:
         """The members of an event as endpoints.
 
-        `absent_at`: when the list was last known before this news, by the loop's clock; None: never.
+        `last_absent_at`: when the list was last known before this news, by the loop's clock; None: never.
         """
-        converted = [self._convert_or_known(raw, absent_at) for raw in update.members]
+        converted = [self._convert_or_last_known(raw, last_absent_at) for raw in update.members]
         endpoints = [endpoint for endpoint in converted if endpoint is not None]
         if update.complete:
             named = {endpoint.listed.host for endpoint in endpoints}
-            self.hosts = {host: endpoint for host, endpoint in self.hosts.items() if host in named}
-            self.start_times.retain(self.hosts)
+            self.endpoints_by_host = {
+                host: endpoint for host, endpoint in self.endpoints_by_host.items() if host in named
+            }
+            self.start_times.retain(self.endpoints_by_host)
         return endpoints
 
-    def _convert_or_known(self, raw: msgspec.Raw, absent_at: int | None) -> Endpoint | None:
+    def _convert_or_last_known(self, raw: msgspec.Raw, last_absent_at: int | None) -> Endpoint | None:
         try:
-            return self._convert(decode_member(raw), absent_at)
+            return self._convert(decode_member(raw), last_absent_at)
         except (*DECODING_ERRORS, KeyError):
-            self.rejected += 1
+            self.rejected_count += 1
         try:
-            return self.hosts.get(decode_member_name(raw).id)
+            return self.endpoints_by_host.get(decode_member_name(raw).id)
         except DECODING_ERRORS:
             return None
 
-    def _convert(self, member: MemberRecord, absent_at: int | None) -> Endpoint:
+    def _convert(self, member: MemberRecord, last_absent_at: int | None) -> Endpoint:
         """Errors: ValueError, KeyError."""
         address(member.host_port)
-        state = STATES[member.phase]
+        state = STATES_BY_PHASE[member.phase]
         zone = self.zones.setdefault(member.locality, len(self.zones))
         cell = member.cell
         if isinstance(cell, str):
             cell = self.cells.setdefault(cell, len(self.cells))
-        started = self.start_times.start_of(member.id, reported_start_of(member), absent_at)
+        started = self.start_times.start_of(member.id, reported_start_of(member), last_absent_at)
         listed = ListedHost(member.id, zone, cell, state, capacity_of(member), started)
         endpoint = Endpoint(listed, member.host_port)
         if state is State.GONE:
-            self.hosts.pop(member.id, None)
+            self.endpoints_by_host.pop(member.id, None)
             self.start_times.forget(member.id)
         else:
-            self.hosts[member.id] = endpoint
+            self.endpoints_by_host[member.id] = endpoint
         return endpoint
--- a/gaproute/discovery/changelog/sse.py
+++ b/gaproute/discovery/changelog/sse.py
@@ -27,19 +27,19 @@
         self.max_event_bytes = max_event_bytes
         self.parser = httptools.HttpResponseParser(self)
         self.partial_line, self.event_data = bytearray(), bytearray()
-        self.completed = self.unfinished_bytes = 0
+        self.completed_count = self.unfinished_bytes = 0
         self.events: list[Event | None] = []
 
     def feed(self, data: bytes) -> list[Event | None]:
         """The events that the bytes completed. Errors: ChangeLogError, with those before it in `events`."""
-        completed_before = self.completed
+        completed_before = self.completed_count
         self.unfinished_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
             cause = error.__context__  # what a callback raised
             raise ChangeLogError(str(cause if isinstance(cause, ChangeLogError) else error)) from None
-        if self.completed != completed_before:
+        if self.completed_count != completed_before:
             self.unfinished_bytes = 0
         if self.unfinished_bytes > self.max_event_bytes:
             raise ChangeLogError("an event is too long")
@@ -53,7 +53,7 @@
         status = self.parser.get_status_code()
         if status != OK_STATUS:
             raise ChangeLogError(f"status {status}")
-        self.completed += 1
+        self.completed_count += 1
 
     def on_message_complete(self) -> None:
         """The answer, which should have no end, has ended. Errors: ChangeLogError."""
@@ -66,16 +66,16 @@
             return
         *lines, self.partial_line = self.partial_line.split(b"\n")
         for line in lines:
-            self._take_line(line.removesuffix(b"\r"))
+            self._process_line(line.removesuffix(b"\r"))
 
-    def _take_line(self, line: bytearray) -> None:
+    def _process_line(self, line: bytearray) -> None:
         name, _, value = line.partition(b":")
         if not line:
             self._end_event()
         elif name == b"data":
             self.event_data += value + b"\n"
         elif not name and not self.event_data:  # a comment
-            self.completed += 1
+            self.completed_count += 1
 
     def _end_event(self) -> None:
         data, self.event_data = self.event_data, bytearray()
@@ -84,4 +84,4 @@
                 self.events.append(decode_event(data))
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
                 self.events.append(None)
-        self.completed += 1
+        self.completed_count += 1
--- a/gaproute/discovery/changelog/start_times.py
+++ b/gaproute/discovery/changelog/start_times.py
@@ -28,52 +28,52 @@
     The start of a host is converted once, so that a wall clock that is set does not look like a restart.
     """
 
-    def __init__(self, loop: Loop, wall: Callable[[], int]) -> None:
+    def __init__(self, loop: Loop, wall_clock: Callable[[], int]) -> None:
         """`wall`: ns since 1970."""
-        self.loop, self.wall = loop, wall
-        self.offset: int = wall() - loop.now()  # the lowest seen, ns
-        self.by_host: dict[str, HostStart] = {}
+        self.loop, self.wall_clock = loop, wall_clock
+        self.clock_offset: int = wall_clock() - loop.now()  # the lowest seen, ns
+        self.starts_by_host: dict[str, HostStart] = {}
 
-    def start_of(self, host: str, reported: int | None, absent_at: int | None) -> int | None:
+    def start_of(self, host: str, reported: int | None, last_absent_at: int | None) -> int | None:
         """When a listed host started, by the loop's clock; None where that is not reported.
 
-        `reported`: ns since 1970. `absent_at`: when the list was last known before
+        `reported`: ns since 1970. `last_absent_at`: when the list was last known before
         this news, by the loop's clock; None where it was never known.
         """
-        known = self.by_host.get(host)
+        known = self.starts_by_host.get(host)
         if reported is None:
-            self.by_host[host] = NO_START
+            self.starts_by_host[host] = NO_START
             return None
         if known is not None and known.reported == reported:
             return known.converted
         if known is NO_START:  # the host was there before, its start is only reported now
-            absent_at = None
-        converted = self.convert(reported, absent_at)
-        self.by_host[host] = HostStart(reported, converted)
+            last_absent_at = None
+        converted = self.convert(reported, last_absent_at)
+        self.starts_by_host[host] = HostStart(reported, converted)
         return converted
 
-    def reported(self, host: str) -> int | None:
+    def reported_start(self, host: str) -> int | None:
         """The host's start as it was reported, ns since 1970; None where it was not."""
-        known = self.by_host.get(host)
+        known = self.starts_by_host.get(host)
         return None if known is None else known.reported
 
     def retain(self, hosts: Collection[str]) -> None:
         """Forget all hosts but these."""
-        self.by_host = {host: start for host, start in self.by_host.items() if host in hosts}
+        self.starts_by_host = {host: start for host, start in self.starts_by_host.items() if host in hosts}
 
     def forget(self, host: str) -> None:
         """Forget a host that is gone."""
-        self.by_host.pop(host, None)
+        self.starts_by_host.pop(host, None)
 
-    def convert(self, reported: int, absent_at: int | None) -> int:
+    def convert(self, reported: int, last_absent_at: int | None) -> int:
         """When a host started, by the loop's clock; one in the future started just now.
 
-        `reported`: ns since 1970. `absent_at`: when the list was last known to be without this start, by the
+        `reported`: ns since 1970. `last_absent_at`: when the list was last known to be without this start, by the
         loop's clock; None where it was never known before, or the host was in it with no start reported.
         """
         now: int = self.loop.now()
-        self.offset = min(self.offset, self.wall() - now)
-        started = reported - self.offset
-        if absent_at is not None:
-            started = max(started, absent_at)
+        self.clock_offset = min(self.clock_offset, self.wall_clock() - now)
+        started = reported - self.clock_offset
+        if last_absent_at is not None:
+            started = max(started, last_absent_at)
         return min(started, now)
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -19,8 +19,8 @@
 FIRST_BACKOFF = 20 * MILLI  # doubled with each connection that brought nothing
 MAX_BACKOFF = 500 * MILLI  # short beside the 4 s after which an event counts as delivered
 JITTER_STEPS = 1024
-HEAD_ONLY = 1  # what is complete of an answer that has its head alone: nothing of the list
-MAX_DIGESTS = 1024  # whole lists that are known again, by some bytes each: usually there is one
+COMPLETED_BY_HEAD = 1  # what is complete of an answer that has its head alone: nothing of the list
+MAX_LIST_DIGESTS = 1024  # whole lists that are known again, by some bytes each: usually there is one
 
 
 class ChangeLogWatcher:
@@ -55,13 +55,13 @@
         self.timer: Timer | None = None
         self.reader: EventReader | None = None
         self.backoff, self.connection_count = self.first_backoff, 0
-        self.gap_after: int | None = None  # number after which missing events were requested
-        self.digests: dict[int, int] = {}  # of whole lists, by number
-        self.awaits_first_event, self.restarts = False, 0
+        self.gap_requested_after: int | None = None  # number after which missing events were requested
+        self.list_digests: dict[int, int] = {}  # of whole lists, by number
+        self.awaits_first_event, self.restart_count = False, 0
         self.last_error = ""  # why the connection before this one ended
         for event in known:
-            self.remember(event)
-        self.current_at: int | None = loop.now() if self.digests else None
+            self.remember_list(event)
+        self.current_at: int | None = loop.now() if self.list_digests else None
         self.last_message_at = self.connecting_since = loop.now()
         self.last_progress_at = self.last_message_at  # the later of the two
         self.set_address(address_text)
@@ -105,36 +105,36 @@
         reader = self.reader
         if reader is None:
             return
-        completed_before = reader.completed
+        completed_before = reader.completed_count
         try:
             events = reader.feed(data)
         except ChangeLogError as error:
             events = reader.events
             self.reconnect_later(error)
-        if reader.completed != completed_before:
+        if reader.completed_count != completed_before:
             self.last_message_at = self.last_progress_at = self.loop.now()
             if self.last_message_at >= self.connecting_since + MAX_BACKOFF:
-                self.connection_proved()
+                self.on_connection_proved()
         for event in events:
-            if not self._take(event):
+            if not self._process_event(event):
                 return
-        if reader.completed > max(completed_before, HEAD_ONLY) and self.has_list():
+        if reader.completed_count > max(completed_before, COMPLETED_BY_HEAD) and self.has_list():
             self.current_at = self.loop.now()
 
-    def _take(self, event: Event | None) -> bool:
+    def _process_event(self, event: Event | None) -> bool:
         """Pass the event on if it is new; False where what is missing before it is requested first."""
         first, self.awaits_first_event = self.awaits_first_event, False
-        if event is None or not self.follows_on(event):
-            if self.request_missing():
+        if event is None or not self.follows_last_event(event):
+            if self.request_missing_events():
                 return False
             if event is None:
                 return True
         elif event.seq <= self.last_seq:
             if not (first and self.is_restart(event)):
                 return True  # a duplicate
-            self.restarts += 1
+            self.restart_count += 1
         self.last_seq, self.backoff = event.seq, self.first_backoff
-        self.remember(event)
+        self.remember_list(event)
         self.loop.guard(self.on_event, event)
         return True
 
@@ -142,34 +142,34 @@
 
     def has_list(self) -> bool:
         """Whether a whole list has come, on which what comes now builds."""
-        return bool(self.digests)
+        return bool(self.list_digests)
 
-    def connection_proved(self) -> None:
+    def on_connection_proved(self) -> None:
         """The connection has been alive for a while; a head alone would say nothing."""
         self.backoff = self.first_backoff
 
-    def follows_on(self, event: Event) -> bool:
+    def follows_last_event(self, event: Event) -> bool:
         """Whether nothing is missing before the event."""
         return event.fleet.complete or event.seq <= self.last_seq + 1
 
-    def request_missing(self) -> bool:
+    def request_missing_events(self) -> bool:
         """Request a missing or unreadable event once, then do without. Whether it is requested."""
-        if self.gap_after == self.last_seq:
+        if self.gap_requested_after == self.last_seq:
             return False
-        self.gap_after = self.last_seq
+        self.gap_requested_after = self.last_seq
         self.reconnect_later(f"something is missing after {self.last_seq}")
         return True
 
     def is_restart(self, event: Event) -> bool:
         """Whether the log has restarted with this event, the first on a connection and of a known number."""
-        return event.fleet.complete and self.digests.get(event.seq) != event.fleet.digest()
+        return event.fleet.complete and self.list_digests.get(event.seq) != event.fleet.digest()
 
-    def remember(self, event: Event) -> None:
+    def remember_list(self, event: Event) -> None:
         """Remember a whole list, to recognize it when it is written again."""
         if event.fleet.complete:
-            self.digests[event.seq] = event.fleet.digest()
-            if len(self.digests) > MAX_DIGESTS:
-                del self.digests[min(self.digests)]
+            self.list_digests[event.seq] = event.fleet.digest()
+            if len(self.list_digests) > MAX_LIST_DIGESTS:
+                del self.list_digests[min(self.list_digests)]
 
     # Ends of connections
 
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -55,10 +55,10 @@
         self.timer: Timer | None = None
         # After a stall the file is read before the requests that came in the meantime.
         loop.on_late_turn.append(self.check)
-        self._check_again()
+        self._check_periodically()
 
-    def _check_again(self) -> None:
-        self.timer = self.loop.after(self.interval, self._check_again)
+    def _check_periodically(self) -> None:
+        self.timer = self.loop.after(self.interval, self._check_periodically)
         self.check()
 
     def check(self) -> None:
@@ -84,14 +84,14 @@
         try:
             content = self.reader(self.path)
         except ConfigurationError as error:
-            if self._is_reported(error):
+            if self._should_report(error):
                 self.on_rejected(error.mistakes)
             return
         self.failed_reads = 0
         self.on_change(content)
         self.accepted, self.current_at = True, read_at
 
-    def _is_reported(self, error: ConfigurationError) -> bool:
+    def _should_report(self, error: ConfigurationError) -> bool:
         """Whether the error is reported; a transient one is checked again first."""
         cause = cause_of(error)
         if cause is None or not is_transient_read(cause):
--- a/gaproute/discovery/host_lines.py
+++ b/gaproute/discovery/host_lines.py
@@ -10,8 +10,8 @@
 from gaproute.interface import ListedHost, State
 from gaproute.loop import Loop
 
-STATES = {state.value: state for state in State}
-SAME_CAPACITY = 1.0  # of all hosts, if capacities are not used
+STATES_BY_VALUE = {state.value: state for state in State}
+UNIFORM_CAPACITY = 1.0  # of all hosts, if capacities are not used
 
 
 class HostLineConverter:
@@ -22,19 +22,19 @@
     """
 
     def __init__(
-        self, loop: Loop, wall: Callable[[], int] = time.time_ns, *, use_capacities: bool = True
+        self, loop: Loop, wall_clock: Callable[[], int] = time.time_ns, *, use_capacities: bool = True
     ) -> None:
         """`wall`: ns since 1970."""
-        self.start_times, self.use_capacities = StartTimes(loop, wall), use_capacities
+        self.start_times, self.use_capacities = StartTimes(loop, wall_clock), use_capacities
         self.zones, self.racks = NameNumbers(), NameNumbers()
 
-    def endpoints(self, lines: Collection[HostLine], absent_at: int | None = None) -> list[Endpoint]:
+    def endpoints(self, lines: Collection[HostLine], last_absent_at: int | None = None) -> list[Endpoint]:
         """The endpoints of a complete list.
 
-        `absent_at`: when the former list was last known to be in force, ns of the loop's clock; None if this
-        is the first list.
+        `last_absent_at`: when the previous list was last known to be current, ns of the loop's clock; None if
+        this is the first list.
         """
-        endpoints = [self.endpoint(line, line.zone, absent_at) for line in lines]
+        endpoints = [self.endpoint(line, line.zone, last_absent_at) for line in lines]
         self.retain(lines)
         return endpoints
 
@@ -44,10 +44,10 @@
         self.start_times.retain({line.name for line in lines})
         self.racks.retain(line.rack for line in lines)
 
-    def endpoint(self, line: HostLine, zone_name: str, absent_at: int | None = None) -> Endpoint:
-        """The endpoint of one line, whose host is in that zone. `absent_at`: as for `endpoints`."""
+    def endpoint(self, line: HostLine, zone_name: str, last_absent_at: int | None = None) -> Endpoint:
+        """The endpoint of one line, whose host is in that zone. `last_absent_at`: as for `endpoints`."""
         zone, rack = self.zones.number(zone_name), self.racks.number(line.rack)
-        capacity = line.capacity if self.use_capacities else SAME_CAPACITY
-        started = self.start_times.start_of(line.name, line.started, absent_at)
-        listed = ListedHost(line.name, zone, rack, STATES[line.state], capacity, started)
+        capacity = line.capacity if self.use_capacities else UNIFORM_CAPACITY
+        started = self.start_times.start_of(line.name, line.started, last_absent_at)
+        listed = ListedHost(line.name, zone, rack, STATES_BY_VALUE[line.state], capacity, started)
         return Endpoint(listed, line.where)
--- a/gaproute/discovery/name_numbers.py
+++ b/gaproute/discovery/name_numbers.py
@@ -8,18 +8,18 @@
 class NameNumbers:
     """Numbers names in the order in which they first occur; no number is used twice."""
 
-    __slots__ = ("by_name", "next")
+    __slots__ = ("by_name", "next_number")
 
     def __init__(self) -> None:
         self.by_name: dict[str, int] = {}
-        self.next = 0
+        self.next_number = 0
 
     def number(self, name: str) -> int:
         """The name's number."""
         number = self.by_name.get(name)
         if number is None:
-            number = self.by_name[name] = self.next
-            self.next += 1
+            number = self.by_name[name] = self.next_number
+            self.next_number += 1
         return number
 
     def retain(self, names: Iterable[str]) -> None:
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -114,7 +114,7 @@
         text = f"{path}: seed: {configuration.seed!r} is no hexadecimal number"
         raise ConfigurationRejectedError(text) from None
     try:
-        events.decode_initial(configuration.known)
+        events.decode_initial_events(configuration.known)
     except msgspec.ValidationError as error:
         raise ConfigurationRejectedError(f"{path}: known: {error}") from None
 
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -26,15 +26,15 @@
 
     def start(self, known: Mapping[str, object], change_log: str, chance: Chance) -> None:
         """Applies the events of the configuration (`known`) and follows the change log at its address."""
-        last_seq, initial = events.decode_initial(known)
+        last_seq, initial = events.decode_initial_events(known)
         for event in initial:
             self.apply(event)
         self.watcher = ChangeLogWatcher(self.loop, change_log, last_seq, self.apply, chance, initial)
 
     def apply(self, event: events.Event) -> None:
         """Applies one event, first to the connections: the decisions may use a new host at once."""
-        absent_at = self.watcher.current_at if self.watcher is not None else None
-        endpoints = self.member_converter.endpoints(event.fleet, absent_at)
+        last_absent_at = self.watcher.current_at if self.watcher is not None else None
+        endpoints = self.member_converter.endpoints(event.fleet, last_absent_at)
         complete = event.fleet.complete
         self.host_client.update(endpoints, complete=complete)
         self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete=complete)
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -101,13 +101,13 @@
         }
 
     def _host_list_fields(self) -> dict[str, object]:
-        watcher, rejected = self.host_list.watcher, self.host_list.member_converter.rejected
+        watcher, rejected = self.host_list.watcher, self.host_list.member_converter.rejected_count
         if watcher is None:
             return {"rejected_members": rejected}
         return {
             "rejected_members": rejected,
             "change_log_connections": watcher.connection_count,
-            "change_log_restarts": watcher.restarts,
+            "change_log_restarts": watcher.restart_count,
             "change_log_error": watcher.last_error,
             "change_log_seq": watcher.last_seq,
             "change_log_silent_ms": (self.loop.now() - watcher.last_message_at) // MILLI,
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -46,12 +46,15 @@
 def test_no_name_and_no_address_is_in_force_twice_and_no_drain_is_lost(changes):
     cells, force, anew = {cell: CellMembers() for cell in ZONES}, CellReconciler(), CellReconciler()
     for cell, complete, rows in changes:
-        before = force.active
+        before = force.lines_in_force
         cells[cell].apply(fleet(complete, rows))
-        force.reconcile({name: each.reported for name, each in cells.items()}, ZONES)
-        anew.reconcile({name: dict(each.reported) for name, each in cells.items()}, ZONES)
-        assert (force.active, force.rejected) == (anew.active, anew.rejected)  # every cell gone through again
-        held, refused = force.active, force.rejected
+        force.reconcile({name: each.reported_lines for name, each in cells.items()}, ZONES)
+        anew.reconcile({name: dict(each.reported_lines) for name, each in cells.items()}, ZONES)
+        assert (force.lines_in_force, force.rejection_reasons) == (
+            anew.lines_in_force,
+            anew.rejection_reasons,
+        )  # every cell gone through again
+        held, refused = force.lines_in_force, force.rejection_reasons
         lines = [line for of_cell in held.values() for line in of_cell.values()]
         assert len({line.name for line in lines}) == len({line.where for line in lines}) == len(lines)
         assert all(line.zone in ("", ZONES[name]) for name in held for line in held[name].values())
@@ -60,8 +63,8 @@
             if name in before.get(cell, {}):
                 assert state == "active" or name not in held[cell] or held[cell][name].state == state
         for name, each in cells.items():
-            assert set(held[name]) <= set(each.reported)
-            missing = set(each.reported) - set(held[name])
+            assert set(held[name]) <= set(each.reported_lines)
+            missing = set(each.reported_lines) - set(held[name])
             assert missing <= set(refused.get(name, {}))
 
 
@@ -71,24 +74,24 @@
     cells, force = {cell: CellMembers() for cell in ZONES}, CellReconciler()
     for cell, complete, rows in changes:
         cells[cell].apply(fleet(complete, rows))
-        force.reconcile({name: each.reported for name, each in cells.items()}, ZONES)
-        held = {name: list(lines.items()) for name, lines in force.active.items()}
-        force.reconcile({name: dict(each.reported) for name, each in cells.items()}, ZONES)
-        assert {name: list(lines.items()) for name, lines in force.active.items()} == held
+        force.reconcile({name: each.reported_lines for name, each in cells.items()}, ZONES)
+        held = {name: list(lines.items()) for name, lines in force.lines_in_force.items()}
+        force.reconcile({name: dict(each.reported_lines) for name, each in cells.items()}, ZONES)
+        assert {name: list(lines.items()) for name, lines in force.lines_in_force.items()} == held
 
 
 def test_an_address_goes_to_another_host_of_the_cell_once_it_is_let_go():
     cell, force = CellMembers(), CellReconciler()
     cell.apply(fleet(True, [("u", 1, "active", ""), ("v", 2, "active", "")]))
-    force.reconcile({"a1": cell.reported}, ZONES)
+    force.reconcile({"a1": cell.reported_lines}, ZONES)
     cell.apply(fleet(False, [("w", 1, "active", "")]))
-    force.reconcile({"a1": cell.reported}, ZONES)
-    assert set(force.active["a1"]) == {"u", "v"}
-    assert list(force.rejected["a1"]) == ["w"]
+    force.reconcile({"a1": cell.reported_lines}, ZONES)
+    assert set(force.lines_in_force["a1"]) == {"u", "v"}
+    assert list(force.rejection_reasons["a1"]) == ["w"]
     cell.apply(fleet(False, [("u", 1, "gone", "")]))
-    force.reconcile({"a1": cell.reported}, ZONES)
-    assert set(force.active["a1"]) == {"v", "w"}
-    assert force.rejected == {}
+    force.reconcile({"a1": cell.reported_lines}, ZONES)
+    assert set(force.lines_in_force["a1"]) == {"v", "w"}
+    assert force.rejection_reasons == {}
 
 
 # Lines as rows
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -74,10 +74,10 @@
         1, ("s-1", "127.0.0.1:5", "Ready"), ("s-2", "nowhere", "Ready"), ("s-3", "127.0.0.1:6", "X")
     )
     watch_event["fleet"]["members"][0]["up_since_ms"] = 990_000
-    (row,) = converter.endpoints(events.decode_initial({"results": [watch_event]})[1][0].fleet)
+    (row,) = converter.endpoints(events.decode_initial_events({"results": [watch_event]})[1][0].fleet)
     assert (row.listed.host, row.listed.zone, row.listed.cell, row.address) == ("s-1", 1, 2, "127.0.0.1:5")
     assert (row.listed.state, row.listed.capacity, row.listed.started) == (State.ACTIVE, 4.0, 40 * SECOND)
-    assert converter.rejected == 2
+    assert converter.rejected_count == 2
     loop.close()
 
 
@@ -90,7 +90,7 @@
     made = follow(
         lambda last: sse(ONE) + sse(TWO) + sse(TWO) + sse(ONE),
         last=1,
-        known=events.decode_initial({"results": [ONE]})[1],
+        known=events.decode_initial_events({"results": [ONE]})[1],
     )
     made.until(lambda: made.received)
     assert made.log.came == [1]
@@ -148,7 +148,9 @@
 
 
 def test_known_events_come_first():
-    last, watch_events = events.decode_initial(json.loads(json.dumps({"seq": 3, "results": [ONE, TWO]})))
+    last, watch_events = events.decode_initial_events(
+        json.loads(json.dumps({"seq": 3, "results": [ONE, TWO]}))
+    )
     assert last == 3
     assert [each.seq for each in watch_events] == [1, 2]
-    assert events.decode_initial({}) == (0, [])
+    assert events.decode_initial_events({}) == (0, [])
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -183,11 +183,11 @@
     ids=["a list that differs", "one had and then one", "a change and then one", "no whole list"],
 )
 def test_a_log_that_begins_anew_is_distinguished_from_one_that_writes_twice(follow, first, expected):
-    known = events.decode_initial({"results": [ONE]})[1]
+    known = events.decode_initial_events({"results": [ONE]})[1]
     made = follow(lambda last: first if last == 41 else b"", last=41, known=known)
     made.passes(SECOND)
     assert made.received == expected
-    assert made.follower.restarts == expected.count(1)
+    assert made.follower.restart_count == expected.count(1)
     made.log.streams[-1].abort()
     made.passes(SECOND)
     assert made.log.came[-1] == (expected or [41])[-1]
@@ -204,7 +204,7 @@
     made.passes(SECOND)
     assert made.received == [1]
     assert made.log.came == [0, 1]
-    assert made.follower.restarts == 0
+    assert made.follower.restart_count == 0
 
 
 def test_a_gateway_is_up_while_its_log_says_nothing_and_takes_one_that_begins_anew(gate):
@@ -219,7 +219,7 @@
     made.passes(watching.SILENCE_TIMEOUT)
     made.passes(watching.FIRST_BACKOFF)
     assert [host.name for host in made.process.host_client.hosts.values() if host.listed] == ["s-1"]
-    assert made.process.host_list.watcher.restarts == 1
+    assert made.process.host_list.watcher.restart_count == 1
     made.process.status.write()
     assert made.lines[-1][1]["change_log_restarts"] == 1
     assert made.lines[-1][1]["change_log_error"] == "silent"
--- a/tests/discovery/test_list_members.py
+++ b/tests/discovery/test_list_members.py
@@ -32,7 +32,7 @@
         member.update(fields)
     return {
         row.listed.host: row
-        for row in converter.endpoints(events.decode_initial({"results": [change]})[1][0].fleet)
+        for row in converter.endpoints(events.decode_initial_events({"results": [change]})[1][0].fleet)
     }
 
 
@@ -66,19 +66,19 @@
 def test_what_is_kept_of_a_host_goes_with_it(converter):
     hosts = [(f"s-{place}", f"127.0.0.1:{place}", "Ready") for place in range(1, 4)]
     first = listed(converter, *hosts, up_since_ms=999_999_000)
-    converter.start_times.wall = lambda: 2_000_000 * SECOND  # a step: no time has passed
+    converter.start_times.wall_clock = lambda: 2_000_000 * SECOND  # a step: no time has passed
     assert listed(converter, *hosts, up_since_ms=999_999_000) == first
     assert listed(converter, hosts[0], up_since_ms=1_999_999_000)["s-1"].listed.started == 50 * SECOND
     listed(converter, ("s-1", "127.0.0.1:1", "Gone"))
     listed(converter, hosts[1], complete=True)
-    assert list(converter.hosts) == ["s-2"]
+    assert list(converter.endpoints_by_host) == ["s-2"]
 
 
 def test_a_member_that_cannot_be_read_leaves_its_host_as_it_was(converter):
     first = listed(converter, ("s-1", "127.0.0.1:1", "Ready"), complete=True)
     for wrong in (("s-1", 5, "Ready"), ("s-1", "nowhere", "Ready"), ("s-1", "127.0.0.1:1", "Odd")):
         assert listed(converter, wrong, ("s-7", "127.0.0.1:7", None), complete=True) == {"s-1": first["s-1"]}
-    assert converter.rejected == 6
+    assert converter.rejected_count == 6
 
 
 def test_a_start_of_the_file_goes_with_its_line():
@@ -87,5 +87,5 @@
     lines = read_hosts("l", "".join(f"host {name} 127.0.0.1:1 zone z rack r started 90\n" for name in "ab"))
     assert [row.listed.started for row in made.endpoints(lines)] == [40 * SECOND] * 2
     made.endpoints(lines[1:])
-    assert list(made.start_times.by_host) == ["b"]
+    assert list(made.start_times.starts_by_host) == ["b"]
     loop.close()
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -24,7 +24,9 @@
 
 def starts_by_host(converter, absent_at, *members):
     """{host: start by the loop's clock} of an event that tells of these members."""
-    _, (change,) = events.decode_initial({"results": [{"seq": 1, "fleet": {"members": list(members)}}]})
+    _, (change,) = events.decode_initial_events(
+        {"results": [{"seq": 1, "fleet": {"members": list(members)}}]}
+    )
     return {row.listed.host: row.listed.started for row in converter.endpoints(change.fleet, absent_at)}
 
 
@@ -88,7 +90,7 @@
     clock.now += SECOND
     wall.ahead = HOUR
     assert starts_by_host(converter, absent_at, member("a", wall.true()))["a"] == clock.now
-    converter.start_times.offset = BEGUN + HOUR  # ahead from the start: only the list bounds it
+    converter.start_times.clock_offset = BEGUN + HOUR  # ahead from the start: only the list bounds it
     clock.now += SECOND
     assert starts_by_host(converter, clock.now - SECOND, member("a", wall.true()))["a"] == clock.now - SECOND
 
@@ -130,7 +132,7 @@
 
 
 def test_comments_and_events_tell_that_the_list_is_as_told_and_a_head_alone_does_not(follow):
-    known = events.decode_initial({"results": [whole()]})[1]
+    known = events.decode_initial_events({"results": [whole()]})[1]
     made = follow(lambda last: b"", last=1, known=known)
     begun = made.follower.current_at
     seen = []
@@ -150,7 +152,7 @@
 
 
 def test_while_a_log_is_away_the_list_is_as_old_as_its_last_sign_of_life(follow):
-    known = events.decode_initial({"results": [whole()]})[1]
+    known = events.decode_initial_events({"results": [whole()]})[1]
     made = follow(lambda last: b":\n\n" if len(made.log.came) == 1 else b"", last=1, known=known)
     made.passes(100 * MILLI)
     last = made.follower.current_at
--- a/tests/discovery/test_stepped_clock_lists.py
+++ b/tests/discovery/test_stepped_clock_lists.py
@@ -94,8 +94,8 @@
 def test_the_gateway_hands_on_when_its_file_was_last_seen(rig):
     made = rig(hosts=2)
     converter = made.gate.host_list.converter
-    converter.start_times.wall = lambda: BEGUN + HOUR + made.loop.now()
-    converter.start_times.offset = BEGUN + HOUR  # ahead from the start: no step to be seen
+    converter.start_times.wall_clock = lambda: BEGUN + HOUR + made.loop.now()
+    converter.start_times.clock_offset = BEGUN + HOUR  # ahead from the start: no step to be seen
     both = made.list.read_text().splitlines()
     made.relist(both[0])
     made.until(lambda: set(made.gate.rows) == {"h0"})
@@ -114,7 +114,7 @@
     endpoints = CellEndpoints(Loop(clock), use_capacities=True)
     endpoints.converter = HostLineConverter(endpoints.converter.start_times.loop, wall)
     wall.ahead = HOUR
-    endpoints.converter.start_times.offset = BEGUN + HOUR
+    endpoints.converter.start_times.clock_offset = BEGUN + HOUR
     zones = {"a1": "a", "b1": "b"}
 
     def line(name, started):
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -145,7 +145,7 @@
     watch_event = event(2, (name, where, "Ready"))
     if change == "start":
         watch_event["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
-    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
+    made.process.host_list.apply(events.decode_initial_events({"seq": 2, "results": [watch_event]})[1][0])
     assert old in known[name].connections
     assert not old.reusable
     old.on_bytes(b'{"type":"served","req":"x","data":""}\n')
@@ -282,7 +282,7 @@
     (other,) = [each for each in made.process.host_client.hosts if each != name]
     where = made.process.host_client.hosts[other].address_text
     watch_event = event(2, (other, where, "Ready"), complete=True)
-    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
+    made.process.host_list.apply(events.decode_initial_events({"seq": 2, "results": [watch_event]})[1][0])
     for host in made.hosts:
         for stream in host.streams:
             stream.abort()
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -43,7 +43,7 @@
     made = gate(peers=[f"127.1.{number // 250}.{number % 250 + 1}:7946" for number in range(1024)])
     began = time.process_time()
     for number in range(2, 12):
-        _, (change,) = events.decode_initial(
+        _, (change,) = events.decode_initial_events(
             {"seq": number, "results": [event(number, *rows, complete=True)]}
         )
         made.process.host_list.apply(change)
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -12,7 +12,7 @@
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
     made = gate()
     made.process.host_list.apply(
-        events.decode_initial(
+        events.decode_initial_events(
             {
                 "seq": 2,
                 "results": [
