--- a/gaproute/discovery/__init__.py
+++ b/gaproute/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The sources of the host list: a watched file, or a change log that is followed."""
+"""The sources of the host list: a watched file or a followed change log."""
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -1,7 +1,7 @@
-"""Converts the members in a cell's change log to lines of a host list; each member is checked by itself.
+"""Converts the members in a cell's change log to lines of a host list; each member is validated separately.
 
-A rejected member leaves its host as it was; but a host that is reported as draining is draining, whatever
-else is wrong with its member.
+A rejected member leaves its host unchanged, except that a host reported as draining becomes draining even if
+the rest of its member is invalid.
 """
 
 import math
@@ -26,26 +26,26 @@
 
 MILLIS_PER_SECOND = 1_000
 MAX_REASON_CHARS = 200
-UNKNOWN_NAME = "?"  # in place of the name of a member that has none
-EMPTY_LIST_REASON = "a whole list without hosts"
+UNKNOWN_NAME = "?"  # stands for the name of a member without one
+EMPTY_LIST_REASON = "a complete list without hosts"
 PHASES_BY_STATE = {state: phase for phase, state in STATES_BY_PHASE.items()}
 GONE_PHASE, DRAINING_PHASE = PHASES_BY_STATE[State.GONE], PHASES_BY_STATE[State.DRAINING]
 
 
 class MemberError(GaprouteError, ValueError):
-    """A member of a cell's host list is rejected; the message says why."""
+    """A member of a cell's host list is rejected; the message is the reason."""
 
 
 class RejectedMember(NamedTuple):
-    """A member that is not taken over, or a host that is not in force, and the reason."""
+    """A rejected member, or a reported host that is not in force, with the reason."""
 
     host: str
     reason: str
 
 
 class CellMembers:
-    """What the change log of one cell reports: `reported`, the lines by host, of which not all need be in
-    force.
+    """The hosts that the change log of one cell reports. `reported_lines`: by host; some of the lines may not
+    be in force.
     """
 
     __slots__ = ("reported_lines",)
@@ -54,8 +54,8 @@
         self.reported_lines: dict[str, HostLine] = {}
 
     def apply(self, update: FleetUpdate, max_hosts: int = MAX_HOSTS) -> list[RejectedMember]:
-        """Applies an event, after which the cell has at most `max_hosts` hosts; returns the rejected
-        members.
+        """Applies an event and returns the rejected members; the cell has at most `max_hosts` hosts
+        afterwards.
         """
         if update.complete and not update.members:
             return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST_REASON)]
@@ -75,7 +75,7 @@
                 after.pop(name, None)
                 return None
             if name not in self.reported_lines and name not in after and len(after) >= max_hosts:
-                raise MemberError(f"more than {max_hosts} hosts")
+                raise MemberError(f"the cell would have more than {max_hosts} hosts")
             after[name] = _host_line(decode_member(raw))
         except DECODING_ERRORS as error:
             known = after.get(name) or self.reported_lines.get(name)
@@ -89,7 +89,7 @@
     """Converts a member to a line of a host list. Errors: MemberError."""
     state = STATES_BY_PHASE.get(member.phase)
     if state is None:
-        raise MemberError(f"unknown phase {member.phase!r}")
+        raise MemberError(f"unknown phase {member.phase!r}; expected Ready, Terminating or Gone")
     start = member.up_since_ms
     seconds = start / MILLIS_PER_SECOND if start is not None and 0 < start < math.inf else None
     return HostLine(
@@ -99,7 +99,7 @@
         rack=str(member.cell)[:MAX_REASON_CHARS],
         capacity=capacity_of(member),
         state=state.value,
-        started=seconds,  # type: ignore[arg-type]  # the line converts it to ns
+        started=seconds,  # type: ignore[arg-type]  # the line's validator converts it to ns
     )
 
 
--- a/gaproute/discovery/cell_reconciler.py
+++ b/gaproute/discovery/cell_reconciler.py
@@ -1,8 +1,8 @@
-"""Decides which of the hosts that the change logs of several cells report are in force together.
+"""Decides which of the hosts that the change logs of several cells report are in force at the same time.
 
-Invariants: the hosts in force never name a host or an address twice, and no host comes into force in another
-zone than its cell's. A host stays in its cell until that cell's log removes it. A host in force that is
-reported as draining is draining, even if its member is rejected.
+Invariants: no two hosts in force have the same name or address, and no host is put in force in a zone other
+than the zone of its cell. A host stays in its cell until the log of that cell removes it. A host in force
+that is reported as draining is draining, even if its reported line is rejected.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 HostLines: TypeAlias = dict[str, HostLine]  # by host
 CellLines: TypeAlias = dict[str, HostLines]  # by cell
-Owners: TypeAlias = dict[str, dict[str, str]]  # by cell: by name or address, the host that uses it
+Owners: TypeAlias = dict[str, dict[str, str]]  # by cell, then by name or address: the host that uses it
 
 
 class Candidate(NamedTuple):
@@ -26,22 +26,22 @@
 
 
 class CellReconciler:
-    """`active`: by cell and host, the lines in force; `rejected`: by cell and host, why it is not in
-    force.
+    """Holds the lines in force. `lines_in_force`: by cell and host; `rejection_reasons`: by cell and host,
+    why the reported line is not in force.
     """
 
     def __init__(self) -> None:
         self.lines_in_force: CellLines = {}
         self.rejection_reasons: dict[str, dict[str, str]] = {}
-        # The arguments of the last `reconcile`.
+        # The arguments and the resulting owners of the last `reconcile`.
         self.last_reported: CellLines = {}
         self.last_zones: dict[str, str] = {}
         self.last_owners: Owners = {}
 
     def reconcile(self, reported: CellLines, zones: Mapping[str, str]) -> None:
-        """Puts in force what is reported (by cell and host), except lines that conflict.
+        """Puts the reported lines (by cell and host) in force, except for conflicting lines.
 
-        A cell for which the same object is reported as before is not processed again.
+        A cell without conflicts is skipped if `reported` holds the same object for the cell as before.
         """
         changed = {
             cell: lines for cell, lines in reported.items() if not self._is_reconciled(cell, lines, zones)
@@ -59,7 +59,7 @@
         self.last_owners, self.last_reported, self.last_zones = owners, dict(reported), dict(zones)
 
     def _is_reconciled(self, cell: str, lines: HostLines, zones: Mapping[str, str]) -> bool:
-        """Whether everything in the cell is in force as it is reported now."""
+        """Whether all lines that are now reported for the cell are already in force."""
         return (
             self.last_reported.get(cell) is lines
             and self.last_zones.get(cell) == zones[cell]
@@ -70,55 +70,57 @@
 def _choose_lines(
     candidates: list[Candidate], owners: Owners, zones: Mapping[str, str]
 ) -> tuple[CellLines, dict[str, dict[str, str]]]:
-    """(lines in force by cell, reasons by cell and host); the first line that uses a name or an address has
-    it.
+    """Returns (lines in force by cell, rejection reasons by cell and host). Each name and address goes to the
+    first line that uses it.
 
-    `owners` of the candidates' cells are filled in.
+    Enters the hosts of the chosen lines in `owners`.
     """
     chosen: CellLines = {cell: {} for cell in owners}
     rejected: dict[str, dict[str, str]] = {}
     for cell, line, fallback in candidates:
-        taken: HostLine | None = line
+        chosen_line: HostLine | None = line
         reason = _conflict_reason(cell, line, owners) or _zone_conflict_reason(line, zones[cell])
         if reason is not None:
             rejected.setdefault(cell, {})[line.name] = reason
-            taken = fallback
-        if taken is None or (reason is not None and _conflict_reason(cell, taken, owners) is not None):
+            chosen_line = fallback
+        if chosen_line is None or (
+            reason is not None and _conflict_reason(cell, chosen_line, owners) is not None
+        ):
             continue
-        chosen[cell][taken.name] = taken
-        owners[cell][taken.name] = owners[cell][taken.where] = taken.name
+        chosen[cell][chosen_line.name] = chosen_line
+        owners[cell][chosen_line.name] = owners[cell][chosen_line.where] = chosen_line.name
     return chosen, rejected
 
 
 def _ordered_candidates(reported: CellLines, active: CellLines) -> list[Candidate]:
-    """The order of lines: first hosts that are unchanged, then those in force that changed, then others."""
-    same, changed, fresh = [], [], []
+    """Candidates in the order of precedence: unchanged hosts, changed hosts in force, then new hosts."""
+    unchanged, changed, new = [], [], []
     for cell, lines in reported.items():
-        before = active.get(cell, {})
+        lines_in_force = active.get(cell, {})
         for name, line in lines.items():
-            old = before.get(name)
+            old = lines_in_force.get(name)
             if old is None:
-                fresh.append(Candidate(cell, line, None))
+                new.append(Candidate(cell, line, None))
             elif (old.where, old.zone) == (line.where, line.zone):
-                same.append(Candidate(cell, line, line))
+                unchanged.append(Candidate(cell, line, line))
             else:
                 draining = line.state != State.ACTIVE.value
                 fallback = with_state(old, line.state) if draining else old
                 changed.append(Candidate(cell, line, fallback))
-    return same + changed + fresh
+    return unchanged + changed + new
 
 
 def _conflict_reason(cell: str, line: HostLine, owners: Owners) -> str | None:
-    """Why the line conflicts with those that are in force, or None."""
+    """Why the line conflicts with the lines already chosen, or None."""
     for other, owned in owners.items():
         for key in (line.name, line.where):
             host = owned.get(key)
             if host is not None and (other, host) != (cell, line.name):
-                return f"{key} is host {host} of cell {other}"
+                return f"{key} is already used by host {host} of cell {other}"
     return None
 
 
 def _zone_conflict_reason(line: HostLine, zone: str) -> str | None:
     if line.zone in ("", zone):
         return None
-    return f"it stands in zone {line.zone}, its cell in {zone}"
+    return f"the host is in zone {line.zone}, but its cell is in zone {zone}"
--- a/gaproute/discovery/changelog/__init__.py
+++ b/gaproute/discovery/changelog/__init__.py
@@ -1,1 +1,1 @@
-"""The host list as a log of numbered changes, followed by server-sent events."""
+"""The host list as a change log of numbered events, received as server-sent events."""
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -1,9 +1,10 @@
-"""Follows the log of one cell's hosts, which several sources publish, each in its own numbers.
+"""Follows the change log of one cell, which several sources publish, each with its own sequence numbers.
 
-The log is that of a whole fleet (`watcher`), at a path of its own: `/changes/FLEET/CELL`. Sources are tried
-in turn, in random order, so that gateways spread over them. The first whole list of a connection is the
-current one; where something is missing or cannot be read, a whole list is requested. From a source whose
-connection broke the events that follow are requested, but a whole list where it had ended meanwhile.
+The protocol is that of a fleet's change log (`watcher`), at the path `/changes/FLEET/CELL`. The sources are
+tried in turn, in a random order, so that gateways spread over them. The first complete list on a connection
+is the current list; if an event is missing or unreadable, a complete list is requested. After a broken
+connection the events after the last one are requested from the same source, or a complete list if the source
+has ended.
 """
 
 import socket
@@ -17,29 +18,31 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-# Half of it at least, so that a source that ends or comes back meets its gateways over half a second.
+# The first pause is at least half of this, and random, so that the gateways of a source that ends or returns
+# reconnect spread over half a second.
 FIRST_BACKOFF = SECOND
-MAX_BACKOFF = 8 * SECOND  # while no source answers
-MAX_CELL_EVENT_BYTES = 1 << 20  # 1 KiB for each of the most hosts
-SOURCE_ENDED_ERRORS = (ConnectionRefusedError, FileNotFoundError)  # it may begin again in other numbers
+MAX_BACKOFF = 8 * SECOND  # longest pause while no source answers
+MAX_CELL_EVENT_BYTES = 1 << 20  # 1 KiB per host for the largest number of hosts
+# The source has ended; when it starts again, it may number its events anew.
+SOURCE_ENDED_ERRORS = (ConnectionRefusedError, FileNotFoundError)
 
 
 def cell_path(fleet: str, cell: str) -> bytes:
-    """The path of a cell's log."""
+    """The URL path of a cell's change log."""
     return f"/changes/{quote(fleet, safe='')}/{quote(cell, safe='')}".encode()
 
 
 def shuffled(sources: Iterable[str], chance: RandomSource) -> list[str]:
     """The sources in random order."""
-    left, order = list(sources), []
-    while left:
-        order.append(left.pop(chance.below(len(left))))
+    remaining, order = list(sources), []
+    while remaining:
+        order.append(remaining.pop(chance.below(len(remaining))))
     return order
 
 
 class CellWatcher(ChangeLogWatcher):
-    """Calls `on_event(event)` for each event in order; `on_lost(reason)` once the sources fail, however often
-    they are tried, and `on_restored()` once one has been alive for longer than `SILENCE_TIMEOUT`."""
+    """Calls `on_event(event)` for each event, in order; `on_lost(reason)` once when the sources begin to fail;
+    `on_restored()` once a source has sent for longer than `SILENCE_TIMEOUT` after a failure."""
 
     first_backoff, max_backoff = FIRST_BACKOFF, MAX_BACKOFF
     max_event_bytes = MAX_CELL_EVENT_BYTES
@@ -54,27 +57,27 @@
         on_restored: Callable[[], object],
         chance: RandomSource,
     ) -> None:
-        """`sources`: their addresses; `path`: as `cell_path` gives it."""
+        """`sources`: the addresses of the sources; `path`: the result of `cell_path`."""
         self.sources, self.path = shuffled(sources, chance), path
         self.on_lost, self.on_restored = on_lost, on_restored
-        self.source_index = 0  # of the source in use
-        self.has_complete_list = False  # a whole list of this source has come
+        self.source_index = 0  # index of the source in use
+        self.has_complete_list = False  # whether the current source has sent a complete list
         self.failing = False
         super().__init__(loop, self.sources[0], 0, on_event, chance)
 
     def on_connected(self, number: int, sock: socket.socket | None, error: OSError | None) -> None:
-        """As `ChangeLogWatcher.on_connected`; from a source that has ended a whole list is requested."""
+        """As in `ChangeLogWatcher`; from a source that has ended, a complete list is requested."""
         if isinstance(error, SOURCE_ENDED_ERRORS):
             self._forget_position()
         super().on_connected(number, sock, error)
 
     def read_now(self) -> None:
-        """Read what waits of the log."""
+        """Reads the data that is waiting in the socket."""
         if self.stream is not None:
             self.stream.read_now()
 
     def reconnect_later(self, reason: object) -> None:
-        """Connect once more after the backoff, to the next source where there are several."""
+        """Reconnects after the backoff, to the next source if there are several."""
         if not self.failing:
             self.failing = True
             self.loop.guard(self.on_lost, f"{self.address_text}: {reason}")
@@ -86,33 +89,33 @@
         super().reconnect_later(reason)
 
     def on_connection_proved(self) -> None:
-        """The connection has been alive for a while."""
+        """Ends the failure state once the connection has outlived `SILENCE_TIMEOUT`."""
         super().on_connection_proved()
         if self.failing and self.last_message_at >= self.connecting_since + SILENCE_TIMEOUT:
             self.failing = False
             self.loop.guard(self.on_restored)
 
     def follows_last_event(self, event: Event) -> bool:
-        """Whether the event is a whole list, or one of those that follow it."""
+        """Whether the event is a complete list or follows one without a gap."""
         return event.fleet.complete or self.has_complete_list and event.seq <= self.last_seq + 1
 
     def has_list(self) -> bool:
-        """Whether a whole list has come of this source."""
+        """Whether the current source has sent a complete list."""
         return self.has_complete_list
 
     def request_missing_events(self) -> bool:
-        """Something is missing: request a whole list."""
-        reason = f"something is missing after {self.last_seq}"
+        """Reconnects and requests a complete list. Always returns True."""
+        reason = f"missing or unreadable event after number {self.last_seq}"
         self._forget_position()
         self.reconnect_later(reason)
         return True
 
     def is_restart(self, event: Event) -> bool:
-        """A whole list that comes first on a connection is the current one, whatever its number."""
+        """Whether the first event is a complete list, which is the current list whatever its number."""
         return event.fleet.complete
 
     def remember_list(self, event: Event) -> None:
-        """Whole lists need not be recognized: `is_restart` accepts each."""
+        """Records that the source has sent a list; `is_restart` needs no digests here."""
         self.has_complete_list = True
 
     def _forget_position(self) -> None:
--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -1,4 +1,4 @@
-"""The events of the change log, as JSON has them."""
+"""The JSON form of the events of the change log."""
 
 import zlib
 from typing import Any, NamedTuple
@@ -9,27 +9,27 @@
 
 
 class FleetUpdate(msgspec.Struct):
-    """The list as a whole, or changes of it; the fields' names are those on the wire."""
+    """A complete host list or changes to it; the field names are those on the wire."""
 
-    members: list[msgspec.Raw]  # each is read by itself: a wrong one must not spoil the others
+    members: list[msgspec.Raw]  # decoded one by one, so that an invalid member does not affect the others
     complete: bool = False
     revision: Any = None
 
     def digest(self) -> int:
-        """The same for the same list, however it is written and in whatever order."""
+        """A checksum that does not depend on the JSON formatting or the order of the members."""
         members = sorted(map(canonical_member, self.members))
         return zlib.crc32(b"\n".join([msgspec.json.encode([self.complete, self.revision]), *members]))
 
 
 class Event(msgspec.Struct):
-    """One event of the log, under its number."""
+    """One event of the change log, with its sequence number."""
 
     seq: int
     fleet: FleetUpdate
 
 
 class InitialEvents(NamedTuple):
-    """What is known of the log as the gateway starts."""
+    """The events that are known when the gateway starts."""
 
     last_seq: int
     events: list[Event]
@@ -40,11 +40,11 @@
     results: list[Any] = []
 
 
-decode_event = msgspec.json.Decoder(Event, strict=False).decode  # a number may come as a string
+decode_event = msgspec.json.Decoder(Event, strict=False).decode  # accepts numbers written as strings
 
 
 def decode_initial_events(message: object) -> InitialEvents:
-    """The events that the configuration brings, as objects of JSON. Errors: msgspec.ValidationError."""
+    """Decodes the events in the configuration from JSON objects. Errors: msgspec.ValidationError."""
     initial = msgspec.convert(message, _InitialMessage, strict=False)
     events = [decode_event(msgspec.json.encode(result)) for result in initial.results]
     return InitialEvents(max([initial.seq] + [event.seq for event in events]), events)
--- a/gaproute/discovery/changelog/member_records.py
+++ b/gaproute/discovery/changelog/member_records.py
@@ -1,4 +1,4 @@
-"""Members of the change log, as JSON has them, and what their fields say."""
+"""The JSON form of the members in the change log, and the interpretation of their fields."""
 
 import math
 from typing import Any
@@ -9,11 +9,11 @@
 from gaproute.units import MILLI
 
 STATES_BY_PHASE = {"Ready": State.ACTIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
-DEFAULT_CAPACITY = 1.0  # of a host whose size makes no sense
+DEFAULT_CAPACITY = 1.0  # of a host whose reported size is no capacity
 
 
 class MemberRecord(msgspec.Struct):
-    """A member of a list as the log has it; the fields' names are those on the wire."""
+    """A member of a host list in the change log; the field names are those on the wire."""
 
     id: str
     host_port: str
@@ -25,34 +25,34 @@
 
 
 class MemberName(msgspec.Struct):
-    """What is read of a member that cannot be read as a whole."""
+    """The name of a member whose other fields may be invalid."""
 
     id: str
 
 
 class MemberState(msgspec.Struct):
-    """The part of a member that says whether its host is there."""
+    """The name and phase of a member whose other fields may be invalid."""
 
     id: str
     phase: Any = None
 
 
-decode_member = msgspec.json.Decoder(MemberRecord, strict=False).decode  # a number may come as a string
+decode_member = msgspec.json.Decoder(MemberRecord, strict=False).decode  # accepts numbers written as strings
 decode_member_name = msgspec.json.Decoder(MemberName).decode
 _decode_state = msgspec.json.Decoder(MemberState).decode
 
-# What decoding a member may raise; msgspec's own are a ValueError.
+# The exceptions that decoding a member may raise; the exceptions of msgspec are ValueErrors.
 DECODING_ERRORS = (ValueError, RecursionError)
 
 
 def decode_member_state(raw: msgspec.Raw) -> tuple[str, Any]:
-    """(name, phase) of a member that may not be readable otherwise. Errors: `DECODING_ERRORS`."""
+    """(name, phase) of a member whose other fields may be invalid. Errors: `DECODING_ERRORS`."""
     state = _decode_state(raw)
     return state.id, state.phase
 
 
 def canonical_member(raw: msgspec.Raw) -> bytes:
-    """The same bytes for the same member however it is written; one that cannot be read as it came."""
+    """Encodes a member independently of its JSON formatting; an invalid member is returned unchanged."""
     try:
         return msgspec.json.encode(decode_member(raw))
     except DECODING_ERRORS:
@@ -60,12 +60,12 @@
 
 
 def capacity_of(member: MemberRecord) -> float:
-    """The member's size, where it is a capacity."""
+    """The member's size if it is positive and finite, else the default capacity."""
     size = member.size
     return size if size is not None and 0 < size < math.inf else DEFAULT_CAPACITY
 
 
 def reported_start_of(member: MemberRecord) -> int | None:
-    """The member's start, ns since 1970, to the millisecond; None where it makes no sense."""
+    """The member's start time, ns since 1970, in whole milliseconds; None if missing or invalid."""
     start = member.up_since_ms
     return int(start) * MILLI or None if start is not None and 0 < start < math.inf else None
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -1,4 +1,4 @@
-"""Members of the change log as endpoints."""
+"""Converts the members in the change log to endpoints."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -23,33 +23,34 @@
 
 
 class MemberConverter:
-    """Makes members endpoints. Zones and cells that are not numbers are numbered as they are first named.
+    """Converts members to endpoints. Zone names and cell names get numbers in the order of first use.
 
-    A member that cannot be read leaves its host as it was: a whole list must not lose it. What is known of a
-    host goes with it.
+    An invalid member leaves its host unchanged, so that a complete list does not remove the host. The state
+    of a host is deleted when the host is removed.
     """
 
     def __init__(
         self, loop: Loop, zones: Iterable[str], wall_clock: Callable[[], int] = time.time_ns
     ) -> None:
-        """`zones`: the first ones, in the order of their numbers."""
+        """`zones`: zone names that get the numbers from 0 on, in this order."""
         self.start_times = StartTimes(loop, wall_clock)
         self.zones: dict[str | int, int] = {name: number for number, name in enumerate(zones)}
         self.cells: dict[str, int] = {}
-        self.rejected_count = 0  # members that could not be read
-        self.endpoints_by_host: dict[str, Endpoint] = {}  # by id
+        self.rejected_count = 0  # number of invalid members so far
+        self.endpoints_by_host: dict[str, Endpoint] = {}  # by the member's id
 
     def endpoints(self, update: FleetUpdate, last_absent_at: int | None = None) -> list[Endpoint]:
-        """The members of an event as endpoints.
+        """Converts the members of an event to endpoints.
 
-        `last_absent_at`: when the list was last known before this news, by the loop's clock; None: never.
+        `last_absent_at`: when the list was last known to be current before this event, ns of the loop's
+        clock; None if it never was.
         """
         converted = [self._convert_or_last_known(raw, last_absent_at) for raw in update.members]
         endpoints = [endpoint for endpoint in converted if endpoint is not None]
         if update.complete:
-            named = {endpoint.listed.host for endpoint in endpoints}
+            listed_hosts = {endpoint.listed.host for endpoint in endpoints}
             self.endpoints_by_host = {
-                host: endpoint for host, endpoint in self.endpoints_by_host.items() if host in named
+                host: endpoint for host, endpoint in self.endpoints_by_host.items() if host in listed_hosts
             }
             self.start_times.retain(self.endpoints_by_host)
         return endpoints
@@ -65,7 +66,7 @@
             return None
 
     def _convert(self, member: MemberRecord, last_absent_at: int | None) -> Endpoint:
-        """Errors: ValueError, KeyError."""
+        """Converts one member. Errors: ValueError, KeyError."""
         address(member.host_port)
         state = STATES_BY_PHASE[member.phase]
         zone = self.zones.setdefault(member.locality, len(self.zones))
--- a/gaproute/discovery/changelog/sse.py
+++ b/gaproute/discovery/changelog/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events out of an HTTP answer."""
+"""Reads the events of the change log from an HTTP response of server-sent events."""
 
 import httptools
 import msgspec
@@ -6,21 +6,21 @@
 from gaproute.discovery.changelog.events import Event, decode_event
 from gaproute.errors import GaprouteError
 
-MAX_EVENT_BYTES = 4 << 20  # a host takes some 200
+MAX_EVENT_BYTES = 4 << 20  # a host takes about 200 bytes
 OK_STATUS = 200
 
 
 class ChangeLogError(GaprouteError):
-    """What came is no change log, or its end: the log is to be requested again."""
+    """The response is no change log or has ended; the change log must be requested again."""
 
 
 class EventReader:
-    """Takes bytes of the answer and gives the events that became whole, None for one that cannot be read. A
-    comment only shows that the log is alive.
+    """Reads the response in pieces and returns completed events; None stands for an event that is invalid. A
+    comment only shows that the connection is alive.
 
-    `completed` counts what came to its end: the head, a comment, an event. `unfinished_bytes` is the bytes
-    since then, of what has not: an answer without an end must neither fill the memory nor make the log seem
-    alive.
+    `completed_count`: the completed elements, which are the head, comments and events. `unfinished_bytes`:
+    the bytes received since the last completed element. Both guard against an element without an end, which
+    must neither fill the memory nor make the change log seem alive.
     """
 
     def __init__(self, max_event_bytes: int = MAX_EVENT_BYTES) -> None:
@@ -31,38 +31,43 @@
         self.events: list[Event | None] = []
 
     def feed(self, data: bytes) -> list[Event | None]:
-        """The events that the bytes completed. Errors: ChangeLogError, with those before it in `events`."""
+        """Returns the events that `data` completes.
+
+        Errors: ChangeLogError; `events` then holds the events that were completed before the error.
+        """
         completed_before = self.completed_count
         self.unfinished_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            cause = error.__context__  # what a callback raised
+            cause = error.__context__  # the error that a parser callback raised
             raise ChangeLogError(str(cause if isinstance(cause, ChangeLogError) else error)) from None
         if self.completed_count != completed_before:
             self.unfinished_bytes = 0
         if self.unfinished_bytes > self.max_event_bytes:
-            raise ChangeLogError("an event is too long")
+            raise ChangeLogError(
+                f"an event is too long: {self.unfinished_bytes} bytes, allowed: {self.max_event_bytes}"
+            )
         events, self.events = self.events, []
         return events
 
     # Callbacks of the parser
 
     def on_headers_complete(self) -> None:
-        """The head has come. Errors: ChangeLogError."""
+        """Checks the status once the head is complete. Errors: ChangeLogError."""
         status = self.parser.get_status_code()
         if status != OK_STATUS:
-            raise ChangeLogError(f"status {status}")
+            raise ChangeLogError(f"the change log answered with HTTP status {status}")
         self.completed_count += 1
 
     def on_message_complete(self) -> None:
-        """The answer, which should have no end, has ended. Errors: ChangeLogError."""
+        """Rejects the end of the response, which should have no end. Errors: ChangeLogError."""
         raise ChangeLogError("the answer has ended")
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the answer's body, split anywhere."""
+        """Processes a piece of the body, which may be split anywhere."""
         self.partial_line += body
-        if b"\n" not in body:  # a long line in many pieces is not looked through again with each
+        if b"\n" not in body:  # keeps the cost of a long line that arrives in many pieces linear
             return
         *lines, self.partial_line = self.partial_line.split(b"\n")
         for line in lines:
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -1,5 +1,5 @@
-"""Follows the change log over one connection, opened again from the last number whenever it breaks or falls
-silent."""
+"""Follows the change log over one connection. A connection that breaks or falls silent is reopened, and the
+events after the last sequence number are requested."""
 
 import socket
 from collections.abc import Callable, Iterable
@@ -13,30 +13,30 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI, SECOND
 
-SILENCE_TIMEOUT = 2 * SECOND  # two of its comments missing; an event counts as delivered 4 s after it
-MIN_BYTES_PER_SECOND = 64 << 10  # of what has not ended: 1,024 hosts come over 50 kB/s
-CONNECT_TIMEOUT = 500 * MILLI  # many round trips, and several attempts within the time above
-FIRST_BACKOFF = 20 * MILLI  # doubled with each connection that brought nothing
-MAX_BACKOFF = 500 * MILLI  # short beside the 4 s after which an event counts as delivered
+SILENCE_TIMEOUT = 2 * SECOND  # two missed comments; an event counts as delivered 4 s after it is sent
+MIN_BYTES_PER_SECOND = 64 << 10  # required rate of an unfinished event: 1,024 hosts arrive even at 50 kB/s
+CONNECT_TIMEOUT = 500 * MILLI  # many round trips, but several attempts fit in SILENCE_TIMEOUT
+FIRST_BACKOFF = 20 * MILLI  # doubled after each connection without a new event
+MAX_BACKOFF = 500 * MILLI  # short compared with the 4 s after which an event counts as delivered
 JITTER_STEPS = 1024
-COMPLETED_BY_HEAD = 1  # what is complete of an answer that has its head alone: nothing of the list
-MAX_LIST_DIGESTS = 1024  # whole lists that are known again, by some bytes each: usually there is one
+COMPLETED_BY_HEAD = 1  # `completed_count` after the head of the response, before any list data
+MAX_LIST_DIGESTS = 1024  # complete lists recognized when repeated, by a few bytes each; usually there is one
 
 
 class ChangeLogWatcher:
     """Calls `on_event(event)` for each new event, in order; `known`: the events up to `last_seq`.
 
-    `restarts` counts how often the log restarted with lower numbers: its events would be skipped for ever as
-    duplicates. An event written twice must not be taken for that: only a whole list is, first on a
-    connection, that differs from the one known under its number. A log that restarts with less goes
-    unnoticed.
+    `restart_count`: how often the change log restarted with lower sequence numbers. Without this detection
+    all later events would be skipped as duplicates. A repeated event is no restart: only a complete list that
+    comes first on a connection and differs from the known list of the same number counts as one. A change log
+    that restarts without such a list is not detected.
 
-    `current_at`: when the list was last known to be up to date, by an event or a comment; None before the
-    first whole list. During `on_event` it is still the time before that event.
+    `current_at`: when an event or a comment last showed that the list is current; None before the first
+    complete list. During `on_event` it still has the value from before the event.
     """
 
     path = b"/changes"
-    first_backoff, max_backoff = FIRST_BACKOFF, MAX_BACKOFF  # ns between connections
+    first_backoff, max_backoff = FIRST_BACKOFF, MAX_BACKOFF  # pauses between connections, ns
     max_event_bytes = MAX_EVENT_BYTES
 
     def __init__(
@@ -55,26 +55,26 @@
         self.timer: Timer | None = None
         self.reader: EventReader | None = None
         self.backoff, self.connection_count = self.first_backoff, 0
-        self.gap_requested_after: int | None = None  # number after which missing events were requested
-        self.list_digests: dict[int, int] = {}  # of whole lists, by number
+        self.gap_requested_after: int | None = None  # sequence number before the gap last requested
+        self.list_digests: dict[int, int] = {}  # of complete lists, by sequence number
         self.awaits_first_event, self.restart_count = False, 0
-        self.last_error = ""  # why the connection before this one ended
+        self.last_error = ""  # why the previous connection ended
         for event in known:
             self.remember_list(event)
         self.current_at: int | None = loop.now() if self.list_digests else None
         self.last_message_at = self.connecting_since = loop.now()
-        self.last_progress_at = self.last_message_at  # the later of the two
+        self.last_progress_at = self.last_message_at  # the later of these two times
         self.set_address(address_text)
 
     def set_address(self, address_text: str) -> None:
-        """From now on the log is at that address; its numbers go on. Errors: ValueError."""
+        """Follows the log at this address, whose sequence numbers continue. Errors: ValueError."""
         if address_text != self.address_text:
             self.address_text, self.address = address_text, parse_address(address_text)
             self.backoff = self.first_backoff
             self.connect()
 
     def connect(self) -> None:
-        """Open a connection, in place of the present one, and request what follows the last number."""
+        """Replaces the connection and requests the events after the last sequence number."""
         self.disconnect()
         self.connection_count += 1
         self.connecting_since = self.last_progress_at = self.loop.now()
@@ -83,9 +83,9 @@
         self.cancel_connect = connect(self.loop, self.address, CONNECT_TIMEOUT, connected)
 
     def on_connected(self, number: int, sock: socket.socket | None, error: OSError | None) -> None:
-        """The connection of that number has come up, or failed."""
+        """Sends the request once connection attempt `number` succeeds; schedules a retry if it fails."""
         if number != self.connection_count or self.cancel_connect is None:
-            return  # it was given up meanwhile
+            return  # this attempt was cancelled in the meantime
         self.cancel_connect = None
         if sock is None:
             self.reconnect_later(error)
@@ -101,7 +101,7 @@
         self.reconnect_later(error or "closed")
 
     def on_bytes(self, data: bytes) -> None:
-        """Take what came of the log."""
+        """Processes received bytes."""
         reader = self.reader
         if reader is None:
             return
@@ -122,7 +122,7 @@
             self.current_at = self.loop.now()
 
     def _process_event(self, event: Event | None) -> bool:
-        """Pass the event on if it is new; False where what is missing before it is requested first."""
+        """Passes on a new event (None: an unreadable one); returns False if missing events were requested."""
         first, self.awaits_first_event = self.awaits_first_event, False
         if event is None or not self.follows_last_event(event):
             if self.request_missing_events():
@@ -138,58 +138,58 @@
         self.loop.guard(self.on_event, event)
         return True
 
-    # What a log of several sources does otherwise
+    # Methods that a watcher of several sources overrides
 
     def has_list(self) -> bool:
-        """Whether a whole list has come, on which what comes now builds."""
+        """Whether a complete list is known, to which later events apply."""
         return bool(self.list_digests)
 
     def on_connection_proved(self) -> None:
-        """The connection has been alive for a while; a head alone would say nothing."""
+        """Resets the backoff once a connection has lasted for a while; a head alone proves nothing."""
         self.backoff = self.first_backoff
 
     def follows_last_event(self, event: Event) -> bool:
-        """Whether nothing is missing before the event."""
+        """Whether no event is missing before this one."""
         return event.fleet.complete or event.seq <= self.last_seq + 1
 
     def request_missing_events(self) -> bool:
-        """Request a missing or unreadable event once, then do without. Whether it is requested."""
+        """Requests missing or unreadable events, but only once for each gap; returns whether it did."""
         if self.gap_requested_after == self.last_seq:
             return False
         self.gap_requested_after = self.last_seq
-        self.reconnect_later(f"something is missing after {self.last_seq}")
+        self.reconnect_later(f"missing or unreadable event after number {self.last_seq}")
         return True
 
     def is_restart(self, event: Event) -> bool:
-        """Whether the log has restarted with this event, the first on a connection and of a known number."""
+        """Whether this event, first on its connection and with a known number, shows a restart of the log."""
         return event.fleet.complete and self.list_digests.get(event.seq) != event.fleet.digest()
 
     def remember_list(self, event: Event) -> None:
-        """Remember a whole list, to recognize it when it is written again."""
+        """Stores the digest of a complete list, to recognize the list when it is repeated."""
         if event.fleet.complete:
             self.list_digests[event.seq] = event.fleet.digest()
             if len(self.list_digests) > MAX_LIST_DIGESTS:
                 del self.list_digests[min(self.list_digests)]
 
-    # Ends of connections
+    # Ending connections
 
     def check_silence(self) -> None:
-        """Reconnect where nothing was completed for too long.
+        """Reconnects if no element of the response was completed for too long.
 
-        Bytes alone do not count: a trickle without an end would keep the connection for ever.
+        Received bytes alone do not count: a slow event without an end would keep the connection open forever.
         """
         unfinished = (
             self.reader.unfinished_bytes if self.stream is not None and self.reader is not None else 0
         )
         allowed = SILENCE_TIMEOUT + unfinished * SECOND // MIN_BYTES_PER_SECOND
-        left = self.last_progress_at + allowed - self.loop.now()
-        if left <= 0:
+        remaining = self.last_progress_at + allowed - self.loop.now()
+        if remaining <= 0:
             self.reconnect_later("silent")
         else:
-            self.timer = self.loop.after(left, self.check_silence)
+            self.timer = self.loop.after(remaining, self.check_silence)
 
     def reconnect_later(self, reason: object) -> None:
-        """Connect once more after the backoff, with jitter so that gateways do not all connect at once."""
+        """Reconnects after the backoff, with jitter so that gateways do not all connect at the same time."""
         self.disconnect()
         self.last_error = str(reason)
         jitter = self.backoff * self.chance.below(JITTER_STEPS) // (2 * JITTER_STEPS)
@@ -198,7 +198,7 @@
         self.timer = self.loop.after(wait, self.connect)
 
     def disconnect(self) -> None:
-        """End the connection, and any attempt at one."""
+        """Ends the connection and cancels a connection attempt or retry."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -11,11 +11,11 @@
 from gaproute.loop.faults import cause_of, is_transient_read
 from gaproute.loop.timers import Timer
 
-FAILURES_BEFORE_REPORT = 2  # reads in a row that failed for a transient reason
+FAILURES_BEFORE_REPORT = 2  # consecutive reads that fail for a transient reason
 
 
 class FileStamp(NamedTuple):
-    """The properties of a file by which a change is recognized."""
+    """The file properties that are compared to detect a change."""
 
     modified: int  # ns
     inode: int
@@ -23,15 +23,16 @@
 
 
 class FileWatch:
-    """Checks a file at an interval, and reads it when it has changed.
+    """Checks a file at an interval, and reads the file when it has changed.
 
-    `on_change(content)` is called immediately when it has. An invalid or missing file is rejected:
-    `on_rejected(mistakes)` is called once for it, and the last accepted content stays in force. A file that
-    cannot be read for a transient reason is read at the next check; if that lasts, it is reported once.
+    `on_change(content)` is called as soon as a change is detected, and for the initial content. An invalid or
+    missing file is rejected: `on_rejected(mistakes)` is called once, and the last accepted content stays in
+    force. A read that fails for a transient reason is retried at the next check; a lasting failure is
+    reported once.
 
-    `current_at`: when the file was last seen unchanged since `on_change`; None before the first call. During
-    `on_change` it is still the time before the change. A change is recognized by a different time of the
-    file, not a later one, so a wall clock that is set back hides none.
+    `current_at`: when the content that `on_change` last received was last seen to be current; None before the
+    first call. During `on_change` it still refers to the previous content. Any different modification time
+    counts as a change, not only a later one, so that a wall clock that is set back hides no change.
     """
 
     def __init__(
@@ -43,17 +44,17 @@
         on_rejected: Callable[[list[Mistake]], object],
         reader: Callable[[Any], Any] = read_hosts,
     ) -> None:
-        """`interval`: ns; `reader(path)` returns the content of the file. Errors of `reader`:
-        ConfigurationError.
+        """`interval`: ns; `reader(path)` returns the content of the file, or raises ConfigurationError for an
+        invalid or unreadable file.
         """
         self.loop, self.path, self.interval = loop, path, interval
         self.on_change, self.on_rejected, self.reader = on_change, on_rejected, reader
-        self.stamp: FileStamp | int | None = None  # or the errno of the last check
+        self.stamp: FileStamp | int | None = None  # of the last check; an errno if it failed
         self.current_at: int | None = None
-        self.accepted = False  # whether the content that was read last was accepted
-        self.failed_reads = 0  # in a row, for a transient reason
+        self.accepted = False  # whether the last read succeeded
+        self.failed_reads = 0  # consecutive reads that failed for a transient reason
         self.timer: Timer | None = None
-        # After a stall the file is read before the requests that came in the meantime.
+        # After a stall of the loop, the file is read before the requests that arrived during the stall.
         loop.on_late_turn.append(self.check)
         self._check_periodically()
 
@@ -62,12 +63,12 @@
         self.check()
 
     def check(self) -> None:
-        """Read the file if it has changed since the last check."""
+        """Reads the file if it has changed since the last check."""
         checked_at = self.loop.now()
         stamp: FileStamp | int | None
         try:
-            state = os.stat(self.path)
-            stamp = FileStamp(state.st_mtime_ns, state.st_ino, state.st_size)
+            status = os.stat(self.path)
+            stamp = FileStamp(status.st_mtime_ns, status.st_ino, status.st_size)
         except OSError as error:
             if is_transient_read(error):
                 return
@@ -79,7 +80,7 @@
             self.current_at = checked_at
 
     def read(self) -> None:
-        """Reads the file, whether or not it has changed."""
+        """Reads the file even if it has not changed."""
         read_at, self.accepted = self.loop.now(), False
         try:
             content = self.reader(self.path)
@@ -92,7 +93,7 @@
         self.accepted, self.current_at = True, read_at
 
     def _should_report(self, error: ConfigurationError) -> bool:
-        """Whether the error is reported; a transient one is checked again first."""
+        """Whether to report the error; a transient error is reported only when it repeats."""
         cause = cause_of(error)
         if cause is None or not is_transient_read(cause):
             self.failed_reads = 0
@@ -102,7 +103,7 @@
         return self.failed_reads == FAILURES_BEFORE_REPORT
 
     def close(self) -> None:
-        """Ends the watch."""
+        """Stops watching the file."""
         if self.timer is not None:
             self.timer.cancel()
         if self.check in self.loop.on_late_turn:
--- a/gaproute/discovery/name_numbers.py
+++ b/gaproute/discovery/name_numbers.py
@@ -1,12 +1,12 @@
-"""Numbers for names, such as those of zones and racks."""
+"""Assigns numbers to names, such as the names of zones and racks."""
 
 from collections.abc import Iterable
 
-MAX_NUMBERED_NAMES = 4096  # above which names that no line has are forgotten
+MAX_NUMBERED_NAMES = 4096  # above this count, unused names are deleted
 
 
 class NameNumbers:
-    """Numbers names in the order in which they first occur; no number is used twice."""
+    """Numbers names in the order in which they first occur; no number is reused."""
 
     __slots__ = ("by_name", "next_number")
 
@@ -15,7 +15,7 @@
         self.next_number = 0
 
     def number(self, name: str) -> int:
-        """The name's number."""
+        """The number of the name; a new name gets the next number."""
         number = self.by_name.get(name)
         if number is None:
             number = self.by_name[name] = self.next_number
@@ -23,7 +23,7 @@
         return number
 
     def retain(self, names: Iterable[str]) -> None:
-        """Forgets all other names, if there are too many."""
+        """Deletes all names but these, if there are more than `MAX_NUMBERED_NAMES`."""
         if len(self.by_name) > MAX_NUMBERED_NAMES:
-            named = set(names)
-            self.by_name = {name: number for name, number in self.by_name.items() if name in named}
+            retained = set(names)
+            self.by_name = {name: number for name, number in self.by_name.items() if name in retained}
--- a/gaproute/platform/__init__.py
+++ b/gaproute/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's gateway process: JSON-RPC for clients, lines of JSON for hosts, hosts by a change log."""
+"""The platform's gateway process: JSON-RPC to clients, JSON lines to hosts, host list from a change log."""
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -1,7 +1,7 @@
 """`python -m gaproute.platform`: runs one gateway of the platform, configured by environment variables.
 
-Exit codes: 0 stopped; 2 the environment or the configuration cannot be used; 3 the address cannot be listened
-on, or the operating system lacks descriptors or memory to start. Errors that may pass are retried first
+Exit codes: 0 stopped; 2 the environment or the configuration is unusable; 3 the gateway cannot listen on its
+address, or the operating system lacks descriptors or memory. Transient errors are retried first
 (`loop.starting`).
 """
 
@@ -19,16 +19,16 @@
 
 
 def read_trace_one_in() -> int:
-    """By GAPROUTE_FOLLOW=N the steps of one request in N are logged; 1: of all, 0: of none.
+    """Reads GAPROUTE_FOLLOW=N: the steps of one request in N are logged; 1 logs all requests, 0 none.
 
-    A value that is no number is ignored: a mistake in it is no reason not to start.
+    An invalid value is replaced by the default, since it is no reason to refuse to start.
     """
     text = os.environ.get("GAPROUTE_FOLLOW", "")
     return int(text) if text.isdigit() else DEFAULT_TRACE_ONE_IN
 
 
 def main() -> int:
-    """Runs the gateway until it is stopped; returns the exit code."""
+    """Runs the gateway until it stops; returns the exit code."""
     startup_retries = StartupRetries()
     try:
         process = make_process(startup_retries)
@@ -36,7 +36,7 @@
         print(error, file=sys.stderr)
         return EXIT_UNUSABLE_CONFIGURATION
     except OSError as error:
-        print(f"cannot start: {error.strerror}", file=sys.stderr)
+        print(f"cannot start the gateway: {error.strerror}", file=sys.stderr)
         return EXIT_CANNOT_START
     try:
         startup_retries.call(process.start)
@@ -44,15 +44,15 @@
         print(f"cannot listen on {process.listen}: {error.strerror}", file=sys.stderr)
         return EXIT_CANNOT_START
     gc.collect()
-    gc.freeze()  # objects that live as long as the process are not examined in later collections
+    gc.freeze()  # later collections skip the objects that live as long as the process
     process.run()
     return EXIT_STOPPED
 
 
 def make_process(startup_retries: StartupRetries) -> GatewayProcess:
-    """Makes the gateway that the environment describes, with its signal handlers.
+    """Creates the gateway that the environment describes, and sets its signal handlers.
 
-    Errors: ConfigurationRejectedError; OSError where the operating system lacks descriptors or memory.
+    Errors: ConfigurationRejectedError; OSError if the operating system lacks descriptors or memory.
     """
     name, listen, path = read_environment()
     loaded = startup_retries.call(lambda: read_configuration(path))
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the environment variables and the configuration file; one that is invalid is rejected as a whole."""
+"""Reads the environment variables and the configuration file; an invalid file is rejected as a whole."""
 
 import os
 from typing import Any, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class ConfigurationRejectedError(GaprouteError):
-    """The configuration is invalid; the text names the file, the field and what was found."""
+    """The configuration cannot be used; the message names the file, the field and the value found."""
 
 
 class ConfigurationUnreadableError(ConfigurationRejectedError):
@@ -27,7 +27,7 @@
 
 
 class Limits(msgspec.Struct):
-    """What the process may use of the machine; the field names are those of the file."""
+    """The machine resources that the process may use; the field names are those of the file."""
 
     cores: float = 1.0
     memory_mb: float = 192
@@ -50,7 +50,7 @@
 
 
 class LoadedConfiguration(NamedTuple):
-    """A valid configuration, with its settings decoded."""
+    """A valid configuration and the terms and deployment settings decoded from it."""
 
     configuration: Configuration
     terms: interface.Terms
@@ -58,7 +58,7 @@
 
 
 class Environment(NamedTuple):
-    """The environment variables; a name or an address that is missing there is taken from the file."""
+    """The environment variables; a missing name or listen address is taken from the configuration file."""
 
     name: str | None
     listen: str | None
@@ -68,13 +68,15 @@
 def read_configuration(path: str) -> LoadedConfiguration:
     """Reads and checks a configuration file.
 
-    Errors: `ConfigurationRejectedError`; `ConfigurationUnreadableError` where the file cannot be read.
+    Errors: `ConfigurationRejectedError`; its subclass `ConfigurationUnreadableError` if reading fails.
     """
     configuration = _decode_file(path, _read_bytes(path))
     _check_fields(path, configuration)
     loaded = _decode_settings(path, configuration)
     if not loaded.terms.request_classes:
-        raise ConfigurationRejectedError(f"{path}: settings: no classes of request are named")
+        raise ConfigurationRejectedError(
+            f"{path}: settings: no request class is defined; at least one is required"
+        )
     return loaded
 
 
@@ -82,7 +84,7 @@
     """Reads the environment variables. Errors: `ConfigurationRejectedError`."""
     path = os.environ.get("EDGE_CONFIG")
     if not path:
-        raise ConfigurationRejectedError("EDGE_CONFIG: not set; it names the configuration file")
+        raise ConfigurationRejectedError("EDGE_CONFIG: not set; it must name the configuration file")
     return Environment(os.environ.get("EDGE_NAME"), os.environ.get("EDGE_LISTEN"), path)
 
 
@@ -102,7 +104,7 @@
 
 
 def _check_fields(path: str, configuration: Configuration) -> None:
-    """Rejects invalid values of the right type. Errors: `ConfigurationRejectedError`."""
+    """Rejects values that have the right type but are invalid. Errors: `ConfigurationRejectedError`."""
     for field in ADDRESS_FIELDS:
         try:
             address(getattr(configuration, field))
@@ -111,7 +113,7 @@
     try:
         int(configuration.seed, SEED_BASE)
     except ValueError:
-        text = f"{path}: seed: {configuration.seed!r} is no hexadecimal number"
+        text = f"{path}: seed: {configuration.seed!r} is not a hexadecimal number"
         raise ConfigurationRejectedError(text) from None
     try:
         events.decode_initial_events(configuration.known)
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -1,4 +1,4 @@
-"""The host list of the platform: applies events of the change log to the connections and the decisions."""
+"""The host list of the platform: applies change log events to the connections and the decision module."""
 
 from collections.abc import Mapping
 
@@ -11,28 +11,30 @@
 from gaproute.loop import Loop
 from gaproute.platform.log import Log
 
-MAX_LOGGED_HOSTS = 64  # hosts of one event that are logged
+MAX_LOGGED_HOSTS = 64  # most hosts of one event that are logged
 
 
 class HostList:
-    """Applies the events in the configuration, then those of the change log, in their order."""
+    """Applies the events in the configuration, then the events of the change log, in order."""
 
     def __init__(
         self, loop: Loop, log: Log, zones: tuple[str, ...], host_client: JsonLinesClient, core: Core
     ) -> None:
         self.loop, self.log, self.host_client, self.core = loop, log, host_client, core
         self.member_converter = MemberConverter(loop, zones)
-        self.watcher: ChangeLogWatcher | None = None  # None until `start` has applied the first events
+        self.watcher: ChangeLogWatcher | None = (
+            None  # None until `start` has applied the events in the configuration
+        )
 
     def start(self, known: Mapping[str, object], change_log: str, chance: Chance) -> None:
-        """Applies the events of the configuration (`known`) and follows the change log at its address."""
+        """Applies the events in the configuration (`known`), then follows the log at `change_log`."""
         last_seq, initial = events.decode_initial_events(known)
         for event in initial:
             self.apply(event)
         self.watcher = ChangeLogWatcher(self.loop, change_log, last_seq, self.apply, chance, initial)
 
     def apply(self, event: events.Event) -> None:
-        """Applies one event, first to the connections: the decisions may use a new host at once."""
+        """Applies one event, first to the connections, as the decision module may use a new host at once."""
         last_absent_at = self.watcher.current_at if self.watcher is not None else None
         endpoints = self.member_converter.endpoints(event.fleet, last_absent_at)
         complete = event.fleet.complete
@@ -49,11 +51,11 @@
         )
 
     def set_address(self, change_log: str) -> None:
-        """Follows the change log at another address, from the last sequence number on."""
+        """Follows the change log at another address, continuing after the last sequence number."""
         if self.watcher is not None:
             self.watcher.set_address(change_log)
 
     def close(self) -> None:
-        """Ends the connection to the change log."""
+        """Closes the connection to the change log."""
         if self.watcher is not None:
             self.watcher.close()
--- a/gaproute/platform/log.py
+++ b/gaproute/platform/log.py
@@ -1,4 +1,4 @@
-"""The log of the platform process: lines of JSON on standard error, never blocking, limited in rate."""
+"""The log of the platform process: rate-limited JSON lines on standard error that never block the process."""
 
 import os
 import time
@@ -6,12 +6,12 @@
 
 import msgspec
 
-MAX_LINES_PER_SECOND = 200  # so that logging many errors does not delay requests
+MAX_LINES_PER_SECOND = 200  # limits the delay that a burst of errors adds to requests
 STANDARD_ERROR_DESCRIPTOR = 2
 
 
 class Log:
-    """Writes lines to a descriptor. A field of a type without a JSON form is written as its `repr`."""
+    """Writes lines to a descriptor. A field value that JSON cannot represent is written as its `repr`."""
 
     def __init__(
         self,
@@ -19,11 +19,11 @@
         wall_clock: Callable[[], float] = time.time,
         monotonic_clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`wall_clock()`: the time written in a line; `monotonic_clock()`: limits the line rate; seconds."""
+        """`wall_clock()`: the time of a line; `monotonic_clock()`: limits the line rate; both in seconds."""
         self.descriptor, self.wall_clock, self.monotonic_clock = descriptor, wall_clock, monotonic_clock
         self.current_second = self.lines_in_current_second = 0
-        self.dropped_line_count = 0  # lines that were left out since the last one that was written
-        self.unwritten_remainder = b""  # the rest of the last line, where the pipe took only a part of it
+        self.dropped_line_count = 0  # lines dropped since the last written line
+        self.unwritten_remainder = b""  # rest of a line that the pipe accepted in part
 
     def info(self, event: str, /, **fields: object) -> None:
         """Logs an event of ordinary operation."""
@@ -38,7 +38,7 @@
         self.write_line("error", event, fields)
 
     def write_line(self, level: str, event: str, fields: dict[str, object]) -> None:
-        """Writes a line, unless the limit of this second is reached or the pipe is full."""
+        """Writes a line, unless this second's line limit is reached or the pipe is full."""
         if not self._admit_line():
             self.dropped_line_count += 1
             return
@@ -60,10 +60,10 @@
         return self.lines_in_current_second <= MAX_LINES_PER_SECOND
 
     def _write_available(self, data: bytes) -> bytes:
-        """Writes as much as the pipe takes and returns the remainder.
+        """Writes as many bytes as the pipe accepts and returns the rest.
 
-        A line of which nothing was written is lost, so that no request waits for the log. The remainder of a
-        line that was written in part is written before the next line.
+        A line of which no byte was written is lost, so that no request waits for the log. The rest of a
+        partly written line is written before the next line.
         """
         try:
             while data:
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -1,4 +1,4 @@
-"""Exchanges load reports with the other gateways of the platform, by datagrams without an answer."""
+"""Exchanges load reports with the other gateways of the platform, by unacknowledged datagrams."""
 
 from collections.abc import Callable
 
@@ -14,10 +14,10 @@
 
 
 class PeerReportSocket:
-    """The socket on which this gateway sends its reports and receives those of others.
+    """The socket on which this gateway sends its load reports and receives the reports of other gateways.
 
-    Without it a gateway uses its own health checks, so an address that cannot be bound is no reason not to
-    start: binding is retried.
+    Without the socket a gateway relies on its own health checks, so a gateway whose address cannot be bound
+    starts anyway and retries the binding.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         configuration: Callable[[], Configuration],
         on_report: Callable[[bytes], None],
     ) -> None:
-        """`configuration()` returns the current one, with the addresses to bind and to send to."""
+        """`configuration()` returns the current configuration with the addresses to bind and to send to."""
         self.loop, self.log = loop, log
         self.configuration, self.on_report = configuration, on_report
         self.datagrams: Datagrams | None = None  # None until the address is bound
@@ -35,7 +35,7 @@
         self.backoff = Backoff(BIND_BACKOFF, MAX_BIND_BACKOFF)
 
     def open(self) -> None:
-        """Binds the address; on failure it is retried with backoff."""
+        """Binds the socket to its address; retries with backoff after a failure."""
         self.retry_timer = None
         listen = self.configuration().peer_listen
         try:
@@ -49,12 +49,12 @@
             self.log.info("peer_socket_bound", listen_address=listen)
 
     def send(self, payload: bytes) -> None:
-        """Sends a report to all other gateways; a datagram may be lost."""
+        """Sends a report to all other gateways; the datagram may be lost."""
         if self.datagrams is not None:
             self.datagrams.send(payload, self.configuration().peers_all)
 
     def close(self) -> None:
-        """Closes the socket and ends retries."""
+        """Closes the socket and cancels a pending retry."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -1,4 +1,4 @@
-"""One gateway process of the platform: makes, starts, stops and closes its parts."""
+"""One gateway process of the platform: creates, starts, stops and closes its components."""
 
 import signal
 import traceback
@@ -28,13 +28,13 @@
 CHANGE_LOG_SEED_OFFSET, ADMISSION_SEED_OFFSET = (
     1,
     3,
-)  # added to the seed, so that no two parts draw the same numbers
-MAX_TRACEBACK_CHARS = 2000  # last characters of an error's traceback that are logged
-MAX_REASON_CHARS = 200  # characters of the reason for rejecting a client's message that are logged
+)  # added to the seed, so that no two components draw the same numbers
+MAX_TRACEBACK_CHARS = 2000  # length of the logged end of an error's traceback
+MAX_REASON_CHARS = 200  # logged length of the reason for rejecting a client's message
 
 
 class GatewayProcess:
-    """The parts of a gateway. Call `start`, then `run`, which ends after `stop`; signals call the rest."""
+    """A gateway and its components. Call `start`, then `run`, which returns after `stop` was called."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         log: Log | None = None,
         trace_one_in: int = DEFAULT_TRACE_ONE_IN,
     ) -> None:
-        """`path`: the configuration file, for reloads; `name` and `listen` replace those of the file."""
+        """`configuration_path`: read again on reload; `name` and `listen` override those of the file."""
         self.configuration, self.terms, self.deployment = loaded
         self.name = name or self.configuration.name
         self.listen = listen or self.configuration.listen
@@ -67,13 +67,13 @@
         self.reloader = ConfigurationReloader(
             self.loop, self.log, configuration_path, self._apply_configuration
         )
-        deadlines = tuple(each.hard_limit for each in self.terms.request_classes)
+        deadlines = tuple(request_class.hard_limit for request_class in self.terms.request_classes)
         self.shutdown = GracefulShutdown(self.loop, self.log, self.core, deadlines)
-        self.front: JsonRpcFront | None = None  # None until `start`, as the next one
-        self.status: StatusLog | None = None
+        self.front: JsonRpcFront | None = None  # None until `start`
+        self.status: StatusLog | None = None  # None until `start`
 
     def _divide_descriptors(self) -> None:
-        """Divides the descriptors between connections of clients and connections to hosts."""
+        """Divides the descriptors between client connections and host connections."""
         shares = split_descriptors(self.descriptor_limit)
         self.host_client = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
         self.host_client.on_removed = self.record.forget_host
@@ -97,9 +97,9 @@
     # Start
 
     def start(self) -> None:
-        """Listens for clients and follows the host list.
+        """Listens for clients, follows the host list and starts the status log.
 
-        Errors: OSError where the address cannot be listened on; then `start` may be called again.
+        Errors: OSError if the gateway cannot listen on its address; `start` may then be called again.
         """
         front = self.front = self._listen()
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
@@ -132,7 +132,7 @@
         return front
 
     def is_ready(self) -> bool:
-        """Whether clients should send requests: a host is active, and the process is not stopping."""
+        """Whether clients should send requests: a host is active and the process is not stopping."""
         return not self.shutdown.has_begun and any(host.active for host in self.host_client.hosts.values())
 
     def _receive_report(self, payload: bytes) -> None:
@@ -141,13 +141,13 @@
     # Signals
 
     def handle_signals(self) -> None:
-        """Sets the handlers: SIGTERM and SIGINT stop the process, SIGHUP reloads the configuration."""
+        """Sets the signal handlers: SIGTERM and SIGINT stop the process, SIGHUP reloads the configuration."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Reads the configuration file again; only a new address of the change log takes effect."""
+        """Reads the configuration file again; only a changed change log address takes effect."""
         self.reloader.reload()
 
     def _apply_configuration(self, configuration: Configuration) -> None:
@@ -162,7 +162,7 @@
     # Run
 
     def run(self) -> None:
-        """Runs until the process has stopped, then closes all parts."""
+        """Runs the loop until the process stops, then closes all components."""
         self.loop.run()
         if self.status is not None:
             self.loop.guard(self.status.write)
@@ -172,10 +172,10 @@
         self.close()
 
     def close(self) -> None:
-        """Closes the sockets of all parts, also where closing one of them fails."""
-        for part in (self.front, self.host_list, self.host_client, self.peer_reports):
-            if part is not None:
-                self.loop.guard(part.close)
+        """Closes all components, even if closing one of them raises an error."""
+        for component in (self.front, self.host_list, self.host_client, self.peer_reports):
+            if component is not None:
+                self.loop.guard(component.close)
 
     # Log
 
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -18,7 +18,7 @@
 
 
 class ConfigurationReloader:
-    """Reloads the file. An invalid one changes nothing; after a transient error the file is read again."""
+    """Reloads the file. An invalid file changes nothing; after a transient error the file is read again."""
 
     def __init__(self, loop: Loop, log: Log, path: str, on_reloaded: Callable[[Configuration], None]) -> None:
         self.loop, self.log, self.path, self.on_reloaded = loop, log, path, on_reloaded
@@ -26,12 +26,12 @@
         self.backoff = Backoff(READ_BACKOFF, MAX_READ_BACKOFF)
 
     def reload(self) -> None:
-        """Reads the file; after a transient error it is retried with backoff."""
+        """Reads the file; retries with backoff after a transient error."""
         self.backoff.reset()
         self._read_and_apply()
 
     def cancel(self) -> None:
-        """Ends retries."""
+        """Cancels a pending retry."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: after SIGTERM the process answers all requests and exits before SIGKILL may come."""
+"""Graceful shutdown: after SIGTERM the process answers all requests and exits before SIGKILL may arrive."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -11,23 +11,23 @@
 from gaproute.platform.log import Log
 from gaproute.units import MILLI
 
-CLIENT_NOTICE_TIME = 600 * MILLI  # time after SIGTERM in which clients still open connections
-ACCEPT_TIME = CLIENT_NOTICE_TIME + 200 * MILLI  # time after SIGTERM in which connections are accepted
-CLOSE_MARGIN = 200 * MILLI  # time before SIGKILL in which connections are closed
+CLIENT_NOTICE_TIME = 600 * MILLI  # time after SIGTERM in which clients may still open connections
+ACCEPT_TIME = CLIENT_NOTICE_TIME + 200 * MILLI  # time after SIGTERM in which the gateway accepts connections
+CLOSE_MARGIN = 200 * MILLI  # time before SIGKILL that is left for closing connections
 
 
 class ShutdownTimes(NamedTuple):
-    """When the steps of a shutdown are due, ns of the loop's clock."""
+    """The times at which the steps of a shutdown are due, ns of the loop's clock."""
 
     close_at: int  # when open connections are closed
-    exit_at: int  # when the process ends, whatever is left
+    exit_at: int  # when the process exits, even with requests or connections left
 
 
 def shutdown_times(deadlines: Iterable[int], signalled_at: int, now: int) -> ShutdownTimes:
-    """The times after a SIGTERM that came at `signalled_at` and is handled at `now`; `deadlines`: ns.
+    """The shutdown times for a SIGTERM that arrived at `signalled_at` and is handled at `now`; all in ns.
 
-    With short deadlines SIGKILL may come soon after the last clients have connected: then closing takes half
-    of the time between the two.
+    With short deadlines SIGKILL may arrive soon after the last clients have connected; the time for closing
+    connections is then half of the time between these two events.
     """
     kill_after = kill_delay(max(deadlines))
     margin = min(CLOSE_MARGIN, (kill_after - CLIENT_NOTICE_TIME) // 2)
@@ -36,24 +36,25 @@
 
 
 class GracefulShutdown:
-    """What happens from SIGTERM until the loop ends."""
+    """Runs the steps of the shutdown, from SIGTERM until the loop stops."""
 
     def __init__(self, loop: Loop, log: Log, core: Core, deadlines: tuple[int, ...]) -> None:
-        """`deadlines`: of the request classes, ns."""
+        """`deadlines`: the deadlines of the request classes, ns."""
         self.loop, self.log, self.core, self.deadlines = loop, log, core, deadlines
         self.front: JsonRpcFront | None = None
-        self.times: ShutdownTimes | None = None  # None until it has begun
+        self.times: ShutdownTimes | None = None  # None until the shutdown begins
 
     @property
     def has_begun(self) -> bool:
-        """Whether SIGTERM was handled."""
+        """Whether the shutdown has begun."""
         return self.times is not None
 
     def begin(self, front: JsonRpcFront) -> None:
         """Begins the shutdown; later calls do nothing.
 
-        New connections are accepted for `ACCEPT_TIME`; open ones are served until shortly before SIGKILL may
-        come. If the loop was late, the signal may have come that long ago, and all times count from then.
+        New connections are accepted for `ACCEPT_TIME`; open connections are served until shortly before
+        SIGKILL may arrive. If the loop is late, the signal may have arrived earlier by that delay, so all
+        times count from the earliest possible arrival.
         """
         if self.has_begun:
             return
@@ -63,12 +64,13 @@
         signalled_at = now - self.loop.read_delay
         close_at, exit_at = self.times = shutdown_times(self.deadlines, signalled_at, now)
         self.core.end_by(close_at - response_margin())
-        self.loop.at(exit_at, self.loop.stop)  # first: an error must not keep the process
+        # The exit timer is set first, so that the process exits even if a later step raises an error.
+        self.loop.at(exit_at, self.loop.stop)
         self.loop.at(close_at, front.stop)
         self.loop.at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
 
     def stop_accepting(self) -> None:
-        """Stops accepting connections, and ends the loop once the last open one is closed."""
+        """Stops accepting connections, and stops the loop once the last open connection is closed."""
         if self.front is None:
             return
         self.core.on_idle = self.front.on_emptied = self._stop_if_idle
@@ -76,6 +78,6 @@
         self._stop_if_idle()
 
     def _stop_if_idle(self) -> None:
-        """Ends the loop if no request is in flight and clients have closed all their connections."""
+        """Stops the loop if no request is in flight and no client connection is open."""
         if self.front is not None and not self.core.in_flight and not self.front.connection_count:
             self.loop.stop()
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -1,4 +1,4 @@
-"""The status line that the platform process logs for operators every few seconds."""
+"""The status line that the platform process periodically logs for operators."""
 
 import os
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class StatusLog:
-    """Writes the status line at once and every `STATUS_INTERVAL`. Its keys are in `docs/platform.md`."""
+    """Writes the status line every `STATUS_INTERVAL`. `docs/platform.md` describes its keys."""
 
     def __init__(
         self,
@@ -38,8 +38,9 @@
         self.gateway, self.host_client, self.host_list = gateway, host_client, host_list
 
     def write(self) -> None:
-        """Writes a line now and sets the timer of the next one."""
-        self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
+        """Writes a status line and schedules the next one."""
+        # The timer is set first, so that an error in this line does not end the status log.
+        self.loop.after(STATUS_INTERVAL, self.write)
         self.log.info("status", **self._fields())
 
     def _fields(self) -> dict[str, object]:
@@ -55,7 +56,7 @@
         }
 
     def _connections_in_use(self) -> dict[str, list[int]]:
-        """By host: [connections, requests on them], for hosts that have a connection."""
+        """By host: [connections, requests in flight on them], for hosts that have a connection."""
         return {
             name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
             for name, host in self.host_client.hosts.items()
@@ -115,12 +116,12 @@
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open. Errors: OSError where none is free to count them."""
+    """The number of open descriptors of this process. Errors: OSError if none is free for counting."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def resident_memory() -> float:
-    """The resident memory of this process, MiB. Errors: OSError where no descriptor is free to read it."""
+    """The resident memory of this process in MiB. Errors: OSError if no descriptor is free for reading it."""
     with open("/proc/self/statm") as file:
         pages = int(file.read().split()[1])
     return round(pages * os.sysconf("SC_PAGESIZE") / MEBIBYTE, 1)
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -1,8 +1,8 @@
 """Reads the platform's settings object, for the bench adapter and for a gateway that serves sockets.
 
-The keys of the object are the platform's; they appear nowhere else. Unknown keys are ignored, and a value
-that is missing or null counts as 0, false or none. Errors of `read_terms` and `read_deployment`: KeyError,
-ValueError, TypeError, AttributeError, OverflowError.
+The platform defines the keys of the object; no other module uses them. Unknown keys are ignored, and a value
+that is missing or null counts as 0, false or empty. `read_terms` and `read_deployment` raise KeyError,
+ValueError, TypeError, AttributeError or OverflowError for invalid settings.
 """
 
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
     "guarded": interface.Idempotency.IDEMPOTENT_WITH_KEY,
     "single_shot": interface.Idempotency.NON_IDEMPOTENT,
 }
-# The fields of a load report, each with the names that it may have.
+# By field of a load report: the names under which a host may report it.
 FIGURE_NAMES_BY_FIELD = {
     "in_hand": ("busy_reqs", "inflight"),
     "waiting": ("pending", "queue"),
@@ -29,28 +29,28 @@
 
 
 class DeploymentSettings(NamedTuple):
-    """What a gateway that serves sockets is given beside the terms; times are ns."""
+    """The settings of a gateway that serves sockets, in addition to the terms; times are in ns."""
 
-    class_names: tuple[str, ...]  # of the request classes, in the order of the terms
+    class_names: tuple[str, ...]  # names of the request classes, ordered as in the terms
     zones: tuple[str, ...]
-    report_names: tuple[str, ...]  # of the figures in a load report
+    report_names: tuple[str, ...]  # names of the figures in a load report
     connect_time: int
-    idle_time: int  # after which hosts close an idle connection
+    idle_time: int  # time after which hosts close an idle connection
     order_time: int
-    requests_per_connection: int  # in flight to a host at most
+    requests_per_connection: int  # most requests in flight on a connection to a host
     same_function_counted: bool
-    cancel_allowed: bool = True  # hosts may be notified of a cancelled request
+    cancel_allowed: bool = True  # whether hosts may be notified of a cancelled request
 
 
 def read_terms(settings: Mapping[str, Any]) -> interface.Terms:
-    """The terms of the decisions."""
+    """Reads the terms under which the decision module works."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     rules, prices = _section(settings, "rules"), _section(settings, "prices")
     report = _section(settings, "report")
     report_names = set(report.get("names") or ())
     return interface.Terms(
-        request_classes=tuple(_request_class(each) for each in settings.get("lanes") or ()),
-        tenant_shares=tuple(float(each.get("share") or 0.0) for each in settings.get("tenants") or ()),
+        request_classes=tuple(_request_class(fields) for fields in settings.get("lanes") or ()),
+        tenant_shares=tuple(float(tenant.get("share") or 0.0) for tenant in settings.get("tenants") or ()),
         over_share_value=float(settings.get("over_share_worth", 1.0)),
         keep_alive=_duration(family, "idle_life"),
         load_orders_allowed=bool(family.get("placement_calls")),
@@ -84,10 +84,10 @@
 
 
 def read_deployment(settings: Mapping[str, Any]) -> DeploymentSettings:
-    """What a gateway that serves sockets is given beside the terms."""
+    """Reads the settings that a gateway serving sockets needs in addition to the terms."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     return DeploymentSettings(
-        class_names=tuple(each["name"] for each in settings.get("lanes") or ()),
+        class_names=tuple(fields["name"] for fields in settings.get("lanes") or ()),
         zones=tuple(settings.get("zones") or ()),
         report_names=tuple(_section(settings, "report").get("names") or ()),
         connect_time=_duration(limits, "connect_timeout"),
@@ -100,7 +100,7 @@
 
 
 def read_report(figures: Mapping[str, float | None]) -> interface.Report | None:
-    """A load report by the names of its figures; None where none of them is known."""
+    """Builds a load report from figures by name; None if no name is known."""
     fields = [
         next((figures[name] for name in names if name in figures), None)
         for names in FIGURE_NAMES_BY_FIELD.values()
@@ -109,7 +109,7 @@
 
 
 def _section(settings: Mapping[str, Any], key: str) -> Mapping[str, Any]:
-    """The object under a key of the settings; an empty one where it is missing or null."""
+    """The object under a key of the settings; an empty one if it is missing or null."""
     section: Mapping[str, Any] = settings.get(key) or {}
     return section
 
@@ -125,6 +125,6 @@
     )
 
 
-def _duration(table: Mapping[str, Any], key: str) -> int:
-    """Milliseconds, rounded to whole microseconds, as ns; 0 where they are missing."""
-    return round(float(table.get(key) or 0) * MICROS_PER_MILLI) * MICRO
+def _duration(section: Mapping[str, Any], key: str) -> int:
+    """A duration in ns, from milliseconds that are rounded to whole microseconds; 0 if missing or null."""
+    return round(float(section.get(key) or 0) * MICROS_PER_MILLI) * MICRO
--- a/gaproute/telemetry/__init__.py
+++ b/gaproute/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, recent events and structured logs."""
+"""Counters, recent events and structured logs of a gateway."""
--- a/gaproute/telemetry/logs.py
+++ b/gaproute/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""The log of the KServe gateway: lines of JSON by structlog."""
+"""The log of the KServe gateway: JSON lines written by structlog."""
 
 import sys
 from typing import Protocol, TextIO
@@ -11,16 +11,16 @@
 
 
 class BindableLog(Log, Protocol):
-    """A log to which fields can be bound that are part of each line."""
+    """A log from which a log with additional fields in each line can be derived."""
 
     def bind(self, **fields: object) -> Log:
-        """A log that adds these fields to each line."""
+        """Returns a log that adds these fields to each line."""
 
 
 def logger(stream: TextIO | None = None, level: str = "info") -> BindableLog:
-    """A structlog logger that writes lines of JSON to `stream`, by default standard error.
+    """A structlog logger that writes JSON lines to `stream`, by default to standard error.
 
-    Lines below `level` are left out. Errors: KeyError for an unknown level.
+    Lines below `level` are omitted. Errors: KeyError for an unknown level.
     """
     log: BindableLog = structlog.wrap_logger(
         structlog.WriteLogger(stream or sys.stderr),
--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -8,14 +8,14 @@
 from gaproute.interface import Result
 from gaproute.interface.call import Ending
 
-MAX_EVENTS = 256  # the latest ones, which operators can read
-DEFAULT_TRACE_ONE_IN = 32  # requests of which one is traced, by its id: the same one at every gateway
+MAX_EVENTS = 256  # most recent events, which operators can read
+DEFAULT_TRACE_ONE_IN = 32  # 1 in 32 requests is traced, chosen by its id: the same requests at every gateway
 
-CounterTree = dict[str, Any]  # {what: {subject: count, or {detail: count}}}
+CounterTree = dict[str, Any]  # {counter name: {label: count, or {label: count}}}
 
 
 class Log(Protocol):
-    """A structured log: one line for each event, with its fields."""
+    """A structured log that writes one line with its fields for each event."""
 
     def info(self, event: str, /, **fields: object) -> object:
         """Logs an event of ordinary operation."""
@@ -28,7 +28,7 @@
 
 
 class GatewayRecord:
-    """What has happened at one gateway since its start."""
+    """The counters since the start of one gateway, its recent events and its traces."""
 
     def __init__(
         self, log: Log, class_names: Sequence[str], trace_one_in: int = DEFAULT_TRACE_ONE_IN
@@ -36,22 +36,22 @@
         """`class_names`: of the request classes, by index; `trace_one_in`: 1 traces all requests, 0 none."""
         self.log, self.class_names = log, class_names
         self.trace_one_in = trace_one_in
-        self.counts: Counter[tuple[str, ...]] = Counter()  # (what, class or host, ...): how often
+        self.counts: Counter[tuple[str, ...]] = Counter()  # by (counter name, label, ...)
         self.events: deque[tuple[str, dict[str, object]]] = deque(maxlen=MAX_EVENTS)
 
     def event(self, level: str, event: str, /, **fields: object) -> None:
-        """Logs an event by the log's method `level`, and stores it for the operators' address."""
+        """Logs an event by the log's method `level` and stores it for the operators' address."""
         self.events.append((event, fields))
         getattr(self.log, level)(event, **fields)
 
     def log_internal_error(self, message: str, gateway_request_id: str) -> None:
-        """Logs an error of the gateway itself in one of its requests; the id is the gateway's own."""
+        """Logs an internal error in the handling of a request; the id is assigned by the gateway."""
         self.event("error", "internal_error", message=message, gateway_request_id=gateway_request_id)
 
     # Counters
 
     def count_request(self, request_class: int) -> None:
-        """Counts a request."""
+        """Counts a received request."""
         self.counts["received", self.class_names[request_class]] += 1
 
     def count_client_left(self, request_class: int) -> None:
@@ -59,38 +59,38 @@
         self.counts["client_left", self.class_names[request_class]] += 1
 
     def count_final_answer(self, request_class: int, ending: Ending) -> None:
-        """Counts a final answer."""
+        """Counts a final answer by its request class and ending."""
         self.counts[ending.value, self.class_names[request_class]] += 1
 
     def count_attempt_result(self, host: str, request_class: int, result: Result) -> None:
-        """Counts the result of an attempt."""
+        """Counts the result of an attempt by host; a failure also by request class."""
         self.counts["attempts", host, result.value] += 1
         if result is not Result.OK:
             self.counts["failed_attempts", self.class_names[request_class], host, result.value] += 1
 
     def count_load_order(self, host: str) -> None:
-        """Counts a load order."""
+        """Counts a load order to a host."""
         self.counts["load_orders", host] += 1
 
     def forget_host(self, host: str) -> None:
-        """Drops the counters of a host that was removed from the fleet."""
+        """Deletes the counters of a host that was removed from the fleet."""
         for key in [key for key in self.counts if host in key]:
             del self.counts[key]
 
     def snapshot(self) -> CounterTree:
-        """The counters as nested_counters plain data."""
+        """The counters as nested dicts."""
         return nested_counters(self.counts)
 
     # Traces
 
     def is_traced(self, request_id: str) -> bool:
-        """Whether the request with this id of its client, or this function's load orders, are traced."""
+        """Whether to trace the request with this client's id, or the load orders of this function."""
         if not request_id or self.trace_one_in <= 0:
             return False
         return crc32(request_id.encode()) % self.trace_one_in == 0
 
     def log_step(self, request_id: str, step: str, /, **fields: object) -> None:
-        """Logs one step of a traced request; `request_id` is the client's own."""
+        """Logs one step of a traced request; `request_id` is the id that the client gave."""
         self.log.info("request_step", request_id=request_id, step=step, **fields)
 
     def log_load_order(self, function: str, /, **fields: object) -> None:
@@ -99,11 +99,11 @@
 
 
 def nested_counters(counts: Mapping[tuple[str, ...], int]) -> CounterTree:
-    """Counters as nested_counters plain data, sorted by their keys."""
+    """Converts counters to nested dicts, sorted by key."""
     tree: CounterTree = {}
-    for (what, *path), count in sorted(counts.items()):
-        node = tree.setdefault(what, {})
-        for part in path[:-1]:
-            node = node.setdefault(part, {})
-        node[path[-1]] = count
+    for (counter, *labels), count in sorted(counts.items()):
+        node = tree.setdefault(counter, {})
+        for label in labels[:-1]:
+            node = node.setdefault(label, {})
+        node[labels[-1]] = count
     return tree
--- a/tests/discovery/test_cells_followed.py
+++ b/tests/discovery/test_cells_followed.py
@@ -136,7 +136,7 @@
     made.sources[0].send("a1", event(9, []))
     made.until(lambda: made.count == 1)
     assert made.names("a1") == "wx"
-    assert made.refused[0].reason == "a whole list without hosts"
+    assert made.refused[0].reason == "a complete list without hosts"
 
 
 def test_after_a_stop_news_of_hosts_comes_before_the_calls_that_came_meanwhile(followed_cells):
