--- a/tests/platform/test_connection_limits.py
+++ b/tests/platform/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""The platform's gateway on loopback when it has as many connections as it may have."""
+"""The platform's gateway on loopback at its limit of client connections."""
 
 from scripted import MILLI
 
@@ -6,52 +6,52 @@
 from gaproute.fronts.jsonrpc import front as fronts
 
 
-def test_resting_connections_make_room_and_those_at_work_stay(gate, monkeypatch):
+def test_a_parked_connection_is_evicted_when_a_client_connects_at_the_limit(gate, monkeypatch):
     monkeypatch.setattr(connections, "QUIET_TIME", 0)
     monkeypatch.setattr(fronts, "SWEEP_INTERVAL", 5 * MILLI)
-    made = gate(sockets=90)
-    made.process.front.connections.admission.min_idle = 0
-    most = made.process.front.connections.admission.max_connections
-    first = [made.client() for _ in range(most)]
-    for place, client in enumerate(first):
-        client.ask(1, i=f"{place:016x}")
-    made.until(lambda: all(client.answers for client in first))
-    made.until(lambda: made.process.front.parked == most)
-    late = made.client()
+    gateway = gate(sockets=90)
+    gateway.process.front.connections.admission.min_idle = 0
+    max_connections = gateway.process.front.connections.admission.max_connections
+    first_clients = [gateway.client() for _ in range(max_connections)]
+    for number, client in enumerate(first_clients):
+        client.ask(1, i=f"{number:016x}")
+    gateway.until(lambda: all(client.answers for client in first_clients))
+    gateway.until(lambda: gateway.process.front.parked == max_connections)
+    late = gateway.client()
     late.ask(1, i="f" * 16)
-    made.until(lambda: late.answers)
+    gateway.until(lambda: late.answers)
     assert "result" in late.answers[0]
-    assert sum(client.ended for client in first) == 1
+    assert sum(client.ended for client in first_clients) == 1
 
 
-def test_a_house_full_of_connections_of_one_request_each_turns_none_away(gate):
-    made = gate(sockets=90)
-    most = made.process.front.connections.admission.max_connections
+def test_no_connection_is_rejected_at_the_limit_if_idle_ones_can_be_evicted(gate):
+    gateway = gate(sockets=90)
+    max_connections = gateway.process.front.connections.admission.max_connections
     clients = []
-    for place in range(3 * most):  # as fast as resting ones may make room
-        clients.append(made.client())
-        clients[-1].ask(1, i=f"{place:016x}")
-        made.until(lambda: clients[-1].answers)
-        end = made.loop.now() + 400 * MILLI // most
-        made.until(lambda end=end: made.loop.now() >= end)
-    assert made.process.front.rejected_connections == 0
-    assert made.process.front.connections.evicted >= most
+    for number in range(3 * max_connections):  # no faster than idle connections may be evicted
+        clients.append(gateway.client())
+        clients[-1].ask(1, i=f"{number:016x}")
+        gateway.until(lambda: clients[-1].answers)
+        end = gateway.loop.now() + 400 * MILLI // max_connections
+        gateway.until(lambda end=end: gateway.loop.now() >= end)
+    assert gateway.process.front.rejected_connections == 0
+    assert gateway.process.front.connections.evicted >= max_connections
 
 
-def test_at_a_full_house_at_work_arrivals_wait_and_are_served_when_one_leaves(gate):
+def test_new_connections_wait_and_are_served_when_all_accepted_ones_are_busy(gate):
     held = []
-    made = gate(
+    gateway = gate(
         lambda stream, command: command["type"] == "go" and held.append((stream, command)), sockets=90
     )
-    most = made.process.front.connections.admission.max_connections
+    max_connections = gateway.process.front.connections.admission.max_connections
     clients = []
-    for place in range(most + 5):
-        clients.append(made.client())
-        clients[-1].ask(1, i=f"{place:016x}")
-        made.until(lambda place=place: len(held) == min(place + 1, most))
-    made.until(lambda: made.process.front.listener.pauses)
-    made.hosts[0].answer = made.hosts[0].serve
-    for each in held:
-        made.hosts[0].serve(*each)
-    made.until(lambda: all(client.answers for client in clients))
-    assert made.process.front.rejected_connections == 0
+    for number in range(max_connections + 5):
+        clients.append(gateway.client())
+        clients[-1].ask(1, i=f"{number:016x}")
+        gateway.until(lambda number=number: len(held) == min(number + 1, max_connections))
+    gateway.until(lambda: gateway.process.front.listener.pauses)
+    gateway.hosts[0].answer = gateway.hosts[0].serve
+    for stream, command in held:
+        gateway.hosts[0].serve(stream, command)
+    gateway.until(lambda: all(client.answers for client in clients))
+    assert gateway.process.front.rejected_connections == 0
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -1,4 +1,4 @@
-"""What the platform's gateway logs: its status, traced requests, and no more than its limit of lines."""
+"""What the platform's gateway logs: its status, traced requests, and lines up to its rate limit."""
 
 import json
 import os
@@ -9,9 +9,9 @@
 from gaproute.telemetry.record import GatewayRecord
 
 
-def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
-    made = gate()
-    made.process.host_list.apply(
+def test_a_status_line_lists_only_hosts_in_use_however_long_the_host_list_is(gate):
+    gateway = gate()
+    gateway.process.host_list.apply(
         events.decode_initial_events(
             {
                 "seq": 2,
@@ -25,34 +25,34 @@
             }
         )[1][0]
     )
-    made.lines.clear()
-    made.process.status.write()
-    status = dict(made.lines)["status"]
-    assert len(made.process.host_client.hosts) >= 1000
+    gateway.lines.clear()
+    gateway.process.status.write()
+    status = dict(gateway.lines)["status"]
+    assert len(gateway.process.host_client.hosts) >= 1000
     assert len(status["host_estimates"]) + len(status["host_connections"]) <= 1
 
 
-def test_the_log_drops_what_comes_too_fast_and_says_how_much():
-    reader, writer = os.pipe()
-    clock = [10.0]
-    log = Log(writer, monotonic_clock=lambda: clock[0])
+def test_the_log_drops_lines_over_its_rate_limit_and_reports_their_number():
+    read_end, write_end = os.pipe()
+    now = [10.0]
+    log = Log(write_end, monotonic_clock=lambda: now[0])
     for number in range(250):
         log.info("x", number=number)
-    clock[0] = 11.0
+    now[0] = 11.0
     log.info("y")
-    os.close(writer)
-    with os.fdopen(reader) as file:
+    os.close(write_end)
+    with os.fdopen(read_end) as file:
         lines = [json.loads(line) for line in file]
     assert len(lines) == 201
     assert lines[-1]["dropped_lines"] == 50
 
 
-def test_one_task_is_followed_by_its_id_through_every_step(gate):
-    made = gate(followed=1)
-    client = made.client()
+def test_every_step_of_a_traced_request_is_logged_under_its_id(gate):
+    gateway = gate(followed=1)
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: client.answers)
-    steps = [fields for what, fields in made.lines if what == "request_step"]
+    gateway.until(lambda: client.answers)
+    steps = [fields for event_name, fields in gateway.lines if event_name == "request_step"]
     assert [fields["step"] for fields in steps] == [
         "received",
         "attempt_started",
@@ -63,10 +63,12 @@
     assert steps[1]["host"] == "s-0"
 
 
-def test_of_many_tasks_few_are_followed_and_the_same_ones_everywhere():
-    marks = [f"{number:016x}" for number in range(6400)]
-    followed = [mark for mark in marks if GatewayRecord(None, ()).is_traced(mark)]
-    again = [mark for mark in marks if GatewayRecord(None, ()).is_traced(mark)]
-    assert 100 < len(followed) < 400
-    assert followed == again
-    assert not any(GatewayRecord(None, (), 0).is_traced(mark) for mark in marks)
+def test_a_small_share_of_requests_is_traced_and_the_same_ones_by_every_record():
+    request_ids = [f"{number:016x}" for number in range(6400)]
+    traced = [request_id for request_id in request_ids if GatewayRecord(None, ()).is_traced(request_id)]
+    traced_elsewhere = [
+        request_id for request_id in request_ids if GatewayRecord(None, ()).is_traced(request_id)
+    ]
+    assert 100 < len(traced) < 400
+    assert traced == traced_elsewhere
+    assert not any(GatewayRecord(None, (), 0).is_traced(request_id) for request_id in request_ids)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's gateway whole, on loopback: clients and their requests; hosts and the log are stand-ins."""
+"""The whole platform gateway on loopback: clients and their requests, with stand-in hosts and change log."""
 
 import json
 import time
@@ -14,7 +14,7 @@
 from gaproute.standins.platform import arg
 
 
-def test_the_start_object_is_read_alike_for_the_wire_and_for_the_node():
+def test_the_bench_adapter_and_the_gateway_read_the_same_terms_from_the_settings():
     assert decode_terms(json.dumps(SETTINGS)) == read_terms(SETTINGS)
     deployment = read_deployment(SETTINGS)
     assert (deployment.class_names, deployment.requests_per_connection, deployment.idle_time) == (
@@ -24,27 +24,27 @@
     )
 
 
-def test_a_task_goes_through_and_its_body_comes_back_unchanged(gate):
-    made = gate()
-    client = made.client()
+def test_each_request_is_answered_with_the_body_of_its_host_unchanged(gate):
+    gateway = gate()
+    client = gateway.client()
     client.ask(1)
     client.ask(2, "repair-order")
-    made.until(lambda: len(client.answers) == 2)
-    assert {each["id"]: each["result"]["arg"] for each in client.answers} == {
+    gateway.until(lambda: len(client.answers) == 2)
+    assert {answer["id"]: answer["result"]["arg"] for answer in client.answers} == {
         1: arg(b"body 1"),
         2: arg(b"body 2"),
     }
 
 
-def test_ping_says_up_and_no_more_once_it_stops(gate):
-    made = gate()
-    client = made.client()
+def test_ping_reports_up_until_the_gateway_stops(gate):
+    gateway = gate()
+    client = gateway.client()
     client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
-    made.until(lambda: client.answers)
-    made.process.stop()
+    gateway.until(lambda: client.answers)
+    gateway.process.stop()
     client.message({"jsonrpc": "2.0", "id": 2, "method": "ping"})
-    made.until(lambda: len(client.answers) == 2)
-    assert [each["result"]["up"] for each in client.answers] == [True, False]
+    gateway.until(lambda: len(client.answers) == 2)
+    assert [answer["result"]["up"] for answer in client.answers] == [True, False]
 
 
 @pytest.mark.parametrize(
@@ -56,16 +56,16 @@
         ({"i": "short"}, ErrorCode.INVALID_PARAMS),
     ],
 )
-def test_bad_input_gets_an_error_and_reaches_no_host(gate, fields, code):
-    made = gate()
-    client = made.client()
+def test_an_invalid_request_gets_an_error_and_reaches_no_host(gate, fields, code):
+    gateway = gate()
+    client = gateway.client()
     client.ask(1, **fields)
     client.ask(2)
-    made.until(lambda: len(client.answers) == 2)
+    gateway.until(lambda: len(client.answers) == 2)
     assert client.answers[0]["error"]["code"] == code
     assert "result" in client.answers[1]
-    assert made.came() == 1
-    assert not made.hosts[0].seen("stage")
+    assert gateway.came() == 1
+    assert not gateway.hosts[0].seen("stage")
 
 
 @pytest.mark.parametrize(
@@ -78,84 +78,86 @@
         b"Content-Length: 1\r\n\r\n{",
     ],
 )
-def test_what_cannot_be_read_gets_an_error_and_a_close(gate, data):
-    made = gate()
-    client = made.client()
+def test_an_unreadable_message_gets_a_parse_error_and_its_connection_is_closed(gate, data):
+    gateway = gate()
+    client = gateway.client()
     client.send(data)
-    made.until(lambda: client.ended)
+    gateway.until(lambda: client.ended)
     assert client.answers[0]["error"]["code"] == ErrorCode.PARSE_ERROR
-    made.until(lambda: not made.process.front.active_connections)
-    assert made.process.front.connections.client_count == 0
+    gateway.until(lambda: not gateway.process.front.active_connections)
+    assert gateway.process.front.connections.client_count == 0
 
 
-def test_a_second_request_under_an_open_id_or_number_is_an_error_and_the_first_unharmed(gate):
+def test_a_request_with_the_id_of_an_open_request_gets_an_error_and_the_open_one_is_answered(gate):
     held = []
-    made = gate(lambda stream, command: held.append((stream, command)))
-    client = made.client()
+    gateway = gate(lambda stream, command: held.append((stream, command)))
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: made.came())
+    gateway.until(lambda: gateway.came())
     client.ask(2, i=f"{1:016x}", arg=arg(b"another"))
     client.ask(1, i=f"{9:016x}")
-    made.until(lambda: len(client.answers) == 2)
-    assert [(each["id"], each["error"]["code"]) for each in client.answers] == [
+    gateway.until(lambda: len(client.answers) == 2)
+    assert [(answer["id"], answer["error"]["code"]) for answer in client.answers] == [
         (2, ErrorCode.INVALID_PARAMS),
         (None, ErrorCode.INVALID_REQUEST),
     ]
     for stream, command in held:
-        made.hosts[0].serve(stream, command)
-    made.until(lambda: len(client.answers) == 3)
+        gateway.hosts[0].serve(stream, command)
+    gateway.until(lambda: len(client.answers) == 3)
     assert client.answers[2]["result"]["arg"] == arg(b"body 1")
-    assert made.came() == 1
+    assert gateway.came() == 1
 
 
-def test_a_33rd_open_request_is_turned_away(gate):
-    made = gate(nothing)
-    client = made.client()
+def test_a_33rd_open_request_on_a_connection_is_rejected(gate):
+    gateway = gate(nothing)
+    client = gateway.client()
     for number in range(1, 34):
         client.ask(number)
-    made.until(lambda: client.answers)
-    assert [(each["id"], each["error"]["code"]) for each in client.answers] == [(33, ErrorCode.REJECTED)]
+    gateway.until(lambda: client.answers)
+    assert [(answer["id"], answer["error"]["code"]) for answer in client.answers] == [
+        (33, ErrorCode.REJECTED)
+    ]
 
 
-def test_an_abort_halts_the_relay_and_nothing_is_answered(gate):
-    made = gate(nothing)
-    client = made.client()
+def test_an_aborted_request_is_cancelled_at_its_host_and_not_answered(gate):
+    gateway = gate(nothing)
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: made.came())
+    gateway.until(lambda: gateway.came())
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
-    made.until(lambda: made.hosts[0].seen("halt"))
-    made.until(lambda: not made.process.core.in_flight)
+    gateway.until(lambda: gateway.hosts[0].seen("halt"))
+    gateway.until(lambda: not gateway.process.core.in_flight)
     assert client.answers == []
-    assert not made.process.front.open_request_ids
+    assert not gateway.process.front.open_request_ids
 
 
-def test_a_client_that_goes_takes_its_requests_with_it(gate):
-    made = gate(nothing)
-    client = made.client()
+def test_the_requests_of_a_client_that_disconnects_are_dropped(gate):
+    gateway = gate(nothing)
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: made.came())
+    gateway.until(lambda: gateway.came())
     client.stream.abort()
-    made.until(lambda: not made.process.core.in_flight)
-    assert not made.process.front.open_request_ids
-    assert not made.process.front.active_connections
+    gateway.until(lambda: not gateway.process.core.in_flight)
+    assert not gateway.process.front.open_request_ids
+    assert not gateway.process.front.active_connections
 
 
 def test_a_connection_that_sends_nothing_or_half_a_message_is_closed(gate, monkeypatch):
     monkeypatch.setattr(fronts, "FIRST_MESSAGE_TIMEOUT", 30 * MILLI)
     monkeypatch.setattr(connections, "PROGRESS_TIMEOUT", 30 * MILLI)
     monkeypatch.setattr(fronts, "SWEEP_INTERVAL", 10 * MILLI)
-    made = gate()
-    silent, half = made.client(), made.client()
+    gateway = gate()
+    silent, half = gateway.client(), gateway.client()
     half.send(b"Content-Length: 50\r\n\r\nhalf")
-    made.until(lambda: silent.ended and half.ended)
-    assert made.process.core.in_flight == {}
+    gateway.until(lambda: silent.ended and half.ended)
+    assert gateway.process.core.in_flight == {}
 
 
-def test_the_clock_of_the_deadline_runs_from_the_last_byte(gate):
-    made = gate(nothing)
-    client = made.client()
-    began = time.monotonic()
+def test_a_request_fails_at_its_deadline_counted_from_its_last_byte(gate):
+    gateway = gate(nothing)
+    client = gateway.client()
+    sent_at = time.monotonic()
     client.ask(1, d=200)
-    made.until(lambda: client.answers)
+    gateway.until(lambda: client.answers)
     assert "error" in client.answers[0]
-    assert 0.1 < time.monotonic() - began < 0.25
+    assert 0.1 < time.monotonic() - sent_at < 0.25
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The platform's process: its configuration, its reload and its end, and what it loads."""
+"""The platform's process: configuration, reload, shutdown, and which modules it imports."""
 
 import json
 import os
@@ -13,58 +13,60 @@
 from gaproute.standins.platform import ScriptedChangeLog, event, sse
 
 
-def test_a_new_file_moves_the_log_and_a_bad_one_changes_nothing(gate):
-    made = gate()
-    made.until(lambda: made.log.came)
-    other = ScriptedChangeLog(
-        made.loop, lambda last: sse(event(2, ("s-0", made.hosts[0].address, "Terminating")))
+def test_a_reload_follows_a_new_change_log_address_and_an_invalid_file_changes_nothing(gate):
+    gateway = gate()
+    gateway.until(lambda: gateway.log.came)
+    new_log = ScriptedChangeLog(
+        gateway.loop, lambda last: sse(event(2, ("s-0", gateway.hosts[0].address, "Terminating")))
     )
-    made.path.write_text("{")
-    made.process.reload()
-    assert made.lines[-1][0] == "configuration_rejected"
-    made.configuration["changelog"] = other.address
-    made.write()
-    made.process.reload()
-    made.process.reload()
-    made.until(lambda: not made.process.host_client.hosts["s-0"].active)
-    assert other.came == [1]
-    assert made.process.host_list.watcher.last_seq == 2
-    other.close()
-
-
-def test_a_stop_serves_on_for_a_while_then_ends_what_it_holds(gate, monkeypatch):
+    gateway.path.write_text("{")
+    gateway.process.reload()
+    assert gateway.lines[-1][0] == "configuration_rejected"
+    gateway.configuration["changelog"] = new_log.address
+    gateway.write()
+    gateway.process.reload()
+    gateway.process.reload()
+    gateway.until(lambda: not gateway.process.host_client.hosts["s-0"].active)
+    assert new_log.came == [1]
+    assert gateway.process.host_list.watcher.last_seq == 2
+    new_log.close()
+
+
+def test_a_stopping_gateway_serves_open_connections_until_the_last_one_closes(gate, monkeypatch):
     monkeypatch.setattr("gaproute.platform.shutdown.ACCEPT_TIME", 60 * MILLI)
     held = []
-    made = gate(lambda stream, command: held.append((stream, command)))
-    client = made.client()
+    gateway = gate(lambda stream, command: held.append((stream, command)))
+    client = gateway.client()
     client.ask(1)
-    made.until(lambda: held)
-    made.process.stop()
-    late = made.client()
+    gateway.until(lambda: held)
+    gateway.process.stop()
+    late = gateway.client()
     late.ask(2)
-    made.until(lambda: len(held) == 2)
-    made.until(lambda: made.process.front.listener.sock.fileno() < 0)  # nobody new is accepted
-    made.loop.running = True
-    for each in held:
-        made.hosts[0].serve(*each)
-    made.until(lambda: client.answers and late.answers)
+    gateway.until(lambda: len(held) == 2)
+    gateway.until(
+        lambda: gateway.process.front.listener.sock.fileno() < 0
+    )  # new connections are no longer accepted
+    gateway.loop.running = True
+    for stream, command in held:
+        gateway.hosts[0].serve(stream, command)
+    gateway.until(lambda: client.answers and late.answers)
     assert "result" in client.answers[0]
     assert "result" in late.answers[0]
-    client.ask(3)  # on a connection that is open
-    made.until(lambda: made.came() == 3)
-    made.hosts[0].serve(*[each for each in held if each[1]["type"] == "go"][2])
-    made.until(lambda: len(client.answers) == 2)
+    client.ask(3)  # on an open connection
+    gateway.until(lambda: gateway.came() == 3)
+    gateway.hosts[0].serve(*[pair for pair in held if pair[1]["type"] == "go"][2])
+    gateway.until(lambda: len(client.answers) == 2)
     assert "result" in client.answers[1]
-    assert made.loop.running
-    for each in (client, late):
-        each.stream.close()
-    made.until(lambda: not made.loop.running)  # no connection is left
+    assert gateway.loop.running
+    for open_client in (client, late):
+        open_client.stream.close()
+    gateway.until(lambda: not gateway.loop.running)  # no connection is open
 
 
 # As a process
 
 
-def start(path, **environment):
+def start_process(path, **environment):
     return subprocess.Popen(
         [sys.executable, "-m", "gaproute.platform"],
         stderr=subprocess.PIPE,
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "field"),
     [
         ({"listen": "nowhere"}, "listen"),
         ({"changelog": 5}, "changelog"),
@@ -83,17 +85,17 @@
         ({"settings": {}}, "settings"),
     ],
 )
-def test_a_wrong_configuration_is_refused_by_the_field(gate, change, named):
-    made = gate()
-    made.configuration.update(change)
-    made.write()
-    with pytest.raises(ConfigurationRejectedError, match=named):
-        read_configuration(str(made.path))
+def test_an_invalid_configuration_is_rejected_with_the_name_of_the_field(gate, change, field):
+    gateway = gate()
+    gateway.configuration.update(change)
+    gateway.write()
+    with pytest.raises(ConfigurationRejectedError, match=field):
+        read_configuration(str(gateway.path))
 
 
-def test_a_process_starts_from_its_environment_and_leaves_on_sigterm(gate):
-    made = gate()
-    process = start(made.path, EDGE_NAME="n7", EDGE_LISTEN="127.0.0.1:0")
+def test_a_process_starts_from_its_environment_and_exits_on_sigterm(gate):
+    gateway = gate()
+    process = start_process(gateway.path, EDGE_NAME="n7", EDGE_LISTEN="127.0.0.1:0")
     lines = [json.loads(process.stderr.readline()) for _ in range(2)]
     assert lines[-1]["event"] == "started"
     assert lines[-1]["name"] == "n7"
@@ -102,16 +104,16 @@
     process.stderr.close()
 
 
-def test_a_missing_configuration_exits_2_with_one_line(tmp_path):
-    process = start(tmp_path / "none")
-    _, said = process.communicate(timeout=10)
+def test_a_missing_configuration_exits_with_2_and_one_line(tmp_path):
+    process = start_process(tmp_path / "none")
+    _, stderr = process.communicate(timeout=10)
     assert process.returncode == 2
-    assert said.count(b"\n") == 1
-    assert b"EDGE_CONFIG" in said
+    assert stderr.count(b"\n") == 1
+    assert b"EDGE_CONFIG" in stderr
 
 
-def test_the_process_loads_nothing_of_what_it_does_not_use():
-    shut_out = {
+def test_the_process_imports_no_modules_that_it_does_not_use():
+    unused_modules = {
         "pydantic",
         "rich",
         "click",
@@ -142,4 +144,4 @@
             [sys.executable, "-c", code], capture_output=True, text=True, check=True
         ).stdout.split()
     )
-    assert not loaded & shut_out
+    assert not loaded & unused_modules
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -1,4 +1,4 @@
-"""The start of the platform's gateway while system calls fail for a moment."""
+"""The start of the platform's gateway while system calls fail temporarily."""
 
 import builtins
 import errno
@@ -27,29 +27,29 @@
 
 @pytest.fixture
 def retries():
-    """Startup retries whose pauses take no time; `waits`: the pauses in seconds."""
+    """Startup retries whose pauses only advance a test clock; `waits`: the pauses in seconds."""
     clock = Handed()
 
-    def sleep(span):
-        made.waits.append(span)
-        clock.now += int(span * SECOND)
+    def sleep(duration):
+        startup_retries.waits.append(duration)
+        clock.now += int(duration * SECOND)
 
-    made = StartupRetries(clock, sleep)
-    made.waits = []
-    return made
+    startup_retries = StartupRetries(clock, sleep)
+    startup_retries.waits = []
+    return startup_retries
 
 
 # StartupRetries
 
 
-def test_a_step_is_called_again_with_pauses_that_grow(retries):
+def test_a_failing_step_is_retried_with_growing_pauses(retries):
     step = Failing(lambda: "done", *SHORT_OF_RESOURCES, errno.EINTR, errno.EAGAIN, errno.ENOSPC)
     assert retries.call(step) == "done"
     assert retries.waits == [0.005, 0.01, 0.02, 0.04, 0.05, 0.05, 0.05]
 
 
 @pytest.mark.parametrize(
-    ("code", "span"),
+    ("code", "duration"),
     [
         (errno.EMFILE, START_TIME),
         (errno.EADDRINUSE, ADDRESS_TIME),
@@ -58,23 +58,23 @@
         (errno.EAFNOSUPPORT, 0),
     ],
 )
-def test_a_step_that_goes_on_failing_is_given_up_in_time(retries, code, span):
-    began = retries.clock()
+def test_a_step_that_keeps_failing_is_retried_only_for_the_time_of_its_error(retries, code, duration):
+    started_at = retries.clock()
     with pytest.raises(OSError, match=rf"Errno {code}\b") as raised:
         retries.call(Failing(lambda: None, *[code] * 999))
     assert raised.value.errno == code
-    assert span - SECOND // 4 <= retries.clock() - began <= span + MILLI
+    assert duration - SECOND // 4 <= retries.clock() - started_at <= duration + MILLI
 
 
-def test_all_steps_have_one_time_together_and_it_is_under_ten_seconds(retries):
-    began = retries.clock()
+def test_all_steps_share_one_retry_time_of_less_than_ten_seconds(retries):
+    started_at = retries.clock()
     retries.call(Failing(lambda: None, *[errno.EMFILE] * 100))
     with pytest.raises(OSError, match=rf"Errno {errno.EMFILE}\b"):
         retries.call(Failing(lambda: None, *[errno.EMFILE] * 999))
-    assert retries.clock() - began <= START_TIME < 10 * SECOND
+    assert retries.clock() - started_at <= START_TIME < 10 * SECOND
 
 
-def test_what_is_no_failure_of_a_system_call_is_raised_at_once(retries):
+def test_an_error_other_than_an_os_error_is_raised_at_once(retries):
     with pytest.raises(ZeroDivisionError):
         retries.call(lambda: 1 / 0)
     assert not retries.waits
@@ -84,15 +84,15 @@
 
 
 @pytest.fixture
-def started(monkeypatch, tmp_path, retries):
-    """Runs the program up to its loop, with waits that take no time; returns its exit code."""
-    path, made = tmp_path / "config.json", []
+def run_program(monkeypatch, tmp_path, retries):
+    """Runs the program without its loop and without real pauses, and returns its exit code."""
+    path, processes = tmp_path / "config.json", []
     configuration = {"name": "n1", "listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "settings": SETTINGS}
     path.write_text(json.dumps(configuration))
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     monkeypatch.setattr(program, "StartupRetries", lambda: retries)
     monkeypatch.setattr(program.gc, "freeze", lambda: None)
-    monkeypatch.setattr(GatewayProcess, "run", lambda process: made.append(process))
+    monkeypatch.setattr(GatewayProcess, "run", lambda process: processes.append(process))
     monkeypatch.setattr(Log, "write_line", lambda *_: None)
     before = open_descriptors()
 
@@ -100,12 +100,12 @@
         path.write_text(json.dumps(configuration | changes))
         return program.main()
 
-    run.made = made
+    run.processes = processes
     yield run
     signal.set_wakeup_fd(-1)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_DFL if number != signal.SIGINT else signal.default_int_handler)
-    for process in made:
+    for process in processes:
         process.front.close()
         process.host_list.close()
         process.host_client.close()
@@ -113,82 +113,87 @@
         (pipe,) = process.loop.watched
         process.loop.close()
         os.close(pipe)
-    # The writing end of the signals' pipe; a start that was given up leaves all four of its loop to the exit.
-    assert len(open_descriptors() - before) <= (len(made) or 4)
+    # Each process keeps the write end of its signal pipe open; a failed start leaves the four descriptors of
+    # its loop to the exit of the process.
+    assert len(open_descriptors() - before) <= (len(processes) or 4)
 
 
-def test_a_start_without_failures_does_not_wait(started, retries):
-    assert started() == 0
-    assert len(started.made) == 1
+def test_a_start_without_failures_does_not_wait(run_program, retries):
+    assert run_program() == 0
+    assert len(run_program.processes) == 1
     assert not retries.waits
 
 
 @pytest.mark.parametrize("code", SHORT_OF_RESOURCES)
 @pytest.mark.parametrize("name", ["socket", "bind", "listen", "getsockname"])
-def test_a_listener_that_cannot_be_had_at_once_is_had_a_moment_later(started, monkeypatch, name, code):
+def test_a_listener_is_created_after_a_retry_if_its_system_calls_first_fail(
+    run_program, monkeypatch, name, code
+):
     monkeypatch.setattr(listening, "socket", FailingSocketModule(name, code, code, code))
-    assert started() == 0
-    assert started.made[0].front.address.startswith("127.0.0.1:")
-    assert len(started.made[0].front.connections.owners) == 1
+    assert run_program() == 0
+    assert run_program.processes[0].front.address.startswith("127.0.0.1:")
+    assert len(run_program.processes[0].front.connections.owners) == 1
 
 
-def test_an_address_in_use_by_one_that_ends_is_had_when_it_is_free(started, retries):
-    taken = socket.create_server(("127.0.0.1", 0))
-    where = f"127.0.0.1:{taken.getsockname()[1]}"
+def test_the_start_waits_for_an_address_in_use_until_it_is_free(run_program, retries):
+    blocker = socket.create_server(("127.0.0.1", 0))
+    listen_address = f"127.0.0.1:{blocker.getsockname()[1]}"
     wait = retries.sleep
 
-    def sleep(span):
-        wait(span)
+    def sleep(duration):
+        wait(duration)
         if len(retries.waits) == 4:
-            taken.close()
+            blocker.close()
 
     retries.sleep = sleep
-    assert started(listen=where) == 0
-    assert started.made[0].front.address == where
+    assert run_program(listen=listen_address) == 0
+    assert run_program.processes[0].front.address == listen_address
 
 
-@pytest.mark.parametrize("where", ["192.0.2.1:80", "taken"])
-def test_an_address_that_cannot_be_had_ends_the_start_with_3_and_says_so_soon(
-    started, retries, capsys, where
+@pytest.mark.parametrize("listen_address", ["192.0.2.1:80", "taken"])
+def test_the_start_exits_with_3_and_a_message_if_its_address_stays_unavailable(
+    run_program, retries, capsys, listen_address
 ):
-    began = retries.clock()
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        where = f"127.0.0.1:{taken.getsockname()[1]}" if where == "taken" else where
-        assert started(listen=where) == 3
-    assert f"cannot listen on {where}" in capsys.readouterr().err
-    assert retries.clock() - began <= ADDRESS_TIME + MILLI
-    assert not started.made
+    started_at = retries.clock()
+    with socket.create_server(("127.0.0.1", 0)) as blocker:
+        listen_address = (
+            f"127.0.0.1:{blocker.getsockname()[1]}" if listen_address == "taken" else listen_address
+        )
+        assert run_program(listen=listen_address) == 3
+    assert f"cannot listen on {listen_address}" in capsys.readouterr().err
+    assert retries.clock() - started_at <= ADDRESS_TIME + MILLI
+    assert not run_program.processes
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
-def test_the_epolls_and_the_signals_pipe_are_asked_for_again(started, monkeypatch, code):
+def test_creating_the_epolls_and_the_signal_pipe_is_retried(run_program, monkeypatch, code):
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, code, None, code))
     monkeypatch.setattr(os, "pipe2", Failing(os.pipe2, code, code))
-    assert started() == 0
+    assert run_program() == 0
     assert select.epoll.failed == 2
     assert os.pipe2.failed == 2
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
-def test_a_configuration_that_cannot_be_read_at_once_is_read_a_moment_later(started, monkeypatch, code):
+def test_reading_the_configuration_is_retried_after_a_transient_error(run_program, monkeypatch, code):
     real = builtins.open
     failing = Failing(real, code, code)
     monkeypatch.setattr(platform_configuration, "open", failing, raising=False)
-    assert started() == 0
+    assert run_program() == 0
     assert failing.failed == 2
 
 
 @pytest.mark.parametrize("one_in", [8, 3])
 @pytest.mark.parametrize("seed", range(40))
-def test_a_start_succeeds_though_each_of_its_calls_fails_by_chance(
-    started, monkeypatch, retries, one_in, seed
+def test_a_start_succeeds_although_each_system_call_fails_at_random(
+    run_program, monkeypatch, retries, one_in, seed
 ):
-    chance, began = random.Random(seed), retries.clock()
+    random_source, started_at = random.Random(seed), retries.clock()
 
     def flaky(call):
         def called(*args, **options):
-            if chance.randrange(one_in) == 0:
-                raise fault(chance.choice(SHORT_OF_RESOURCES))
+            if random_source.randrange(one_in) == 0:
+                raise fault(random_source.choice(SHORT_OF_RESOURCES))
             return call(*args, **options)
 
         return called
@@ -205,30 +210,30 @@
     monkeypatch.setattr(select, "epoll", flaky(select.epoll))
     monkeypatch.setattr(os, "pipe2", flaky(os.pipe2))
     monkeypatch.setattr(platform_configuration, "open", flaky(builtins.open), raising=False)
-    assert started() == 0
-    assert retries.clock() - began < START_TIME
+    assert run_program() == 0
+    assert retries.clock() - started_at < START_TIME
 
 
-def test_a_configuration_that_is_not_there_ends_the_start_at_once(started, monkeypatch, retries, capsys):
+def test_a_missing_configuration_ends_the_start_without_retries(run_program, monkeypatch, retries, capsys):
     monkeypatch.setenv("EDGE_CONFIG", "/nowhere/config.json")
-    assert started() == 2
+    assert run_program() == 2
     assert not retries.waits
     assert "/nowhere" in capsys.readouterr().err
 
 
-def test_a_machine_that_gives_no_epoll_at_all_ends_the_start_in_time(started, monkeypatch, retries, capsys):
-    began = retries.clock()
+def test_the_start_exits_with_3_in_time_if_no_epoll_can_be_created(run_program, monkeypatch, retries, capsys):
+    started_at = retries.clock()
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, *[errno.EMFILE] * 999))
-    assert started() == 3
+    assert run_program() == 3
     assert "cannot start" in capsys.readouterr().err
-    assert retries.clock() - began <= START_TIME
+    assert retries.clock() - started_at <= START_TIME
 
 
-def test_the_real_program_waits_for_its_address_and_then_serves(tmp_path):
-    taken = socket.create_server(("127.0.0.1", 0))
-    where = taken.getsockname()
+def test_the_program_waits_for_its_address_and_then_serves(tmp_path):
+    blocker = socket.create_server(("127.0.0.1", 0))
+    listen_address = blocker.getsockname()
     path = tmp_path / "config.json"
-    configuration = {"name": "n1", "listen": f"127.0.0.1:{where[1]}", "changelog": "127.0.0.1:9"}
+    configuration = {"name": "n1", "listen": f"127.0.0.1:{listen_address[1]}", "changelog": "127.0.0.1:9"}
     path.write_text(json.dumps(configuration | {"settings": SETTINGS}))
     environment = {**os.environ, "EDGE_CONFIG": str(path)}
     child = subprocess.Popen(
@@ -236,10 +241,10 @@
     )
     try:
         time.sleep(1)
-        taken.close()
+        blocker.close()
         for _ in range(200):
             try:
-                socket.create_connection(where).close()
+                socket.create_connection(listen_address).close()
                 break
             except ConnectionRefusedError:
                 time.sleep(0.05)
@@ -251,15 +256,15 @@
         child.wait()
 
 
-def _raise_from_a_cause():
+def _raise_from_os_error():
     try:
         raise fault(errno.EMFILE)
     except OSError as inner:
         raise platform_configuration.ConfigurationUnreadableError("text", inner) from inner
 
 
-def test_a_cause_is_found_where_a_failure_was_raised_from_one():
+def test_cause_of_returns_the_os_error_from_which_an_error_was_raised():
     with pytest.raises(platform_configuration.ConfigurationUnreadableError) as outer:
-        _raise_from_a_cause()
+        _raise_from_os_error()
     assert cause_of(outer.value).errno == errno.EMFILE
     assert cause_of(ValueError()) is None
--- a/tests/support/written_log.py
+++ b/tests/support/written_log.py
@@ -1,4 +1,4 @@
-"""What the programs write to their logs, read from the sources: events, their fields and values."""
+"""Reads from the source code which events, fields and values the programs write to their logs."""
 
 import ast
 from collections import defaultdict
@@ -9,7 +9,7 @@
 from gaproute.interface.call import Ending
 
 SOURCES = Path(__file__).parents[2] / "gaproute"
-OPERATORS_TABLES = SOURCES / "appliance" / "status.py"
+OPERATORS_STATUS_MODULE = SOURCES / "appliance" / "status.py"
 RECORD, PLATFORM_LOG = SOURCES / "telemetry" / "record.py", SOURCES / "platform" / "log.py"
 LEVELS = ("info", "warning", "error")
 STRUCTLOG_FIELDS = {"event", "level", "timestamp"}
@@ -19,7 +19,7 @@
 
 @dataclass
 class WrittenLog:
-    """`levels` and `fields` by event; `recorded`: the events that operators can read at their address too."""
+    """`levels` and `fields`: by event; `recorded`: the events that operators can read at their address."""
 
     levels: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
     fields: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
@@ -27,25 +27,25 @@
     counters: set[str] = field(default_factory=lambda: {ending.value for ending in Ending})
     values: set[str] = field(default_factory=set)
     recorded: set[str] = field(default_factory=set)
-    unreadable: list[str] = field(default_factory=list)  # calls of which the event or a field is no literal
+    unreadable: list[str] = field(default_factory=list)  # calls whose event or fields cannot be determined
 
     def add(self, event, level, fields):
-        """An event that is written somewhere."""
+        """Adds the level and the fields of a call that writes the event."""
         self.levels[event].add(level)
         self.fields[event] |= fields
 
-    def loud(self):
-        """The events that are written at warning or error."""
+    def warnings_and_errors(self):
+        """The events that are written at the level warning or error."""
         return {event for event, levels in self.levels.items() if levels & {"warning", "error"}}
 
     def names(self):
-        """Every name that a line of the log may hold."""
+        """All names that a log line may contain."""
         fields = set().union(*self.fields.values())
         return set(self.levels) | fields | self.common_fields | self.counters | self.values
 
 
 def read_written_log():
-    """All that the sources write."""
+    """Everything that the source files write to the logs."""
     written = WrittenLog()
     for kind in (Ending, RejectReason, Result):
         written.values |= {member.value for member in kind}
@@ -57,12 +57,12 @@
 
 
 def operators_keys():
-    """The keys of the tables at the operators' address."""
-    return _literal_keys(ast.parse(OPERATORS_TABLES.read_text()))
+    """The keys of the tables that operators can read at their address."""
+    return _literal_keys(ast.parse(OPERATORS_STATUS_MODULE.read_text()))
 
 
 def _read_module(written, path, tree):
-    methods_of = {}  # of the class that a call stands in, by the call
+    methods_of = {}  # by call: the methods of the class that contains the call
     for node in ast.walk(tree):
         if isinstance(node, ast.ClassDef):
             methods = {part.name: part for part in node.body if isinstance(part, ast.FunctionDef)}
@@ -84,34 +84,34 @@
         written.recorded.add(event)
     elif called in EVENTS_BY_METHOD:
         event, level = EVENTS_BY_METHOD[called], "info"
-        written.values |= _step(call)
+        written.values |= _step_values(call)
     elif called == "bind" and owner and "logger" in owner[0]:
         written.common_fields |= fields
         return
     else:
         return
     if path == RECORD and event in EVENTS_BY_METHOD.values():
-        complete = True  # the other fields are those of the callers
+        complete = True  # its callers give the other fields
     if event is None or level not in LEVELS or not complete:
         written.unreadable.append(f"{path.relative_to(SOURCES)}:{call.lineno}")
     else:
         written.add(event, level, fields)
 
 
-def _literal(call, place):
-    """The text that an argument is, or None."""
-    argument = call.args[place] if len(call.args) > place else None
+def _literal(call, position):
+    """The text of a positional argument if it is a string literal, else None."""
+    argument = call.args[position] if len(call.args) > position else None
     return argument.value if isinstance(argument, ast.Constant) and isinstance(argument.value, str) else None
 
 
-def _step(call):
-    """The step that `log_step` is called with; an ending's value is among the values of its Enum."""
+def _step_values(call):
+    """The step that `log_step` is called with, if a literal; the endings are read from their Enum."""
     step = _literal(call, 0)
     return set() if step is None else {step}
 
 
 def _fields_of(call, methods):
-    """The names of the keyword arguments, and whether all of them could be read."""
+    """The names of the keyword arguments, and whether all of them can be determined."""
     names = {keyword.arg for keyword in call.keywords if keyword.arg is not None}
     spread = [keyword.value for keyword in call.keywords if keyword.arg is None]
     readable = [_returned_keys(value, methods) for value in spread]
@@ -119,7 +119,7 @@
 
 
 def _returned_keys(value, methods):
-    """The keys of the dict that a call of a method of the same class returns, or None."""
+    """The keys of the dict that a called method of the same class returns, or None if unknown."""
     if not (isinstance(value, ast.Call) and isinstance(value.func, ast.Attribute)):
         return None
     method = methods.get(value.func.attr)
@@ -137,13 +137,13 @@
 
 
 def _literal_keys(tree):
-    """The texts that are keys of dicts written out anywhere in a module."""
+    """The string keys of all dict literals in a module."""
     keys = [key for node in ast.walk(tree) if isinstance(node, ast.Dict) for key in node.keys]
     return {key.value for key in keys if isinstance(key, ast.Constant)}
 
 
 def _counters(tree):
-    """The first parts of the keys of `counts` that `GatewayRecord` counts under."""
+    """The counter names, which are the first parts of the keys that `GatewayRecord` uses in `counts`."""
     keys = [
         node.slice
         for node in ast.walk(tree)
--- a/tests/telemetry/test_on_call_page.py
+++ b/tests/telemetry/test_on_call_page.py
@@ -1,6 +1,6 @@
-"""The page that on-call engineers read names what the programs log, and every warning and error of theirs.
+"""The page for on-call engineers names only what the programs log, and every warning and error that they log.
 
-Tables with a column `event` are read: see `read_tables`.
+The checked tables are those with a column `event`: see `read_tables`.
 """
 
 import re
@@ -14,7 +14,7 @@
 PAGE = Path(__file__).parents[2] / "docs" / "on-call.md"
 QUOTED = re.compile(r"`([^`]+)`")
 SNAKE_CASE = re.compile(r"[a-z][a-z0-9]*(_[a-z0-9]+)+")
-COUNTER_PREFIX = "counts."  # of a counter in a column `fields`
+COUNTER_PREFIX = "counts."  # marks a counter in the column `fields`
 
 
 @pytest.fixture(scope="module")
@@ -23,7 +23,7 @@
 
 
 def read_tables(page):
-    """The rows of all tables that have a column `event`: their cells by the column's heading."""
+    """Yields the rows of all tables with a column `event`: {column heading: cell}."""
     columns = None
     for line in page.splitlines():
         if not line.startswith("|"):
@@ -36,12 +36,12 @@
             yield dict(zip(columns, cells, strict=True))
 
 
-def mistakes(page, written):
-    """What the page names wrongly, and what it leaves out."""
-    named = set()
+def find_mistakes(page, written):
+    """Yields the unknown names on the page and the events that it leaves out."""
+    named_events = set()
     for row in read_tables(page):
         events = QUOTED.findall(row["event"])
-        named |= set(events)
+        named_events |= set(events)
         if not events:
             yield f"a row without an event: {row}"
         yield from (f"no event: {event}" for event in events if event not in written.levels)
@@ -54,7 +54,7 @@
                 yield from (
                     f"neither event nor field: {name}" for name in names if name not in written.names()
                 )
-    yield from (f"not on the page: {event}" for event in sorted(written.loud() - named))
+    yield from (f"not on the page: {event}" for event in sorted(written.warnings_and_errors() - named_events))
 
 
 def _wrong_fields(row, events, written):
@@ -67,7 +67,7 @@
             yield f"no field of {events}: {name}"
 
 
-def test_every_event_and_field_is_written_by_a_name_that_can_be_read(written):
+def test_all_log_calls_have_determinable_events_and_fields_in_snake_case(written):
     assert written.unreadable == []
     assert len(written.levels) > 40
     assert {"result", "reason", "same_function_requests"} <= written.fields["request_step"]
@@ -76,59 +76,64 @@
     assert [name for name in names if not re.fullmatch(r"[a-z][a-z0-9_]*", name)] == []
 
 
-def test_the_page_names_what_is_logged_and_every_warning_and_error(written):
-    assert list(mistakes(PAGE.read_text(), written)) == []
+def test_the_tables_name_only_logged_events_and_every_warning_and_error(written):
+    assert list(find_mistakes(PAGE.read_text(), written)) == []
 
 
-def test_the_text_of_the_page_names_what_is_logged_or_read_at_the_operators_address(written):
+def test_the_text_names_only_what_is_logged_or_readable_at_the_operators_address(written):
     names = filter(SNAKE_CASE.fullmatch, QUOTED.findall(PAGE.read_text()))
     assert set(names) - written.names() - operators_keys() == set()
 
 
-def test_each_event_that_operators_can_ask_for_keeps_its_first_name(written):
+def test_each_event_at_the_operators_address_has_a_legacy_name(written):
     assert written.recorded == set(EVENTS)
     for event, legacy in EVENTS.items():
         assert set(legacy.fields) <= written.fields[event], event
 
 
-HEAD = "| event | fields | values | what to do |\n| --- | --- | --- | --- |\n"
-WHOLE = HEAD + "| `lost` | `host`, `at`, `counts.received` | `moved` | look at `host` and `cells FILE` |\n"
+TABLE_HEAD = "| event | fields | values | what to do |\n| --- | --- | --- | --- |\n"
+CORRECT_PAGE = (
+    TABLE_HEAD + "| `lost` | `host`, `at`, `counts.received` | `moved` | look at `host` and `cells FILE` |\n"
+)
 
 
 @pytest.mark.parametrize(
     ("page", "expected"),
     [
-        (WHOLE, []),
-        ("| seen | then |\n| --- | --- |\n| `lose` | |\n\n" + WHOLE, []),  # a table without events
+        (CORRECT_PAGE, []),
+        ("| seen | then |\n| --- | --- |\n| `lose` | |\n\n" + CORRECT_PAGE, []),  # a table without events
         (
-            WHOLE.replace("`lost`", "`lose`"),
+            CORRECT_PAGE.replace("`lost`", "`lose`"),
             ["no event: lose", "no field of ['lose']: host", "not on the page: lost"],
         ),
-        (WHOLE.replace("`lost`", "lost"), None),
-        (WHOLE.replace("`host`,", "`reason`,"), ["no field of ['lost']: reason"]),
-        (WHOLE.replace("counts.received", "counts.taken"), ["no counter: counts.taken"]),
-        (WHOLE.replace("moved", "gone"), ["no value: gone"]),
-        (WHOLE.replace("look at `host`", "look at `host_name`"), ["neither event nor field: host_name"]),
-        (HEAD, ["not on the page: lost"]),
-        (WHOLE.replace("`lost`", "`met`"), ["no field of ['met']: host", "not on the page: lost"]),
+        (CORRECT_PAGE.replace("`lost`", "lost"), None),
+        (CORRECT_PAGE.replace("`host`,", "`reason`,"), ["no field of ['lost']: reason"]),
+        (CORRECT_PAGE.replace("counts.received", "counts.taken"), ["no counter: counts.taken"]),
+        (CORRECT_PAGE.replace("moved", "gone"), ["no value: gone"]),
+        (
+            CORRECT_PAGE.replace("look at `host`", "look at `host_name`"),
+            ["neither event nor field: host_name"],
+        ),
+        (TABLE_HEAD, ["not on the page: lost"]),
+        (CORRECT_PAGE.replace("`lost`", "`met`"), ["no field of ['met']: host", "not on the page: lost"]),
     ],
 )
-def test_a_page_that_names_something_else_or_too_little_is_found(page, expected):
+def test_wrong_and_missing_names_on_a_page_are_found(page, expected):
     written = WrittenLog(common_fields={"at"}, counters={"received"}, values={"moved"})
     written.add("lost", "warning", {"host"})
     written.add("met", "info", {"reason"})
-    found = list(mistakes(page, written))
+    found = list(find_mistakes(page, written))
     assert found == expected if expected is not None else found
 
 
 @pytest.mark.parametrize("event", ["child_exited", "unhandled_exception", "configuration_rejected"])
-def test_an_event_that_is_renamed_in_the_code_alone_is_found(written, event):
+def test_an_event_renamed_only_in_the_code_is_found(written, event):
     renamed = WrittenLog(
         written.levels.copy(), written.fields.copy(), written.common_fields, written.counters
     )
     renamed.values = written.values
     renamed.levels["other_name"] = renamed.levels.pop(event)
     renamed.fields["other_name"] = renamed.fields.pop(event)
-    found = list(mistakes(PAGE.read_text(), renamed))
+    found = list(find_mistakes(PAGE.read_text(), renamed))
     assert f"no event: {event}" in found
     assert "not on the page: other_name" in found
--- a/tests/telemetry/test_record.py
+++ b/tests/telemetry/test_record.py
@@ -59,7 +59,7 @@
     assert [fields["number"] for _, fields in record.events] == list(range(1, MAX_EVENTS + 1))
 
 
-def test_a_step_is_logged_under_the_clients_id(record, lines):
+def test_a_step_is_logged_under_the_id_of_the_client(record, lines):
     assert record.is_traced("abc")
     record.log_step("abc", "received", gateway_request_id="g-1")
     line = json.loads(lines.getvalue())
