--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -41,8 +41,8 @@
 
 
 class CellWatcher(ChangeLogWatcher):
-    """Calls `on_event(event)` for each event, in order; `on_lost(reason)` once when the sources begin to fail;
-    `on_restored()` once a source has sent for longer than `SILENCE_TIMEOUT` after a failure."""
+    """Calls `on_event(event)` for each event in order; `on_lost(reason)` once when the sources begin to fail;
+    `on_restored()` once a source has sent for longer than `SILENCE_TIMEOUT` after failing."""
 
     first_backoff, max_backoff = FIRST_BACKOFF, MAX_BACKOFF
     max_event_bytes = MAX_CELL_EVENT_BYTES
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -25,10 +25,8 @@
 from gaproute.telemetry.record import DEFAULT_TRACE_ONE_IN, GatewayRecord
 
 SEED_BASE = 16
-CHANGE_LOG_SEED_OFFSET, ADMISSION_SEED_OFFSET = (
-    1,
-    3,
-)  # added to the seed, so that no two components draw the same numbers
+# Added to the seed, so that no two components draw the same numbers.
+CHANGE_LOG_SEED_OFFSET, ADMISSION_SEED_OFFSET = 1, 3
 MAX_TRACEBACK_CHARS = 2000  # length of the logged end of an error's traceback
 MAX_REASON_CHARS = 200  # logged length of the reason for rejecting a client's message
 
--- a/tests/discovery/conftest.py
+++ b/tests/discovery/conftest.py
@@ -1,9 +1,9 @@
-"""Followers of a scripted change log, and a wall clock that a test steps, on a clock that the test moves."""
+"""Watchers of a scripted change log, and a wall clock and a monotonic clock that tests move."""
 
 import pytest
 from helpers import makers
 from scripted import Followed, Handed
-from stepped_walls import Wall
+from stepped_wall_clock import SteppedWallClock
 
 from gaproute.loop import Loop
 
@@ -19,12 +19,12 @@
 
 
 @pytest.fixture
-def wall(clock):
-    return Wall(clock)
+def wall_clock(clock):
+    return SteppedWallClock(clock)
 
 
 @pytest.fixture
 def loop(clock):
-    made = Loop(clock)
-    yield made
-    made.close()
+    loop = Loop(clock)
+    yield loop
+    loop.close()
--- a/tests/discovery/test_list_members.py
+++ b/tests/discovery/test_list_members.py
@@ -1,4 +1,4 @@
-"""Members of the change log and lines of the host list: starts that make no sense, members that are wrong."""
+"""Members of the change log and lines of the host list with invalid starts and other invalid fields."""
 
 import pytest
 from scripted import SECOND
@@ -11,28 +11,28 @@
 from gaproute.standins.platform import event, sse
 
 
-def test_one_wrong_member_spoils_neither_the_others_nor_the_number(follow):
+def test_an_invalid_member_affects_neither_other_members_nor_the_sequence_number(follow):
     watch_event = event(2, *[(f"s-{place}", f"127.0.0.1:{place}", "Ready") for place in (1, 2, 3)])
     watch_event["fleet"]["members"][0]["host_port"] = 5
     watch_event["fleet"]["members"][1]["size"] = "4"
-    seen = []
-    made = follow(lambda last: sse(watch_event) if last == 1 else b"", last=1)
-    made.follower.on_event = seen.append
-    made.passes(SECOND)
-    assert made.log.came == [1]
-    assert made.follower.last_seq == 2
-    rows = MemberConverter(made.loop, []).endpoints(seen[0].fleet)
-    assert [row.listed.host for row in rows] == ["s-2", "s-3"]
-
-
-def listed(converter, *members, complete=False, **fields):
-    """What the converter makes of members, by id; `fields` is in each of them."""
+    received_events = []
+    followed_log = follow(lambda last: sse(watch_event) if last == 1 else b"", last=1)
+    followed_log.follower.on_event = received_events.append
+    followed_log.passes(SECOND)
+    assert followed_log.log.came == [1]
+    assert followed_log.follower.last_seq == 2
+    endpoints = MemberConverter(followed_log.loop, []).endpoints(received_events[0].fleet)
+    assert [endpoint.listed.host for endpoint in endpoints] == ["s-2", "s-3"]
+
+
+def endpoints_by_host(converter, *members, complete=False, **fields):
+    """The endpoints that the converter returns for members with these additional fields, by host."""
     change = event(1, *members, complete=complete)
     for member in change["fleet"]["members"]:
         member.update(fields)
     return {
-        row.listed.host: row
-        for row in converter.endpoints(events.decode_initial_events({"results": [change]})[1][0].fleet)
+        endpoint.listed.host: endpoint
+        for endpoint in converter.endpoints(events.decode_initial_events({"results": [change]})[1][0].fleet)
     }
 
 
@@ -58,34 +58,38 @@
     ],
     ids=str,
 )
-def test_a_start_that_makes_no_sense_does_no_harm(converter, since, started):
-    row = listed(converter, ("s-1", "127.0.0.1:5", "Ready"), up_since_ms=since)["s-1"]
-    assert row.listed.started == started
+def test_an_invalid_start_is_ignored_and_a_start_in_the_future_becomes_the_present(converter, since, started):
+    endpoint = endpoints_by_host(converter, ("s-1", "127.0.0.1:5", "Ready"), up_since_ms=since)["s-1"]
+    assert endpoint.listed.started == started
 
 
-def test_what_is_kept_of_a_host_goes_with_it(converter):
+def test_the_state_of_a_removed_host_is_deleted(converter):
     hosts = [(f"s-{place}", f"127.0.0.1:{place}", "Ready") for place in range(1, 4)]
-    first = listed(converter, *hosts, up_since_ms=999_999_000)
-    converter.start_times.wall_clock = lambda: 2_000_000 * SECOND  # a step: no time has passed
-    assert listed(converter, *hosts, up_since_ms=999_999_000) == first
-    assert listed(converter, hosts[0], up_since_ms=1_999_999_000)["s-1"].listed.started == 50 * SECOND
-    listed(converter, ("s-1", "127.0.0.1:1", "Gone"))
-    listed(converter, hosts[1], complete=True)
+    first = endpoints_by_host(converter, *hosts, up_since_ms=999_999_000)
+    converter.start_times.wall_clock = lambda: 2_000_000 * SECOND  # the wall clock steps
+    assert endpoints_by_host(converter, *hosts, up_since_ms=999_999_000) == first
+    assert (
+        endpoints_by_host(converter, hosts[0], up_since_ms=1_999_999_000)["s-1"].listed.started == 50 * SECOND
+    )
+    endpoints_by_host(converter, ("s-1", "127.0.0.1:1", "Gone"))
+    endpoints_by_host(converter, hosts[1], complete=True)
     assert list(converter.endpoints_by_host) == ["s-2"]
 
 
-def test_a_member_that_cannot_be_read_leaves_its_host_as_it_was(converter):
-    first = listed(converter, ("s-1", "127.0.0.1:1", "Ready"), complete=True)
-    for wrong in (("s-1", 5, "Ready"), ("s-1", "nowhere", "Ready"), ("s-1", "127.0.0.1:1", "Odd")):
-        assert listed(converter, wrong, ("s-7", "127.0.0.1:7", None), complete=True) == {"s-1": first["s-1"]}
+def test_an_invalid_member_leaves_its_host_unchanged(converter):
+    first = endpoints_by_host(converter, ("s-1", "127.0.0.1:1", "Ready"), complete=True)
+    for invalid in (("s-1", 5, "Ready"), ("s-1", "nowhere", "Ready"), ("s-1", "127.0.0.1:1", "Odd")):
+        assert endpoints_by_host(converter, invalid, ("s-7", "127.0.0.1:7", None), complete=True) == {
+            "s-1": first["s-1"]
+        }
     assert converter.rejected_count == 6
 
 
-def test_a_start_of_the_file_goes_with_its_line():
+def test_the_start_of_a_host_is_deleted_with_its_line():
     loop = Loop(lambda: 50 * SECOND)
-    made = HostLineConverter(loop, lambda: 100 * SECOND)
+    converter = HostLineConverter(loop, lambda: 100 * SECOND)
     lines = read_hosts("l", "".join(f"host {name} 127.0.0.1:1 zone z rack r started 90\n" for name in "ab"))
-    assert [row.listed.started for row in made.endpoints(lines)] == [40 * SECOND] * 2
-    made.endpoints(lines[1:])
-    assert list(made.start_times.starts_by_host) == ["b"]
+    assert [endpoint.listed.started for endpoint in converter.endpoints(lines)] == [40 * SECOND] * 2
+    converter.endpoints(lines[1:])
+    assert list(converter.start_times.starts_by_host) == ["b"]
     loop.close()
--- a/tests/discovery/test_stepped_clock_lists.py
+++ b/tests/discovery/test_stepped_clock_lists.py
@@ -1,4 +1,4 @@
-"""The wall clock steps by an hour, either way, at any time: what becomes of the starts in files and cells."""
+"""The wall clock steps ahead or back by an hour: how starts in files and cells are converted."""
 
 import os
 from types import SimpleNamespace
@@ -6,7 +6,7 @@
 import pytest
 from followed_cells import hosts
 from scripted import MILLI, SECOND
-from stepped_walls import BEGUN, HOUR
+from stepped_wall_clock import HOUR, WALL_CLOCK_START
 
 from gaproute.appliance.cell_endpoints import CellEndpoints
 from gaproute.appliance.cell_lists import CellLists
@@ -20,8 +20,8 @@
 # The host list as a file
 
 
-def lines(**starts):
-    """Host lines of a file. `starts`: ns since 1970, by name."""
+def host_lines(**starts):
+    """The lines of a host list file. `starts`: by host, ns since 1970."""
     text = "".join(
         f"host {name} 127.0.0.1:1 zone z rack r started {start / SECOND:.3f}\n"
         for name, start in starts.items()
@@ -29,57 +29,65 @@
     return read_hosts("l", text)
 
 
-@pytest.mark.parametrize("ahead", [0, HOUR, -HOUR])
-def test_a_line_that_appears_is_no_older_than_since_the_file_was_seen_without_it(loop, wall, clock, ahead):
-    converter = HostLineConverter(loop, wall)
-    old = wall.true() - HOUR
-    (first,) = converter.endpoints(lines(a=old))
+@pytest.mark.parametrize("clock_offset", [0, HOUR, -HOUR])
+def test_a_new_line_started_no_earlier_than_the_file_was_last_seen_without_it(
+    loop, wall_clock, clock, clock_offset
+):
+    converter = HostLineConverter(loop, wall_clock)
+    old = wall_clock.true_time() - HOUR
+    (first,) = converter.endpoints(host_lines(a=old))
     assert first.listed.started == clock.now - HOUR
-    absent_at = clock.now
+    last_absent_at = clock.now
     clock.now += SECOND
-    wall.ahead = ahead
-    known, fresh = converter.endpoints(lines(a=old, b=wall.true() - SECOND // 5), absent_at)
+    wall_clock.offset = clock_offset
+    known, new = converter.endpoints(
+        host_lines(a=old, b=wall_clock.true_time() - SECOND // 5), last_absent_at
+    )
     assert known.listed.started == first.listed.started
-    assert absent_at <= fresh.listed.started <= clock.now
-    anew, _ = converter.endpoints(lines(a=wall.true(), b=wall.true() - SECOND // 5), clock.now)
-    assert anew.listed.started == clock.now
+    assert last_absent_at <= new.listed.started <= clock.now
+    restarted, _ = converter.endpoints(
+        host_lines(a=wall_clock.true_time(), b=wall_clock.true_time() - SECOND // 5), clock.now
+    )
+    assert restarted.listed.started == clock.now
 
 
-def test_a_line_whose_start_is_told_only_later_is_as_old_as_told(loop, wall, clock):
-    converter = HostLineConverter(loop, wall)
-    (untold,) = converter.endpoints(read_hosts("l", "host a 127.0.0.1:1\n"))
+def test_a_start_that_is_added_to_a_known_line_is_accepted(loop, wall_clock, clock):
+    converter = HostLineConverter(loop, wall_clock)
+    (without_start,) = converter.endpoints(read_hosts("l", "host a 127.0.0.1:1\n"))
     clock.now += SECOND
-    (known,) = converter.endpoints(lines(a=wall.true() - HOUR), clock.now)
-    assert untold.listed.started is None
+    (known,) = converter.endpoints(host_lines(a=wall_clock.true_time() - HOUR), clock.now)
+    assert without_start.listed.started is None
     assert known.listed.started == clock.now - HOUR
 
 
-def test_a_file_is_known_by_each_look_that_finds_it_unchanged_and_by_no_other(loop, clock, tmp_path):
-    path, seen, look = tmp_path / "hosts", [], SECOND
+def test_a_file_is_current_as_of_each_check_that_finds_it_unchanged_and_no_other(loop, clock, tmp_path):
+    path, seen, interval = tmp_path / "hosts", [], SECOND
     path.write_text("host a 127.0.0.1:1\n")
     watch = None
-    watch = FileWatch(loop, path, look, lambda hosts: seen.append(watch and watch.current_at), seen.append)
+    watch = FileWatch(
+        loop, path, interval, lambda hosts: seen.append(watch and watch.current_at), seen.append
+    )
     first = clock.now
     assert seen == [None]
     assert watch.current_at <= first
     clock.now += HOUR
     watch.check()
-    looked = watch.current_at
-    assert looked >= first + HOUR
-    path.write_text("host a nowhere\n")  # refused: the list in force is not the file any more
+    checked_at = watch.current_at
+    assert checked_at >= first + HOUR
+    path.write_text("host a nowhere\n")  # rejected, so the list in force is no longer the one in the file
     for _ in range(2):
         clock.now += SECOND
         watch.check()
-    assert watch.current_at == looked
+    assert watch.current_at == checked_at
     path.write_text("host b 127.0.0.1:1\n")
     watch.check()
     assert seen[0] is None
-    assert seen[-1] == looked
-    assert watch.current_at > looked
+    assert seen[-1] == checked_at
+    assert watch.current_at > checked_at
     watch.close()
 
 
-def test_a_file_written_while_the_clock_was_behind_is_read_all_the_same(loop, clock, tmp_path):
+def test_a_file_whose_modification_time_is_earlier_is_read_again(loop, clock, tmp_path):
     path, seen = tmp_path / "hosts", []
     path.write_text("host a 127.0.0.1:1\n")
     watch = FileWatch(loop, path, SECOND, lambda hosts: seen.append(hosts[0].name), seen.append)
@@ -91,59 +99,60 @@
     watch.close()
 
 
-def test_the_gateway_hands_on_when_its_file_was_last_seen(rig):
-    made = rig(hosts=2)
-    converter = made.gate.host_list.converter
-    converter.start_times.wall_clock = lambda: BEGUN + HOUR + made.loop.now()
-    converter.start_times.clock_offset = BEGUN + HOUR  # ahead from the start: no step to be seen
-    both = made.list.read_text().splitlines()
-    made.relist(both[0])
-    made.until(lambda: set(made.gate.rows) == {"h0"})
-    without = made.loop.now()
-    began = (BEGUN + made.loop.now()) / SECOND
-    made.relist(both[0], f"{both[1]} started {began:.6f}")
-    made.until(lambda: set(made.gate.rows) == {"h0", "h1"})
-    assert made.gate.rows["h1"].listed.started >= without - SECOND
-    assert made.loop.now() < made.gate.core.gateway.hosts_by_id["h1"].warm_at
+def test_the_gateway_bounds_a_new_start_by_when_its_file_was_last_seen(rig):
+    gateway_rig = rig(hosts=2)
+    converter = gateway_rig.gate.host_list.converter
+    converter.start_times.wall_clock = lambda: WALL_CLOCK_START + HOUR + gateway_rig.loop.now()
+    # As if the clock were ahead from the beginning, without a step.
+    converter.start_times.clock_offset = WALL_CLOCK_START + HOUR
+    lines = gateway_rig.list.read_text().splitlines()
+    gateway_rig.relist(lines[0])
+    gateway_rig.until(lambda: set(gateway_rig.gate.rows) == {"h0"})
+    without_at = gateway_rig.loop.now()
+    started = (WALL_CLOCK_START + gateway_rig.loop.now()) / SECOND
+    gateway_rig.relist(lines[0], f"{lines[1]} started {started:.6f}")
+    gateway_rig.until(lambda: set(gateway_rig.gate.rows) == {"h0", "h1"})
+    assert gateway_rig.gate.rows["h1"].listed.started >= without_at - SECOND
+    assert gateway_rig.loop.now() < gateway_rig.gate.core.gateway.hosts_by_id["h1"].warm_at
 
 
 # Lists of cells
 
 
-def test_hosts_of_a_cell_are_bounded_by_the_list_of_that_cell_before(clock, wall):
+def test_starts_in_a_cell_are_bounded_by_the_previous_list_of_that_cell(clock, wall_clock):
     endpoints = CellEndpoints(Loop(clock), use_capacities=True)
-    endpoints.converter = HostLineConverter(endpoints.converter.start_times.loop, wall)
-    wall.ahead = HOUR
-    endpoints.converter.start_times.clock_offset = BEGUN + HOUR
+    endpoints.converter = HostLineConverter(endpoints.converter.start_times.loop, wall_clock)
+    wall_clock.offset = HOUR
+    endpoints.converter.start_times.clock_offset = WALL_CLOCK_START + HOUR
     zones = {"a1": "a", "b1": "b"}
 
     def line(name, started):
         return HostLine(name=name, where="127.0.0.1:1", started=str(started / SECOND))
 
-    old = line("u", wall.true() - HOUR)
+    old = line("u", wall_clock.true_time() - HOUR)
     endpoints.convert({"a1": [old]}, zones, {"a1": None})
-    absent_at = clock.now
+    last_absent_at = clock.now
     clock.now += SECOND
-    made = endpoints.convert(
-        {"a1": [old, line("v", wall.true())], "b1": [line("w", wall.true() - HOUR)]},
+    converted = endpoints.convert(
+        {"a1": [old, line("v", wall_clock.true_time())], "b1": [line("w", wall_clock.true_time() - HOUR)]},
         zones,
-        {"a1": absent_at, "b1": clock.now},
+        {"a1": last_absent_at, "b1": clock.now},
     )
-    assert made["a1"][1].listed.started == absent_at
-    assert made["b1"][0].listed.started < absent_at  # a cell that was not followed before
+    assert converted["a1"][1].listed.started == last_absent_at
+    assert converted["b1"][0].listed.started < last_absent_at  # its cell was not followed before
 
 
-def test_a_gateway_of_cells_hands_on_when_each_list_was_known():
-    given = []
-    endpoints = SimpleNamespace(convert=lambda *arguments: given.append(arguments) or {})
+def test_a_cellular_gateway_passes_on_when_each_list_was_current():
+    calls = []
+    endpoints = SimpleNamespace(convert=lambda *arguments: calls.append(arguments) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
     CellServices._apply_lists(
         SimpleNamespace(endpoints=endpoints, lists=lists, hosts_changed=list, applied_lists={}), {}
     )
-    assert given == [({}, {"a1": "a"}, {"a1": 5})]
+    assert calls == [({}, {"a1": "a"}, {"a1": 5})]
 
 
-def test_both_kinds_of_cell_lists_tell_when_each_was_known(tmp_path, followed_cells):
+def test_cell_lists_and_followed_lists_report_when_each_list_was_current(tmp_path, followed_cells):
     (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\n")
     loop, seen = Loop(), []
     lists = CellLists(
@@ -163,9 +172,9 @@
     lists.close()
     loop.close()
 
-    made = followed_cells()
-    made.lists.set_cells(made.zones)
-    assert set(made.lists.current_at().values()) == {None}
-    made.begin(a1=hosts("uv"), b1=hosts("w"))
-    made.passes(3 * SECOND)
-    assert all(each > made.clock.now - 3 * SECOND for each in made.lists.current_at().values())
+    cells = followed_cells()
+    cells.lists.set_cells(cells.zones)
+    assert set(cells.lists.current_at().values()) == {None}
+    cells.start(a1=hosts("uv"), b1=hosts("w"))
+    cells.advance(3 * SECOND)
+    assert all(current_at > cells.clock.now - 3 * SECOND for current_at in cells.lists.current_at().values())
--- a/tests/discovery/test_wall_clock_reads.py
+++ b/tests/discovery/test_wall_clock_reads.py
@@ -1,15 +1,15 @@
-"""Where a gateway reads the wall clock at all."""
+"""The places where a gateway reads the wall clock."""
 
 import re
 from pathlib import Path
 
 import gaproute
 
-READS = re.compile(
+WALL_CLOCK_READ = re.compile(
     r"time\.time\b|\btime_ns\b|CLOCK_REALTIME|datetime\.|strftime|gmtime|localtime|st_[mca]time"
     r"|CURRENT_TIMESTAMP"
 )
-ALLOWED = {  # lines that read it, by file; each has its row in docs/crossings.md
+ALLOWED_READS = {  # by file: number of lines that read the wall clock; docs/crossings.md has a row for each
     "appliance/leases.py": 1,
     "config/values.py": 1,
     "discovery/changelog/members.py": 1,
@@ -21,19 +21,15 @@
     "storage/observation_store.py": 1,
     "storage/raft_log_file.py": 1,
 }
-BENCH = {
-    "cluster",
-    "faultinjection",
-    "hollow",
-    "scenarios",
-}  # they play fleets, and judge by taps that hosts write
+# Packages that run simulated fleets and judge them by the taps of hosts; they are no part of a gateway.
+BENCH_PACKAGES = {"cluster", "faultinjection", "hollow", "scenarios"}
 
 
-def test_no_other_line_of_a_gateway_reads_the_wall_clock():
+def test_only_the_allowed_lines_of_a_gateway_read_the_wall_clock():
     root, found = Path(gaproute.__file__).parent, {}
     for path in sorted(root.rglob("*.py")):
         name = path.relative_to(root)
-        count = sum(bool(READS.search(line)) for line in path.read_text().splitlines())
-        if count and name.parts[0] not in BENCH:
+        count = sum(bool(WALL_CLOCK_READ.search(line)) for line in path.read_text().splitlines())
+        if count and name.parts[0] not in BENCH_PACKAGES:
             found[str(name)] = count
-    assert found == ALLOWED
+    assert found == ALLOWED_READS
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -1,4 +1,4 @@
-"""Cells' host lists followed from stand-in sources on one loop, with the time held by the test."""
+"""Host lists of cells, followed from stand-in sources on one loop whose clock the test moves."""
 
 import json
 from types import SimpleNamespace
@@ -17,63 +17,71 @@
 
 
 def host(name, state="active", zone="", **fields):
-    """A member of a log."""
+    """A member of a change log event; the first letter of its name gives its port."""
     return member(name, f"127.0.0.1:{PORTS[name[0]]}", state, zone, **fields)
 
 
 def hosts(names, **fields):
-    """Members of a log."""
+    """Members of a change log event, one for each name."""
     return [host(name, **fields) for name in names]
 
 
 def event(seq, members, *, complete=True):
-    """An event's bytes."""
+    """The bytes of a server-sent event."""
     watch_event = {"seq": seq, "fleet": {"revision": seq, "complete": complete, "members": members}}
     return b"data: %b\n\n" % json.dumps(watch_event).encode()
 
 
 class FollowedCells:
-    """Lists as they were adopted, refused and unavailable. `lists_in_force`: {cell: {host: state}}."""
+    """Records what `FollowedLists` reports. `lists_in_force`: {cell: {host: state}}; `source_changes`: (cell,
+    error or None)."""
 
-    def __init__(self, sources=1, zones=ZONES, wheres=None, seed=1):
+    def __init__(self, sources=1, zones=ZONES, addresses=None, seed=1):
         self.clock = Handed()
         self.loop = Loop(self.clock)
-        self.sources = [CellSource(self.loop, "north") for _ in range(0 if wheres else sources)]
-        self.lists_in_force, self.adoptions, self.refused, self.count, self.failures = {}, 0, [], 0, []
-        wheres = wheres or [source.address for source in self.sources]
-        line = CellHostsLine(**{"from": ",".join(wheres)}, look=50 * MILLI)
+        self.sources = [CellSource(self.loop, "north") for _ in range(0 if addresses else sources)]
+        self.lists_in_force, self.change_count = {}, 0
+        self.rejected, self.rejected_count, self.source_changes = [], 0, []
+        addresses = addresses or [source.address for source in self.sources]
+        line = CellHostsLine(**{"from": ",".join(addresses)}, look=50 * MILLI)
         self.lists = FollowedLists(
-            self.loop, "north", line, self._adopted, self._refused, self._failed, Chance(seed)
+            self.loop,
+            "north",
+            line,
+            self._on_change,
+            self._on_rejected,
+            self._on_source_changed,
+            Chance(seed),
         )
         self.zones = zones
 
-    def _adopted(self, lists):
-        self.adoptions += 1
+    def _on_change(self, lists):
+        self.change_count += 1
         self.lists_in_force = {
             cell: {line.name: line.state for line in lines} for cell, lines in lists.items()
         }
 
-    def _refused(self, cell, count, members):
-        self.count += count
-        self.refused += [SimpleNamespace(cell=cell, host=host, reason=why) for host, why in members]
+    def _on_rejected(self, cell, count, members):
+        self.rejected_count += count
+        self.rejected += [SimpleNamespace(cell=cell, host=host, reason=reason) for host, reason in members]
 
-    def _failed(self, cell, why):
-        self.failures.append((cell, why))
+    def _on_source_changed(self, cell, error):
+        self.source_changes.append((cell, error))
 
-    def begin(self, **lists):
-        """All sources send these lists, and the cells of the zones are wanted."""
+    def start(self, **lists):
+        """Publishes these lists at all sources, follows all cells and waits until the lists are in force."""
         for source in self.sources:
             for cell, members in lists.items():
                 source.publish(cell, *members)
         self.lists.set_cells(self.zones)
         self.until(lambda: all(cell in self.lists_in_force for cell in lists))
 
-    def names(self, cell):
-        """Names of the cell's hosts in force."""
+    def host_names(self, cell):
+        """The names of the cell's hosts in force, sorted and joined."""
         return "".join(sorted(self.lists_in_force.get(cell, {})))
 
-    def passes(self, span, step=10 * MILLI):
-        """So much of the held time goes by, in small steps with turns in between."""
+    def advance(self, span, step=10 * MILLI):
+        """Moves the clock forward by `span` in small steps, and turns the loop after each step."""
         end = self.clock.now + span
         while self.clock.now < end:
             self.clock.now = min(end, self.clock.now + step)
@@ -82,18 +90,18 @@
                 self.loop.turn()
 
     def until(self, condition, within=30 * SECOND):
-        """Time goes by until the condition holds."""
+        """Moves the clock forward until the condition holds."""
         end = self.clock.now + within
         while not condition():
             assert self.clock.now < end, "waited too long"
-            self.passes(5 * MILLI, 5 * MILLI)
+            self.advance(5 * MILLI, 5 * MILLI)
 
-    def follower(self, cell):
-        """Who follows the cell."""
+    def watcher(self, cell):
+        """The watcher of the cell's change log."""
         return self.lists.followed[cell].watcher
 
     def close(self):
-        """Ends all."""
+        """Closes the lists, the sources and the loop."""
         self.lists.close()
         for source in self.sources:
             source.close()
