--- a/gaproute/appliance/legacy_names.py
+++ b/gaproute/appliance/legacy_names.py
@@ -71,7 +71,7 @@
 
 
 def legacy_counts(counts: Mapping[tuple[str, ...], int]) -> JsonObject:
-    """Counters as nested_counters plain data, by their old names."""
+    """Counters as nested plain data, by their old names."""
     return nested_counters({_legacy_key(key): count for key, count in counts.items()})
 
 
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -59,28 +59,30 @@
         """
         if update.complete and not update.members:
             return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST_REASON)]
-        after = {} if update.complete else dict(self.reported_lines)
+        new_lines = {} if update.complete else dict(self.reported_lines)
         max_hosts = min(max_hosts, MAX_HOSTS)
-        applied = [self._apply_member(raw, after, max_hosts) for raw in update.members]
-        self.reported_lines = after
+        applied = [self._apply_member(raw, new_lines, max_hosts) for raw in update.members]
+        self.reported_lines = new_lines
         return [rejected for rejected in applied if rejected is not None]
 
     def _apply_member(
-        self, raw: msgspec.Raw, after: dict[str, HostLine], max_hosts: int
+        self, raw: msgspec.Raw, new_lines: dict[str, HostLine], max_hosts: int
     ) -> RejectedMember | None:
         name, phase = UNKNOWN_NAME, None
         try:
             name, phase = decode_member_state(raw)
             if phase == GONE_PHASE:
-                after.pop(name, None)
+                new_lines.pop(name, None)
                 return None
-            if name not in self.reported_lines and name not in after and len(after) >= max_hosts:
+            if name not in self.reported_lines and name not in new_lines and len(new_lines) >= max_hosts:
                 raise MemberError(f"the cell would have more than {max_hosts} hosts")
-            after[name] = _host_line(decode_member(raw))
+            new_lines[name] = _host_line(decode_member(raw))
         except DECODING_ERRORS as error:
-            known = after.get(name) or self.reported_lines.get(name)
+            known = new_lines.get(name) or self.reported_lines.get(name)
             if known is not None:
-                after[name] = with_state(known, State.DRAINING.value) if phase == DRAINING_PHASE else known
+                new_lines[name] = (
+                    with_state(known, State.DRAINING.value) if phase == DRAINING_PHASE else known
+                )
             return RejectedMember(name[:MAX_REASON_CHARS], _rejection_reason(error))
         return None
 
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -55,7 +55,7 @@
         self.timer: Timer | None = None
         self.reader: EventReader | None = None
         self.backoff, self.connection_count = self.first_backoff, 0
-        self.gap_requested_after: int | None = None  # sequence number before the gap last requested
+        self.gap_requested_after: int | None = None  # sequence number before the last requested gap
         self.list_digests: dict[int, int] = {}  # of complete lists, by sequence number
         self.awaits_first_event, self.restart_count = False, 0
         self.last_error = ""  # why the previous connection ended
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -99,7 +99,7 @@
 
         Errors: OSError if the gateway cannot listen on its address; `start` may then be called again.
         """
-        front = self.front = self._listen()
+        front = self.front = self._create_front()
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
             self.peer_reports.open()
         chance = Chance(self.seed + CHANGE_LOG_SEED_OFFSET)
@@ -116,7 +116,7 @@
         )
         self.status.write()
 
-    def _listen(self) -> JsonRpcFront:
+    def _create_front(self) -> JsonRpcFront:
         front = JsonRpcFront(
             self.loop,
             address(self.listen),
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -159,11 +159,11 @@
 def test_a_hostile_source_leaves_the_last_good_list_in_force_and_is_polled_rarely(followed_cells, response):
     cells = followed_cells(zones={"a1": "a"})
     cells.start(a1=hosts("wx"))
-    good = cells.sources[0]
-    hostile = HostileSource(cells.loop, RESPONSES[response])
+    good_source = cells.sources[0]
+    hostile_source = HostileSource(cells.loop, RESPONSES[response])
     watcher = cells.watcher("a1")
-    watcher.sources.append(hostile.address)
-    good.close()
+    watcher.sources.append(hostile_source.address)
+    good_source.close()
     for _ in range(20):
         cells.advance(SECOND, 50 * MILLI)
         reader = watcher.reader
@@ -172,8 +172,8 @@
         ) + (1 << 16)
     assert cells.host_names("a1") == "wx"
     assert len(cells.source_changes) == 1
-    assert 1 <= hostile.connections <= 12
-    hostile.listener.close()
+    assert 1 <= hostile_source.connections <= 12
+    hostile_source.listener.close()
 
 
 def test_a_flood_of_changes_is_applied_at_a_limited_rate(followed_cells):
--- a/tests/discovery/test_cells_followed.py
+++ b/tests/discovery/test_cells_followed.py
@@ -144,15 +144,18 @@
     cells.start(a1=hosts("wx"))
     gateway_end, client_end = socket.socketpair()
     gateway_end.setblocking(False)
-    before, seen = cells.lists_in_force, []
+    before, states_at_request = cells.lists_in_force, []
     stream = Stream(
-        cells.loop, gateway_end, lambda data: seen.append(cells.lists_in_force["a1"]["w"]), lambda error: None
+        cells.loop,
+        gateway_end,
+        lambda data: states_at_request.append(cells.lists_in_force["a1"]["w"]),
+        lambda error: None,
     )
     client_end.send(b"a call")
     cells.sources[0].publish("a1", host("w", "draining"))
     assert cells.lists_in_force is before  # neither the event nor the request has been read yet
     cells.clock.now += 3 * SECOND
-    cells.until(lambda: seen)
-    assert seen == ["draining"]
+    cells.until(lambda: states_at_request)
+    assert states_at_request == ["draining"]
     stream.abort()
     client_end.close()
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -43,7 +43,8 @@
 def test_an_incomplete_event_is_not_returned():
     reader = sse_module.EventReader()
     assert [
-        each.seq for each in reader.feed(HEAD + b"\r\n" + sse(COMPLETE_LIST_1) + sse(DRAIN_EVENT_2)[:-1])
+        received.seq
+        for received in reader.feed(HEAD + b"\r\n" + sse(COMPLETE_LIST_1) + sse(DRAIN_EVENT_2)[:-1])
     ] == [1]
 
 
--- a/tests/discovery/test_stepped_clock_lists.py
+++ b/tests/discovery/test_stepped_clock_lists.py
@@ -61,14 +61,14 @@
 
 
 def test_a_file_is_current_as_of_each_check_that_finds_it_unchanged_and_no_other(loop, clock, tmp_path):
-    path, seen, interval = tmp_path / "hosts", [], SECOND
+    path, received, interval = tmp_path / "hosts", [], SECOND
     path.write_text("host a 127.0.0.1:1\n")
     watch = None
     watch = FileWatch(
-        loop, path, interval, lambda hosts: seen.append(watch and watch.current_at), seen.append
+        loop, path, interval, lambda hosts: received.append(watch and watch.current_at), received.append
     )
     first = clock.now
-    assert seen == [None]
+    assert received == [None]
     assert watch.current_at <= first
     clock.now += HOUR
     watch.check()
@@ -81,21 +81,21 @@
     assert watch.current_at == checked_at
     path.write_text("host b 127.0.0.1:1\n")
     watch.check()
-    assert seen[0] is None
-    assert seen[-1] == checked_at
+    assert received[0] is None
+    assert received[-1] == checked_at
     assert watch.current_at > checked_at
     watch.close()
 
 
 def test_a_file_whose_modification_time_is_earlier_is_read_again(loop, clock, tmp_path):
-    path, seen = tmp_path / "hosts", []
+    path, received = tmp_path / "hosts", []
     path.write_text("host a 127.0.0.1:1\n")
-    watch = FileWatch(loop, path, SECOND, lambda hosts: seen.append(hosts[0].name), seen.append)
+    watch = FileWatch(loop, path, SECOND, lambda hosts: received.append(hosts[0].name), received.append)
     path.write_text("host b 127.0.0.1:1\n")
     before = os.stat(path).st_mtime_ns - HOUR
     os.utime(path, ns=(before, before))
     watch.check()
-    assert seen == ["a", "b"]
+    assert received == ["a", "b"]
     watch.close()
 
 
@@ -154,20 +154,20 @@
 
 def test_cell_lists_and_followed_lists_report_when_each_list_was_current(tmp_path, followed_cells):
     (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\n")
-    loop, seen = Loop(), []
+    loop, received = Loop(), []
     lists = CellLists(
         loop,
         CellHostsLine(folder=str(tmp_path), look=2 * MILLI),
-        lambda arguments: seen.append(lists.current_at()),
-        seen.append,
+        lambda arguments: received.append(lists.current_at()),
+        received.append,
     )
     lists.set_cells({"a1": "a"})
     known = lists.current_at()["a1"]
-    assert seen == [{}]
+    assert received == [{}]
     assert known <= loop.now()
     (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\nhost x 127.0.0.1:2\n")
     lists.watches["a1"].check()
-    assert seen[1] == {"a1": known}
+    assert received[1] == {"a1": known}
     assert lists.current_at()["a1"] > known
     lists.close()
     loop.close()
--- a/tests/platform/test_connection_limits.py
+++ b/tests/platform/test_connection_limits.py
@@ -39,19 +39,20 @@
 
 
 def test_new_connections_wait_and_are_served_when_all_accepted_ones_are_busy(gate):
-    held = []
+    held_commands = []
     gateway = gate(
-        lambda stream, command: command["type"] == "go" and held.append((stream, command)), sockets=90
+        lambda stream, command: command["type"] == "go" and held_commands.append((stream, command)),
+        sockets=90,
     )
     max_connections = gateway.process.front.connections.admission.max_connections
     clients = []
     for number in range(max_connections + 5):
         clients.append(gateway.client())
         clients[-1].ask(1, i=f"{number:016x}")
-        gateway.until(lambda number=number: len(held) == min(number + 1, max_connections))
+        gateway.until(lambda number=number: len(held_commands) == min(number + 1, max_connections))
     gateway.until(lambda: gateway.process.front.listener.pauses)
     gateway.hosts[0].answer = gateway.hosts[0].serve
-    for stream, command in held:
+    for stream, command in held_commands:
         gateway.hosts[0].serve(stream, command)
     gateway.until(lambda: all(client.answers for client in clients))
     assert gateway.process.front.rejected_connections == 0
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -89,8 +89,8 @@
 
 
 def test_a_request_with_the_id_of_an_open_request_gets_an_error_and_the_open_one_is_answered(gate):
-    held = []
-    gateway = gate(lambda stream, command: held.append((stream, command)))
+    held_commands = []
+    gateway = gate(lambda stream, command: held_commands.append((stream, command)))
     client = gateway.client()
     client.ask(1)
     gateway.until(lambda: gateway.came())
@@ -101,7 +101,7 @@
         (2, ErrorCode.INVALID_PARAMS),
         (None, ErrorCode.INVALID_REQUEST),
     ]
-    for stream, command in held:
+    for stream, command in held_commands:
         gateway.hosts[0].serve(stream, command)
     gateway.until(lambda: len(client.answers) == 3)
     assert client.answers[2]["result"]["arg"] == arg(b"body 1")
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -34,27 +34,27 @@
 
 def test_a_stopping_gateway_serves_open_connections_until_the_last_one_closes(gate, monkeypatch):
     monkeypatch.setattr("gaproute.platform.shutdown.ACCEPT_TIME", 60 * MILLI)
-    held = []
-    gateway = gate(lambda stream, command: held.append((stream, command)))
+    held_commands = []
+    gateway = gate(lambda stream, command: held_commands.append((stream, command)))
     client = gateway.client()
     client.ask(1)
-    gateway.until(lambda: held)
+    gateway.until(lambda: held_commands)
     gateway.process.stop()
     late = gateway.client()
     late.ask(2)
-    gateway.until(lambda: len(held) == 2)
+    gateway.until(lambda: len(held_commands) == 2)
     gateway.until(
         lambda: gateway.process.front.listener.sock.fileno() < 0
     )  # new connections are no longer accepted
     gateway.loop.running = True
-    for stream, command in held:
+    for stream, command in held_commands:
         gateway.hosts[0].serve(stream, command)
     gateway.until(lambda: client.answers and late.answers)
     assert "result" in client.answers[0]
     assert "result" in late.answers[0]
     client.ask(3)  # on an open connection
     gateway.until(lambda: gateway.came() == 3)
-    gateway.hosts[0].serve(*[pair for pair in held if pair[1]["type"] == "go"][2])
+    gateway.hosts[0].serve(*[pair for pair in held_commands if pair[1]["type"] == "go"][2])
     gateway.until(lambda: len(client.answers) == 2)
     assert "result" in client.answers[1]
     assert gateway.loop.running
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -149,7 +149,7 @@
 
 
 def test_a_client_that_waits_to_be_accepted_at_the_connection_limit_is_answered_at_the_stop(gate):
-    gateway, held = holding(gate, sockets=70)
+    gateway, held_commands = holding(gate, sockets=70)
     front = gateway.process.front
     clients = [gateway.client() for _ in range(front.connections.admission.max_connections)]
     for number, client in enumerate(clients):
@@ -165,7 +165,7 @@
     front.stop()
     gateway.until(lambda: late.ended)
     assert codes(late)[0] == {1: ErrorCode.REJECTED}
-    for stream, command in held:
+    for stream, command in held_commands:
         gateway.hosts[0].serve(stream, command)
 
 
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -51,9 +51,9 @@
         for member in vars(module).values() if name.startswith("gaproute") else ():
             init = member.__dict__.get("__init__") if inspect.isclass(member) else None
             defaults = getattr(init, "__defaults__", None) or ()
-            fresh = tuple(clocks.get(each, each) if callable(each) else each for each in defaults)
-            if fresh != defaults:
-                monkeypatch.setattr(init, "__defaults__", fresh)
+            replaced = tuple(clocks.get(value, value) if callable(value) else value for value in defaults)
+            if replaced != defaults:
+                monkeypatch.setattr(init, "__defaults__", replaced)
     for true, stepped in list(clocks.items()):
         monkeypatch.setattr(time, true.__name__, stepped)
 
