--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -9,7 +9,7 @@
 from gaproute.core.ports import DecisionModule
 from gaproute.interface.call import Answer, FinalAnswer, FinalResult
 from gaproute.loop import Loop
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
 # Texts of final answers, which clients receive.
@@ -22,7 +22,7 @@
 class RequestCompletion(Driver):
     """Keeps the requests in flight and ends each of them."""
 
-    def __init__(self, gateway: DecisionModule, loop: Loop, record: Record) -> None:
+    def __init__(self, gateway: DecisionModule, loop: Loop, record: GatewayRecord) -> None:
         super().__init__(gateway)
         self.loop, self.record = loop, record
         self.in_flight: dict[str, RequestInFlight] = {}  # by id
@@ -66,7 +66,7 @@
         """Gives the final answer of a request; drops a second one and reports it as an internal error."""
         on_final, request.on_final = request.on_final, None
         if on_final is None:
-            self.record.internal_error("the decision module gave a second final answer", request.id)
+            self.record.log_internal_error("the decision module gave a second final answer", request.id)
             return
         self._record_end(request, ending, cause)
         never_ran = not request.may_have_run and not any(
@@ -91,7 +91,7 @@
     ) -> None:
         now = self.loop.now()
         took = now - request.first_byte_at
-        self.record.request_ended(request.request_class, ending)
+        self.record.count_final_answer(request.request_class, ending)
         if request.log_step is not None:
             reason = cause.value if cause is not None else ""
             request.log_step(
@@ -99,7 +99,7 @@
             )
         if now > request.deadline:
             overdue = (now - request.deadline) // MILLI
-            self.record.internal_error(f"answered {overdue} ms after the deadline", request.id)
+            self.record.log_internal_error(f"answered {overdue} ms after the deadline", request.id)
 
     def _deadline_passed(self, key: str) -> None:
         """Ends a request at its deadline: its attempts time out, and it fails if it has no final answer yet.
@@ -109,7 +109,7 @@
         request = self.in_flight[key]
         self._time_out_attempts(request)
         if request.on_final is not None:
-            self.record.internal_error("no final answer by the deadline", key)
+            self.record.log_internal_error("no final answer by the deadline", key)
             self.drop_generator(key)
             self._give_final_answer(request, FinalResult.FAILED, DEADLINE_PASSED_TEXT)
         self._release_if_complete(request)
@@ -145,7 +145,7 @@
     def _handle_decision_error(self, key: str, error: Exception) -> None:
         """Reports an error of the decision module and drops the generator that raised it."""
         self.loop.failed(error)
-        self.record.internal_error(f"the decision module failed: {error!r}", key)
+        self.record.log_internal_error(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
             self.housekeeping_generator = None  # a new one starts with the next host list
             return
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -14,7 +14,7 @@
 from gaproute.interface.call import Call, FinalAnswer
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
 
@@ -27,7 +27,7 @@
         gateway: DecisionModule,
         terms: interface.RoutingSettings,
         hosts: Hosts,
-        record: Record,
+        record: GatewayRecord,
         id_prefix: str,
     ) -> None:
         """`id_prefix`: the prefix of the gateway's ids of requests, which no other gateway may have."""
@@ -79,7 +79,7 @@
 
     def _record_arrival(self, request: RequestInFlight, now: int, remaining_time: int) -> None:
         call = request.call
-        self.record.request_received(request.request_class)
+        self.record.count_request(request.request_class)
         if self.on_arrival is not None:
             self.on_arrival(now, call.function, request.request_class)
         if self.record.is_traced(call.request_id):
@@ -98,7 +98,7 @@
         if request is None or request.on_final is None:
             return
         request.on_final = None
-        self.record.client_left(request.request_class)
+        self.record.count_client_left(request.request_class)
         if request.log_step is not None:
             request.log_step("client_left", attempts=len(request.attempts))
         self._call_guarded(key, self.abandon_request, self.loop.now(), key)
@@ -146,7 +146,7 @@
 
     def order_load(self, host: str, function: str, copies: int) -> None:
         """Sends a load order to a host."""
-        self.record.load_ordered(host)
+        self.record.count_load_order(host)
         ordered_at = self.loop.now()
         self.hosts.order(
             host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -8,7 +8,7 @@
 from gaproute.core.in_flight import AttemptResult
 from gaproute.interface.call import Answer, Call, FinalResult
 from gaproute.loop import Loop, Stepped
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 DELIVERED_RESULT = AttemptResult(interface.Result.OK, Answer(200, (), b"done"))
@@ -59,7 +59,12 @@
     loop = Loop(Stepped())
     loop.on_error = lambda error: None
     core = Core(
-        loop, ScriptedDecisions(serve), TERMS, ScriptedHosts(), Record(IgnoringLog(), ["a", "b", "c"]), "g"
+        loop,
+        ScriptedDecisions(serve),
+        TERMS,
+        ScriptedHosts(),
+        GatewayRecord(IgnoringLog(), ["a", "b", "c"]),
+        "g",
     )
     core.finals = []
     return core
@@ -205,9 +210,9 @@
 
 
 def test_the_counts_of_a_host_that_is_gone_are_dropped():
-    record = Record(None, ["check"])
-    record.attempt_ended("a", 0, interface.Result.RESET)
-    record.attempt_ended("b", 0, interface.Result.OK)
+    record = GatewayRecord(None, ["check"])
+    record.count_attempt_result("a", 0, interface.Result.RESET)
+    record.count_attempt_result("b", 0, interface.Result.OK)
     record.forget_host("a")
     assert record.snapshot() == {"attempts": {"b": {"ok": 1}}}
 
--- a/tests/fronts/test_descriptor_shortage.py
+++ b/tests/fronts/test_descriptor_shortage.py
@@ -102,6 +102,6 @@
 def test_the_descriptors_of_clients_hosts_and_the_process_stay_within_the_limit(gate, sockets):
     process = gate(sockets=sockets).process
     max_clients = process.front.connections.admission.max_connections
-    assert max_clients + process.hosts.max_connections + PROCESS_DESCRIPTORS <= sockets
-    assert process.hosts.max_connections > 0
+    assert max_clients + process.host_client.max_connections + PROCESS_DESCRIPTORS <= sockets
+    assert process.host_client.max_connections > 0
     assert max_clients >= sockets // 3 or sockets < 64  # the share of clients by the protocol
--- a/tests/fronts/test_shutdown.py
+++ b/tests/fronts/test_shutdown.py
@@ -197,7 +197,7 @@
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
             os.kill(os.getpid(), number)
         gateway.loop.running = True
-        gateway.until(lambda: gateway.process.shutdown.begun)
+        gateway.until(lambda: gateway.process.shutdown.has_begun)
         exit_at = gateway.process.shutdown.times.exit_at
         gateway.clock.now += 100 * MILLI
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -122,7 +122,7 @@
     gateway, connection = one_connection(gate)
     full_socket = fill_after(connection, 10)
     results = []
-    gateway.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *result: results.append(result))
+    gateway.process.host_client.order("s-0", "7f3a9c21e0b4d655", 1, lambda *result: results.append(result))
     gateway.passes(WRITE_TIMEOUT_NS + 50 * MILLI)
     full_socket.emptied()
     gateway.until(lambda: results)
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -112,11 +112,11 @@
 def test_request_that_waits_for_a_full_socket_never_starts_once_its_client_left(gate, monkeypatch):
     """All requests share one connection whose host reads nothing; the last ones wait outside its buffer."""
     gateway = gate(hosts=1, settings=make_settings(cancel=False), clock=Handed())
-    gateway.process.hosts.max_connections = 1
+    gateway.process.host_client.max_connections = 1
     first_client = gateway.client()
     first_client.ask(1)
     gateway.until(lambda: first_client.answers)
-    (connection,) = gateway.process.hosts.hosts["s-0"].connections
+    (connection,) = gateway.process.host_client.hosts["s-0"].connections
     connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     for stream in gateway.hosts[0].streams:
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize("change", ["address", "start"])
 def test_host_with_a_new_address_or_start_time_gets_no_request_on_old_connections(gate, change):
     gateway = gate(hosts=2)
-    hosts, name = gateway.process.hosts.hosts, "s-0"
+    hosts, name = gateway.process.host_client.hosts, "s-0"
     gateway.until(
         lambda: any(connection.replies_received for connection in hosts[name].connections)
     )  # to a probe
@@ -156,7 +156,7 @@
     watch_event = event(2, (name, address, "Ready"))
     if change == "start":
         watch_event["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
-    gateway.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
+    gateway.process.host_list.apply(events.decode_initial_events({"seq": 2, "results": [watch_event]})[1][0])
     assert old_connection in hosts[name].connections
     assert not old_connection.reusable
     old_connection.on_bytes(b'{"type":"served","req":"x","data":""}\n')
@@ -184,7 +184,7 @@
     gateway.until(lambda: client.answers)
     assert received[0][0] is not received[1][0]
     assert client.answers[0]["result"]["arg"] == arg(b"body 1")
-    assert gateway.process.hosts.unmatched_replies == 1
+    assert gateway.process.host_client.unmatched_replies == 1
 
 
 def test_reply_to_a_request_that_is_not_written_yet_is_ignored(make_slow_gateway):
@@ -192,7 +192,7 @@
     ask_while_connecting(gateway, 1)
     gateway.dials.let()
     gateway.until(gateway.came)
-    (connection,) = gateway.process.hosts.hosts["s-0"].connections
+    (connection,) = gateway.process.host_client.hosts["s-0"].connections
     connection.pending["y"] = connection_module.PendingRequest(
         connection,
         "y",
@@ -202,7 +202,7 @@
         0,
     )
     connection.on_bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert gateway.process.hosts.unmatched_replies == 1
+    assert gateway.process.host_client.unmatched_replies == 1
     assert len(connection.pending) == 2
 
 
@@ -221,7 +221,7 @@
 
 def test_request_beyond_the_connection_limit_is_not_sent_and_takes_no_descriptor(make_slow_gateway):
     gateway, attempt_results = make_slow_gateway(hosts=2), []
-    client, deadline = gateway.process.hosts, gateway.loop.now() + SECOND
+    client, deadline = gateway.process.host_client, gateway.loop.now() + SECOND
     client.max_connections = 1
     for host_name in ("s-0", "s-1"):
         call = Call("7f3a9c21e0b4d655", "", (), b"", f"{host_name:>16}", "fault-check")
@@ -241,7 +241,7 @@
     gateway.until(gateway.came)
     (connection,) = [
         connection
-        for connection in gateway.process.hosts.hosts["s-0"].connections
+        for connection in gateway.process.host_client.hosts["s-0"].connections
         if f"{1:016x}" in connection.pending
     ]
     connection.pending["z"] = connection_module.PendingRequest(
@@ -263,7 +263,7 @@
         gateway.until(lambda client=client: client.answers)
     retired_counts = [
         len(connection.retired_ids)
-        for host in gateway.process.hosts.hosts.values()
+        for host in gateway.process.host_client.hosts.values()
         for connection in host.connections
     ]
     assert max(retired_counts) <= MAX_RETIRED_IDS
@@ -301,17 +301,17 @@
     client.ask(1, "repair-order")
     gateway.until(gateway.came)
     name = "s-0" if gateway.hosts[0].seen("go") else "s-1"
-    (other_name,) = [host_name for host_name in gateway.process.hosts.hosts if host_name != name]
-    address = gateway.process.hosts.hosts[other_name].address_text
+    (other_name,) = [host_name for host_name in gateway.process.host_client.hosts if host_name != name]
+    address = gateway.process.host_client.hosts[other_name].address_text
     watch_event = event(2, (other_name, address, "Ready"), complete=True)
-    gateway.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
+    gateway.process.host_list.apply(events.decode_initial_events({"seq": 2, "results": [watch_event]})[1][0])
     for host in gateway.hosts:
         for stream in host.streams:
             stream.abort()
     gateway.until(lambda: client.answers)
     for _ in range(3):
         gateway.passes(SECOND)
-    assert name not in gateway.process.hosts.hosts
+    assert name not in gateway.process.host_client.hosts
     assert not any(name in key for key in gateway.process.record.counts)
 
 
@@ -320,11 +320,13 @@
     gateway = gate()
     gateway.until(
         lambda: any(
-            connection.replies_received for connection in gateway.process.hosts.hosts["s-0"].connections
+            connection.replies_received for connection in gateway.process.host_client.hosts["s-0"].connections
         )
     )
     order_results = []
-    gateway.process.hosts.order("s-0", "m", 1, lambda *result: order_results.append(result))
+    gateway.process.host_client.order("s-0", "m", 1, lambda *result: order_results.append(result))
     gateway.until(lambda: order_results)
     assert gateway.hosts[0].seen("stat")
-    assert not any(connection.retired_ids for connection in gateway.process.hosts.hosts["s-0"].connections)
+    assert not any(
+        connection.retired_ids for connection in gateway.process.host_client.hosts["s-0"].connections
+    )
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -112,7 +112,7 @@
 
 def drop_host_connections(gateway):
     """Closes all connections to hosts, so that the next request needs a new one."""
-    for host in gateway.process.hosts.hosts.values():
+    for host in gateway.process.host_client.hosts.values():
         for connection in list(host.connections):
             connection.drop()
 
@@ -143,15 +143,19 @@
     gateway, callback_results = gate(clock=Handed()), []
     drop_host_connections(gateway)
     monkeypatch.setattr(dialing, "socket", FailingSockets(errno.EMFILE))
-    gateway.process.hosts.probe("s-0", lambda report, *, good: callback_results.append(good))
-    gateway.process.hosts.order("s-0", "f", 1, lambda result, instance_count: callback_results.append(result))
+    gateway.process.host_client.probe("s-0", lambda report, *, good: callback_results.append(good))
+    gateway.process.host_client.order(
+        "s-0", "f", 1, lambda result, instance_count: callback_results.append(result)
+    )
     for _ in range(50):
         gateway.passes(MILLI)
     assert callback_results == [interface.Result.NOT_SENT]
     drop_host_connections(gateway)
-    gateway.process.hosts.max_connections = 0
-    gateway.process.hosts.probe("s-0", lambda report, *, good: callback_results.append(good))
-    gateway.process.hosts.order("s-0", "f", 1, lambda result, instance_count: callback_results.append(result))
+    gateway.process.host_client.max_connections = 0
+    gateway.process.host_client.probe("s-0", lambda report, *, good: callback_results.append(good))
+    gateway.process.host_client.order(
+        "s-0", "f", 1, lambda result, instance_count: callback_results.append(result)
+    )
     gateway.turns()
     assert callback_results == [interface.Result.NOT_SENT, interface.Result.NOT_SENT]
 
@@ -206,6 +210,6 @@
     log = Log(pipe[1])
     log.info("lost")
     log.info("lost")
-    assert log.unwritten == b""
+    assert log.unwritten_remainder == b""
     log.info("next")
     assert logged_events(pipe[0]) == ["next"]
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -11,10 +11,10 @@
 from gaproute.loop import Loop, connect
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
-from gaproute.platform.process import Process
+from gaproute.platform.process import GatewayProcess
 from gaproute.standins.platform import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
 from gaproute.standins.platform.deployment_settings import sample_settings
-from gaproute.telemetry.record import TRACE_ONE_IN
+from gaproute.telemetry.record import DEFAULT_TRACE_ONE_IN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SETTINGS = sample_settings(
@@ -116,7 +116,7 @@
     """`clock`: a `Handed` one where the test holds the time; `settings` stand in place of `SETTINGS`."""
 
     def __init__(
-        self, folder, answer=None, sockets=256, hosts=1, followed=TRACE_ONE_IN, clock=None, **options
+        self, folder, answer=None, sockets=256, hosts=1, followed=DEFAULT_TRACE_ONE_IN, clock=None, **options
     ):
         self.clock = clock
         self.loop = Loop(clock) if clock else Loop()
@@ -145,7 +145,7 @@
         self.write()
         log = Log(-1)
         log.write_line = lambda level, event, fields: self.lines.append((event, fields))
-        self.process = Process(
+        self.process = GatewayProcess(
             str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, trace_one_in=followed
         )
         self.process.start()
@@ -187,8 +187,8 @@
         for part in (
             self.process.front,
             self.process.host_list,
-            self.process.hosts,
-            self.process.peers,
+            self.process.host_client,
+            self.process.peer_reports,
             *self.hosts,
             self.log,
         ):
