--- a/benchmarks/connection_processes.py
+++ b/benchmarks/connection_processes.py
@@ -17,7 +17,7 @@
 from gaproute.load import LoadGenerator, read_load_script
 from gaproute.load.results import TrafficResult
 from gaproute.loop import Listener, Loop, Promise, Stream
-from gaproute.loop.addresses import Address, address
+from gaproute.loop.addresses import Address, parse_address
 from gaproute.loop.descriptors import READ
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -164,7 +164,7 @@
     Orders: {"idle": ns}, {"late": true} and {"held": true}; the last two are answered.
     """
     loop = Loop()
-    server = SERVERS[form](loop, address("127.0.0.1:0"))
+    server = SERVERS[form](loop, parse_address("127.0.0.1:0"))
     gc.collect()
     gc.freeze()
     gc.set_threshold(10_000, 50, 100)
--- a/benchmarks/host_processes.py
+++ b/benchmarks/host_processes.py
@@ -12,7 +12,7 @@
 from gaproute.http1 import Limits, Request, Server
 from gaproute.http1.limits import LIMITS
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 
 def serve_hosts(count: int, handle: Callable[[Request], object], limits: Limits = LIMITS) -> None:
@@ -21,7 +21,7 @@
     `handle` answers each request.
     """
     loop = Loop()
-    servers = [Server(loop, address("127.0.0.1:0"), handle, limits) for _ in range(count)]
+    servers = [Server(loop, parse_address("127.0.0.1:0"), handle, limits) for _ in range(count)]
     print(json.dumps([server.address for server in servers]), flush=True)
     loop.run()
 
--- a/benchmarks/relay_processes.py
+++ b/benchmarks/relay_processes.py
@@ -19,7 +19,7 @@
 from gaproute.http1 import ClientConnection, Exchange, Request
 from gaproute.http1.message import Response
 from gaproute.loop import Loop, Promise, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 FOLDER = Path(__file__).resolve().parent
 COMMAND = FOLDER / "relay.py"
@@ -71,7 +71,7 @@
         self._sent = self._failed = 0
         self._ends_at = 0
         for number in range(CONNECTIONS):
-            connect(self.loop, address(targets[number % len(targets)]), SECOND, self._connected)
+            connect(self.loop, parse_address(targets[number % len(targets)]), SECOND, self._connected)
 
     def figures(self) -> Figures:
         """What came of the requests."""
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.routing.observations import Observation
 from gaproute.http1 import render
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers import ObservationClient, PeerServer, observation_wire
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Record
@@ -44,7 +44,7 @@
         self.facts, self.loop = facts, Loop()
         self.peer_server = PeerServer(
             self.loop,
-            address("127.0.0.1:0"),
+            parse_address("127.0.0.1:0"),
             StandInDecisions(facts),
             HostHistory(),
             ["std"],
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -17,7 +17,7 @@
 from benchmarks.inference_requests import encode_request
 from gaproute.http1 import ClientConnection, Exchange, NoResponseError, Response
 from gaproute.loop import Loop, Promise, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 SECOND = 1_000_000_000
 CONNECTIONS = 128  # connections to each gateway
@@ -72,7 +72,7 @@
                 ready()
 
         for _ in range(CONNECTIONS):
-            connect(self.loop, address(self.where), SECOND, on_connected)
+            connect(self.loop, parse_address(self.where), SECOND, on_connected)
 
     def close(self) -> None:
         """End the connections that are idle; those at work end with the process."""
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -25,7 +25,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.interface import State
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Log, Record
 
@@ -124,12 +124,12 @@
             if self.cells is not None:
                 self.client_fronts.append(self.cells.listen(self.peers, self.ready))
         else:
-            self.fronts.append(OperatorFront(self.loop, address(where), self))
+            self.fronts.append(OperatorFront(self.loop, parse_address(where), self))
 
     def _client_front(self, where: str) -> KServeFront:
         inherited = self.inherited.get(where)
         return KServeFront(
-            self.loop, address(where), self.core, self.configuration, self.address_ready, inherited
+            self.loop, parse_address(where), self.core, self.configuration, self.address_ready, inherited
         )
 
     def _close_fronts(self) -> None:
--- a/gaproute/appliance/listening_sockets.py
+++ b/gaproute/appliance/listening_sockets.py
@@ -9,7 +9,7 @@
 import socket
 
 from gaproute.config.configuration import Configuration
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.listening import open_listening_socket
 
 # Kinds of `listen` lines; the children of a parent share the addresses of the first kind
@@ -33,7 +33,7 @@
         try:
             for where in wanted:
                 if where not in self.by_address:
-                    opened[where] = open_listening_socket(address(where))
+                    opened[where] = open_listening_socket(parse_address(where))
         except OSError:
             for sock in opened.values():
                 sock.close()
@@ -54,7 +54,7 @@
     def unlink_paths(self) -> None:
         """Removes the files of Unix sockets."""
         for where in self.by_address:
-            family, target = address(where)
+            family, target = parse_address(where)
             if family == socket.AF_UNIX and isinstance(target, str) and os.path.exists(target):
                 os.unlink(target)
 
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -27,7 +27,7 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
@@ -87,7 +87,12 @@
     def listen(self, where: str) -> PeerServer:
         """Opens the address for other gateways. Errors: OSError; `close` is to be called then."""
         server = PeerServer(
-            self.loop, address(where), self.gateway, self.host_history, self.request_classes, self._limits()
+            self.loop,
+            parse_address(where),
+            self.gateway,
+            self.host_history,
+            self.request_classes,
+            self._limits(),
         )
         self.peer_server = server
         try:
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from gaproute.cli.common import ExitCode, JsonObject, fail, json_option, show_table
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 TIMEOUT = 5  # seconds
 STATUS_COUNTS = ("taken", "delivered", "declined", "scrapped", "left")  # as the gateway names them
@@ -29,7 +29,7 @@
 
 def _get(where: str, path: bytes) -> bytes:
     """The body of an answer. Errors: OSError."""
-    family, target = address(where)
+    family, target = parse_address(where)
     with socket.socket(family, socket.SOCK_STREAM) as sock:
         sock.settimeout(TIMEOUT)
         sock.connect(target)
--- a/gaproute/cluster/links/codec.py
+++ b/gaproute/cluster/links/codec.py
@@ -38,7 +38,7 @@
     StartEmulator,
 )
 from gaproute.cluster.links.slots import ANY, Slot, SlotKind
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.units import MILLI
 
 MAX_NUMBER = 1e12  # of a fault's figures
@@ -232,7 +232,7 @@
     if not value:
         return None
     try:
-        if isinstance(value, str) and address(value).family == AF_INET:
+        if isinstance(value, str) and parse_address(value).family == AF_INET:
             return value
     except ValueError:
         pass
--- a/gaproute/cluster/links/datagrams.py
+++ b/gaproute/cluster/links/datagrams.py
@@ -10,7 +10,7 @@
 from gaproute.cluster.addresses import Link, LinkAddressError, link_address, link_of_number
 from gaproute.cluster.links.context import EmulatorContext
 from gaproute.cluster.links.faults import LinkFaultKind
-from gaproute.loop.addresses import SocketAddress, address
+from gaproute.loop.addresses import SocketAddress, parse_address
 from gaproute.loop.descriptors import READ
 
 MAX_DATAGRAM = 65535  # bytes: UDP's own limit
@@ -133,7 +133,7 @@
             self.counts.unmatched += 1
             return None
         source = socket.inet_aton(link_address(link.destination, link.source))
-        route = Route(link, address(slot.datagram_address).target, sent_from(source))
+        route = Route(link, parse_address(slot.datagram_address).target, sent_from(source))
         self._routes[called] = route
         return route
 
--- a/gaproute/cluster/links/streams.py
+++ b/gaproute/cluster/links/streams.py
@@ -21,7 +21,7 @@
 from gaproute.cluster.links.stream_end import close_with_reset
 from gaproute.cluster.links.stream_relay import StreamRelay
 from gaproute.loop import Listener, connect
-from gaproute.loop.addresses import Address, address
+from gaproute.loop.addresses import Address, parse_address
 
 CONNECT_TIMEOUT = 130_000_000_000  # ns: as long as Linux tries; then the caller's end is reset
 CALLER_LEFT = select.EPOLLRDHUP  # and errors, which epoll always reports
@@ -115,7 +115,7 @@
                 self._connected(pending, far)
 
         source = link_address(link.destination, link.source)
-        connect(self.loop, address(target), CONNECT_TIMEOUT, done, source=source)
+        connect(self.loop, parse_address(target), CONNECT_TIMEOUT, done, source=source)
 
     def _connected(self, pending: PendingConnection, far: socket.socket) -> None:
         self.counts.opened += 1
--- a/gaproute/cluster/operator_client.py
+++ b/gaproute/cluster/operator_client.py
@@ -9,7 +9,7 @@
 
 from gaproute.http1 import Exchange, Response
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.timers import Timer
 from gaproute.units import MILLI
 
@@ -45,7 +45,7 @@
         self.promise = Promise()
         self._exchange = Exchange(loop, request, self._done)
         self._timer: Timer = loop.after(ANSWER_TIMEOUT, self._time_up)
-        self._exchange.connect(address(operator_address), CONNECT_TIMEOUT, MAX_HEAD, MAX_BODY)
+        self._exchange.connect(parse_address(operator_address), CONNECT_TIMEOUT, MAX_HEAD, MAX_BODY)
 
     def _done(self, response: Response | None, failure: object) -> None:
         self._timer.cancel()
--- a/gaproute/config/values.py
+++ b/gaproute/config/values.py
@@ -5,7 +5,7 @@
 
 from pydantic import BeforeValidator, Field
 
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 NANOSECONDS = {
     "ns": 1,
@@ -60,7 +60,7 @@
 
 
 def _address(value: str) -> str:
-    address(value)
+    parse_address(value)
     return value
 
 
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -13,7 +13,7 @@
 from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.watcher import SILENCE_TIMEOUT, ChangeLogWatcher
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.addresses import parse_address
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -19,7 +19,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.interface import ListedHost, State
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 
 class MemberConverter:
@@ -62,7 +62,7 @@
 
     def _convert(self, member: MemberRecord, absent_at: int | None) -> Endpoint:
         """Errors: ValueError, KeyError."""
-        address(member.host_port)
+        parse_address(member.host_port)
         state = STATES[member.phase]
         zone = self.zones.setdefault(member.locality, len(self.zones))
         cell = member.cell
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -8,7 +8,7 @@
 from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.sse import MAX_EVENT_BYTES, ChangeLogError, EventReader
 from gaproute.loop import Loop, Stream, connect
-from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI, SECOND
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -11,7 +11,7 @@
 from gaproute.faultinjection.play.far_host import NEVER_RAN_ANSWERS, FarHost, ReceivedAttempt
 from gaproute.faultinjection.play.findings import Check, Finding
 from gaproute.faultinjection.play.scene import KEYED, NON_IDEMPOTENT, REPEAT_WINDOW, Scene
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.units import MILLI, SECOND
 
 PACKAGE = "faultinjection"  # files of these frames are not the gateway's
@@ -139,7 +139,7 @@
 
 
 def _check_draining(scene: Scene) -> Iterator[Finding]:
-    change_log = address(scene.change_log.address).target
+    change_log = parse_address(scene.change_log.address).target
     broken = change_log in scene.faults.call_faults.broken_peers
     for host in scene.hosts:
         begun = [attempt.received_at for attempt in host.attempts] + host.load_orders
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -20,7 +20,7 @@
 from gaproute.faultinjection.play.timeline import FarLoop, PlayClock, arrives_soon
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.loop import Loop
-from gaproute.loop.addresses import SocketAddress, address
+from gaproute.loop.addresses import SocketAddress, parse_address
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
@@ -135,7 +135,7 @@
     @property
     def gateway_address(self) -> SocketAddress:
         """The socket address at which the gateway listens for clients."""
-        return address(self.front.address).target
+        return parse_address(self.front.address).target
 
     def connect_client(self) -> FarClient:
         """A new connection of a client."""
--- a/gaproute/hollow/peer_server.py
+++ b/gaproute/hollow/peer_server.py
@@ -9,7 +9,7 @@
 from gaproute.hollow.leases import LeasePart
 from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers import PeerServer
 from gaproute.peers.raft import RaftTransport
 from gaproute.peers.raft.transport import TARGET
@@ -26,7 +26,7 @@
         assert isinstance(raft_transport, RaftTransport)
         self._peer_server = PeerServer(
             environment.loop,
-            address(environment.address),
+            parse_address(environment.address),
             hosts.decisions,
             HostHistory(),
             [line.name for line in environment.configuration.request_classes],
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -20,7 +20,7 @@
 from gaproute.interface import Idempotency, ListedHost, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.addresses import parse_address
 from gaproute.units import MILLI
 
 
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -3,7 +3,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.connection import Connection
 from gaproute.hosts.jsonlines.connection_owner import HostConnectionOwner
-from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.addresses import parse_address
 
 
 class ConnectionSet(dict[Connection, None]):
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -4,7 +4,7 @@
 from gaproute.http1 import ClientConnection, Exchange
 from gaproute.interface import Idempotency
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.addresses import parse_address
 
 
 class HostConnections:
--- a/gaproute/load/generator.py
+++ b/gaproute/load/generator.py
@@ -18,7 +18,7 @@
 from gaproute.load.slow_clients import SlowClient
 from gaproute.load.traffic import ActiveTraffic, Deadline
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.units import MILLI, SECOND
 
 POLL_INTERVAL = 20 * MILLI  # between checks whether all is open, or all has ended
@@ -50,7 +50,7 @@
         self.ends_at: int | None = None  # ns of the loop, when no more requests are sent
         self.requests = RequestTemplates(self.random)
         self._traffic = {line.name: ActiveTraffic(line) for line in script.traffic}
-        self._targets = [address(target) for target in script.targets]
+        self._targets = [parse_address(target) for target in script.targets]
         self._connector = Connector(
             loop,
             self.random,
--- a/gaproute/loop/addresses.py
+++ b/gaproute/loop/addresses.py
@@ -8,7 +8,7 @@
 SocketAddress = str | tuple[str, int] | tuple[str, int, int, int]  # a path, or a tuple of the socket module
 
 UNIX_PREFIX = "unix:"
-MAX_UNIX_PATH = 107
+MAX_UNIX_PATH_LENGTH = 107
 MAX_PORT = 65535
 
 
@@ -23,12 +23,12 @@
     target: SocketAddress
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parses `127.0.0.1:80`, `[::1]:80` or `unix:/path`. Errors: AddressError."""
     if text.startswith(UNIX_PREFIX):
         path = text.removeprefix(UNIX_PREFIX)
-        if not 1 <= len(path) <= MAX_UNIX_PATH:
-            raise AddressError(f"a Unix socket path has 1 to {MAX_UNIX_PATH} characters")
+        if not 1 <= len(path) <= MAX_UNIX_PATH_LENGTH:
+            raise AddressError(f"a Unix socket path has 1 to {MAX_UNIX_PATH_LENGTH} characters")
         return Address(socket.AF_UNIX, path)
     host, _, port = text.rpartition(":")
     if not port.isdigit() or not 0 <= int(port) <= MAX_PORT or not host:
@@ -43,7 +43,7 @@
     return Address(socket.AF_INET, (host, int(port)))
 
 
-def address_of(sock: socket.socket) -> str:
+def bound_address(sock: socket.socket) -> str:
     """The address at which a socket is bound, as text. Errors: OSError."""
     if sock.family == socket.AF_UNIX:
         return f"{UNIX_PREFIX}{sock.getsockname()}"
--- a/gaproute/loop/datagrams.py
+++ b/gaproute/loop/datagrams.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Callable
 
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.descriptors import READ
 from gaproute.loop.loop import Loop
 
@@ -23,7 +23,7 @@
         self.loop, self.on_datagram = loop, on_datagram
         self.dropped = 0  # messages that could not be sent
         try:
-            family, target = address(where)
+            family, target = parse_address(where)
         except ValueError as fault:  # a path that the name added to it made too long
             raise OSError(errno.ENAMETOOLONG, str(fault)) from None
         self.path = target if isinstance(target, str) else None
@@ -48,7 +48,7 @@
     def send(self, data: bytes, where: str) -> None:
         """Sends one message, or counts it as dropped."""
         try:
-            family, target = address(where)
+            family, target = parse_address(where)
             if family != self.sock.family:
                 raise OSError("another family of addresses")
             self.sock.sendto(data, target)
--- a/gaproute/loop/dialing.py
+++ b/gaproute/loop/dialing.py
@@ -36,7 +36,7 @@
     done: DialCallback,
     source: str | None = None,
 ) -> Callable[[], None]:
-    """Opens a connection to `where` (see `address`) in at most `within` ns.
+    """Opens a connection to `where` (see `parse_address`) in at most `within` ns.
 
     `done(socket or None, error or None)` is called once, and later. `source`: the local address to connect
     from, with any port. Returns a function that abandons the attempt; after it `done` is not called.
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from gaproute.loop import sockets
-from gaproute.loop.addresses import SocketAddress, address_of
+from gaproute.loop.addresses import SocketAddress, bound_address
 from gaproute.loop.descriptors import READ
 from gaproute.loop.faults import FAILED_CONNECTION_ERRNOS, SHORTAGE_ERRNOS, Backoff
 from gaproute.loop.loop import Loop
@@ -90,7 +90,7 @@
         self.sock = open_listening_socket(where, backlog) if inherited is None else inherited
         try:
             self.sock.setblocking(False)
-            self.address = address_of(self.sock)
+            self.address = bound_address(self.sock)
             loop.watch(self.sock.fileno(), READ, self._ready)
         except OSError:
             if inherited is None:
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -22,7 +22,7 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import Exchange, Response
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.promises import Coroutine
 from gaproute.peers import observation_wire
 from gaproute.peers.observation_messages import ObservationAnswer
@@ -171,7 +171,7 @@
             exchange.cancel()
             promise.set(_ExchangeResult(None, timed_out=True))
 
-        exchange.connect(address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
+        exchange.connect(parse_address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
         timer = self._loop.after(ANSWER_TIMEOUT, time_up)
         promise.then(lambda _: timer.cancel())
         return promise
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -14,7 +14,7 @@
 from gaproute.http1 import Exchange, Limits, Request, Response, Server
 from gaproute.http1.client import ClientConnection
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.timers import Timer
 from gaproute.peers.raft import wire
 from gaproute.shared.raft.messages import RaftMessage
@@ -118,7 +118,7 @@
             buffered=4 * wire.MAX_BATCH_BYTES,
         )
         server: Server = Server(
-            self.loop, address(where), lambda request: self.handle(server, request), limits
+            self.loop, parse_address(where), lambda request: self.handle(server, request), limits
         )
         self.server = server
         return server.address
@@ -184,7 +184,7 @@
             state.exchange.send_on(state.connection)
             return
         state.exchange.connect(
-            address(self.peers[to]),
+            parse_address(self.peers[to]),
             EXCHANGE_TIMEOUT,
             MAX_RESPONSE_BYTES,
             MAX_RESPONSE_BYTES,
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -5,7 +5,7 @@
 
 from gaproute.http1 import Exchange, Request, Response, Server
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.timers import Timer
 from gaproute.peers.peer_server import PeerServer
 from gaproute.peers.ports import PullCallback, PullHandler
@@ -37,7 +37,7 @@
         head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % TARGET
         data = head + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
         try:
-            target = address(where)
+            target = parse_address(where)
         except ValueError:
             self._timer = self.loop.after(0, done, None)
             return
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -8,7 +8,7 @@
 from gaproute import interface, settings
 from gaproute.discovery.changelog import events
 from gaproute.errors import GaprouteError
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 ADDRESS_FIELDS = ("listen", "changelog")
 SEED_BASE = 16
@@ -105,7 +105,7 @@
     """Rejects invalid values of the right type. Errors: `ConfigurationRefusedError`."""
     for field in ADDRESS_FIELDS:
         try:
-            address(getattr(configuration, field))
+            parse_address(getattr(configuration, field))
         except ValueError as error:
             raise ConfigurationRefusedError(f"{path}: {field}: {error}") from None
     try:
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -14,7 +14,7 @@
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform.configuration import Configuration, LoadedConfiguration
 from gaproute.platform.host_list import HostList
 from gaproute.platform.log import Log
@@ -114,7 +114,7 @@
     def _listen(self) -> JsonRpcFront:
         front = JsonRpcFront(
             self.loop,
-            address(self.listen),
+            parse_address(self.listen),
             self.core,
             self.deployment.class_names,
             self.terms.request_classes,
--- a/gaproute/standins/cell_source.py
+++ b/gaproute/standins/cell_source.py
@@ -14,7 +14,7 @@
 from urllib.parse import unquote
 
 from gaproute.loop import Listener, Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.event_stream import (
     COMMENT,
     RESPONSE_HEAD,
@@ -87,7 +87,7 @@
         self.polls: list[Poll] = []  # in order
         self.fault: SourceFault | None = None
         self._event_delay = 0  # ns
-        self.listener = Listener(loop, address(where), self._accept)
+        self.listener = Listener(loop, parse_address(where), self._accept)
         self.address = self.listener.address
         self._timer = loop.after(comment, self._send_comments)
 
--- a/gaproute/standins/kinds.py
+++ b/gaproute/standins/kinds.py
@@ -10,7 +10,7 @@
 
 from gaproute.errors import GaprouteError
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.first_lines import (
     ChangeLogLine,
     ClientsLine,
@@ -82,7 +82,7 @@
 
 def _make_store(process: Surroundings, line: StoreLine) -> StandIn:
     profile = StoreProfile(rate=line.pace, limit=line.limit, thrash=line.thrash)
-    store = ModelStore(process.loop, address(line.listen), profile, process.tap)
+    store = ModelStore(process.loop, parse_address(line.listen), profile, process.tap)
     process.report({"address": store.address})
     return StandIn(store.command)
 
@@ -90,7 +90,7 @@
 def _make_host(process: Surroundings, line: HostLine) -> StandIn:
     models = {model.name: model for model in line.models}
     setup = HostSetup(profile=line.profile, models=models, store=line.store, seed=line.seed, warm=line.warm)
-    host = KServeHost(process.loop, address(line.listen), setup, process.tap)
+    host = KServeHost(process.loop, parse_address(line.listen), setup, process.tap)
     process.report({"address": host.address})
     return StandIn(host.command)
 
--- a/gaproute/standins/kserve/clients.py
+++ b/gaproute/standins/kserve/clients.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.kserve.client_request import (
     MIN_TIME_LEFT,
     ClientAttempt,
@@ -56,7 +56,7 @@
         self.chance = random.Random(load.seed)
         self.source = RequestSource(load.classes, load.traffic, self.chance)
         self.gateways = [
-            Gateway(number, address(where), IdleConnections(number, tap))
+            Gateway(number, parse_address(where), IdleConnections(number, tap))
             for number, where in enumerate(load.gateways)
         ]
         self.open_requests = 0
--- a/gaproute/standins/model_server/fetching.py
+++ b/gaproute/standins/model_server/fetching.py
@@ -6,7 +6,7 @@
 
 from gaproute.http1 import Exchange, NoResponseError, Response
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.model_server.profiles import ModelProfile
 from gaproute.units import SECOND
 
@@ -21,7 +21,7 @@
 
     def __init__(self, loop: Loop, store: str | None) -> None:
         self.loop = loop
-        self.store = address(store) if store is not None else None
+        self.store = parse_address(store) if store is not None else None
 
     def fetch(self, model: ModelProfile) -> Promise:
         """A promise of whether the store gave the model, in one attempt."""
--- a/gaproute/standins/platform/gateway_feed.py
+++ b/gaproute/standins/platform/gateway_feed.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from gaproute.loop import Listener, Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.event_stream import (
     COMMENT,
     RESPONSE_HEAD,
@@ -90,7 +90,7 @@
         self._listen()
 
     def _listen(self) -> None:
-        self.listener = Listener(self.log.loop, address(self.where), self._accept)
+        self.listener = Listener(self.log.loop, parse_address(self.where), self._accept)
         self.where = self.listener.address
 
     def _accept(self, sock: socket.socket) -> None:
--- a/gaproute/standins/platform/hosts.py
+++ b/gaproute/standins/platform/hosts.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.json_objects import JsonObject, WriteLine
 from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
 from gaproute.standins.platform.host import PlatformHost
@@ -83,7 +83,7 @@
         host_setup = HostSetup(
             profile=slot.profile, models=self.models, store=setup.store, seed=seed, warm=slot.warm
         )
-        host = PlatformHost(self.loop, address(slot.listen), host_setup, tap, setup.reporting)
+        host = PlatformHost(self.loop, parse_address(slot.listen), host_setup, tap, setup.reporting)
         self.hosts[name] = host
         self._slots[name] = msgspec.structs.replace(slot, listen=host.address)
         return host
--- a/gaproute/standins/platform/peer_broadcast.py
+++ b/gaproute/standins/platform/peer_broadcast.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 
 from gaproute.loop import Loop
-from gaproute.loop.addresses import SocketAddress, address, address_of
+from gaproute.loop.addresses import SocketAddress, bound_address, parse_address
 from gaproute.loop.descriptors import READ
 from gaproute.standins.tap import EventRecorder
 
@@ -28,14 +28,14 @@
         other sender are dropped."""
         self.loop, self.tap = loop, tap
         self._routes = {
-            address(sender).target: [address(other).target for other in others]
+            parse_address(sender).target: [parse_address(other).target for other in others]
             for sender, others in routes.items()
         }
-        family, target = address(where)
+        family, target = parse_address(where)
         self.sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_SIZE)
         self.sock.bind(target)
-        self.address = address_of(self.sock)
+        self.address = bound_address(self.sock)
         self.received = self.sent = self.lost = self.unknown_sender = 0  # datagrams
         loop.watch(self.sock.fileno(), READ, self._ready)
 
--- a/gaproute/standins/platform/pooled_gateway.py
+++ b/gaproute/standins/platform/pooled_gateway.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from gaproute.loop import Loop
-from gaproute.loop.addresses import Address, address
+from gaproute.loop.addresses import Address, parse_address
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.rpc_connection import CallLoss, RpcConnection
 from gaproute.standins.tap import EventRecorder
@@ -41,7 +41,7 @@
     """Pings the gateway from now on, until it is in."""
 
     def __init__(self, pool: GatewayUser, number: int, where: str) -> None:
-        self.pool, self.number, self.where = pool, number, address(where)
+        self.pool, self.number, self.where = pool, number, parse_address(where)
         self.connections: dict[RpcConnection, None] = {}  # in the order in which they were opened
         self.is_in = False
         self._accepts_new = True  # whether new connections are made
--- a/gaproute/standins/platform/scripted.py
+++ b/gaproute/standins/platform/scripted.py
@@ -10,7 +10,7 @@
 from typing import Generic, TypeVar
 
 from gaproute.loop import Listener, Loop, Promise, Stream, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.event_stream import RESPONSE_HEAD, last_event_id
 from gaproute.standins.json_objects import JsonObject
 from gaproute.standins.platform.host_list import ChangeEvent, ListedMember
@@ -30,7 +30,7 @@
         self.loop = loop
         self.streams: list[Stream] = []
         self.came: list[Received] = []  # what was received on all connections, parsed
-        self.listener = Listener(loop, address(where), self.accept)
+        self.listener = Listener(loop, parse_address(where), self.accept)
         self.address = self.listener.address
 
     def accept(self, sock: socket.socket) -> None:
@@ -132,7 +132,7 @@
         self.ready = Promise()  # of the connection; fails with OSError
         self.buffer = b""
         self.waiting: list[bytes] = []  # to be sent once it is connected
-        connect(loop, address(where), CONNECT_TIMEOUT, self._connected)
+        connect(loop, parse_address(where), CONNECT_TIMEOUT, self._connected)
 
     def _connected(self, sock: socket.socket | None, error: OSError | None) -> None:
         if sock is None:
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -15,7 +15,7 @@
 from gaproute.interface import Idempotency
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from tests.core.test_core import attempt_and_wait, core, run, submit
 
 CALL = Call("lamp", "", (), b"{}")
@@ -26,7 +26,7 @@
 
     def __init__(self):
         self.loop, self.came, self.heard = Loop(), [], []
-        self.server = Server(self.loop, address("127.0.0.1:0"), self.came.append, Limits())
+        self.server = Server(self.loop, parse_address("127.0.0.1:0"), self.came.append, Limits())
         self.entries = EntryGateways(self.loop, DEFAULT_SETTINGS, "ga")
 
     def forward(self, call=CALL, within=SECOND):
@@ -91,7 +91,7 @@
     for name in ("b1-h0", "b1-h1"):
         fleet.hosts[name].model_server.faults.replace("hang")
     model = fleet.homed("check", "b1")
-    sock = socket.create_connection(address(fleet.clients["ga"])[1])
+    sock = socket.create_connection(parse_address(fleet.clients["ga"])[1])
     body = b'{"id":"t1","inputs":[]}'
     head = f"POST /v2/models/{model}/infer HTTP/1.1\r\nHost: g\r\nContent-Length: {len(body)}\r\n\r\n"
     sock.sendall(head.encode() + body)
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -7,7 +7,7 @@
 from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.config import ConfigurationError, read_configuration
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.operator_requests import OperatorCommand, OperatorRequests
 
@@ -58,7 +58,7 @@
     def ask(self, name, **command):
         """(status, answer) of one command at that gateway's operators' address."""
         front = next(front for front in self.gates[name].fronts if type(front).__name__ == "OperatorFront")
-        self.made.at = address(front.address)
+        self.made.at = parse_address(front.address)
         answer = self.made.wait(self.made.ask(path="/permits", body=json.dumps(command).encode()))
         return answer.status, json.loads(answer.body)
 
@@ -126,7 +126,7 @@
     site.down("a")
     site.down("b")
     number = site.ask("d", take="out h3", span_ms=MAX_DURATION)[1]["errand"]
-    site.made.at = address(site.gates["d"].fronts[0].address)
+    site.made.at = parse_address(site.gates["d"].fronts[0].address)
     assert site.made.wait(site.made.ask("lamp", "w1")).status == 200
     site.made.rest(2 * MAX_DURATION * MILLI)
     assert site.request("d", number)["state"] in ("asked", "given")
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -24,7 +24,7 @@
     RestartBackoff,
 )
 from gaproute.decisions.chance import Chance
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 BODY = b'{"id": "t", "inputs": []}'
 ASK = (
@@ -90,7 +90,7 @@
             self.process = subprocess.Popen(command, stderr=errors)
         self.until(lambda: self.events("started", count))
         where = self.events("parent_started")[0]["listen_addresses"][0]
-        self.rig.at = address(where)
+        self.rig.at = parse_address(where)
 
     def events(self, name, least=0):
         lines = [
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.forwarding import ForwardingFleet
 from benchmarks.scale.forwarding_clients import CONNECTIONS, SECOND, ClientGroup, arrivals, max_calls
 from gaproute.http1 import Server
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 
 @pytest.fixture
@@ -46,7 +46,7 @@
     def __init__(self, group, *statuses, after=0):
         self.loop, self.statuses, self.after = group.loop, list(statuses), after
         self.targets_by_status = {}  # status: targets of the requests that got it
-        self.server = Server(group.loop, address("127.0.0.1:0"), self.handle)
+        self.server = Server(group.loop, parse_address("127.0.0.1:0"), self.handle)
 
     def handle(self, request):
         status = self.statuses.pop(0) if len(self.statuses) > 1 else self.statuses[0]
--- a/tests/connections/conftest.py
+++ b/tests/connections/conftest.py
@@ -11,7 +11,7 @@
 from gaproute.connections import AcceptedConnections
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
 LIMITS = Limits(idle_time=60 * SECOND)
@@ -25,8 +25,8 @@
         self.loop = Loop(lambda: time.monotonic_ns() + self.skew)
         self.connections = AcceptedConnections(self.loop, made)
         self.asked, self.clients, self.answers = [], [], answer
-        self.server = Server(self.loop, address("127.0.0.1:0"), self.handle, limits, counted=True)
-        self.at = address(self.server.address)[1]
+        self.server = Server(self.loop, parse_address("127.0.0.1:0"), self.handle, limits, counted=True)
+        self.at = parse_address(self.server.address)[1]
 
     def handle(self, request):
         self.asked.append(request)
@@ -74,7 +74,7 @@
         self.loop = Loop(self.clock)
         self.loop.on_error = self.faults.append
         self.loop.parked_epoll = FailingEpoll(self.loop.parked_epoll)
-        self.server = Server(self.loop, address("127.0.0.1:0"), self.handle, counted=True)
+        self.server = Server(self.loop, parse_address("127.0.0.1:0"), self.handle, counted=True)
         self.connections = self.server.connections
 
     def handle(self, request):
@@ -82,7 +82,7 @@
         self.server.answer(request, 200, (), b"well")
 
     def client(self, data=b""):
-        made = socket.create_connection(address(self.server.address)[1])
+        made = socket.create_connection(parse_address(self.server.address)[1])
         made.sendall(data)
         made.setblocking(False)
         self.clients.append(made)
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.cells.table import EntryGateway
 from gaproute.hosts import forwarding
 from gaproute.http1 import Server
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 CELLS = {"a1": ("a1", ("ga", "gx")), "b1": ("b1", ("gb",))}
 
@@ -116,7 +116,7 @@
 
     def __init__(self, fleet, name):
         self.came = 0
-        fleet.close_also(Server(fleet.loop, address(fleet.entries[name]), self.handle))
+        fleet.close_also(Server(fleet.loop, parse_address(fleet.entries[name]), self.handle))
 
     def handle(self, request):
         self.came += 1
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -6,7 +6,7 @@
 
 from gaproute.discovery.changelog.cell_watcher import FIRST_BACKOFF, MAX_BACKOFF
 from gaproute.loop import Listener, Stream
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.cell_source import CellSource, SourceFault
 from gaproute.standins.event_stream import RESPONSE_HEAD
 
@@ -124,7 +124,7 @@
 
     def __init__(self, loop, says):
         self.loop, self.says, self.connections = loop, says, 0
-        self.listener = Listener(loop, address("127.0.0.1:0"), self._accept)
+        self.listener = Listener(loop, parse_address("127.0.0.1:0"), self._accept)
         self.address = self.listener.address
 
     def _accept(self, sock):
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -9,7 +9,7 @@
 from followed_fleet import GRACE, FollowedFleet
 from helpers import MILLI, SECOND, makers
 
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.cell_source import CellSource, SourceFault
 
 PAIR = {"a1": ("a1", ("ga",)), "b1": ("b1", ("gb",))}
@@ -125,7 +125,7 @@
     assert fleet.wait(fleet.ask("ga", "check-0", "t1")).status == 200
     drained = fleet.came("t1")[0]
     held = fleet.status("ga")["clients"]["connections"]
-    with socket.create_connection(address(fleet.clients["ga"])[1]) as client:
+    with socket.create_connection(parse_address(fleet.clients["ga"])[1]) as client:
         client.settimeout(5)
         fleet.until(lambda: fleet.status("ga")["clients"]["connections"] > held)
         fleet.processes["ga"].send_signal(signal.SIGTERM)
--- a/tests/fronts/test_client_limits.py
+++ b/tests/fronts/test_client_limits.py
@@ -6,13 +6,13 @@
 
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform.shutdown import ACCEPT_TIME
 
 
 def raw(made, data):
     """A client that sends until the socket takes no more, and reads nothing."""
-    made_one = socket.create_connection(address(made.where)[1])
+    made_one = socket.create_connection(parse_address(made.where)[1])
     made_one.setblocking(False)
     made_one.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
     made.turns(3)
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -25,7 +25,7 @@
 from gaproute.http1 import exchange as exchanges
 from gaproute.http1.exchange import Exchange
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.streams import READ_SIZE
 from gaproute.standins.platform import arg
 
@@ -48,7 +48,7 @@
 
 def dialled(where):
     """A connection that has come up, as `connect` passes it on."""
-    sock = socket.create_connection(address(where)[1])
+    sock = socket.create_connection(parse_address(where)[1])
     sock.setblocking(False)
     return sock
 
@@ -140,7 +140,7 @@
         client.message(abort(id=number))
     data = b"".join(client.waiting)
     assert len(data) > 2 * READ_SIZE
-    sock = socket.create_connection(address(made.where)[1])
+    sock = socket.create_connection(parse_address(made.where)[1])
     sock.sendall(data)
     client.waiting = []
     made.until(lambda: not made.process.core.in_flight and made.process.core.submitted)
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -8,7 +8,7 @@
 
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.streams import READ_SIZE
 
 
@@ -95,7 +95,7 @@
 def test_over_http_half_a_close_behind_a_long_body_still_gets_its_answer():
     """The end is heard in the turn in which the first bytes are read, and the request is read whole."""
     loop, came = Loop(), []
-    server = Server(loop, address("127.0.0.1:0"), came.append, Limits())
+    server = Server(loop, parse_address("127.0.0.1:0"), came.append, Limits())
     buffers_much(server.listener)
     sock = connected(server.address)
     sock.sendall(b"POST /a HTTP/1.1\r\nHost: g\r\nContent-Length: 150000\r\n\r\n" + b"x" * 150_000)
--- a/tests/fronts/test_descriptor_shortage.py
+++ b/tests/fronts/test_descriptor_shortage.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.admission.admission import EVICTIONS_PER_SHORTAGE
 from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS
 from gaproute.loop import connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.dialing import FIRST_DIAL_PAUSE
 from gaproute.platform.reload import READ_BACKOFF
 from gaproute.platform.status import STATUS_INTERVAL
@@ -54,7 +54,7 @@
     assert [client.ended for client in clients] == [True] * EVICTIONS_PER_SHORTAGE + [False] * 2
     made.passes(READ_BACKOFF + MILLI)
     assert made.lines[-1][0] == "configuration_reloaded"
-    assert made.process.host_list.watcher.address == address("127.0.0.1:9")
+    assert made.process.host_list.watcher.address == parse_address("127.0.0.1:9")
     made.passes(STATUS_INTERVAL)
     assert [what for what, _ in made.lines].count("status") == 4  # both go on
 
@@ -67,7 +67,10 @@
     made.passes(110 * MILLI)
     take()
     connect(
-        made.loop, address(made.hosts[0].address), SECOND, lambda sock, error: dialed.append((sock, error))
+        made.loop,
+        parse_address(made.hosts[0].address),
+        SECOND,
+        lambda sock, error: dialed.append((sock, error)),
     )
     made.turns()
     assert not dialed
@@ -86,7 +89,7 @@
     made = gate(clock=Handed())
     errors = []
     take()
-    connect(made.loop, address(made.hosts[0].address), SECOND, lambda sock, error: errors.append(error))
+    connect(made.loop, parse_address(made.hosts[0].address), SECOND, lambda sock, error: errors.append(error))
     for _ in range(40):
         made.passes(MILLI)
     give()
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -5,7 +5,7 @@
 import pytest
 from scripted import MILLI, Handed, half_close, nothing
 
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 
 def test_a_client_that_takes_no_answers_is_seen_to_leave_though_nothing_is_read(gate):
@@ -25,7 +25,8 @@
     made = gate(sockets=70, clock=Handed())
     connections = made.process.front.connections
     deaf = [
-        socket.create_connection(address(made.where)[1]) for _ in range(connections.admission.max_connections)
+        socket.create_connection(parse_address(made.where)[1])
+        for _ in range(connections.admission.max_connections)
     ]
     for each in deaf:  # an error is owed to each, and none of them closes then
         each.sendall(b"noise" * 200)
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -7,7 +7,7 @@
 
 from gaproute.appliance.status import status
 from gaproute.config import ConfigurationError, read_configuration
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers import word_pb2
 
 
@@ -15,7 +15,7 @@
     made, start = fleet
     second = start("second", f"peer g {made.gate.peers.peer_server.address}\nweak-word yes")
     third = start("third", f"peer second {second.peers.peer_server.address}\nweak-word yes")
-    made.at = address(third.fronts[0].address)
+    made.at = parse_address(third.fronts[0].address)
     for number in range(4):
         assert made.wait(made.ask("lamp", f"w{number}")).status == 200
     node = second.peers.gossip.node
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -11,7 +11,7 @@
 from gaproute.http1 import exchange as exchanges
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from tests.appliance.test_departed_forwarded import CALL, Way
 from tests.http1.test_http1 import HEAD
 
@@ -75,8 +75,8 @@
 def served():
     """A server that reads no more than two requests of a connection, with a clock of the test's own."""
     loop, held = Loop(), []
-    server = Server(loop, address("127.0.0.1:0"), held.append, Limits(pipelined=2))
-    client = socket.create_connection(address(server.address)[1])
+    server = Server(loop, parse_address("127.0.0.1:0"), held.append, Limits(pipelined=2))
+    client = socket.create_connection(parse_address(server.address)[1])
     yield loop, server, held, client
     client.close()
     server.close()
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -11,7 +11,7 @@
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT
 from gaproute.loop import unread
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 SLACK = 150  # ms, by the operators' terms
 D = 2000  # ms that a client waits, sent with its request
@@ -32,7 +32,7 @@
     """The loop stands still meanwhile, by the system's own clock: the kernel knows how old the bytes are."""
     made = gate()
     data = requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D)
-    sock = socket.create_connection(address(made.where)[1])
+    sock = socket.create_connection(parse_address(made.where)[1])
     sock.sendall(data)
     time.sleep(waits / 1000)
     made.until(made.came)
@@ -145,7 +145,7 @@
     monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age, kernels(sock)))
     made = gate()
     made.process.front.listener.pause(600 * MILLI)
-    sock = socket.create_connection(address(made.where)[1])
+    sock = socket.create_connection(parse_address(made.where)[1])
     sock.sendall(requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D))
     made.until(made.came)
     assert limit_allows_for(made, 600)
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -5,7 +5,7 @@
 
 from gaproute.http1 import HttpError, Limits, RequestReader, Server
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 HEAD = b"POST /x HTTP/1.1\r\nHost: h\r\n"
 SECOND = 1_000_000_000
@@ -93,11 +93,11 @@
     loop, held = Loop(), []
     server = Server(
         loop,
-        address("127.0.0.1:0"),
+        parse_address("127.0.0.1:0"),
         held.append,
         Limits(read_time=SECOND // 20, idle_time=SECOND // 10, pipelined=2),
     )
-    family, where = address(server.address)
+    family, where = parse_address(server.address)
     client = socket.create_connection(where)
     client.settimeout(5)
     yield loop, server, held, client
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -18,7 +18,7 @@
 )
 from gaproute.load.results import TrafficResult, write_result
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -28,7 +28,7 @@
 
     def __init__(self, loop):
         self.loop, self.delay, self.asked, self.most = loop, 0, 0, 0
-        self.server = Server(loop, address("127.0.0.1:0"), self.handle)
+        self.server = Server(loop, parse_address("127.0.0.1:0"), self.handle)
 
     def handle(self, request):
         self.asked += 1
--- a/tests/loop/test_streams.py
+++ b/tests/loop/test_streams.py
@@ -9,7 +9,7 @@
 from streams import pair
 
 from gaproute.loop import Listener, Loop, Promise, Stepped, Stream, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -151,9 +151,9 @@
     where = f"unix:{tmp_path}/s" if where == "unix" else where
     came, said = Promise(), []
     listener = Listener(
-        real, address(where), lambda sock: said.append(Stream(real, sock, came.set, lambda e: None))
+        real, parse_address(where), lambda sock: said.append(Stream(real, sock, came.set, lambda e: None))
     )
-    connect(real, address(listener.address), SECOND, lambda sock, error: sock.send(b"hello"))
+    connect(real, parse_address(listener.address), SECOND, lambda sock, error: sock.send(b"hello"))
     assert real.run(until=came) == b"hello"
     listener.close()
     assert where[:4] != "unix" or not os.path.exists(f"{tmp_path}/s")
@@ -179,7 +179,7 @@
 
 
 def test_a_stale_socket_file_is_replaced_and_a_live_one_never(real, tmp_path):
-    where = address(f"unix:{tmp_path}/s")
+    where = parse_address(f"unix:{tmp_path}/s")
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(f"{tmp_path}/s")
     live = Listener(real, where, lambda sock: None)
@@ -191,7 +191,7 @@
 
 def test_without_descriptors_accepting_rests_and_goes_on(real, monkeypatch):
     came = Promise()
-    listener = Listener(real, address("127.0.0.1:0"), came.set)
+    listener = Listener(real, parse_address("127.0.0.1:0"), came.set)
     inner = listener.sock
 
     class Short:
@@ -219,4 +219,4 @@
 )
 def test_what_is_no_address_is_refused(text):
     with pytest.raises((ValueError, OSError)):
-        address(text)
+        parse_address(text)
--- a/tests/loop/test_syscalls_dialing.py
+++ b/tests/loop/test_syscalls_dialing.py
@@ -9,7 +9,7 @@
 from gaproute.hosts import results
 from gaproute.interface import Result
 from gaproute.loop import connect, dialing
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.dialing import MAX_DIAL_ATTEMPTS
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -75,7 +75,9 @@
 def test_a_full_backlog_of_a_unix_socket_is_refused_at_once(loop, tmp_path, sockets):
     sockets("connect_ex", *[errno.EAGAIN] * 99)
     results = []
-    connect(loop, address(f"unix:{tmp_path}/s"), SECOND, lambda sock, error: results.append(error.errno))
+    connect(
+        loop, parse_address(f"unix:{tmp_path}/s"), SECOND, lambda sock, error: results.append(error.errno)
+    )
     loop.turn()
     assert results == [errno.EAGAIN]
 
--- a/tests/loop/test_syscalls_listening.py
+++ b/tests/loop/test_syscalls_listening.py
@@ -8,7 +8,7 @@
 from failing import FailingEpoll, FailingSocket, fault
 
 from gaproute.loop import Listener
-from gaproute.loop.addresses import address, address_of
+from gaproute.loop.addresses import bound_address, parse_address
 from gaproute.loop.faults import FAILED_CONNECTION_ERRNOS
 from gaproute.loop.listening import MAX_FAILED_ACCEPTS, open_listening_socket
 
@@ -19,7 +19,7 @@
 @pytest.fixture
 def listener(loop):
     came = []
-    made = Listener(loop, address("127.0.0.1:0"), came.append)
+    made = Listener(loop, parse_address("127.0.0.1:0"), came.append)
     made.came, made.sock = came, FailingSocket(made.sock)
     yield made
     for sock in came:
@@ -141,9 +141,9 @@
 def test_a_listener_that_cannot_be_had_leaves_nothing_behind(loop, sockets, name):
     sockets(name, errno.ENOBUFS)
     with pytest.raises(OSError, match=os.strerror(errno.ENOBUFS)) as raised:
-        Listener(loop, address("127.0.0.1:0"), lambda sock: None)
+        Listener(loop, parse_address("127.0.0.1:0"), lambda sock: None)
     assert raised.value.errno == errno.ENOBUFS
-    Listener(loop, address("127.0.0.1:0"), lambda sock: None).close()
+    Listener(loop, parse_address("127.0.0.1:0"), lambda sock: None).close()
 
 
 def test_a_socket_whose_close_raises_an_error_is_closed_all_the_same(loop, listener):
@@ -158,7 +158,7 @@
 
 
 def test_a_socket_that_listens_is_bound_where_it_was_asked(tmp_path):
-    sock = open_listening_socket(address(f"unix:{tmp_path}/s"))
-    assert address_of(sock) == f"unix:{tmp_path}/s"
+    sock = open_listening_socket(parse_address(f"unix:{tmp_path}/s"))
+    assert bound_address(sock) == f"unix:{tmp_path}/s"
     sock.close()
     os.unlink(tmp_path / "s")
--- a/tests/peers/test_observation_transfers.py
+++ b/tests/peers/test_observation_transfers.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers import PeerServer, observation_wire
 from gaproute.peers.lore_pb2 import Ask, Told
 
@@ -38,7 +38,7 @@
         function = made.functions.find_or_add(f"f{name}", 4)
         function.answered_at = loop.now() - name * MILLI
         function.proven_at = {f"w{number}": function.answered_at for number in range(50)}
-    server = PeerServer(loop, address("127.0.0.1:0"), made, HostHistory(), ("t",))
+    server = PeerServer(loop, parse_address("127.0.0.1:0"), made, HostHistory(), ("t",))
     yield server
     server.close()
     loop.close()
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -10,7 +10,7 @@
 from gaproute.appliance.status import peer_table, status
 from gaproute.config import ConfigurationError, read_configuration, read_peers
 from gaproute.decisions.reports.shared_observations import SharedObservations
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers import PeerServer, observation_wire
 from gaproute.peers.lore_pb2 import Told
 
@@ -20,7 +20,7 @@
 
 
 def front(appliance):
-    return address(appliance.fronts[0].address)
+    return parse_address(appliance.fronts[0].address)
 
 
 def test_gateways_find_each_other_and_one_that_leaves_is_known_to_have(fleet):
@@ -61,7 +61,9 @@
     made.rest(100 * MILLI)
     assert second.peers.observation_client.state["late"] == "asked"
     peers = made.gate.peers
-    server = PeerServer(made.loop, address(late), peers.gateway, peers.host_history, peers.request_classes)
+    server = PeerServer(
+        made.loop, parse_address(late), peers.gateway, peers.host_history, peers.request_classes
+    )
     made.until(lambda: second.peers.observation_client.state["late"].startswith("told"))
     server.close()
     assert second.peers.observation_client.hints_taken
@@ -223,7 +225,9 @@
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}", "listen operator 127.0.0.1:0")
     made.until(lambda: peer_table(second)[0]["learnt"] != "asked")
-    made.at = address(next(each.address for each in second.fronts if type(each).__name__ == "OperatorFront"))
+    made.at = parse_address(
+        next(each.address for each in second.fronts if type(each).__name__ == "OperatorFront")
+    )
     (peer,) = json.loads(made.wait(made.get("/peers")).body)
     assert peer["name"] == "g"
     assert peer["state"] == "alive"
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -15,7 +15,7 @@
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
 from gaproute.peers.membership import MembershipTransport
@@ -53,7 +53,7 @@
 
     def __init__(self, loop, name, seed, fleet=FLEET, path=None):
         self.record, self.name = Record(), name
-        self.peer_server = PeerServer(loop, address("127.0.0.1:0"), None, None, ())
+        self.peer_server = PeerServer(loop, parse_address("127.0.0.1:0"), None, None, ())
         self.membership = MembershipTransport(
             loop, name, self.peer_server.address, Chance(seed), self.record, partial(Datagrams, loop)
         )
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -14,7 +14,7 @@
 
 from gaproute.core.termination import KILL_GRACE, MAX_COUNTED_DEADLINE
 from gaproute.fronts.jsonrpc.errors import ErrorCode
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform.shutdown import ACCEPT_TIME, shutdown_times
 
 STEP = 20 * MILLI  # between two requests of a client
@@ -42,7 +42,7 @@
 def refuses(where):
     """Whether a new connection is refused."""
     try:
-        socket.create_connection(address(where)[1]).close()
+        socket.create_connection(parse_address(where)[1]).close()
     except ConnectionRefusedError:
         return True
     return False
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -8,7 +8,7 @@
 
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers.raft import (
     HostedNode,
     NodeEnvironment,
@@ -96,7 +96,7 @@
     came = []
     data = b"POST /keepers HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
     Exchange(group.loop, data, lambda answer, fault: came.append(answer)).connect(
-        address(group.peers[to]), SECOND, 4096, 4096, lambda link: came.append(link)
+        parse_address(group.peers[to]), SECOND, 4096, 4096, lambda link: came.append(link)
     )
     group.until(lambda: len(came) == 2)
     came[0].abort()
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -14,7 +14,7 @@
 from helpers import SECOND
 
 from gaproute.cluster.script import read_script
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.scenarios.bench_day import convert_bench_day
 from gaproute.standins.rule_violators import RULE_VIOLATORS
 
@@ -174,7 +174,7 @@
     lines = [f"host {host.profile.name} {host.address} capacity 4" for host in made.hosts]
     config = CONFIG.replace("host h 127.0.0.1:9", "\n".join(lines)).replace("limit 2s", "limit 8s")
     process, where = started(tmp_path, text=config.replace("model m", "model lamp"))
-    made.at = address(where)
+    made.at = parse_address(where)
     asked = [made.ask("lamp", f"s{number}") for number in range(12)]
     made.until(lambda: len(made.seen("task")) == 12)
     process.send_signal(signal.SIGSTOP)
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -7,7 +7,7 @@
 
 from gaproute.http1 import Server
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.kserve.clients import KServeClients, KServeLoad, KServeTraffic
 from gaproute.standins.kserve.host import reset_connection
 from gaproute.standins.traffic import ClientRequestClass
@@ -22,7 +22,7 @@
     def __init__(self, answer, where=None, **habits):
         self.loop, self.answer, self.came = Loop(), answer, []
         self.tap = ListTap(self.loop.clock)
-        self.server = Server(self.loop, address("127.0.0.1:0"), self.handle)
+        self.server = Server(self.loop, parse_address("127.0.0.1:0"), self.handle)
         load = KServeLoad(
             gateways=[where or self.server.address],
             classes=[ClientRequestClass("p", 1.0, SECOND, ("m",))],
--- a/tests/standins/test_platform_clients.py
+++ b/tests/standins/test_platform_clients.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import makers
 
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.platform.clients import PlatformClients, PlatformLoad
 from gaproute.standins.platform.scripted import ScriptedServer
 from gaproute.standins.platform.traffic import PlatformTraffic
@@ -134,7 +134,7 @@
     assert bench.seen("refused")
     gates.append(Gate(bench.loop, served))
     bench.closing.append(gates[2].close)
-    made.pool.gateways[1].where = address(gates[2].address)  # the same place, another port
+    made.pool.gateways[1].where = parse_address(gates[2].address)  # the same place, another port
     bench.until(lambda: len(bench.seen("in", gateway=1)) == 2 and gates[2].came)
     assert {event["outcome"] for event in bench.seen("answer")} == {"delivered"}
 
--- a/tests/standins/test_platform_host.py
+++ b/tests/standins/test_platform_host.py
@@ -8,7 +8,7 @@
 from helpers import ListTap, makers, turn_until
 
 from gaproute.loop import Loop, Stream, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform import configuration as platform_configuration
 from gaproute.standins.kinds import KINDS
 from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
@@ -51,7 +51,7 @@
 
     def host(self, *, warm=False, reporting=None):
         setup = HostSetup(profile=HostProfile("h"), models={MODEL.name: MODEL}, warm=warm)
-        made = PlatformHost(self.loop, address(ANY), setup, self.tap, reporting)
+        made = PlatformHost(self.loop, parse_address(ANY), setup, self.tap, reporting)
         self.closing.append(made.crash)
         return made
 
@@ -64,7 +64,7 @@
 
         connect(
             self.loop,
-            address(host.address),
+            parse_address(host.address),
             SECOND,
             lambda sock, error: streams.append(
                 Stream(self.loop, sock, bytes_came, lambda error: self.came.append("ended"))
--- a/tests/storage/test_observation_writer.py
+++ b/tests/storage/test_observation_writer.py
@@ -11,13 +11,13 @@
 from gaproute.decisions.reports.cpu_budget import REST, SLICE
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.polling import Stepped
 from gaproute.storage.observation_store import MIN_BACKOFF
 
 
 def front(appliance):
-    return address(appliance.fronts[0].address)
+    return parse_address(appliance.fronts[0].address)
 
 
 def test_a_gateway_that_starts_without_its_store_serves_and_writes_later(fleet, tmp_path, disk):
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -14,7 +14,7 @@
 from gaproute.decisions.cells.homes import HomeCells
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.kserve import KServeHost
 from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
 from gaproute.standins.model_store import ModelStore, StoreProfile
@@ -44,7 +44,7 @@
         self.lists.mkdir()
         self.table = folder / "cells.table"
         profile = StoreProfile(rate=200.0, limit=100, thrash=0.0)
-        self.store = ModelStore(self.loop, address("127.0.0.1:0"), profile, Tap(None, self.loop.clock))
+        self.store = ModelStore(self.loop, parse_address("127.0.0.1:0"), profile, Tap(None, self.loop.clock))
         self.hosts, self.taps, self.processes = {}, {}, {}
         self.number = 0  # of the table's version
         self.servers = []  # further ones of the test
@@ -67,7 +67,7 @@
         tap = self.taps[name] = ListTap(self.loop.clock)
         profile = HostProfile(name, copies=4 * len(made))
         setup = HostSetup(profile=profile, models=made, store=self.store.address, seed=3, warm=True)
-        self.hosts[name] = KServeHost(self.loop, address("127.0.0.1:0"), setup, tap)
+        self.hosts[name] = KServeHost(self.loop, parse_address("127.0.0.1:0"), setup, tap)
 
     def list_hosts(self, cell, names, also=""):
         """The cell's host list."""
@@ -169,7 +169,7 @@
         """One request's answer, as a promise."""
         came = Promise()
         exchange = Exchange(self.loop, data, lambda answer, fault: came.set(answer))
-        exchange.connect(address(where), SECOND, 65536, 1 << 24)
+        exchange.connect(parse_address(where), SECOND, 65536, 1 << 24)
         return came
 
     def cell_status(self, name):
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -13,7 +13,7 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.kserve import KServeHost
 from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
 from gaproute.standins.model_store import ModelStore, StoreProfile
@@ -205,7 +205,7 @@
         self.loop, self.taps, self.hosts = Loop(clock), [], []
         self.folder = Path(tempfile.mkdtemp(prefix="gaproute-test-"))
         profile = StoreProfile(rate=200.0, limit=100, thrash=0.0)
-        self.store = ModelStore(self.loop, address("127.0.0.1:0"), profile, Tap(None, self.loop.clock))
+        self.store = ModelStore(self.loop, parse_address("127.0.0.1:0"), profile, Tap(None, self.loop.clock))
         work = {"lamp": ("check", 4), "crew": ("order", 4), "dim": ("plan", 4)}
         self.models = {
             name: ModelProfile(name, track, lanes, 5 * MILLI, 10 * MILLI)
@@ -222,13 +222,13 @@
             text += f"\ndecisions {decisions}\n"
         self.gate = Appliance(read_configuration("test", text), self.loop, 5, logger(io.StringIO()))
         self.gate.start()
-        self.at = address(self.gate.fronts[0].address)
+        self.at = parse_address(self.gate.fronts[0].address)
 
     def add_host(self, name, make=None, *, warm=True, seed=3, where="127.0.0.1:0"):
         tap = ListTap(self.loop.clock)
         profile = HostProfile(name, **(make or {}))
         setup = HostSetup(profile=profile, models=self.models, store=self.store.address, seed=seed, warm=warm)
-        host = KServeHost(self.loop, address(where), setup, tap)
+        host = KServeHost(self.loop, parse_address(where), setup, tap)
         self.hosts.append(host)
         self.taps.append(tap)
         return host
--- a/tests/support/request_scenarios.py
+++ b/tests/support/request_scenarios.py
@@ -9,7 +9,7 @@
 
 from scripted import SETTINGS, Handed
 
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.streams import Stream
 from gaproute.standins.platform import arg
 
@@ -37,7 +37,7 @@
 
 def connected(where):
     """A blocking connection to an address."""
-    sock = socket.create_connection(address(where)[1])
+    sock = socket.create_connection(parse_address(where)[1])
     sock.settimeout(5)
     return sock
 
--- a/tests/support/scripted_hosts.py
+++ b/tests/support/scripted_hosts.py
@@ -1,7 +1,7 @@
 """Hosts on a loop that answer as a test wants."""
 
 from gaproute.loop import Listener, Stream
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 
 def scripted_host(loop, act):
@@ -10,7 +10,7 @@
     def accepted(sock):
         stream = Stream(loop, sock, lambda data: act(stream, data), lambda error: None)
 
-    return Listener(loop, address("127.0.0.1:0"), accepted)
+    return Listener(loop, parse_address("127.0.0.1:0"), accepted)
 
 
 def reply(text):
