--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -25,7 +25,7 @@
 from benchmarks.rows import write
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.membership import MAX_DATAGRAMS, MembershipTransport
@@ -114,12 +114,12 @@
 def socket_us(datagram: bytes) -> float:
     """Microseconds of CPU to send it and to take it out of the socket, both ends."""
     loop, received = Loop(), list[bytes]()
-    sender, receiver = (Datagrams(loop, "127.0.0.1:0", received.append) for _ in range(2))
+    sender, receiver = (DatagramSocket(loop, "127.0.0.1:0", received.append) for _ in range(2))
     where = f"127.0.0.1:{receiver.sock.getsockname()[1]}"
 
     def send_and_receive() -> None:
         sender.send(datagram, where)
-        receiver._ready(0)
+        receiver._handle_events(0)
 
     cost = cpu_us(send_and_receive)
     sender.close()
@@ -144,7 +144,7 @@
             where = f"127.0.0.1:{free.getsockname()[1]}"
         loop = Loop()
         self._transport = MembershipTransport(
-            loop, "me", where, Chance(1), IgnoredEvents(), partial(Datagrams, loop)
+            loop, "me", where, Chance(1), IgnoredEvents(), partial(DatagramSocket, loop)
         )
         self._node = GossipNode("me", 1, Chance(1), 0)
         self._node.set_peers(0, [SENDER])
--- a/benchmarks/wire_processes.py
+++ b/benchmarks/wire_processes.py
@@ -13,7 +13,7 @@
 
 from benchmarks.processor_time import cpu_seconds
 from gaproute.loop import Listener, Loop, Stream
-from gaproute.loop.datagrams import READS
+from gaproute.loop.datagrams import MAX_READS_PER_TURN
 from gaproute.loop.descriptors import READ
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -35,7 +35,7 @@
     udp.bind((LOCAL, 0))
 
     def send_back(events: int) -> None:
-        for _ in range(READS):
+        for _ in range(MAX_READS_PER_TURN):
             try:
                 udp.sendto(*udp.recvfrom(DATAGRAM_SIZE))
             except BlockingIOError:
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -16,7 +16,7 @@
 from gaproute.appliance.shutdown import GracefulShutdown
 from gaproute.config.configuration import Configuration
 from gaproute.connections import AcceptedConnections
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing import Gateway
@@ -68,10 +68,12 @@
         self.peers = self._make_peer_services()
 
     def _make_connections(self) -> AcceptedConnections:
-        connections = AcceptedConnections.of(self.loop)
+        connections = AcceptedConnections.for_loop(self.loop)
         clients = self.configuration.client_limits
         chance = Chance(self.seed + SeedOffset.ADMISSION)
-        connections.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
+        connections.admission = Admission(
+            clients.connections, clients.per_address, descriptor_limit(), chance
+        )
         return connections
 
     def _make_peer_services(self) -> PeerServices:
@@ -102,7 +104,7 @@
             "started",
             listen_addresses=[front.address for front in self.fronts],
             hosts=len(self.rows),
-            descriptor_limit=descriptors(),
+            descriptor_limit=descriptor_limit(),
             max_client_connections=self.connections.admission.max_connections,
         )
 
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -28,7 +28,7 @@
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
 from gaproute.loop.addresses import parse_address
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.peer_server import LIMITS
@@ -203,7 +203,7 @@
 
     def _open_membership(self, server: PeerServer) -> MembershipTransport:
         chance = Chance(self.seed + SeedOffset.MEMBERSHIP)
-        open_datagrams = partial(Datagrams, self.loop)
+        open_datagrams = partial(DatagramSocket, self.loop)
         return MembershipTransport(
             self.loop, self.configuration.name, server.address, chance, self.record, open_datagrams
         )
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -11,8 +11,8 @@
 from gaproute.config import ConfigurationError, read_configuration
 from gaproute.config.configuration import Configuration
 from gaproute.loop import Loop, Promise
-from gaproute.loop.faults import Backoff, cause_of
-from gaproute.loop.starting import retry_time
+from gaproute.loop.faults import Backoff, find_os_error
+from gaproute.loop.starting import max_retry_time
 from gaproute.loop.timers import Timer
 from gaproute.telemetry.record import Log
 from gaproute.units import MILLI, SECOND
@@ -67,7 +67,7 @@
 
     def _failed(self, error: ConfigurationError | OSError, backoff: Backoff, began: int) -> None:
         """Retries a failure that may pass until its time is over, and logs any other."""
-        if self.loop.now() + backoff.pause <= began + retry_time(cause_of(error)):
+        if self.loop.now() + backoff.pause <= began + max_retry_time(find_os_error(error)):
             self.retry_timer = self.loop.after(backoff.next_pause(), self._attempt, backoff, began)
             return
         for mistake in error.mistakes if isinstance(error, ConfigurationError) else [error]:
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -10,7 +10,7 @@
 from gaproute.appliance.legacy_names import legacy_counts, legacy_event
 from gaproute.appliance.peer_services import PeerServices
 from gaproute.appliance.running_gateway import RunningGateway
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.decisions.routing.functions import Function
 from gaproute.units import MILLI
 
@@ -103,7 +103,7 @@
         "displaced": connections.evicted,
         "turned_away": connections.rejected,
         "idle_ended": connections.expired,
-        "descriptors": descriptors(),
+        "descriptors": descriptor_limit(),
         "kept_back": connections.admission.reserved_descriptors,
     }
 
--- a/gaproute/cluster/links/stream_end.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -210,7 +210,7 @@
             if self._mask is None:
                 self.loop.watch(self.sock.fileno(), mask, self._ready)
             else:
-                self.loop.rewatch(self.sock.fileno(), mask)
+                self.loop.change_events(self.sock.fileno(), mask)
             self._mask = mask
 
     def close(self) -> None:
--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -13,7 +13,7 @@
 from collections import deque
 from collections.abc import Iterable, Iterator
 
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.connections.owner import ConnectionOwner
 from gaproute.connections.parked import NOT_PARKED, PARKED, QUEUED, ParkedConnections
 from gaproute.decisions.admission.admission import (
@@ -30,13 +30,14 @@
 from gaproute.loop.loop import MAX_PARKED_EVENTS, ClosingStream, Loop
 
 READ_SIZE = 65536  # bytes read from a connection that is resumed
-MIN_READ_DELAY = 5_000_000  # shortest wait that is counted, ns: a turn of the loop may take as long
+MIN_READ_DELAY_NS = 5_000_000  # shortest wait that is counted, ns: a turn of the loop may take as long
 MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries that are read to find a sample of idle connections
 UNLIMITED = 1 << 30
 # Looked up once: they are compared for each connection, and a member of an enum is slow to reach.
 RETURNING, ARRIVING, ACCEPT = AdmissionQueue.RETURNING, AdmissionQueue.ARRIVING, Verdict.ACCEPT
 
-Waiting = tuple[int, int]  # a parked connection that has sent something: its descriptor, when that was seen
+# A parked connection that has sent something: its descriptor, and when that was seen (ns).
+QueuedConnection = tuple[int, int]
 
 
 class AcceptedConnections(ParkedConnections):
@@ -44,15 +45,15 @@
 
     def __init__(self, loop: Loop, admission: Admission | None = None) -> None:
         super().__init__(loop)
-        self.admission = admission or Admission(UNLIMITED, UNLIMITED, descriptors(), Chance(1))
-        self.returning_queue: deque[Waiting] = deque()
-        self.new_queue: deque[Waiting] = deque()
+        self.admission = admission or Admission(UNLIMITED, UNLIMITED, descriptor_limit(), Chance(1))
+        self.returning_queue: deque[QueuedConnection] = deque()
+        self.new_queue: deque[QueuedConnection] = deque()
         self.ready_listeners: dict[Listener, ConnectionOwner] = {}  # in the order in which they accept
         self.evicted = self.rejected = 0
         loop.connections = self
 
     @classmethod
-    def of(cls, loop: Loop) -> AcceptedConnections:
+    def for_loop(cls, loop: Loop) -> AcceptedConnections:
         """The accepted connections of the loop; they are made at the first call."""
         return loop.connections if isinstance(loop.connections, cls) else cls(loop)
 
@@ -106,7 +107,7 @@
 
     def evict_idle(self) -> None:
         """Closes some idle connections, the longest idle first, to free descriptors."""
-        self._poll_all()  # a connection that has just sent something is not idle
+        self._enqueue_readable()  # a connection that has just sent something is not idle
         for fd in self.admission.oldest_idle(self.loop.now(), self._idle_sample()):
             self.evicted += self._close_idle(fd)
 
@@ -140,7 +141,7 @@
 
     def _idle_sample(self) -> list[IdleConnection]:
         """The parked connections: all where there are few, else those with the earliest idle deadlines."""
-        self.poll_unregistered()
+        self.poll_pending_registrations()
         scan_all = self.parked_count <= MAX_SCANNED
         scanned = range(len(self.states)) if scan_all else self.calendar.earliest(MAX_SCANNED)
         idle = [
@@ -152,13 +153,13 @@
 
     def _close_idle(self, fd: int) -> bool:
         """Closes a parked connection, unless it has sent something, which a close would lose."""
-        self._poll_all()
+        self._enqueue_readable()
         if self.states[fd] != PARKED:
             return False
         self._close_parked(fd)
         return True
 
-    def _poll_all(self) -> None:
+    def _enqueue_readable(self) -> None:
         """Queues all parked connections that have sent something by now."""
         self.loop.admission_pending = True
         while True:
@@ -169,13 +170,13 @@
 
     # Serving
 
-    def enqueue_events(self, events: Iterable[tuple[int, int]], seen: int) -> None:
-        """Queues the parked connections of these events; they wait since the time `seen` (ns)."""
+    def enqueue_events(self, events: Iterable[tuple[int, int]], seen_at: int) -> None:
+        """Queues the parked connections of these events; they wait since the time `seen_at` (ns)."""
         for fd, _ in events:
             if self.states[fd] == PARKED:
                 self.states[fd] = QUEUED
                 queue = self.returning_queue if self.request_counts[fd] else self.new_queue
-                queue.append((fd, seen))
+                queue.append((fd, seen_at))
 
     def serve(self, until: int) -> bool:
         """Serves the queues until that time, at least one connection; returns whether some still wait."""
@@ -186,20 +187,20 @@
             if queue is None:
                 return bool(self.ready_listeners)
             if queue is ARRIVING:
-                self.loop.guard(self._accept_one)
+                self.loop.call_guarded(self._accept_one)
             else:
-                fd, seen = (self.returning_queue if queue is RETURNING else self.new_queue).popleft()
+                fd, seen_at = (self.returning_queue if queue is RETURNING else self.new_queue).popleft()
                 if self.states[fd] == QUEUED:
-                    self.loop.guard(self._resume, fd, seen)
+                    self.loop.call_guarded(self._resume, fd, seen_at)
             if self.loop.now() >= until:
                 return bool(self.returning_queue or self.new_queue or self.ready_listeners)
 
-    def _resume(self, fd: int, seen: int) -> None:
+    def _resume(self, fd: int, seen_at: int) -> None:
         """Reads a queued connection and gives it back to its owner."""
         try:
             data = os.read(fd, READ_SIZE)
-        except OSError as fault:
-            if is_transient(fault):  # there is nothing, or it cannot be read now: park the connection again
+        except OSError as error:
+            if is_transient(error):  # there is nothing, or it cannot be read now: park the connection again
                 self.states[fd] = PARKED
                 self._schedule_expiry(fd)
                 self._watch_parked(fd, registered=True)
@@ -211,8 +212,8 @@
         self.states[fd] = NOT_PARKED
         self.parked_count -= 1
         owner = self.owners[self.owner_ids[fd]]
-        delay = self.loop.now() - seen
-        self.loop.read_delay = delay if delay > MIN_READ_DELAY else 0
+        delay = self.loop.now() - seen_at
+        self.loop.read_delay = delay if delay > MIN_READ_DELAY_NS else 0
         try:
             owner.resume_connection(fd, data, self.address_ids[fd], self.request_counts[fd])
         finally:
@@ -226,12 +227,12 @@
         Connections that have sent something are closed only with `include_queued`. With `first_request_by`
         (ns), connections that have brought no request yet stay parked until that time at the latest.
         """
-        self._poll_all()
-        self.poll_unregistered()
+        self._enqueue_readable()
+        self.poll_pending_registrations()
         owner = self.owners[owner_id]
         for listener in [each for each, whose in self.ready_listeners.items() if whose is owner]:
             del self.ready_listeners[listener]
-        for fd in self._owned(owner_id):
+        for fd in self._parked_descriptors(owner_id):
             if self.states[fd] == QUEUED and not include_queued:
                 continue
             if first_request_by is not None and not self.request_counts[fd]:
@@ -242,7 +243,7 @@
             else:
                 self._close_idle(fd)
 
-    def _owned(self, owner_id: int) -> Iterator[int]:
+    def _parked_descriptors(self, owner_id: int) -> Iterator[int]:
         """The descriptors of the owner's parked connections; each is checked when it is yielded."""
         for fd in range(len(self.states)):
             if self.owner_ids[fd] == owner_id and self.states[fd] != NOT_PARKED:
--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -51,9 +51,9 @@
         self.on_emptied: Callable[[], None] | None = None  # called when no connection is left; set at a stop
         self.drain_timer: Timer | None = None  # set while the kernel's queue could not be emptied at a stop
         self.family = address[0]
-        self.connections = AcceptedConnections.of(loop)
-        self.shares_queue = inherited is not None
-        self.listener = Listener(loop, address, None, on_ready=self._ready, inherited=inherited)
+        self.connections = AcceptedConnections.for_loop(loop)
+        self.shares_accept_queue = inherited is not None
+        self.listener = Listener(loop, address, None, on_ready=self._enqueue_listener, inherited=inherited)
         self.address = self.listener.address  # as text, with the port that the kernel picked
         self.owner_id = self.connections.add_owner(self)  # after the listener, which may fail
 
@@ -86,7 +86,7 @@
 
     # Accepting
 
-    def _ready(self) -> None:
+    def _enqueue_listener(self) -> None:
         self.connections.enqueue_listener(self.listener, self)
 
     def accept_connection(self, sock: socket.socket, address: SocketAddress) -> None:
@@ -124,7 +124,7 @@
         del self.active_connections[connection]
         self.parked += 1
         self.connections.park(
-            connection.stream.release(),
+            connection.stream.detach(),
             self.owner_id,
             idle_until=due,
             address_id=connection.address_id,
@@ -156,7 +156,7 @@
         While accepting fails, a timer tries again. Returns whether the queue is empty.
         """
         self.drain_timer = None
-        if self.shares_queue or self.listener.accept_all(self.accept_connection):
+        if self.shares_accept_queue or self.listener.accept_all(self.accept_connection):
             self.listener.close()
             return True
         self.drain_timer = self.loop.after(ACCEPT_RETRY_PAUSE, self._drain_accept_queue)
--- a/gaproute/connections/calendar.py
+++ b/gaproute/connections/calendar.py
@@ -8,7 +8,7 @@
 import heapq
 from typing import Generic, NamedTuple, TypeVar
 
-SLOT_WIDTH = 10_000_000  # ns; an item is returned at most this much late, and never early
+SLOT_WIDTH_NS = 10_000_000  # ns; an item is returned at most this much late, and never early
 
 Item = TypeVar("Item")
 
@@ -29,7 +29,7 @@
 
     def slot_of(self, due: int) -> int:
         """The first slot that begins at or after that time, ns."""
-        return -(-due // SLOT_WIDTH)
+        return -(-due // SLOT_WIDTH_NS)
 
     def add(self, item: Item, due: int) -> int:
         """Adds an item that is due at that time, ns; returns the number of its slot."""
@@ -44,12 +44,12 @@
 
     def next_due(self) -> int | None:
         """When the first slot is due, ns; None if the calendar is empty."""
-        return self._heap[0] * SLOT_WIDTH if self._heap else None
+        return self._heap[0] * SLOT_WIDTH_NS if self._heap else None
 
     def take_due(self, now: int, limit: int) -> list[DueItem[Item]]:
         """Removes and returns the items that are due, the earliest slots first, at most `limit`."""
         found: list[DueItem[Item]] = []
-        while self._heap and self._heap[0] * SLOT_WIDTH <= now and len(found) < limit:
+        while self._heap and self._heap[0] * SLOT_WIDTH_NS <= now and len(found) < limit:
             number = self._heap[0]
             items = self.slots[number]
             remaining = limit - len(found)
--- a/gaproute/connections/descriptors.py
+++ b/gaproute/connections/descriptors.py
@@ -3,6 +3,6 @@
 import resource
 
 
-def descriptors() -> int:
+def descriptor_limit() -> int:
     """The process's soft limit on open descriptors."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -19,11 +19,11 @@
 from gaproute.loop.timers import Timer
 
 MAX_EXPIRIES_PER_TURN = 256  # idle deadlines handled in one turn, as many may have passed after a stall
-NEXT_EVENT = EPOLLIN | EPOLLONESHOT
+NEXT_READ_EVENT = EPOLLIN | EPOLLONESHOT
 NOT_PARKED, PARKED, QUEUED = 0, 1, 2  # states; queued: it has sent something and waits to be read
 
-_GROWTH = 1024  # entries by which the arrays grow
-_MAX_COUNT = 65535  # largest number of requests that an entry stores
+_GROWTH_ENTRIES = 1024  # entries by which the arrays grow
+_MAX_REQUEST_COUNT = 65535  # largest number of requests that an entry stores
 
 
 class ParkedConnections(ABC):
@@ -44,15 +44,15 @@
         self.parked_count = 0
         self.expired = 0
         self.calendar: Calendar[int] = Calendar()  # descriptors by idle deadline
-        self.timer: Timer | None = None
+        self.expiry_timer: Timer | None = None
         # The descriptors whose registration with the epoll failed, as keys; some may be closed by now.
-        self.unregistered: dict[int, None] = {}
+        self.pending_registrations: dict[int, None] = {}
         self.register_timer: Timer | None = None
         self.register_backoff = Backoff(FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE)
 
     @abstractmethod
-    def enqueue_events(self, events: Iterable[tuple[int, int]], seen: int) -> None:
-        """Queues the parked connections of these events; they wait since the time `seen` (ns)."""
+    def enqueue_events(self, events: Iterable[tuple[int, int]], seen_at: int) -> None:
+        """Queues the parked connections of these events; they wait since the time `seen_at` (ns)."""
 
     @abstractmethod
     def evict_idle(self) -> None:
@@ -87,12 +87,12 @@
         `registered`: whether this connection was parked before, so that the epoll knows its descriptor.
         """
         if fd >= len(self.states):
-            self._grow(fd + _GROWTH)
+            self._grow(fd + _GROWTH_ENTRIES)
         self.states[fd] = PARKED
         self.owner_ids[fd] = owner_id
         self.idle_until[fd] = idle_until
         self.idle_since[fd] = self.loop.now()
-        self.request_counts[fd] = min(request_count, _MAX_COUNT)
+        self.request_counts[fd] = min(request_count, _MAX_REQUEST_COUNT)
         self.address_ids[fd] = address_id
         self.parked_count += 1
         self._schedule_expiry(fd)
@@ -133,50 +133,50 @@
         """Has the epoll report the connection's next event; a transient failure is retried."""
         try:
             if registered:
-                self.loop.parked_epoll.modify(fd, NEXT_EVENT)
+                self.loop.parked_epoll.modify(fd, NEXT_READ_EVENT)
             else:
-                self.loop.parked_epoll.register(fd, NEXT_EVENT)
+                self.loop.parked_epoll.register(fd, NEXT_READ_EVENT)
         except FileNotFoundError:  # it was read before it could be registered
             self._register(fd)
-        except OSError as fault:
-            self._put_off(fd, fault)
+        except OSError as error:
+            self._retry_later(fd, error)
 
     def _register(self, fd: int) -> None:
         try:
             try:
-                self.loop.parked_epoll.register(fd, NEXT_EVENT)
+                self.loop.parked_epoll.register(fd, NEXT_READ_EVENT)
             except FileExistsError:
-                self.loop.parked_epoll.modify(fd, NEXT_EVENT)
-        except OSError as fault:
-            self._put_off(fd, fault)
+                self.loop.parked_epoll.modify(fd, NEXT_READ_EVENT)
+        except OSError as error:
+            self._retry_later(fd, error)
 
-    def _put_off(self, fd: int, fault: OSError) -> None:
-        if not is_transient(fault):
+    def _retry_later(self, fd: int, error: OSError) -> None:
+        if not is_transient(error):
             self._close_parked(fd)
-            raise fault
-        self.unregistered[fd] = None
+            raise error
+        self.pending_registrations[fd] = None
         if self.register_timer is None:
             pause = self.register_backoff.next_pause()
-            self.register_timer = self.loop.after(pause, self._register_again)
+            self.register_timer = self.loop.after(pause, self._retry_registrations)
 
-    def _register_again(self) -> None:
+    def _retry_registrations(self) -> None:
         """Retries all failed registrations; if all fail again, idle connections are closed to free memory."""
         self.register_timer = None
-        waiting, self.unregistered = self.unregistered, {}
+        waiting, self.pending_registrations = self.pending_registrations, {}
         for fd in waiting:
             if self.states[fd] == PARKED:
-                self.loop.guard(self._register, fd)
-        if len(self.unregistered) < len(waiting):
+                self.loop.call_guarded(self._register, fd)
+        if len(self.pending_registrations) < len(waiting):
             self.register_backoff.reset()
         else:
             self.evict_idle()  # it first queues the connections that have sent something
 
-    def poll_unregistered(self) -> None:
+    def poll_pending_registrations(self) -> None:
         """Queues connections that have sent something and are not registered with the epoll."""
-        if not self.unregistered:
+        if not self.pending_registrations:
             return
         poller = poll()
-        for fd in self.unregistered:
+        for fd in self.pending_registrations:
             poller.register(fd, POLLIN)
         try:
             events = poller.poll(0)
@@ -193,22 +193,22 @@
         due = self.idle_until[fd]
         if not self.calendar_slots[fd] or self.calendar_slots[fd] > self.calendar.slot_of(due):
             self.calendar_slots[fd] = self.calendar.add(fd, due)
-            self._set_timer()
+            self._set_expiry_timer()
 
-    def _set_timer(self) -> None:
+    def _set_expiry_timer(self) -> None:
         due = self.calendar.next_due()
         if due is None:
             return
-        timer = self.timer
+        timer = self.expiry_timer
         if timer is None or timer.call is None or timer.when > due:
             if timer is not None:
                 timer.cancel()
             # A deadline that has passed is handled in the next turn of the loop, not again in this one.
-            self.timer = self.loop.at(max(due, self.loop.now() + 1), self._close_expired)
+            self.expiry_timer = self.loop.at(max(due, self.loop.now() + 1), self._close_expired)
 
     def _close_expired(self) -> None:
-        self.timer = None
-        self.poll_unregistered()
+        self.expiry_timer = None
+        self.poll_pending_registrations()
         now = self.loop.now()
         for fd, slot in self.calendar.take_due(now, MAX_EXPIRIES_PER_TURN):
             if self.calendar_slots[fd] != slot:
@@ -220,4 +220,4 @@
                 self.calendar_slots[fd] = self.calendar.add(fd, self.idle_until[fd])
             else:
                 self.expired += self._close_idle(fd)
-        self._set_timer()
+        self._set_expiry_timer()
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -140,7 +140,7 @@
 
     def _decisions_failed(self, key: str, error: Exception) -> None:
         """Reports an error of the decision module and ends the generator that it came from."""
-        self.loop.failed(error)
+        self.loop.report_error(error)
         self.record.internal_error(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
             self.housekeeper = None  # started again with the next host list
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -77,7 +77,7 @@
         """Connect once more after the backoff, to the next source where there are several."""
         if not self.failing:
             self.failing = True
-            self.loop.guard(self.on_lost, f"{self.address_text}: {reason}")
+            self.loop.call_guarded(self.on_lost, f"{self.address_text}: {reason}")
         if len(self.sources) > 1:
             self.source_index = (self.source_index + 1) % len(self.sources)
             self.address_text = self.sources[self.source_index]
@@ -90,7 +90,7 @@
         super().connection_proved()
         if self.failing and self.last_message_at >= self.connecting_since + SILENCE_TIMEOUT:
             self.failing = False
-            self.loop.guard(self.on_found)
+            self.loop.call_guarded(self.on_found)
 
     def follows_on(self, event: Event) -> bool:
         """Whether the event is a whole list, or one of those that follow it."""
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -135,7 +135,7 @@
             self.restarts += 1
         self.last_seq, self.backoff = event.seq, self.first_backoff
         self.remember(event)
-        self.loop.guard(self.on_event, event)
+        self.loop.call_guarded(self.on_event, event)
         return True
 
     # What a log of several sources does otherwise
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -8,7 +8,7 @@
 from gaproute.config import ConfigurationError, read_hosts
 from gaproute.config.errors import Mistake
 from gaproute.loop import Loop
-from gaproute.loop.faults import cause_of, is_transient_read
+from gaproute.loop.faults import find_os_error, is_transient_read
 from gaproute.loop.timers import Timer
 
 FAILURES_BEFORE_REPORT = 2  # reads in a row that failed for a transient reason
@@ -93,7 +93,7 @@
 
     def _is_reported(self, error: ConfigurationError) -> bool:
         """Whether the error is reported; a transient one is checked again first."""
-        cause = cause_of(error)
+        cause = find_os_error(error)
         if cause is None or not is_transient_read(cause):
             self.failed_reads = 0
             return True
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -191,7 +191,7 @@
 
 def _held(scene: Scene) -> dict[str, int]:
     """How much of each kind the gateway holds, beyond what it needs without requests."""
-    core, front, connections = scene.process.core, scene.front, AcceptedConnections.of(scene.loop)
+    core, front, connections = scene.process.core, scene.front, AcceptedConnections.for_loop(scene.loop)
     held = {
         "requests": len(core.in_flight) + len(core.generators),
         "open ids": len(front.open_request_ids),
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -186,7 +186,7 @@
 
     def unaccounted_descriptors(self) -> set[int]:
         """The open descriptors of which neither the gateway's loop nor a far end knows."""
-        connections = AcceptedConnections.of(self.loop)
+        connections = AcceptedConnections.for_loop(self.loop)
         parked = {descriptor for descriptor, state in enumerate(connections.states) if state != NOT_PARKED}
         known = parked | set(self.loop.watched) | {self.loop.epoll.fileno(), self.loop.parked_epoll.fileno()}
         return open_descriptors() - self.descriptors_before - known - self.far_loop.descriptors()
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -67,7 +67,7 @@
         self.client_closed = False  # the client has closed after the bytes that were read last
         self.presence = ClientPresence(self)
         self.read_delay = 0  # how long what was read last may have lain unread, ns
-        self.stream = Stream(front.loop, sock, self.receive, self._on_closed, hangup_first=True)
+        self.stream = Stream(front.loop, sock, self.receive, self._on_closed, detect_hangup_early=True)
         self.stream.on_writable = self._on_taken
 
     # Reading
@@ -117,7 +117,7 @@
         except ProtocolError as error:
             self.report_error(error)
         except Exception as error:  # noqa: BLE001 - whatever it is, other messages are served
-            self.front.loop.failed(error)
+            self.front.loop.report_error(error)
             failed = ProtocolError(ErrorCode.FAILED, "an error in the gateway", request_number(body))
             self.report_error(failed)
 
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -89,7 +89,7 @@
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)  # first: an error must not end it
         now = self.loop.now()
         for connection in list(self.active_connections):
-            self.loop.guard(connection.check_progress, now)
+            self.loop.call_guarded(connection.check_progress, now)
         self.enforce_memory_limit()
 
     def enforce_memory_limit(self) -> None:
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -172,7 +172,7 @@
 
     def end_queue_sharing(self) -> None:
         """No other process accepts from the same queue any more: what waits there at the stop is taken in."""
-        self.server.shares_queue = False
+        self.server.shares_accept_queue = False
 
     def notify_when_emptied(self, callback: Callable[[], None]) -> None:
         """`callback()` when the last connection is closed after a stop."""
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -63,7 +63,7 @@
     `loop` is a `gaproute.loop.Loop` where there are real sockets. `configuration` is checked, and shared by
     all gateways of a process. These make what sends and receives:
 
-    - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.Datagrams`
+    - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.DatagramSocket`
     - `open_raft_transport(loop, name, peers, receive)`: as `gaproute.peers.raft.RaftTransport`
 
     `open_raft_disk(name)` makes the disk of a member of the Raft group. `wall_clock` returns ns since 1970.
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -18,7 +18,7 @@
 from gaproute.hollow.parts import ConfiguredGateway, PartFactory
 from gaproute.hollow.peer_server import PeerServerPart
 from gaproute.loop import Loop
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.loop.descriptors import READ
 from gaproute.peers.raft import RaftTransport
 from gaproute.shared.raft import Disk
@@ -142,7 +142,7 @@
             address=row.where,
             configuration=self._configuration,
             seed=self._seed * SEEDS_APART + index * GATEWAYS_APART,
-            open_datagrams=Datagrams,
+            open_datagrams=DatagramSocket,
             open_raft_transport=RaftTransport,
             open_raft_disk=no_disk,
             wall_clock=time.time_ns,
--- a/gaproute/hollow/simulation/network.py
+++ b/gaproute/hollow/simulation/network.py
@@ -61,7 +61,7 @@
 
 
 class SimulatedDatagrams:
-    """Stands in for `gaproute.loop.datagrams.Datagrams`."""
+    """Stands in for `gaproute.loop.datagrams.DatagramSocket`."""
 
     __slots__ = ("network", "loop", "name", "region", "address", "on_datagram")
 
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -87,7 +87,7 @@
                 self._fail_unsent(request, Result.NOT_SENT)
                 continue
             data = request.encode(now)
-            if not stream.try_begin(data):
+            if not stream.try_write(data):
                 return  # `on_writable` calls this again
             self.written += len(data)
             request.end_offset, request.encode = self.written, already_written
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -70,7 +70,7 @@
         If it takes none, the exchange fails soon, as one whose request never ran.
         """
         self.exchange, self.sent_before = exchange, self.stream.bytes_sent
-        if not self.stream.try_begin(data):
+        if not self.stream.try_write(data):
             self.loop.soon(self._fail, "the connection takes no bytes")
 
     def _receive(self, data: bytes) -> None:
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -56,7 +56,7 @@
         self.read_delay = 0  # how long the bytes that are being read may have lain unread, ns
         limits = server.limits
         self.reader = RequestReader(self._arrival_time, limits.head, limits.body)
-        self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
+        self.stream = Stream(server.loop, sock, self.receive, self._on_closed, detect_hangup_early=True)
         self.stream.on_half_close = self._on_client_closed
         self.stream.on_writable = self._resume_reading
 
--- a/gaproute/loop/__init__.py
+++ b/gaproute/loop/__init__.py
@@ -3,8 +3,8 @@
 from gaproute.loop.dialing import connect
 from gaproute.loop.listening import Listener
 from gaproute.loop.loop import Loop
-from gaproute.loop.polling import Stepped
+from gaproute.loop.polling import SteppedClock
 from gaproute.loop.promises import Promise
 from gaproute.loop.streams import Stream
 
-__all__ = ["Listener", "Loop", "Promise", "Stepped", "Stream", "connect"]
+__all__ = ["Listener", "Loop", "Promise", "SteppedClock", "Stream", "connect"]
--- a/gaproute/loop/addresses.py
+++ b/gaproute/loop/addresses.py
@@ -38,8 +38,8 @@
         return Address(socket.AF_INET6, (host[1:-1], int(port)))
     try:
         socket.inet_pton(socket.AF_INET, host)
-    except OSError as fault:
-        raise AddressError(f"{host!r} is no IPv4 address") from fault
+    except OSError as error:
+        raise AddressError(f"{host!r} is no IPv4 address") from error
     return Address(socket.AF_INET, (host, int(port)))
 
 
--- a/gaproute/loop/descriptors.py
+++ b/gaproute/loop/descriptors.py
@@ -24,12 +24,13 @@
         self.watched: dict[int, EventHandler] = {}
         # Descriptors watched since the last poll: its events under these numbers are of closed descriptors.
         self.newly_watched: set[int] = set()
-        self.unregistered: dict[int, int] = {}  # by watched descriptor: events that epoll did not accept yet
+        # By watched descriptor: events that epoll did not accept yet.
+        self.pending_registrations: dict[int, int] = {}
         self.register_timer: Timer | None = None
         self.register_backoff = Backoff(FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE)
 
     @abstractmethod
-    def guard(self, call: Callback, *args: object) -> None:
+    def call_guarded(self, call: Callback, *args: object) -> None:
         """Calls `call(*args)`; an error is reported and not raised."""
 
     @abstractmethod
@@ -46,25 +47,25 @@
         self.newly_watched.add(fd)
         try:
             self._register(fd, events)
-        except OSError as fault:
-            self._put_off(fd, events, fault)
+        except OSError as error:
+            self._retry_later(fd, events, error)
 
-    def rewatch(self, fd: int, events: int) -> None:
+    def change_events(self, fd: int, events: int) -> None:
         """Changes the events for which a descriptor is watched. Errors: as `watch`."""
         try:
             self.epoll.modify(fd, events)
-        except OSError as fault:
-            self._put_off(fd, events, fault)
+        except OSError as error:
+            self._retry_later(fd, events, error)
         else:
-            if self.unregistered:
-                self.unregistered.pop(fd, None)
+            if self.pending_registrations:
+                self.pending_registrations.pop(fd, None)
 
     def unwatch(self, fd: int) -> None:
         """Stops watching a descriptor; no error where it is not watched."""
         if self.watched.pop(fd, None) is None:
             return
-        if self.unregistered:
-            self.unregistered.pop(fd, None)
+        if self.pending_registrations:
+            self.pending_registrations.pop(fd, None)
         self._unregister(fd)
 
     def _register(self, fd: int, events: int) -> None:
@@ -79,25 +80,25 @@
         except OSError:
             pass  # not registered yet; or it stays until it is closed or has an event
 
-    def _put_off(self, fd: int, events: int, fault: OSError) -> None:
+    def _retry_later(self, fd: int, events: int, error: OSError) -> None:
         """Sets a retry of a registration that failed; raises an error that is not transient."""
-        if not is_transient(fault) and fd not in self.unregistered:
+        if not is_transient(error) and fd not in self.pending_registrations:
             self.watched.pop(fd, None)
-            raise fault
-        self.unregistered[fd] = events
+            raise error
+        self.pending_registrations[fd] = events
         if self.register_timer is None:
-            self.register_timer = self.after(self.register_backoff.next_pause(), self._register_again)
+            self.register_timer = self.after(self.register_backoff.next_pause(), self._retry_registrations)
 
-    def _register_again(self) -> None:
+    def _retry_registrations(self) -> None:
         """Retries all failed registrations; if all fail again, the kernel's shortage is relieved."""
         self.register_timer = None
-        waiting, self.unregistered = self.unregistered, {}
+        waiting, self.pending_registrations = self.pending_registrations, {}
         for fd, events in waiting.items():
             try:
                 self._register(fd, events)
-            except OSError as fault:
-                self.guard(self._put_off, fd, events, fault)
-        if len(self.unregistered) < len(waiting):
+            except OSError as error:
+                self.call_guarded(self._retry_later, fd, events, error)
+        if len(self.pending_registrations) < len(waiting):
             self.register_backoff.reset()
         else:
             self.relieve_shortage()
--- a/gaproute/loop/dialing.py
+++ b/gaproute/loop/dialing.py
@@ -22,26 +22,26 @@
 BIND_ADDRESS_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT of Linux, which the socket module does not name
 FIRST_DIAL_PAUSE = 2 * MILLI  # until a dial that failed on this machine is retried; doubled with each failure
 MAX_DIAL_ATTEMPTS = 5  # of one dial, in about 30 ms; then the failure is reported
-MAX_CONNECT_CALLS = 8  # calls of connect(2) in one attempt, where signals interrupt it
+MAX_CONNECT_CALLS = 8  # calls of connect(2) in one attempt, address signals interrupt it
 # Errnos of a second connect(2) after an interrupted one that goes on, and what they mean.
-CONNECT_CODES = {errno.EALREADY: errno.EINPROGRESS, errno.EISCONN: 0}
+REPEATED_CONNECT_ERRNOS = {errno.EALREADY: errno.EINPROGRESS, errno.EISCONN: 0}
 
 DialCallback = Callable[[socket.socket | None, OSError | None], object]
 
 
 def connect(
     loop: Loop,
-    where: tuple[int, SocketAddress],
-    within: int,
-    done: DialCallback,
+    address: tuple[int, SocketAddress],
+    timeout: int,
+    on_done: DialCallback,
     source: str | None = None,
 ) -> Callable[[], None]:
-    """Opens a connection to `where` (see `parse_address`) in at most `within` ns.
+    """Opens a connection to `address` (see `parse_address`) in at most `timeout` ns.
 
-    `done(socket or None, error or None)` is called once, and later. `source`: the local address to connect
-    from, with any port. Returns a function that abandons the attempt; after it `done` is not called.
+    `on_done(socket or None, error or None)` is called once, and later. `source`: the local address to connect
+    from, with any port. Returns a function that abandons the attempt; after it `on_done` is not called.
     """
-    return Dial(loop, where, within, done, source).give_up
+    return Dial(loop, address, timeout, on_done, source).cancel
 
 
 class Dial:
@@ -55,58 +55,58 @@
         "loop",
         "family",
         "target",
-        "done",
+        "on_done",
         "source",
         "sock",
-        "timer",
-        "retry",
+        "timeout_timer",
+        "retry_timer",
         "backoff",
-        "attempts",
-        "fault",
+        "attempt_count",
+        "last_error",
     )
 
     def __init__(
         self,
         loop: Loop,
-        where: tuple[int, SocketAddress],
-        within: int,
-        done: DialCallback,
+        address: tuple[int, SocketAddress],
+        timeout: int,
+        on_done: DialCallback,
         source: str | None,
     ) -> None:
         self.loop = loop
-        self.family, self.target = where
-        self.done: DialCallback | None = done  # None once it is over
+        self.family, self.target = address
+        self.on_done: DialCallback | None = on_done  # None once it is over
         self.source = source
         self.sock: socket.socket | None = None
-        self.retry: Timer | None = None
-        self.fault: OSError | None = None  # of the latest attempt that failed at once
-        self.backoff = Backoff(FIRST_DIAL_PAUSE, within)
-        self.attempts = 0
-        self.timer = loop.after(within, self._time_up)
+        self.retry_timer: Timer | None = None
+        self.last_error: OSError | None = None  # of the latest attempt that failed at once
+        self.backoff = Backoff(FIRST_DIAL_PAUSE, timeout)
+        self.attempt_count = 0
+        self.timeout_timer = loop.after(timeout, self._on_timeout)
         self._attempt()
 
     def _attempt(self) -> None:
-        self.retry = None
-        self.attempts += 1
+        self.retry_timer = None
+        self.attempt_count += 1
         try:
             sock = self._open()
-            code = self._connect(sock)
-        except OSError as fault:
-            self._failed(fault)
+            error_number = self._connect(sock)
+        except OSError as error:
+            self._handle_failed_attempt(error)
             return
-        if code == errno.EINPROGRESS:
+        if error_number == errno.EINPROGRESS:
             self._watch(sock)
-        elif code == 0:
-            self.loop.soon(self._settle, None)
+        elif error_number == 0:
+            self.loop.soon(self._finish, None)
         else:
-            self._failed(OSError(code, os.strerror(code)))
+            self._handle_failed_attempt(OSError(error_number, os.strerror(error_number)))
 
     def _open(self) -> socket.socket:
         sock = socket.socket(self.family, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
         self.sock = sockets.configure(sock)
         if self.source is not None:
             # The port is picked by connect(2), which may use one port for several servers; bind takes none.
-            sockets.set_option(sock, socket.IPPROTO_IP, BIND_ADDRESS_NO_PORT)
+            sockets.enable_option(sock, socket.IPPROTO_IP, BIND_ADDRESS_NO_PORT)
             sock.bind((self.source, 0))
         return sock
 
@@ -115,69 +115,69 @@
 
         An interrupted connect(2) goes on by itself, as a second call of it shows.
         """
-        code = errno.EINTR
+        error_number = errno.EINTR
         for _ in range(MAX_CONNECT_CALLS):
-            code = sock.connect_ex(self.target)
-            if code != errno.EINTR:
+            error_number = sock.connect_ex(self.target)
+            if error_number != errno.EINTR:
                 break
-        return CONNECT_CODES.get(code, code)
+        return REPEATED_CONNECT_ERRNOS.get(error_number, error_number)
 
     def _watch(self, sock: socket.socket) -> None:
         try:
-            self.loop.watch(sock.fileno(), WRITE, lambda events: self._ready(sock))
-        except OSError as fault:
-            self._failed(fault)
+            self.loop.watch(sock.fileno(), WRITE, lambda events: self._read_connect_result(sock))
+        except OSError as error:
+            self._handle_failed_attempt(error)
 
-    def _ready(self, sock: socket.socket) -> None:
+    def _read_connect_result(self, sock: socket.socket) -> None:
         try:
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        except OSError as fault:
-            if is_transient(fault):
+            error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        except OSError as error:
+            if is_transient(error):
                 return  # the next turn reports it again
-            self._settle(fault)
+            self._finish(error)
             return
-        self._settle(OSError(code, os.strerror(code)) if code else None)
+        self._finish(OSError(error_number, os.strerror(error_number)) if error_number else None)
 
-    def _failed(self, fault: OSError) -> None:
+    def _handle_failed_attempt(self, error: OSError) -> None:
         """Handles an attempt that failed immediately: retries it if the cause may pass soon."""
-        self.fault = fault
+        self.last_error = error
         self._close()
-        if self.attempts > 1 and fault.errno in SHORTAGE_ERRNOS:
+        if self.attempt_count > 1 and error.errno in SHORTAGE_ERRNOS:
             self.loop.relieve_shortage()  # a second failure is a shortage
-        if self.attempts < MAX_DIAL_ATTEMPTS and self._is_local(fault):
-            self.retry = self.loop.after(self.backoff.next_pause(), self._attempt)
+        if self.attempt_count < MAX_DIAL_ATTEMPTS and self._is_local(error):
+            self.retry_timer = self.loop.after(self.backoff.next_pause(), self._attempt)
         else:
-            self.loop.soon(self._settle, fault)
+            self.loop.soon(self._finish, error)
 
-    def _is_local(self, fault: OSError) -> bool:
+    def _is_local(self, error: OSError) -> bool:
         """Whether the failure concerns this machine alone and may pass.
 
         EAGAIN of a Unix socket means that the server's backlog is full, which is a refusal by the server.
         """
-        if self.family == socket.AF_UNIX and fault.errno == errno.EAGAIN:
+        if self.family == socket.AF_UNIX and error.errno == errno.EAGAIN:
             return False
-        return is_transient(fault) or fault.errno in LOCAL_ADDRESS_ERRNOS | LOCAL_NETWORK_ERRNOS
+        return is_transient(error) or error.errno in LOCAL_ADDRESS_ERRNOS | LOCAL_NETWORK_ERRNOS
 
-    def _settle(self, error: OSError | None) -> None:
-        done, sock = self.done, self.sock
-        if done is None:
+    def _finish(self, error: OSError | None) -> None:
+        on_done, sock = self.on_done, self.sock
+        if on_done is None:
             return
         if error is None and sock is not None:
             self.loop.unwatch(sock.fileno())
             self.sock = None  # handed over
-        self.give_up()
-        done(sock if error is None else None, error)
-
-    def _time_up(self) -> None:
-        self._settle(self.fault if self.retry is not None else TimeoutError("connect timed out"))
-
-    def give_up(self) -> None:
-        """Abandons the connection and releases its socket and timers; `done` is not called any more."""
-        self.done = None
-        self.timer.cancel()
-        if self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+        self.cancel()
+        on_done(sock if error is None else None, error)
+
+    def _on_timeout(self) -> None:
+        self._finish(self.last_error if self.retry_timer is not None else TimeoutError("connect timed out"))
+
+    def cancel(self) -> None:
+        """Abandons the connection and releases its socket and timers; `on_done` is not called any more."""
+        self.on_done = None
+        self.timeout_timer.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
         self._close()
 
     def _close(self) -> None:
--- a/gaproute/loop/faults.py
+++ b/gaproute/loop/faults.py
@@ -41,19 +41,19 @@
 )
 
 
-def is_transient(fault: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Whether the same call may succeed a moment later."""
-    return fault.errno in TRANSIENT_ERRNOS
+    return error.errno in TRANSIENT_ERRNOS
 
 
-def is_transient_read(fault: OSError) -> bool:
+def is_transient_read(error: OSError) -> bool:
     """Whether open(2) or read(2) of the same file may succeed a moment later."""
-    return fault.errno in TRANSIENT_ERRNOS or fault.errno == errno.EIO
+    return error.errno in TRANSIENT_ERRNOS or error.errno == errno.EIO
 
 
-def cause_of(fault: BaseException) -> OSError | None:
+def find_os_error(error: BaseException) -> OSError | None:
     """The failure itself or its cause, if one of them is an OSError; else None."""
-    for each in (fault, fault.__cause__):
+    for each in (error, error.__cause__):
         if isinstance(each, OSError):
             return each
     return None
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -22,20 +22,22 @@
 ACCEPT_RETRY_PAUSE = 5 * MILLI  # between attempts to empty the backlog when the process stops
 
 
-class Accepted(NamedTuple):
+class AcceptedSocket(NamedTuple):
     """A connection that was accepted, and its client's address."""
 
     sock: socket.socket
     address: SocketAddress
 
 
-def open_listening_socket(where: tuple[int, SocketAddress], backlog: int = BACKLOG) -> socket.socket:
+def open_listening_socket(
+    requested_address: tuple[int, SocketAddress], backlog: int = BACKLOG
+) -> socket.socket:
     """A socket that listens. Errors: OSError."""
-    family, target = where
+    family, target = requested_address
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
         if isinstance(target, str):
-            _remove_stale(target)
+            _remove_stale_socket_file(target)
         else:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             if family == socket.AF_INET6:
@@ -48,13 +50,13 @@
     return sock
 
 
-def _remove_stale(path: str) -> None:
+def _remove_stale_socket_file(path: str) -> None:
     """Removes a socket file on which nobody listens; one in use stays, and bind fails then."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
-        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as trial:
-            trial.connect(path)
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+            probe.connect(path)
     except ConnectionRefusedError:
         os.unlink(path)
     except FileNotFoundError:
@@ -72,7 +74,7 @@
     def __init__(
         self,
         loop: Loop,
-        where: tuple[int, SocketAddress],
+        requested_address: tuple[int, SocketAddress],
         on_socket: Callable[[socket.socket], object] | None,
         backlog: int = BACKLOG,
         *,
@@ -80,24 +82,24 @@
         inherited: socket.socket | None = None,
     ) -> None:
         self.loop, self.on_socket, self.on_ready = loop, on_socket, on_ready
-        self.pauses = 0
+        self.pause_count = 0
         self.pause_timer: Timer | None = None  # ends a pause
         self.backoff = Backoff(FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE)
         self.backlog_seen_empty = False  # by the last `accept`
         self.backlog_since: int | None = None  # since when connections may wait in the backlog, ns
-        target = where[1]
+        target = requested_address[1]
         self.path = target if isinstance(target, str) and inherited is None else None
-        self.sock = open_listening_socket(where, backlog) if inherited is None else inherited
+        self.sock = open_listening_socket(requested_address, backlog) if inherited is None else inherited
         try:
             self.sock.setblocking(False)
             self.address = bound_address(self.sock)
-            loop.watch(self.sock.fileno(), READ, self._ready)
+            loop.watch(self.sock.fileno(), READ, self._handle_events)
         except OSError:
             if inherited is None:
                 self.close()
             raise
 
-    def _ready(self, events: int) -> None:
+    def _handle_events(self, events: int) -> None:
         if self.backlog_since is None:
             self.backlog_since = self.loop.previous_poll_at
         if self.on_ready is not None:
@@ -109,7 +111,7 @@
                     return
                 self.on_socket(accepted.sock)
 
-    def accept(self) -> Accepted | None:
+    def accept(self) -> AcceptedSocket | None:
         """Accepts a connection; None if none waits (`backlog_empty`) or none can be accepted now."""
         self.backlog_seen_empty = False
         for _ in range(MAX_FAILED_ACCEPTS):
@@ -121,30 +123,30 @@
                 self.backlog_seen_empty = True
                 self.backlog_since = None
                 return None
-            except OSError as fault:
-                if fault.errno in FAILED_CONNECTION_ERRNOS:
+            except OSError as error:
+                if error.errno in FAILED_CONNECTION_ERRNOS:
                     continue  # this connection has failed: try the next one
-                self._back_off(fault)
+                self._back_off(error)
                 return None
             self.backoff.reset()
-            self._note_wait(sock.fileno())
-            return Accepted(sockets.configure(sock), address)
+            self._record_backlog_wait(sock.fileno())
+            return AcceptedSocket(sockets.configure(sock), address)
         self.pause(self.backoff.next_pause())  # the same connection may have failed each time
         return None
 
-    def _note_wait(self, fd: int) -> None:
+    def _record_backlog_wait(self, fd: int) -> None:
         """Notes since when the connection may have waited in the backlog: its first bytes may be as old."""
         if self.backlog_since is None:
             self.loop.backlogged_since.pop(fd, None)
         else:
             self.loop.backlogged_since[fd] = self.backlog_since
 
-    def _back_off(self, fault: OSError) -> None:
+    def _back_off(self, error: OSError) -> None:
         """Pauses after a failure that concerns all connections; a second one in a row is a shortage."""
         repeated = self.backoff.has_failed
         self.pause(self.backoff.next_pause())
-        if fault.errno not in SHORTAGE_ERRNOS:
-            raise fault
+        if error.errno not in SHORTAGE_ERRNOS:
+            raise error
         if repeated:
             self.loop.relieve_shortage()
 
@@ -161,7 +163,7 @@
 
     def pause(self, span: int) -> None:
         """Accepts no connection for `span` ns; new ones wait in the kernel's backlog."""
-        self.pauses += 1
+        self.pause_count += 1
         if self.backlog_since is None:
             self.backlog_since = self.loop.now()
         self.loop.unwatch(self.sock.fileno())
@@ -177,7 +179,7 @@
         self.pause_timer = None
         fd = self.sock.fileno()
         if fd >= 0 and fd not in self.loop.watched:
-            self.loop.watch(fd, READ, self._ready)
+            self.loop.watch(fd, READ, self._handle_events)
 
     def close(self) -> None:
         """Closes the listening socket; the kernel resets connections that wait in its backlog."""
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -18,24 +18,25 @@
 
 from gaproute.decisions.admission.admission import ADMISSION_TIME
 from gaproute.loop.descriptors import READ, DescriptorWatcher
-from gaproute.loop.polling import Events, wait
+from gaproute.loop.polling import Events, wait_for_events
 from gaproute.loop.promises import Coroutine, Promise
 from gaproute.loop.signals import SignalHandlers
 from gaproute.loop.timers import Callback, Clock
 from gaproute.units import MILLI, SECOND
 
-LATE_TURN = 50 * MILLI  # after such a delay the process was stopped: a busy turn lasts some milliseconds
-MAX_LATE_POLLS = 8  # in a late turn, so that a flood of data does not keep timers from firing
+# After such a delay the process was stopped: a busy turn lasts some milliseconds.
+LATE_TURN_THRESHOLD = 50 * MILLI
+MAX_POLLS_IN_LATE_TURN = 8  # in a late turn, so that a flood of data does not keep timers from firing
 MAX_POLL_TIME = SECOND  # longest wait in one poll, within which a jump of the clock is noticed
 MAX_PARKED_EVENTS = 4096  # taken from the epoll of parked connections in one poll
-MAX_ERRORS = 8  # last errors that are stored
+MAX_STORED_ERRORS = 8  # last errors that are stored
 
 
 class ConnectionAdmission(Protocol):
     """What the loop needs of its accepted connections: see `gaproute.connections`."""
 
-    def enqueue_events(self, events: Events, seen: int) -> None:
-        """Queues the parked connections that have events, as of the time `seen`."""
+    def enqueue_events(self, events: Events, seen_at: int) -> None:
+        """Queues the parked connections that have events, as of the time `seen_at`."""
 
     def serve(self, until: int) -> bool:
         """Serves waiting connections until that time; returns whether some still wait."""
@@ -55,11 +56,14 @@
 
 
 class Loop(DescriptorWatcher):
-    """An event loop. `clock()`: the time, ns; a method `poll(epoll, span)` of the clock replaces `wait`."""
+    """An event loop. `clock()` returns the time, ns.
+
+    If the clock has a method `poll(epoll, span)`, the loop calls it instead of `wait_for_events`.
+    """
 
     def __init__(self, clock: Clock = time.monotonic_ns) -> None:
         super().__init__(clock)
-        self.poll: Callable[[select.epoll, int], Events] = getattr(clock, "poll", None) or wait
+        self.poll: Callable[[select.epoll, int], Events] = getattr(clock, "poll", None) or wait_for_events
         self.callbacks: deque[tuple[Callback, tuple[object, ...]]] = deque()  # of `soon`
         self.running = False
         self.signals = SignalHandlers()
@@ -96,28 +100,28 @@
 
     def spawn(self, generator: Generator[Promise, Any, object]) -> Coroutine:
         """Drives a generator that yields promises; it starts with the next callbacks of `soon`."""
-        coroutine = Coroutine(generator, self.failed)
+        coroutine = Coroutine(generator, self.report_error)
         self.soon(coroutine.step)
         return coroutine
 
     def on_signal(self, number: int, call: Callable[[], object]) -> None:
-        """Calls `call()` in a turn of the loop after the signal. Errors: see `SignalHandlers.set`."""
-        self.signals.set(self, number, call)
+        """Calls `call()` in a turn of the loop after each such signal. Errors: OSError."""
+        self.signals.set_callback(self, number, call)
 
-    def failed(self, error: BaseException) -> None:
+    def report_error(self, error: BaseException) -> None:
         """Reports an error that escaped a callback."""
-        self.errors = [*self.errors[1 - MAX_ERRORS :], error]
+        self.errors = [*self.errors[1 - MAX_STORED_ERRORS :], error]
         if self.on_error is not None:
             self.on_error(error)
         else:
             traceback.print_exception(error)
 
-    def guard(self, call: Callback, *args: object) -> None:
+    def call_guarded(self, call: Callback, *args: object) -> None:
         """Calls `call(*args)`; an error is reported, so that other callbacks are still called."""
         try:
             call(*args)
         except Exception as error:  # noqa: BLE001 - whatever it is, it is reported
-            self.failed(error)
+            self.report_error(error)
 
     def relieve_shortage(self) -> None:
         """Closes some idle connections, to free descriptors and memory for a retry."""
@@ -175,7 +179,7 @@
         ready = self.poll(self.epoll, 0 if pending else min(max(0, due), MAX_POLL_TIME))
         self.previous_poll_at, self.polled_at = self.polled_at, self.clock()
         late = self.polled_at - self.timers[0][0] if self.timers else 0
-        if late > LATE_TURN:
+        if late > LATE_TURN_THRESHOLD:
             self._dispatch_late(ready, late)
         else:
             self._dispatch(ready)
@@ -188,7 +192,7 @@
                 self.cancelled_count -= 1
                 continue
             timer.call, timer.args = None, ()
-            self.guard(call, *args)
+            self.call_guarded(call, *args)
         self._run_callbacks()
         if self.admission_pending and self.connections is not None:
             self.admission_pending = self.connections.serve(self.clock() + ADMISSION_TIME)
@@ -198,10 +202,10 @@
         self.late_turns += 1
         self.read_delay = late
         for call in self.on_late_turn:
-            self.guard(call)
+            self.call_guarded(call)
         self._dispatch(ready)
         polls = 0
-        while polls < MAX_LATE_POLLS and (ready := self.poll(self.epoll, 0)):
+        while polls < MAX_POLLS_IN_LATE_TURN and (ready := self.poll(self.epoll, 0)):
             polls += 1
             self._dispatch(ready)
         self.read_delay = 0
@@ -216,7 +220,7 @@
             if call is None:  # closed by an earlier callback of this turn, or unregistering it failed
                 self._unregister(fd)
             elif fd not in self.newly_watched:
-                self.guard(call, events)
+                self.call_guarded(call, events)
         self._run_callbacks()
 
     def _enqueue_parked(self) -> None:
@@ -227,4 +231,4 @@
     def _run_callbacks(self) -> None:
         for _ in range(len(self.callbacks)):
             call, args = self.callbacks.popleft()
-            self.guard(call, *args)
+            self.call_guarded(call, *args)
--- a/gaproute/loop/polling.py
+++ b/gaproute/loop/polling.py
@@ -7,7 +7,7 @@
 Events = list[tuple[int, int]]  # (descriptor, mask of events), as epoll reports them
 
 
-def wait(epoll: select.epoll, span: int) -> Events:
+def wait_for_events(epoll: select.epoll, span: int) -> Events:
     """The events of an epoll, waiting at most `span` ns. A signal ends the wait early, without events."""
     while True:
         try:
@@ -17,7 +17,7 @@
                 return []
 
 
-class Stepped:
+class SteppedClock:
     """A clock for tests: it stands still while there are events, and skips every wait without events."""
 
     def __init__(self, now: int = 0) -> None:
@@ -28,7 +28,7 @@
         return self.now
 
     def poll(self, epoll: select.epoll, span: int) -> Events:
-        """Replaces `wait`: without events it advances the clock by `span` instead of waiting."""
+        """Replaces `wait_for_events`: without events it advances the clock by `span` instead of waiting."""
         ready = epoll.poll(0)
         if not ready:
             self.now += max(0, span)
--- a/gaproute/loop/promises.py
+++ b/gaproute/loop/promises.py
@@ -44,16 +44,16 @@
 class Coroutine:
     """A generator that yields promises and ends by returning.
 
-    `done` is settled with what the generator returns, or with the error that ended it. `report(error)` is
-    called for an error while nothing waits for `done`.
+    `done` is settled with the generator's return value, or with the error that ended the generator.
+    `report_error(error)` is called for an error while nothing waits for `done`.
     """
 
-    __slots__ = ("generator", "report", "done")
+    __slots__ = ("generator", "report_error", "done")
 
     def __init__(
-        self, generator: Generator[Promise, Any, object], report: Callable[[BaseException], object]
+        self, generator: Generator[Promise, Any, object], report_error: Callable[[BaseException], object]
     ) -> None:
-        self.generator, self.report, self.done = generator, report, Promise()
+        self.generator, self.report_error, self.done = generator, report_error, Promise()
 
     def cancel(self) -> None:
         """Closes the generator, which runs its `finally` clauses; `done` is settled with None."""
@@ -71,7 +71,7 @@
                 return
             except Exception as error:  # noqa: BLE001 - whatever it is, it goes to the waiters or is reported
                 if not self.done.waiters:
-                    self.report(error)
+                    self.report_error(error)
                 self.done.fail(error)
                 return
             if not awaited.ready:
--- a/gaproute/loop/signals.py
+++ b/gaproute/loop/signals.py
@@ -17,22 +17,22 @@
     """
 
     def __init__(self) -> None:
-        self.calls: dict[int, Callable[[], object]] = {}  # by signal number
+        self.callbacks: dict[int, Callable[[], object]] = {}  # by signal number
 
-    def set(self, loop: DescriptorWatcher, number: int, call: Callable[[], object]) -> None:
+    def set_callback(self, loop: DescriptorWatcher, number: int, call: Callable[[], object]) -> None:
         """Has `call()` called for each signal of that number, in place of an earlier callback.
 
         Errors: OSError where the wake-up descriptor cannot be opened; then nothing is changed.
         """
-        if not self.calls:
+        if not self.callbacks:
             self._open_wakeup(loop)
-        self.calls[number] = call
+        self.callbacks[number] = call
         signal.signal(number, lambda *_: None)
 
     def _open_wakeup(self, loop: DescriptorWatcher) -> None:
         reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
         try:
-            loop.watch(reader, READ, lambda events: self.read(loop, reader))
+            loop.watch(reader, READ, lambda events: self.dispatch(loop, reader))
             signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
         except BaseException:
             loop.unwatch(reader)
@@ -40,12 +40,12 @@
             os.close(writer)
             raise
 
-    def read(self, loop: DescriptorWatcher, reader: int) -> None:
+    def dispatch(self, loop: DescriptorWatcher, reader: int) -> None:
         """Calls the callbacks of the signals that the descriptor reports, once for each number."""
         try:
             numbers = os.read(reader, READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         for number in dict.fromkeys(numbers):
-            if number in self.calls:
-                loop.guard(self.calls[number])  # the next one is called even if this one fails
+            if number in self.callbacks:
+                loop.call_guarded(self.callbacks[number])  # the next one is called even if this one fails
--- a/gaproute/loop/sockets.py
+++ b/gaproute/loop/sockets.py
@@ -3,7 +3,7 @@
 import socket
 
 
-def set_option(sock: socket.socket, level: int, option: int) -> None:
+def enable_option(sock: socket.socket, level: int, option: int) -> None:
     """Switches on an option of a socket; a failure is ignored, as the connection works without it."""
     try:  # noqa: SIM105 - for each connection, where `suppress` costs as much as the call
         sock.setsockopt(level, option, 1)
@@ -15,7 +15,7 @@
     """Makes a stream socket non-blocking and disables Nagle's algorithm for TCP; returns the socket."""
     sock.setblocking(False)
     if sock.family != socket.AF_UNIX:
-        set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        enable_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
     return sock
 
 
--- a/gaproute/loop/starting.py
+++ b/gaproute/loop/starting.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from gaproute.loop.faults import ADDRESS_UNAVAILABLE_ERRNOS, Backoff, cause_of, is_transient_read
+from gaproute.loop.faults import ADDRESS_UNAVAILABLE_ERRNOS, Backoff, find_os_error, is_transient_read
 from gaproute.loop.timers import Clock
 from gaproute.units import MILLI, SECOND
 
-START_TIME = 6 * SECOND  # for all steps: a process must serve, or report why it cannot, within 10 s
-ADDRESS_TIME = 2 * SECOND  # for an address that cannot be bound, which is usually a wrong one
+START_RETRY_TIME = 6 * SECOND  # for all steps: a process must serve, or report why it cannot, within 10 s
+BIND_RETRY_TIME = 2 * SECOND  # for an address that cannot be bound, which is usually a wrong one
 # Between attempts. They allow over a hundred, as a step may make several calls of which one in three fails.
-FIRST_PAUSE, MAX_PAUSE = 5 * MILLI, 50 * MILLI
+FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE = 5 * MILLI, 50 * MILLI
 
 Result = TypeVar("Result")
 
@@ -26,24 +26,24 @@
         self, clock: Clock = time.monotonic_ns, sleep: Callable[[float], object] = time.sleep
     ) -> None:
         self.clock, self.sleep = clock, sleep
-        self.began = clock()
+        self.began_at = clock()
 
     def call(self, step: Callable[[], Result]) -> Result:
         """Returns the result of the step. Errors: that of its last attempt, once no retry is of use."""
-        backoff = Backoff(FIRST_PAUSE, MAX_PAUSE)
+        backoff = Backoff(FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE)
         while True:
             try:
                 return step()
-            except Exception as fault:
-                if self.clock() + backoff.pause > self.began + retry_time(cause_of(fault)):
+            except Exception as error:
+                if self.clock() + backoff.pause > self.began_at + max_retry_time(find_os_error(error)):
                     raise
             self.sleep(backoff.next_pause() / SECOND)
 
 
-def retry_time(fault: OSError | None) -> int:
+def max_retry_time(error: OSError | None) -> int:
     """For how long, from the beginning of the start, such a failure is retried, ns."""
-    if fault is None:
+    if error is None:
         return 0
-    if is_transient_read(fault):
-        return START_TIME
-    return ADDRESS_TIME if fault.errno in ADDRESS_UNAVAILABLE_ERRNOS else 0
+    if is_transient_read(error):
+        return START_RETRY_TIME
+    return BIND_RETRY_TIME if error.errno in ADDRESS_UNAVAILABLE_ERRNOS else 0
--- a/gaproute/loop/stream_reader.py
+++ b/gaproute/loop/stream_reader.py
@@ -12,7 +12,7 @@
 from gaproute.loop.faults import is_transient
 from gaproute.loop.loop import Loop
 from gaproute.loop.stream_writer import StreamWriter
-from gaproute.loop.unread import END, Pending
+from gaproute.loop.unread import REMOTE_SHUTDOWN, Pending
 
 READ_SIZE = 65536  # bytes read in one call
 MAX_READS_TO_END = 128  # reads before the end of a connection: more than any receive buffer needs
@@ -39,27 +39,27 @@
         on_bytes: BytesHandler,
         on_end: EndHandler,
         *,
-        hangup_first: bool = False,
+        detect_hangup_early: bool = False,
     ) -> None:
-        super().__init__(loop, sock, hangup_first=hangup_first)
+        super().__init__(loop, sock, detect_hangup_early=detect_hangup_early)
         self.on_bytes, self.on_end = on_bytes, on_end
         self.on_half_close: Callable[[], object] | None = None
         # When reading was paused, until all that came since then has been read.
         self.paused_at: int | None = None
         self.unread_since: int | None = None  # `paused_at` at the last read
-        loop.watch(self.fd, self.events, self._ready)
+        loop.watch(self.fd, self.events, self._handle_events)
 
     @abstractmethod
     def _finish(self, error: OSError | None) -> None:
         """Ends the stream."""
 
-    def _ready(self, events: int) -> None:
+    def _handle_events(self, events: int) -> None:
         if events & WRITE:
             self._flush()
-        if self.open and events & (READ | HANGUP | END):
+        if self.open and events & (READ | HANGUP | REMOTE_SHUTDOWN):
             if self.reading:
                 self._read()
-                if self.hangup_first and events & END:
+                if self.detect_hangup_early and events & REMOTE_SHUTDOWN:
                     self._read_rest()
             elif events & HANGUP:
                 self._finish(ConnectionResetError(errno.ECONNRESET, "closed by the other side"))
@@ -69,9 +69,9 @@
     def _read(self) -> None:
         try:
             data = self.sock.recv(READ_SIZE)
-        except OSError as fault:
-            if not is_transient(fault):
-                self._finish(fault)
+        except OSError as error:
+            if not is_transient(error):
+                self._finish(error)
             return
         if data:
             self.unread_since = self.paused_at
@@ -109,21 +109,21 @@
             self.pause()
             self.on_half_close()
 
-    def _write_failed(self, fault: OSError) -> None:
+    def _write_failed(self, error: OSError) -> None:
         """Ends the stream as writing has failed; bytes that came before are read first."""
         for _ in range(MAX_READS_TO_END if self.reading else 0):
             try:
                 data = self.sock.recv(READ_SIZE) if self.open else b""
             except BlockingIOError:
                 break
-            except OSError as read_fault:
-                if is_transient(read_fault):
+            except OSError as read_error:
+                if is_transient(read_error):
                     continue
                 break
             if not data:
                 break
             self.on_bytes(data)
-        self._finish(fault)
+        self._finish(error)
 
     def pause(self) -> None:
         """Stops reading until `resume`; bytes that come wait in the kernel, then at the other side."""
@@ -157,8 +157,8 @@
                 self.sock.recv(1, PEEK_FLAGS)
             except BlockingIOError:
                 return True
-            except OSError as fault:
-                if not is_transient(fault):
+            except OSError as error:
+                if not is_transient(error):
                     return False
             else:
                 return False
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -10,7 +10,7 @@
 from gaproute.loop.faults import is_transient
 from gaproute.loop.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.loop.unread import END
+from gaproute.loop.unread import REMOTE_SHUTDOWN
 
 WRITE_HIGH_WATER = 1 << 20  # queued bytes above which `write` asks its caller to wait
 
@@ -33,7 +33,7 @@
         "close_timer",
         "reading",
         "half_closed",
-        "hangup_first",
+        "detect_hangup_early",
         "events",
         "on_writable",
         "outgoing",
@@ -42,22 +42,23 @@
         "wants_writable",
     )
 
-    def __init__(self, loop: Loop, sock: socket.socket, *, hangup_first: bool) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, *, detect_hangup_early: bool) -> None:
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
         self.open = True
         self.closing = False  # whether `close` was called
         self.close_timer: Timer | None = None  # while the stream is being closed
         self.reading = True
         self.half_closed = False  # whether the other side's end of sending was reported
-        self.hangup_first = hangup_first
-        self.events = READ | END if hangup_first else READ  # the events that the loop watches for
+        self.detect_hangup_early = detect_hangup_early
+        # The events that the loop watches for:
+        self.events = READ | REMOTE_SHUTDOWN if detect_hangup_early else READ
         self.on_writable: Callable[[], object] | None = None
         self.outgoing: list[Data] = []
         self.bytes_unsent = self.bytes_sent = 0
-        self.wants_writable = False  # `try_begin` failed, and `on_writable` is to be called
+        self.wants_writable = False  # `try_write` failed, and `on_writable` is to be called
 
     @abstractmethod
-    def _write_failed(self, fault: OSError) -> None:
+    def _write_failed(self, error: OSError) -> None:
         """Handles a failed write: the connection is broken."""
 
     @abstractmethod
@@ -82,7 +83,7 @@
                 self._update_events()
         return self.bytes_unsent < WRITE_HIGH_WATER
 
-    def try_begin(self, data: Data) -> bool:
+    def try_write(self, data: Data) -> bool:
         """Writes like `write`, but queues nothing unless the kernel took the first byte.
 
         Returns False where it took none; `on_writable` is called when the caller may try again.
@@ -101,10 +102,10 @@
         """How many bytes the kernel took; None where the connection is broken."""
         try:
             sent = self.sock.send(data)
-        except OSError as fault:
-            if is_transient(fault):
+        except OSError as error:
+            if is_transient(error):
                 return 0
-            self.loop.soon(self._write_failed, fault)
+            self.loop.soon(self._write_failed, error)
             return None
         self.bytes_sent += sent
         return sent
@@ -130,11 +131,11 @@
     def _update_events(self) -> None:
         """Has the loop watch for the events that matter in the present state."""
         if self.reading:
-            events = READ | END if self.hangup_first and not self.half_closed else READ
+            events = READ | REMOTE_SHUTDOWN if self.detect_hangup_early and not self.half_closed else READ
         else:
-            events = 0 if self.half_closed else END
+            events = 0 if self.half_closed else REMOTE_SHUTDOWN
         if self.outgoing or self.wants_writable:
             events |= WRITE
         if self.open and events != self.events:
             self.events = events
-            self.loop.rewatch(self.fd, events)
+            self.loop.change_events(self.fd, events)
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -26,13 +26,14 @@
     """A connected socket: reading, buffered writing, and a close that loses nothing.
 
     `on_bytes(data)` is called for received bytes, `on_end(error or None)` once at the end. With
-    `hangup_first` the other side's close is noticed in the turn in which it arrives, even if many bytes lie
-    unread before it: a server uses this to begin no work for a client that has left.
+    `detect_hangup_early`, the stream notices the close by the other side in the turn in which it arrives,
+    even if many bytes before it are still unread. A server uses this to start no work for a client that has
+    left.
     """
 
     __slots__ = ()
 
-    def release(self) -> int:
+    def detach(self) -> int:
         """Returns the descriptor, open and no longer watched; no callback is called any more."""
         self.on_bytes, self.on_end, self.open = _ignore, _ignore, False
         self.loop.unwatch(self.fd)
@@ -82,7 +83,7 @@
 
     def is_acknowledged(self) -> bool:
         """Whether the other side has acknowledged all that was written."""
-        return not self.outgoing and not unread.unacknowledged(self.fd)
+        return not self.outgoing and not unread.unacknowledged_bytes(self.fd)
 
     def abort(self) -> None:
         """Resets the connection; no callback is called any more."""
--- a/gaproute/loop/timers.py
+++ b/gaproute/loop/timers.py
@@ -9,7 +9,7 @@
 Callback = Callable[..., object]
 Clock = Callable[[], int]
 
-MIN_COMPACTED = 1024  # cancelled timers in the heap above which it may be rebuilt without them
+MIN_CANCELLED_TO_COMPACT = 1024  # cancelled timers in the heap above which it may be rebuilt without them
 
 
 class TimerOwner(Protocol):
@@ -56,7 +56,7 @@
         timer = Timer(self, when, call, args)
         self.timer_count += 1
         heapq.heappush(self.timers, (when, self.timer_count, timer))
-        if self.cancelled_count > MIN_COMPACTED and self.cancelled_count * 2 > len(self.timers):
+        if self.cancelled_count > MIN_CANCELLED_TO_COMPACT and self.cancelled_count * 2 > len(self.timers):
             self._compact()
         return timer
 
--- a/gaproute/loop/unread.py
+++ b/gaproute/loop/unread.py
@@ -13,9 +13,10 @@
 
 from gaproute.units import MILLI
 
-END = select.EPOLLRDHUP  # the other side has ended its sending; reported even while bytes lie unread
-LAST_DATA_RECEIVED = slice(52, 56)  # of `struct tcp_info`: ms since the last bytes came
-MAX_PEEK = 2 << 20  # bytes that are peeked at most: more than the open requests of one client have
+# The other side has shut down its sending; epoll reports this even while received bytes are unread.
+REMOTE_SHUTDOWN = select.EPOLLRDHUP
+TCP_INFO_LAST_DATA_RECV = slice(52, 56)  # of `struct tcp_info`: ms since the last bytes came
+MAX_PEEK_BYTES = 2 << 20  # bytes that are peeked at most: more than the open requests of one client have
 
 
 class Pending(NamedTuple):
@@ -25,34 +26,36 @@
     unread: bool  # bytes, or the end of the connection, can be read
 
 
-NOTHING = Pending(hung_up=False, unread=False)
+NOTHING_PENDING = Pending(hung_up=False, unread=False)
 
 
 def pending(fd: int) -> Pending:
     """What waits to be read on a descriptor."""
     poller = select.poll()
-    poller.register(fd, select.POLLIN | END)
+    poller.register(fd, select.POLLIN | REMOTE_SHUTDOWN)
     try:
         ready = poller.poll(0)
     except OSError:  # the kernel is short of memory for the moment
-        return NOTHING
+        return NOTHING_PENDING
     if not ready:
-        return NOTHING
+        return NOTHING_PENDING
     events = ready[0][1]
-    hung_up = bool(events & (END | select.POLLHUP | select.POLLERR))
+    hung_up = bool(events & (REMOTE_SHUTDOWN | select.POLLHUP | select.POLLERR))
     return Pending(hung_up, bool(events & select.POLLIN))
 
 
 def peek(sock: socket.socket) -> bytes:
-    """The bytes that lie unread, at most `MAX_PEEK`; they are not consumed."""
+    """The bytes that lie unread, at most `MAX_PEEK_BYTES`; they are not consumed."""
     try:
         unread = int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
-        return sock.recv(min(unread, MAX_PEEK), socket.MSG_PEEK | socket.MSG_DONTWAIT) if unread else b""
+        return (
+            sock.recv(min(unread, MAX_PEEK_BYTES), socket.MSG_PEEK | socket.MSG_DONTWAIT) if unread else b""
+        )
     except OSError:
         return b""
 
 
-def unacknowledged(fd: int) -> int:
+def unacknowledged_bytes(fd: int) -> int:
     """How many sent bytes the other side has not acknowledged; 0 where that is not known."""
     try:
         return int.from_bytes(fcntl.ioctl(fd, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
@@ -63,7 +66,7 @@
 def age_of_last_bytes(sock: socket.socket) -> int:
     """How long ago the last bytes came, read or not, in ns with a precision of 1 ms; 0 if not over TCP."""
     try:
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.stop)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECV.stop)
     except OSError:
         return 0
-    return MILLI * int.from_bytes(info[LAST_DATA_RECEIVED], sys.byteorder)
+    return MILLI * int.from_bytes(info[TCP_INFO_LAST_DATA_RECV], sys.byteorder)
--- a/gaproute/peers/ports.py
+++ b/gaproute/peers/ports.py
@@ -58,7 +58,7 @@
 
 
 class DatagramSocket(Protocol):
-    """An open socket for datagrams: `gaproute.loop.datagrams.Datagrams`."""
+    """An open socket for datagrams: `gaproute.loop.datagrams.DatagramSocket`."""
 
     def send(self, data: bytes, where: str, /) -> None:
         """Sends one datagram to the address, or drops it."""
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from gaproute.loop import Loop
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.loop.faults import Backoff
 from gaproute.loop.timers import Timer
 from gaproute.platform.configuration import Configuration
@@ -30,7 +30,7 @@
         """`configuration()` returns the current one, with the addresses to bind and to send to."""
         self.loop, self.log = loop, log
         self.configuration, self.on_report = configuration, on_report
-        self.datagrams: Datagrams | None = None  # None until the address is bound
+        self.datagrams: DatagramSocket | None = None  # None until the address is bound
         self.retry_timer: Timer | None = None
         self.backoff = Backoff(BIND_BACKOFF, MAX_BIND_BACKOFF)
 
@@ -39,7 +39,7 @@
         self.retry_timer = None
         listen = self.configuration().peer_listen
         try:
-            self.datagrams = Datagrams(self.loop, listen, self.on_report)
+            self.datagrams = DatagramSocket(self.loop, listen, self.on_report)
         except OSError as error:
             if not self.backoff.has_failed:
                 self.log.warning("peer_socket_unavailable", listen_address=listen, error=str(error))
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -4,7 +4,7 @@
 import traceback
 
 from gaproute.connections import AcceptedConnections
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import MIN_IDLE_WITH_RETRIES, Admission, response_margin
 from gaproute.decisions.chance import Chance
@@ -52,7 +52,7 @@
         self.log = log or Log()
         self.loop.on_error = self._log_error
         self.seed = int(self.configuration.seed, SEED_BASE)
-        self.sockets = min(self.configuration.limits.sockets, descriptors())
+        self.sockets = min(self.configuration.limits.sockets, descriptor_limit())
         self.record = Record(self.log, self.deployment.class_names, trace_one_in)
         self._share_sockets()
         self._make_core()
@@ -70,7 +70,7 @@
         shares = split_descriptors(self.sockets)
         self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
         self.hosts.on_removed = self.record.forget_host
-        AcceptedConnections.of(self.loop).admission = Admission(
+        AcceptedConnections.for_loop(self.loop).admission = Admission(
             shares.clients,
             shares.clients + 1,
             self.sockets,
@@ -158,7 +158,7 @@
         """Runs until the process has stopped, then closes all parts."""
         self.loop.run()
         if self.status is not None:
-            self.loop.guard(self.status.write)
+            self.loop.call_guarded(self.status.write)
         connections = self.front.connection_count if self.front is not None else 0
         self.log.info("stopped", requests_in_flight=len(self.core.in_flight), client_connections=connections)
         self.reloader.cancel()
@@ -168,7 +168,7 @@
         """Closes the sockets of all parts, also where closing one of them fails."""
         for part in (self.front, self.host_list, self.hosts, self.peers):
             if part is not None:
-                self.loop.guard(part.close)
+                self.loop.call_guarded(part.close)
 
     # Log
 
@@ -179,7 +179,7 @@
             listen_address=front.address,
             hosts=len(self.hosts.hosts),
             descriptor_limit=self.sockets,
-            max_client_connections=AcceptedConnections.of(self.loop).admission.max_connections,
+            max_client_connections=AcceptedConnections.for_loop(self.loop).admission.max_connections,
             max_host_connections=self.hosts.max_connections,
             limits=self.configuration.limits,
             report_names=self.deployment.report_names,
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -72,7 +72,7 @@
         }
 
     def _client_fields(self) -> dict[str, int]:
-        front, connections = self.front, AcceptedConnections.of(self.loop)
+        front, connections = self.front, AcceptedConnections.for_loop(self.loop)
         return {
             "client_connections": connections.client_count,
             "parked_connections": front.parked,
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -22,7 +22,7 @@
 from gaproute.cli import serving
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.discovery.file_watch import FAILURES_BEFORE_REPORT, FileWatch
-from gaproute.loop import Loop, Stepped, listening
+from gaproute.loop import Loop, SteppedClock, listening
 from gaproute.loop.starting import StartupRetries
 from gaproute.telemetry.logs import logger
 
@@ -99,7 +99,7 @@
     monkeypatch.setattr(FakeChild, "failing", None)
     file = tmp_path / "g.conf"
     file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\n")
-    made = Parent(str(file), read_configuration(file), 2, 1, Loop(Stepped(now=SECOND)), Log())
+    made = Parent(str(file), read_configuration(file), 2, 1, Loop(SteppedClock(now=SECOND)), Log())
     made.text = file
     made.start()
     yield made
@@ -309,7 +309,7 @@
 
 @pytest.fixture
 def watched(tmp_path):
-    file, loop = tmp_path / "hosts", Loop(Stepped(now=SECOND))
+    file, loop = tmp_path / "hosts", Loop(SteppedClock(now=SECOND))
     file.write_text("host a 127.0.0.1:1\n")
     lists, refused = [], []
     made = FileWatch(
--- a/tests/connections/test_calendar.py
+++ b/tests/connections/test_calendar.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from gaproute.connections import Calendar
-from gaproute.connections.calendar import SLOT_WIDTH
+from gaproute.connections.calendar import SLOT_WIDTH_NS
 from gaproute.http1 import Limits
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -22,7 +22,7 @@
         for thing, _ in calendar.take_due(now, 1000):
             assert dues[thing] <= now
             taken.append(thing)
-        assert all(due + SLOT_WIDTH > now for number, due in enumerate(dues) if number not in taken)
+        assert all(due + SLOT_WIDTH_NS > now for number, due in enumerate(dues) if number not in taken)
     assert sorted(taken) == list(range(len(dues)))
     assert calendar.next_due() is None
     assert not calendar.slots
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -187,7 +187,7 @@
     os.close(free)
     resource.setrlimit(resource.RLIMIT_NOFILE, (free, hard))  # nothing can be opened any more
     try:
-        made.turns(lambda: made.server.listener.pauses >= 1)
+        made.turns(lambda: made.server.listener.pause_count >= 1)
         assert made.connections.client_count == 1
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -19,7 +19,7 @@
     client = stepped.client()
     stepped.passes(20 * MILLI)
     assert failing.failed == 2
-    assert not stepped.connections.unregistered
+    assert not stepped.connections.pending_registrations
     client.sendall(HEAD)
     assert stepped.answers(client) == 1
 
@@ -89,7 +89,7 @@
 
 def test_one_that_spoke_unheard_is_not_closed_as_idle(deaf):
     stepped, client, _ = deaf
-    (fd,) = stepped.connections.unregistered
+    (fd,) = stepped.connections.pending_registrations
     stepped.clock.now = stepped.connections.idle_until[fd] + SECOND
     stepped.connections._close_expired()
     assert stepped.connections.client_count == 1
@@ -130,21 +130,21 @@
     stepped.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 3)
     client = stepped.client()
     stepped.passes(2 * MILLI)
-    (fd,) = stepped.connections.unregistered
+    (fd,) = stepped.connections.pending_registrations
     stepped.connections._close_parked(fd)
     successor = stepped.client(HEAD)
     assert stepped.answers(successor) == 1
     assert stepped.connections.client_count == 1
-    assert not stepped.connections.unregistered
+    assert not stepped.connections.pending_registrations
     client.close()
     stepped.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 3)
     stepped.client()
     stepped.passes(2 * MILLI)
-    stepped.connections._close_parked(next(iter(stepped.connections.unregistered)))
+    stepped.connections._close_parked(next(iter(stepped.connections.pending_registrations)))
     stepped.passes(20 * MILLI)
     assert stepped.faults == []
     assert stepped.server.connection_count == 1
-    assert not stepped.connections.unregistered
+    assert not stepped.connections.pending_registrations
 
 
 def test_one_that_the_epoll_cannot_take_at_all_is_closed_and_reported(stepped):
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -7,7 +7,7 @@
 from gaproute.core.core import Core
 from gaproute.core.in_flight import AttemptResult
 from gaproute.interface.call import Answer, Call, Ending
-from gaproute.loop import Loop, Stepped
+from gaproute.loop import Loop, SteppedClock
 from gaproute.telemetry.record import Record
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -56,7 +56,7 @@
 
 
 def core(serve):
-    loop = Loop(Stepped())
+    loop = Loop(SteppedClock())
     loop.on_error = lambda error: None
     made = Core(loop, Scripted(serve), TERMS, Hosts(), Record(Log(), ["a", "b", "c"]), "g")
     made.finals = []
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -19,8 +19,8 @@
 from gaproute.interface import Result
 from gaproute.loop import Listener, Loop, Stream, sockets, unread
 from gaproute.loop import loop as loops
-from gaproute.loop.datagrams import Datagrams
-from gaproute.loop.listening import Accepted
+from gaproute.loop.datagrams import DatagramSocket
+from gaproute.loop.listening import AcceptedSocket
 from gaproute.units import SECOND
 
 HOUR = 3600 * SECOND
@@ -32,7 +32,7 @@
             sock, address = listener.sock.accept()
         except BlockingIOError:
             return None
-        return Accepted(sockets.configure(sock), address)
+        return AcceptedSocket(sockets.configure(sock), address)
 
     patch.setattr(Listener, "accept", accept)
 
@@ -143,11 +143,11 @@
         except OSError:
             datagrams.loop.unwatch(datagrams.sock.fileno())
 
-    patch.setattr(Datagrams, "_ready", ready)
+    patch.setattr(DatagramSocket, "_handle_events", ready)
 
 
 def client_that_left_not_noticed(patch):
-    patch.setattr(Stream, "pending", lambda stream: unread.NOTHING)
+    patch.setattr(Stream, "pending", lambda stream: unread.NOTHING_PENDING)
 
 
 def request_of_a_broken_connection_retained(patch):
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -17,7 +17,7 @@
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import NoResponseError
 from gaproute.interface.call import Call
-from gaproute.loop import Loop, Stepped, dialing
+from gaproute.loop import Loop, SteppedClock, dialing
 from gaproute.platform import log as logs
 from gaproute.platform.log import Log
 
@@ -41,7 +41,7 @@
 
     def make(code):
         monkeypatch.setattr(dialing, "socket", Sockets(code))
-        loop = Loop(Stepped(now=7 * SECOND))
+        loop = Loop(SteppedClock(now=7 * SECOND))
         loops.append(loop)
         made = KServeClient(loop, Pooling())
         listed = face.ListedHost("a", 0, 0, face.State.ACTIVE, 1.0, None)
--- a/tests/loop/conftest.py
+++ b/tests/loop/conftest.py
@@ -6,7 +6,7 @@
 import pytest
 from failing import Failing, FailingSocket, open_descriptors
 
-from gaproute.loop import Loop, Stepped, dialing, listening
+from gaproute.loop import Loop, SteppedClock, dialing, listening
 
 SECOND = 1_000_000_000
 
@@ -26,13 +26,13 @@
     """A loop on a stepped clock, on which nothing may be left behind."""
     gc.collect()  # what an earlier test left unclosed is not to be collected between the two counts
     before = open_descriptors()
-    made = Loop(Stepped(now=7 * SECOND))
+    made = Loop(SteppedClock(now=7 * SECOND))
     made.faults = []
     made.on_error = made.faults.append
     yield made
     assert made.faults == []
     assert not made.watched
-    assert not made.unregistered
+    assert not made.pending_registrations
     assert not [entry for entry in made.timers if entry[2].call is not None]
     made.close()
     assert open_descriptors() == before
--- a/tests/loop/test_datagrams.py
+++ b/tests/loop/test_datagrams.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gaproute.loop import Loop
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 
 
 @pytest.mark.parametrize("kind", ["udp", "unix"])
@@ -15,10 +15,13 @@
         with socket.socket(type=socket.SOCK_DGRAM) as taken:
             taken.bind(("127.0.0.1", 0))
             place = f"127.0.0.1:{taken.getsockname()[1]}"
-        ends = [Datagrams(loop, "127.0.0.1:0", heard.append), Datagrams(loop, place, heard.append)]
+        ends = [DatagramSocket(loop, "127.0.0.1:0", heard.append), DatagramSocket(loop, place, heard.append)]
     else:
         place = f"unix:{tmp_path}/a"
-        ends = [Datagrams(loop, f"unix:{tmp_path}/b", heard.append), Datagrams(loop, place, heard.append)]
+        ends = [
+            DatagramSocket(loop, f"unix:{tmp_path}/b", heard.append),
+            DatagramSocket(loop, place, heard.append),
+        ]
     ends[0].send(b"one", place)
     ends[0].send(b"two", place)
     ends[0].send(b"x", "unix:/nowhere/at/all" if kind == "unix" else f"unix:{tmp_path}/a")
@@ -28,6 +31,6 @@
     assert ends[0].dropped == 1
     for end in ends:
         end.close()
-    again = Datagrams(loop, place, heard.append)  # the place is free again
+    again = DatagramSocket(loop, place, heard.append)  # the place is free again
     again.close()
     loop.close()
--- a/tests/loop/test_loop.py
+++ b/tests/loop/test_loop.py
@@ -6,14 +6,14 @@
 import pytest
 from streams import pair
 
-from gaproute.loop import Loop, Promise, Stepped
+from gaproute.loop import Loop, Promise, SteppedClock
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 
 @pytest.fixture
 def loop():
-    made = Loop(Stepped(now=7 * SECOND))
+    made = Loop(SteppedClock(now=7 * SECOND))
     made.on_error = lambda error: None
     yield made
     made.close()
@@ -80,7 +80,7 @@
 
 
 def test_after_a_stop_news_and_bytes_come_before_overdue_timers():
-    clock = Stepped()
+    clock = SteppedClock()
     loop, order = Loop(clock), []
     stream, there = pair(loop, lambda data: order.append(("bytes", loop.read_delay)))
     loop.on_late_turn.append(lambda: order.append("news"))
--- a/tests/loop/test_streams.py
+++ b/tests/loop/test_streams.py
@@ -8,7 +8,7 @@
 import pytest
 from streams import pair
 
-from gaproute.loop import Listener, Loop, Promise, Stepped, Stream, connect
+from gaproute.loop import Listener, Loop, Promise, SteppedClock, Stream, connect
 from gaproute.loop.addresses import parse_address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def loop():
-    made = Loop(Stepped(now=7 * SECOND))
+    made = Loop(SteppedClock(now=7 * SECOND))
     made.on_error = lambda error: None
     yield made
     made.close()
@@ -209,7 +209,7 @@
     listener.sock = Short()
     with socket.create_connection(inner.getsockname()):
         real.run(until=came).close()
-    assert listener.pauses == 2
+    assert listener.pause_count == 2
     assert Short.calls < 10
     inner.close()
 
--- a/tests/loop/test_syscalls_listening.py
+++ b/tests/loop/test_syscalls_listening.py
@@ -34,7 +34,7 @@
         loop.turn()
         assert len(listener.came) == 1
         assert failing.failed == 3
-        assert listener.pauses == 0
+        assert listener.pause_count == 0
 
 
 def test_many_that_failed_in_a_row_do_not_hold_up_the_loop(loop, listener):
@@ -43,7 +43,7 @@
         loop.turn()
         assert failing.failed == MAX_FAILED_ACCEPTS
         assert not listener.came
-        assert listener.pauses == 1
+        assert listener.pause_count == 1
         loop.run(until=loop.sleep(20 * MILLI))
         assert len(listener.came) == 1
         failing.codes += [errno.EPERM] * 10_000  # as a filter that forbids it: nothing leaves the queue
--- a/tests/loop/test_syscalls_loop.py
+++ b/tests/loop/test_syscalls_loop.py
@@ -8,7 +8,7 @@
 import pytest
 from failing import Failing, FailingEpoll, fault, open_descriptors
 
-from gaproute.loop import Loop, Stepped, Stream, polling
+from gaproute.loop import Loop, SteppedClock, Stream, polling
 from gaproute.loop.descriptors import READ, WRITE
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def loop():
-    made = Loop(Stepped(now=7 * SECOND))
+    made = Loop(SteppedClock(now=7 * SECOND))
     made.epoll = FailingEpoll(made.epoll)
     made.faults = []
     made.on_error = made.faults.append
@@ -46,7 +46,7 @@
     loop.run(until=loop.sleep(SECOND))
     assert heard == [b"x"]
     assert failing.failed == 3
-    assert not loop.unregistered
+    assert not loop.pending_registrations
     assert loop.register_timer is None
     loop.unwatch(here.fileno())
 
@@ -58,7 +58,7 @@
     assert 190 <= failing.failed <= 220
     failing.codes.clear()
     loop.run(until=loop.sleep(SECOND))
-    assert not loop.unregistered
+    assert not loop.pending_registrations
     assert not loop.register_backoff.has_failed
     loop.unwatch(pair[0].fileno())
 
@@ -70,7 +70,7 @@
     for here, _ in pairs:
         loop.watch(here.fileno(), READ, lambda events: None)
     began = loop.now()
-    while loop.unregistered and loop.now() < began + SECOND:
+    while loop.pending_registrations and loop.now() < began + SECOND:
         loop.turn()
     assert loop.now() <= began + 40 * MILLI  # a third of them in each try; 200 ms with pauses that grow on
     for here, there in pairs:
@@ -84,19 +84,19 @@
     heard = []
     loop.epoll.fail("register", errno.ENOSPC)
     loop.watch(here.fileno(), READ, heard.append)
-    loop.rewatch(here.fileno(), READ | WRITE)
+    loop.change_events(here.fileno(), READ | WRITE)
     loop.clock.now += 10 * MILLI
     loop.turn()
     loop.turn()
     assert heard == [WRITE]
     loop.epoll.fail("modify", errno.ENOMEM)
-    loop.rewatch(here.fileno(), READ)
-    loop.rewatch(here.fileno(), 0)  # this one is taken: the one put off before must not come after it
+    loop.change_events(here.fileno(), READ)
+    loop.change_events(here.fileno(), 0)  # this one is taken: the one put off before must not come after it
     there.send(b"x")
     heard.clear()
     loop.run(until=loop.sleep(SECOND))
     assert not heard
-    assert not loop.unregistered
+    assert not loop.pending_registrations
     loop.unwatch(here.fileno())
 
 
@@ -105,13 +105,13 @@
     heard = []
     loop.watch(here.fileno(), 0, heard.append)
     loop.epoll.fail("modify", errno.ENOMEM, errno.ENOMEM)
-    loop.rewatch(here.fileno(), WRITE)
+    loop.change_events(here.fileno(), WRITE)
     for _ in range(4):
         loop.clock.now += 10 * MILLI
         loop.turn()
     assert heard
     assert set(heard) == {WRITE}
-    assert not loop.unregistered
+    assert not loop.pending_registrations
     loop.unwatch(here.fileno())
 
 
@@ -121,7 +121,7 @@
     loop.unwatch(pair[0].fileno())
     loop.run(until=loop.sleep(SECOND))
     assert failing.failed == 1
-    assert not loop.unregistered
+    assert not loop.pending_registrations
     assert not loop.watched
 
 
@@ -129,7 +129,7 @@
     with open(tmp_path / "file", "w") as file, pytest.raises(PermissionError):
         loop.watch(file.fileno(), READ, lambda events: None)
     assert not loop.watched
-    assert not loop.unregistered
+    assert not loop.pending_registrations
 
 
 def test_one_that_could_not_be_unregistered_makes_no_turn_after_another_and_can_be_watched_anew(loop, pair):
@@ -177,8 +177,8 @@
 def test_an_interrupted_look_does_not_let_overdue_timers_fire_before_bytes(pair):
     here, there = pair
 
-    class Clock(Stepped):
-        poll = staticmethod(polling.wait)
+    class Clock(SteppedClock):
+        poll = staticmethod(polling.wait_for_events)
 
     loop, order = Loop(Clock()), []
     loop.epoll = FailingEpoll(loop.epoll)
@@ -207,7 +207,7 @@
             loop.on_signal(signal.SIGUSR1, lambda: came.append(1))
         assert open_descriptors() == before
         assert not loop.watched
-        assert not loop.signals.calls
+        assert not loop.signals.callbacks
         loop.on_signal(signal.SIGUSR1, lambda: came.append(1))
         os.kill(os.getpid(), signal.SIGUSR1)
         loop.run(until=loop.sleep(MILLI))
@@ -233,7 +233,7 @@
 def test_an_interrupted_read_of_the_signals_is_no_error(loop, monkeypatch):
     reader, writer = os.pipe2(os.O_NONBLOCK)
     monkeypatch.setattr(os, "read", Failing(os.read, errno.EINTR))
-    loop.signals.read(loop, reader)
+    loop.signals.dispatch(loop, reader)
     os.close(reader)
     os.close(writer)
     assert isinstance(fault(errno.EINTR), InterruptedError)
--- a/tests/loop/test_syscalls_streams.py
+++ b/tests/loop/test_syscalls_streams.py
@@ -7,12 +7,12 @@
 from failing import FailingSocket, fault
 from scripted import MILLI, SECOND
 
-from gaproute.loop import Loop, Stepped, Stream, unread
+from gaproute.loop import Loop, SteppedClock, Stream, unread
 
 
 @pytest.fixture
 def stream():
-    loop = Loop(Stepped(now=7 * SECOND))
+    loop = Loop(SteppedClock(now=7 * SECOND))
     here, there = socket.socketpair()
     here.setblocking(False)
     there.setblocking(False)
@@ -58,12 +58,12 @@
     stream.sock.fail("send", code)
     rooms = []
     stream.on_writable = lambda: rooms.append(1)
-    assert not stream.try_begin(b"relay")
+    assert not stream.try_write(b"relay")
     assert stream.bytes_sent == 0
     assert not stream.outgoing
     stream.loop.turn()
     assert rooms == [1]
-    assert stream.try_begin(b"relay")
+    assert stream.try_write(b"relay")
     assert stream.there.recv(99) == b"relay"
 
 
--- a/tests/platform/test_connection_limits.py
+++ b/tests/platform/test_connection_limits.py
@@ -49,7 +49,7 @@
         clients.append(made.client())
         clients[-1].ask(1, i=f"{place:016x}")
         made.until(lambda place=place: len(held) == min(place + 1, most))
-    made.until(lambda: made.process.front.listener.pauses)
+    made.until(lambda: made.process.front.listener.pause_count)
     made.hosts[0].answer = made.hosts[0].serve
     for each in held:
         made.hosts[0].serve(*each)
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -5,7 +5,7 @@
 from scripted import SETTINGS
 
 from gaproute.discovery.changelog import events
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.standins.platform import event
 
 
@@ -14,7 +14,7 @@
     settings = SETTINGS | {"balancers": 2, "limits": SETTINGS["limits"] | {"peers": True}}
     made = gate(settings=settings, peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
     heard = []
-    other = Datagrams(made.loop, "127.0.0.1:0", heard.append)
+    other = DatagramSocket(made.loop, "127.0.0.1:0", heard.append)
     where = "127.0.0.1:%d"
     made.process.configuration.peers_all = where % other.sock.getsockname()[1]
     made.client().ask(1)
--- a/tests/platform/test_syscalls_reload.py
+++ b/tests/platform/test_syscalls_reload.py
@@ -47,7 +47,7 @@
     before = open_descriptors()
     monkeypatch.setattr(loop, "watch", Failing(loop.watch, errno.EPERM))
     with pytest.raises(PermissionError) as raised:  # its traceback holds the socket, which is not left to the
-        datagrams.Datagrams(loop, "127.0.0.1:0", lambda data: None)  # garbage collector
+        datagrams.DatagramSocket(loop, "127.0.0.1:0", lambda data: None)  # garbage collector
     assert open_descriptors() == before
     assert raised.tb is not None
     loop.close()
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -17,8 +17,8 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed
 
 from gaproute.loop import dialing, listening
-from gaproute.loop.faults import cause_of
-from gaproute.loop.starting import ADDRESS_TIME, START_TIME, StartupRetries
+from gaproute.loop.faults import find_os_error
+from gaproute.loop.starting import BIND_RETRY_TIME, START_RETRY_TIME, StartupRetries
 from gaproute.platform import __main__ as program
 from gaproute.platform import configuration as platform_configuration
 from gaproute.platform.log import Log
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     ("code", "span"),
     [
-        (errno.EMFILE, START_TIME),
-        (errno.EADDRINUSE, ADDRESS_TIME),
-        (errno.EADDRNOTAVAIL, ADDRESS_TIME),
+        (errno.EMFILE, START_RETRY_TIME),
+        (errno.EADDRINUSE, BIND_RETRY_TIME),
+        (errno.EADDRNOTAVAIL, BIND_RETRY_TIME),
         (errno.EACCES, 0),
         (errno.EAFNOSUPPORT, 0),
     ],
@@ -71,7 +71,7 @@
     retries.call(Failing(lambda: None, *[errno.EMFILE] * 100))
     with pytest.raises(OSError, match=rf"Errno {errno.EMFILE}\b"):
         retries.call(Failing(lambda: None, *[errno.EMFILE] * 999))
-    assert retries.clock() - began <= START_TIME < 10 * SECOND
+    assert retries.clock() - began <= START_RETRY_TIME < 10 * SECOND
 
 
 def test_what_is_no_failure_of_a_system_call_is_raised_at_once(retries):
@@ -156,7 +156,7 @@
         where = f"127.0.0.1:{taken.getsockname()[1]}" if where == "taken" else where
         assert started(listen=where) == 3
     assert f"cannot listen on {where}" in capsys.readouterr().err
-    assert retries.clock() - began <= ADDRESS_TIME + MILLI
+    assert retries.clock() - began <= BIND_RETRY_TIME + MILLI
     assert not started.made
 
 
@@ -206,7 +206,7 @@
     monkeypatch.setattr(os, "pipe2", flaky(os.pipe2))
     monkeypatch.setattr(platform_configuration, "open", flaky(builtins.open), raising=False)
     assert started() == 0
-    assert retries.clock() - began < START_TIME
+    assert retries.clock() - began < START_RETRY_TIME
 
 
 def test_a_configuration_that_is_not_there_ends_the_start_at_once(started, monkeypatch, retries, capsys):
@@ -221,7 +221,7 @@
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, *[errno.EMFILE] * 999))
     assert started() == 3
     assert "cannot start" in capsys.readouterr().err
-    assert retries.clock() - began <= START_TIME
+    assert retries.clock() - began <= START_RETRY_TIME
 
 
 def test_the_real_program_waits_for_its_address_and_then_serves(tmp_path):
@@ -261,5 +261,5 @@
 def test_a_cause_is_found_where_a_failure_was_raised_from_one():
     with pytest.raises(platform_configuration.ConfigurationUnreadableError) as outer:
         _raise_from_a_cause()
-    assert cause_of(outer.value).errno == errno.EMFILE
-    assert cause_of(ValueError()) is None
+    assert find_os_error(outer.value).errno == errno.EMFILE
+    assert find_os_error(ValueError()) is None
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import ListTap
 
-from gaproute.loop import Loop, Promise, Stepped
+from gaproute.loop import Loop, Promise, SteppedClock
 from gaproute.standins.model_server import (
     HostProfile,
     HostSetup,
@@ -24,7 +24,7 @@
 
 class Bench:
     def __init__(self, make=(), *, warm=True, fetched=True):
-        self.loop = Loop(Stepped(SECOND))
+        self.loop = Loop(SteppedClock(SECOND))
         self.tap, self.ends, self.fetched, self.fetches = ListTap(self.loop.clock), [], fetched, 0
         profile = HostProfile("h", **{"cores": 2, "copies": 5, **dict(make)})
         setup = HostSetup(profile=profile, models=MODELS, seed=1, warm=warm)
--- a/tests/storage/test_observation_writer.py
+++ b/tests/storage/test_observation_writer.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.loop import Loop
 from gaproute.loop.addresses import parse_address
-from gaproute.loop.polling import Stepped
+from gaproute.loop.polling import SteppedClock
 from gaproute.storage.observation_store import MIN_BACKOFF
 
 
@@ -35,7 +35,7 @@
 
 
 def test_what_failed_rounds_passed_over_is_written_in_the_first_that_does_not(store, disk):
-    clock = Stepped()
+    clock = SteppedClock()
     clock.wall = 10**18
     loop = Loop(clock)
     made = ObservationWriter(loop, store(clock), gateway(), HostHistory(), ("t",), lambda: 0)
@@ -90,7 +90,7 @@
 @pytest.fixture
 def writer(store):
     """A writer whose clock and CPU stand still: `spends` is what each reading of the meter adds."""
-    loop = Loop(Stepped())
+    loop = Loop(SteppedClock())
     made = ObservationWriter(loop, store(), gateway(), HostHistory(), ("t",), lambda: next(made.ticks))
     made.ticks = itertools.repeat(0)
     yield made
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -17,7 +17,7 @@
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script
 from gaproute.loop import Loop
-from gaproute.loop.polling import Stepped
+from gaproute.loop.polling import SteppedClock
 from gaproute.storage import files
 from gaproute.storage import raft_log_file as raft_log_module
 
@@ -75,7 +75,7 @@
 
     def __init__(self, folder, *lines):
         self.disk = FaultyDisk(folder, FaultPlan(Script.of(*lines)))
-        self.loop, self.events = Loop(Stepped()), []
+        self.loop, self.events = Loop(SteppedClock()), []
         self.line = SimpleNamespace(names=("a",), votes=str(folder / "votes"), longest=SECOND)
 
     def start(self):
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -19,7 +19,7 @@
 from gaproute.hosts.jsonlines import connection as connections
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface.call import Call, Ending
-from gaproute.loop import Loop, Stepped
+from gaproute.loop import Loop, SteppedClock
 from gaproute.telemetry.record import Record
 
 HOSTS = ("a", "b")
@@ -39,7 +39,7 @@
 )
 
 
-class Ticking(Stepped):
+class Ticking(SteppedClock):
     """Each look takes a microsecond: no answer comes in no time."""
 
     def __call__(self):
@@ -56,7 +56,7 @@
         self.on_writable, self.bytes_sent, self.bytes_unsent, self.open = None, 0, 0, True
         self.world.wires.append(self)
 
-    def try_begin(self, data):
+    def try_write(self, data):
         if not self.open or self.bytes_unsent or not self.world.room:
             return False
         self.world.begins(self, json.loads(data), len(data))
--- a/tests/support/link_network.py
+++ b/tests/support/link_network.py
@@ -9,14 +9,14 @@
 from gaproute.cluster.links.codec import decode_command, decode_slots
 from gaproute.cluster.links.emulator import LinkEmulator
 from gaproute.cluster.links.messages import StartEmulator
-from gaproute.loop import Loop, Stepped
+from gaproute.loop import Loop, SteppedClock
 
 GATEWAY, HOST, DEAD, NOBODY = 16, 17, 18, 19  # process slots
 RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # SO_LINGER: a close then sends a reset
 WAIT = 5  # seconds of true time
 
 
-class PatientClock(Stepped):
+class PatientClock(SteppedClock):
     """A clock that leaps, but not before the kernel had a millisecond to bring what is on its way."""
 
     def poll(self, epoll, span):
