--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -1,10 +1,9 @@
-"""The accepted connections of a loop: accepting them, reading parked ones that send, evicting idle ones.
+"""Accepts the connections of a loop, reads parked connections that have sent bytes, and evicts idle ones.
 
-A second epoll, which the loop's epoll watches, has the descriptors of parked connections, each until its
-first event. So any number of connections that send at the same time are one event to the loop. Requests in
-flight and their timers are served first; in the time that is left, the decisions on admission choose which
-waiting connection is read or accepted next. The time of a request counts from when its connection was seen
-to wait.
+A second epoll, nested in that of the loop, watches each parked connection until its first event. So any
+number of connections that send at the same time cause one event in the loop. Requests in flight and their
+timers are served first; in the remaining time, `Admission` chooses the waiting connection that is read or
+accepted next. The time of a request counts from the poll that reported its connection.
 """
 
 from __future__ import annotations
@@ -29,36 +28,36 @@
 from gaproute.loop.listening import Listener
 from gaproute.loop.loop import MAX_PARKED_EVENTS, ClosingStream, Loop
 
-READ_SIZE = 65536  # bytes read from a connection that is resumed
-MIN_READ_DELAY_NS = 5_000_000  # shortest wait that is counted, ns: a turn of the loop may take as long
-MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries that are read to find a sample of idle connections
+READ_SIZE = 65536  # bytes read from a parked connection in one call
+MIN_READ_DELAY_NS = 5_000_000  # shorter delays are ignored, as a turn of the loop may last as long
+MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries that are searched for a sample of idle connections
 UNLIMITED = 1 << 30
-# Looked up once: they are compared for each connection, and a member of an enum is slow to reach.
+# Aliases of enum members that are compared for each connection, as the look-up of a member is slow.
 RETURNING, ARRIVING, ACCEPT = AdmissionQueue.RETURNING, AdmissionQueue.ARRIVING, Verdict.ACCEPT
 
-# A parked connection that has sent something: its descriptor, and when that was seen (ns).
+# The descriptor of a parked connection that has sent bytes, and the time (ns) of the poll that reported it.
 QueuedConnection = tuple[int, int]
 
 
 class AcceptedConnections(ParkedConnections):
-    """The accepted connections of a loop and the queues of those that wait to be served; one for a loop."""
+    """The accepted connections of a loop and the queues of waiting connections; each loop has one object."""
 
     def __init__(self, loop: Loop, admission: Admission | None = None) -> None:
         super().__init__(loop)
         self.admission = admission or Admission(UNLIMITED, UNLIMITED, descriptor_limit(), Chance(1))
         self.returning_queue: deque[QueuedConnection] = deque()
         self.new_queue: deque[QueuedConnection] = deque()
-        self.ready_listeners: dict[Listener, ConnectionOwner] = {}  # in the order in which they accept
+        self.ready_listeners: dict[Listener, ConnectionOwner] = {}  # in the order in which they accept next
         self.evicted = self.rejected = 0
         loop.connections = self
 
     @classmethod
     def for_loop(cls, loop: Loop) -> AcceptedConnections:
-        """The accepted connections of the loop; they are made at the first call."""
+        """The object of the loop, which the first call creates."""
         return loop.connections if isinstance(loop.connections, cls) else cls(loop)
 
     def enqueue_listener(self, listener: Listener, owner: ConnectionOwner) -> None:
-        """Notes that the listener has connections to accept."""
+        """Queues a listener that has connections to accept."""
         self.ready_listeners[listener] = owner
         self.loop.admission_pending = True
 
@@ -71,11 +70,11 @@
         accepted = listener.accept()
         if accepted is None:
             return
-        self.ready_listeners[listener] = owner  # after the others, as it may have further connections
+        self.ready_listeners[listener] = owner  # at the end, as more connections may wait
         owner.accept_connection(accepted.sock, accepted.address)
 
     def has_capacity(self) -> bool:
-        """Whether one more client can be accepted, if need be by closing an idle connection."""
+        """Whether one more client can be accepted, if necessary by evicting an idle connection."""
         if self.client_count < self.admission.max_connections:
             return True
         return self._evictable_stream() is not None or self._eviction_candidate() is not None
@@ -83,7 +82,7 @@
     def admit(self, address: str, *, counted: bool) -> int | None:
         """Admits a new connection; returns the id of its address, or None if the connection is rejected.
 
-        `counted`: whether it counts as a client's connection; those of operators and peers do not.
+        `counted`: whether the connection counts as a client's; connections of operators and peers do not.
         """
         if counted:
             if not self._admits_client(address):
@@ -99,15 +98,15 @@
             return True
         if verdict is Verdict.REJECT:
             return False
-        # With `queue_when_full`, `has_capacity` was true before the accept: the idle connection that could
-        # have been closed has sent something since.
+        # With `queue_when_full`, `has_capacity` was true before the accept. If no connection can be evicted
+        # now, the idle one has sent bytes since, and the new connection is admitted above the limit.
         return self._evict_one() or self.admission.queue_when_full
 
-    # Evicting
+    # Eviction
 
     def evict_idle(self) -> None:
         """Closes some idle connections, the longest idle first, to free descriptors."""
-        self._enqueue_readable()  # a connection that has just sent something is not idle
+        self._enqueue_readable()  # a connection that has just sent bytes is not idle
         for fd in self.admission.oldest_idle(self.loop.now(), self._idle_sample()):
             self.evicted += self._close_idle(fd)
 
@@ -123,15 +122,15 @@
         return False
 
     def _evictable_stream(self) -> ClosingStream | None:
-        """The closing stream that may be ended to free capacity, or None.
+        """The stream that has been closing longest, of those whose answers were acknowledged; or None.
 
-        It is the one that has been closing longest, among those whose answers were acknowledged, if that is
-        long enough. A closing stream still counts as a connection.
+        A closing stream still counts as a connection. It may be reset to free capacity once it has been
+        closing for long enough.
         """
         now = self.loop.now()
         for stream, since in self.loop.closing_streams.items():
             if not self.admission.is_evictable(now, since):
-                return None  # the later ones have been closing for less
+                return None  # the later streams have been closing for a shorter time
             if stream.is_acknowledged():
                 return stream
         return None
@@ -140,7 +139,7 @@
         return self.admission.eviction_candidate(self.loop.now(), self._idle_sample())
 
     def _idle_sample(self) -> list[IdleConnection]:
-        """The parked connections: all where there are few, else those with the earliest idle deadlines."""
+        """All parked connections if there are few; otherwise those with the earliest idle deadlines."""
         self.poll_pending_registrations()
         scan_all = self.parked_count <= MAX_SCANNED
         scanned = range(len(self.states)) if scan_all else self.calendar.earliest(MAX_SCANNED)
@@ -152,7 +151,7 @@
         return idle if scan_all else idle[:EVICTION_SAMPLE]
 
     def _close_idle(self, fd: int) -> bool:
-        """Closes a parked connection, unless it has sent something, which a close would lose."""
+        """Closes a parked connection, unless it has sent bytes, which a close would lose."""
         self._enqueue_readable()
         if self.states[fd] != PARKED:
             return False
@@ -160,18 +159,18 @@
         return True
 
     def _enqueue_readable(self) -> None:
-        """Queues all parked connections that have sent something by now."""
+        """Queues all parked connections that have sent bytes by now."""
         self.loop.admission_pending = True
         while True:
             events = self.loop.poll_parked(MAX_PARKED_EVENTS)
             self.enqueue_events(events, self.loop.now())
-            if len(events) < MAX_PARKED_EVENTS:  # as each connection is reported only once, these are all
+            if len(events) < MAX_PARKED_EVENTS:  # each connection is reported only once: no more are left
                 return
 
-    # Serving
+    # Queues of waiting connections
 
     def enqueue_events(self, events: Iterable[tuple[int, int]], seen_at: int) -> None:
-        """Queues the parked connections of these events; they wait since the time `seen_at` (ns)."""
+        """Queues the parked connections that have events; they wait since the time `seen_at` (ns)."""
         for fd, _ in events:
             if self.states[fd] == PARKED:
                 self.states[fd] = QUEUED
@@ -179,7 +178,7 @@
                 queue.append((fd, seen_at))
 
     def serve(self, until: int) -> bool:
-        """Serves the queues until that time, at least one connection; returns whether some still wait."""
+        """Serves waiting connections until the time `until`, at least one; returns whether some wait then."""
         while True:
             queue = self.admission.next_queue(
                 len(self.returning_queue), len(self.new_queue), arriving=bool(self.ready_listeners)
@@ -196,11 +195,11 @@
                 return bool(self.returning_queue or self.new_queue or self.ready_listeners)
 
     def _resume(self, fd: int, seen_at: int) -> None:
-        """Reads a queued connection and gives it back to its owner."""
+        """Reads a queued connection and hands it over to its owner."""
         try:
             data = os.read(fd, READ_SIZE)
         except OSError as error:
-            if is_transient(error):  # there is nothing, or it cannot be read now: park the connection again
+            if is_transient(error):  # no bytes, or none can be read now: park it again
                 self.states[fd] = PARKED
                 self._schedule_expiry(fd)
                 self._watch_parked(fd, registered=True)
@@ -224,13 +223,13 @@
     ) -> None:
         """Closes the parked connections of an owner.
 
-        Connections that have sent something are closed only with `include_queued`. With `first_request_by`
-        (ns), connections that have brought no request yet stay parked until that time at the latest.
+        Connections that have sent bytes are closed only with `include_queued`. With `first_request_by` (ns),
+        connections that have sent no request yet stay parked until that time at the latest.
         """
         self._enqueue_readable()
         self.poll_pending_registrations()
         owner = self.owners[owner_id]
-        for listener in [each for each, whose in self.ready_listeners.items() if whose is owner]:
+        for listener in [ready for ready, server in self.ready_listeners.items() if server is owner]:
             del self.ready_listeners[listener]
         for fd in self._parked_descriptors(owner_id):
             if self.states[fd] == QUEUED and not include_queued:
@@ -244,7 +243,7 @@
                 self._close_idle(fd)
 
     def _parked_descriptors(self, owner_id: int) -> Iterator[int]:
-        """The descriptors of the owner's parked connections; each is checked when it is yielded."""
+        """The descriptors of the owner's parked connections, as of the time when each is yielded."""
         for fd in range(len(self.states)):
             if self.owner_ids[fd] == owner_id and self.states[fd] != NOT_PARKED:
                 yield fd
--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -1,4 +1,4 @@
-"""The base of servers: one listening address, whose connections are accepted, parked, resumed and drained."""
+"""The base class of servers, which accepts, parks, resumes and drains the connections of one address."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class ActiveConnection(Protocol):
-    """A connection that is in use: it has sent something and is not parked."""
+    """A connection that is in use, not parked."""
 
     stream: Stream
     address_id: int  # the id of the client's address, see `AddressCounts`
-    request_count: int  # requests that came on the connection so far
+    request_count: int  # requests received on the connection so far
 
     def receive(self, data: bytes) -> None:
-        """Takes received bytes."""
+        """Handles received bytes."""
 
     def close_at_once(self) -> None:
-        """Ends the connection without waiting for answers that are still owed."""
+        """Closes the connection without waiting for outstanding answers."""
 
 
 Connection = TypeVar("Connection", bound=ActiveConnection)
@@ -33,55 +33,55 @@
 class Acceptor(Generic[Connection]):
     """A listening address and the connections that are accepted on it, parked or in use.
 
-    A subclass implements `_first_request_due`, `_make_connection` and `stop`, and overrides `_may_accept` and
-    `_reject` if it has a limit or an answer of its own. `counted`: whether its connections count as those of
-    clients; those of operators and peers do not. `inherited`: a listening socket from which other processes
-    accept as well. Errors: OSError.
+    A subclass implements `_first_request_due`, `_make_connection` and `stop`. It overrides `_may_accept` if
+    it has a limit of its own, and `_reject` if it answers a connection that it rejects. `counted`: whether
+    the connections count as those of clients; those of operators and peers do not. `inherited`: a listening
+    socket from which other processes accept as well. Errors: OSError.
     """
 
     def __init__(
         self, loop: Loop, address: Address, *, counted: bool, inherited: socket.socket | None = None
     ) -> None:
         self.loop, self.counted = loop, counted
-        self.active_connections: dict[Connection, None] = {}  # connections in use, as an ordered set
+        self.active_connections: dict[Connection, None] = {}  # used as an ordered set
         self.parked = 0
         self.rejected_connections = 0  # rejected for lack of capacity
         self.protocol_errors = 0  # of all connections
         self.stopping = False
-        self.on_emptied: Callable[[], None] | None = None  # called when no connection is left; set at a stop
-        self.drain_timer: Timer | None = None  # set while the kernel's queue could not be emptied at a stop
+        self.on_emptied: Callable[[], None] | None = None  # set at a stop; called when no connection is left
+        self.drain_timer: Timer | None = None  # set while a stop has not emptied the accept queue yet
         self.family = address[0]
         self.connections = AcceptedConnections.for_loop(loop)
         self.shares_accept_queue = inherited is not None
         self.listener = Listener(loop, address, None, on_ready=self._enqueue_listener, inherited=inherited)
         self.address = self.listener.address  # as text, with the port that the kernel picked
-        self.owner_id = self.connections.add_owner(self)  # after the listener, which may fail
+        self.owner_id = self.connections.add_owner(self)  # after the listener, whose creation may fail
 
     @property
     def connection_count(self) -> int:
-        """Connections in use and parked; one more while some may wait in the kernel's queue at a stop."""
+        """Connections in use and parked, plus one while a stop has not emptied the kernel's accept queue."""
         return len(self.active_connections) + self.parked + (self.drain_timer is not None)
 
-    # Implemented by each protocol
+    # Methods that subclasses implement or override
 
     def _first_request_due(self) -> int:
-        """When a new connection that sends nothing is closed, ns of the loop's clock."""
+        """The time (ns) at which a new connection that has sent no bytes is closed."""
         raise NotImplementedError
 
     def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> Connection:
-        """Makes the connection for a socket; `request_count`: requests that came on it so far."""
+        """Creates the connection of a socket on which `request_count` requests were received so far."""
         raise NotImplementedError
 
     def _reject(self, sock: socket.socket) -> None:
-        """Closes a connection for lack of capacity."""
+        """Rejects a connection for lack of capacity."""
         sock.close()
 
     def _may_accept(self) -> bool:
-        """Whether the acceptor's own limits allow one more connection."""
+        """Whether the limits of the subclass allow one more connection."""
         return True
 
     def stop(self) -> None:
-        """Stops accepting, and closes each connection once no answer is owed on it."""
+        """Stops accepting, and closes each connection once it has no outstanding answer."""
         raise NotImplementedError
 
     # Accepting
@@ -90,7 +90,7 @@
         self.connections.enqueue_listener(self.listener, self)
 
     def accept_connection(self, sock: socket.socket, address: SocketAddress) -> None:
-        """Parks a connection that was accepted, or rejects it for lack of capacity."""
+        """Parks an accepted connection, or rejects it for lack of capacity."""
         address_id = None
         if self._may_accept():
             source = address[0] if self.family != socket.AF_UNIX else ""
@@ -117,10 +117,10 @@
         self.active_connections[connection] = None
         connection.receive(data)
 
-    # Connections that leave
+    # Parking and closing
 
     def park(self, connection: Connection, due: int) -> None:
-        """Parks a quiet connection, which is closed at `due` (ns) if it sends nothing until then."""
+        """Parks a quiet connection, and closes it at the time `due` (ns) if it has sent no bytes by then."""
         del self.active_connections[connection]
         self.parked += 1
         self.connections.park(
@@ -133,27 +133,28 @@
         )
 
     def connection_closed(self) -> None:
-        """Notes that a parked connection was closed."""
+        """Counts a parked connection that was closed."""
         self.parked -= 1
         self.check_emptied()
 
     def unregister(self, connection: Connection) -> None:
-        """Forgets an active connection that was closed."""
+        """Removes an active connection that was closed."""
         del self.active_connections[connection]
         self.connections.release(connection.address_id, counted=self.counted)
         self.check_emptied()
 
     def check_emptied(self) -> None:
-        """Calls `on_emptied` where no connection is left."""
+        """Calls `on_emptied` if no connection is left."""
         if self.on_emptied is not None and not self.connection_count:
             self.on_emptied()
 
-    # The end
+    # Shutdown
 
     def _drain_accept_queue(self) -> bool:
-        """Accepts the connections in the kernel's queue, which would be reset, and closes the listener.
+        """Empties the kernel's accept queue, and closes the listener; returns whether it is closed.
 
-        While accepting fails, a timer tries again. Returns whether the queue is empty.
+        A close would reset the connections in the queue, unless other processes accept from it. If accepting
+        fails, a timer retries.
         """
         self.drain_timer = None
         if self.shares_accept_queue or self.listener.accept_all(self.accept_connection):
@@ -168,7 +169,7 @@
             self.drain_timer = None
 
     def close(self) -> None:
-        """Stops, and ends every connection without waiting for answers that are still owed."""
+        """Stops, and closes all connections without waiting for outstanding answers."""
         self.stop()
         self._cancel_drain()
         self.listener.close()
--- a/gaproute/connections/addresses.py
+++ b/gaproute/connections/addresses.py
@@ -1,10 +1,10 @@
-"""Counts the connections of each client address; addresses have small ids that parked connections store."""
+"""Counts the connections of each client address. Parked connections store the small id of their address."""
 
 from array import array
 
 
 class AddressCounts:
-    """Counts connections by address; an address has an id while it has any connection."""
+    """Counts connections by address; an address has an id while it has connections."""
 
     def __init__(self) -> None:
         self.ids: dict[str, int] = {}  # by address
@@ -13,7 +13,7 @@
         self._addresses: list[str | None] = []  # by id
 
     def count(self, address: str) -> int:
-        """How many connections the address has."""
+        """The number of connections of the address."""
         address_id = self.ids.get(address)
         return self._counts[address_id] if address_id is not None else 0
 
@@ -37,7 +37,7 @@
         return address_id
 
     def remove(self, address_id: int) -> None:
-        """Counts one connection less; the id of an address without connections is used again."""
+        """Counts one connection less; the id of an address without connections is reused."""
         self._counts[address_id] -= 1
         if self._counts[address_id]:
             return
--- a/gaproute/connections/descriptors.py
+++ b/gaproute/connections/descriptors.py
@@ -1,4 +1,4 @@
-"""The operating system's limit on open descriptors."""
+"""Reads the operating system's limit on open descriptors."""
 
 import resource
 
--- a/gaproute/connections/owner.py
+++ b/gaproute/connections/owner.py
@@ -1,4 +1,4 @@
-"""The interface of an owner of accepted connections, which is a server of one protocol at one address."""
+"""The interface of an owner of accepted connections: a server of one protocol at one address."""
 
 import socket
 from typing import Protocol
@@ -7,17 +7,17 @@
 
 
 class ConnectionOwner(Protocol):
-    """Takes the connections that its listener accepts, and again when a parked one has sent something."""
+    """Takes over connections that its listener accepts, and parked connections that have sent bytes."""
 
     @property
     def counted(self) -> bool:
-        """Whether its connections count as those of clients; those of operators and peers do not."""
+        """Whether the owner's connections count as those of clients; those of operators and peers do not."""
 
     def accept_connection(self, sock: socket.socket, address: SocketAddress) -> None:
-        """Parks or rejects a connection that was accepted."""
+        """Parks or rejects an accepted connection."""
 
     def resume_connection(self, fd: int, data: bytes, address_id: int, request_count: int) -> None:
-        """Takes back a parked connection that has sent `data`."""
+        """Takes over a parked connection that has sent `data`."""
 
     def connection_closed(self) -> None:
-        """Notes that a parked connection was closed."""
+        """Counts a parked connection that was closed."""
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -1,7 +1,7 @@
-"""Parked connections: each is a descriptor and a few numbers in arrays; its idle deadline is in a calendar.
+"""Parked connections, each stored as a descriptor, a few numbers in arrays and an entry in a calendar.
 
 The arrays are indexed by descriptor. A queue or the calendar may still have an entry of an earlier connection
-with the same descriptor, so each entry is checked against the descriptor's present state when it is taken.
+with the same descriptor, so an entry that is taken out is checked against the descriptor's present state.
 """
 
 import os
@@ -18,18 +18,18 @@
 from gaproute.loop.loop import Loop
 from gaproute.loop.timers import Timer
 
-MAX_EXPIRIES_PER_TURN = 256  # idle deadlines handled in one turn, as many may have passed after a stall
+MAX_EXPIRIES_PER_TURN = 256  # of idle deadlines; after a stall, many have passed at once
 NEXT_READ_EVENT = EPOLLIN | EPOLLONESHOT
-NOT_PARKED, PARKED, QUEUED = 0, 1, 2  # states; queued: it has sent something and waits to be read
+NOT_PARKED, PARKED, QUEUED = 0, 1, 2  # QUEUED: the connection has sent bytes and waits to be read
 
-_GROWTH_ENTRIES = 1024  # entries by which the arrays grow
-_MAX_REQUEST_COUNT = 65535  # largest number of requests that an entry stores
+_GROWTH_ENTRIES = 1024  # by which the arrays grow
+_MAX_REQUEST_COUNT = 65535  # largest value that an entry of `request_counts` stores
 
 
 class ParkedConnections(ABC):
     """Parks connections by descriptor, closes them at their idle deadline, and counts those of clients.
 
-    A subclass queues the connections that have sent something and closes idle ones.
+    A subclass queues the connections that have sent bytes, and closes idle connections.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -45,14 +45,14 @@
         self.expired = 0
         self.calendar: Calendar[int] = Calendar()  # descriptors by idle deadline
         self.expiry_timer: Timer | None = None
-        # The descriptors whose registration with the epoll failed, as keys; some may be closed by now.
+        # Keys: descriptors whose registration with the epoll failed; some may be closed by now.
         self.pending_registrations: dict[int, None] = {}
         self.register_timer: Timer | None = None
         self.register_backoff = Backoff(FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE)
 
     @abstractmethod
     def enqueue_events(self, events: Iterable[tuple[int, int]], seen_at: int) -> None:
-        """Queues the parked connections of these events; they wait since the time `seen_at` (ns)."""
+        """Queues the parked connections that have events; they wait since the time `seen_at` (ns)."""
 
     @abstractmethod
     def evict_idle(self) -> None:
@@ -60,11 +60,11 @@
 
     @abstractmethod
     def _close_idle(self, fd: int) -> bool:
-        """Closes a parked connection unless it has sent something; returns whether it was closed."""
+        """Closes a parked connection unless it has sent bytes; returns whether it was closed."""
 
     @property
     def addresses(self) -> dict[str, int]:
-        """The addresses that have connections, each with its id."""
+        """The ids of the addresses that have connections."""
         return self.address_counts.ids
 
     def add_owner(self, owner: ConnectionOwner) -> int:
@@ -82,9 +82,9 @@
         request_count: int,
         registered: bool,
     ) -> None:
-        """Parks a connection until it sends something or its idle deadline `idle_until` (ns) comes.
+        """Parks a connection until it sends bytes or its idle deadline `idle_until` (ns) comes.
 
-        `registered`: whether this connection was parked before, so that the epoll knows its descriptor.
+        `registered`: whether this connection was parked before, so that its descriptor is in the epoll.
         """
         if fd >= len(self.states):
             self._grow(fd + _GROWTH_ENTRIES)
@@ -112,7 +112,7 @@
             column.frombytes(bytes(added * column.itemsize))
 
     def release(self, address_id: int, *, counted: bool) -> None:
-        """Counts one connection of the address less; `counted`: whether it was that of a client."""
+        """Counts one connection of the address less; `counted`: whether it counted as a client's."""
         self.client_count -= counted
         self.address_counts.remove(address_id)
 
@@ -120,23 +120,23 @@
         self.states[fd] = NOT_PARKED
         self.parked_count -= 1
         owner = self.owners[self.owner_ids[fd]]
-        try:  # noqa: SIM105 - for each connection, where `suppress` costs as much as the call
+        try:  # noqa: SIM105 - runs for each connection; `suppress` takes as long as the call
             os.close(fd)
         except OSError:
-            pass  # Linux gives the descriptor back whatever error close(2) returns
+            pass  # Linux frees the descriptor even if close(2) returns an error
         self.release(self.address_ids[fd], counted=owner.counted)
         owner.connection_closed()
 
     # Registration with the epoll of parked connections
 
     def _watch_parked(self, fd: int, *, registered: bool) -> None:
-        """Has the epoll report the connection's next event; a transient failure is retried."""
+        """Has the epoll report the connection's next event; retries after a transient failure."""
         try:
             if registered:
                 self.loop.parked_epoll.modify(fd, NEXT_READ_EVENT)
             else:
                 self.loop.parked_epoll.register(fd, NEXT_READ_EVENT)
-        except FileNotFoundError:  # it was read before it could be registered
+        except FileNotFoundError:  # it was read before its registration succeeded
             self._register(fd)
         except OSError as error:
             self._retry_later(fd, error)
@@ -160,7 +160,7 @@
             self.register_timer = self.loop.after(pause, self._retry_registrations)
 
     def _retry_registrations(self) -> None:
-        """Retries all failed registrations; if all fail again, idle connections are closed to free memory."""
+        """Retries all failed registrations; if all fail again, closes idle connections to free memory."""
         self.register_timer = None
         waiting, self.pending_registrations = self.pending_registrations, {}
         for fd in waiting:
@@ -169,10 +169,10 @@
         if len(self.pending_registrations) < len(waiting):
             self.register_backoff.reset()
         else:
-            self.evict_idle()  # it first queues the connections that have sent something
+            self.evict_idle()  # which first queues the connections that have sent bytes
 
     def poll_pending_registrations(self) -> None:
-        """Queues connections that have sent something and are not registered with the epoll."""
+        """Queues connections that have sent bytes and are not registered with the epoll."""
         if not self.pending_registrations:
             return
         poller = poll()
@@ -181,7 +181,7 @@
         try:
             events = poller.poll(0)
         except OSError:
-            return  # the next call tries again
+            return  # the next call polls again
         if events:
             self.enqueue_events(events, self.loop.now())
             self.loop.admission_pending = True
@@ -189,7 +189,7 @@
     # Idle deadlines
 
     def _schedule_expiry(self, fd: int) -> None:
-        """Adds the descriptor to the calendar, unless it has an entry at or before its deadline."""
+        """Adds the descriptor to the calendar, unless the calendar has an entry at or before its deadline."""
         due = self.idle_until[fd]
         if not self.calendar_slots[fd] or self.calendar_slots[fd] > self.calendar.slot_of(due):
             self.calendar_slots[fd] = self.calendar.add(fd, due)
@@ -203,7 +203,7 @@
         if timer is None or timer.call is None or timer.when > due:
             if timer is not None:
                 timer.cancel()
-            # A deadline that has passed is handled in the next turn of the loop, not again in this one.
+            # Not before the next turn, even if the deadline has passed.
             self.expiry_timer = self.loop.at(max(due, self.loop.now() + 1), self._close_expired)
 
     def _close_expired(self) -> None:
@@ -212,10 +212,10 @@
         now = self.loop.now()
         for fd, slot in self.calendar.take_due(now, MAX_EXPIRIES_PER_TURN):
             if self.calendar_slots[fd] != slot:
-                continue  # an old entry: the descriptor has another one now
+                continue  # an outdated entry: the descriptor has another one now
             self.calendar_slots[fd] = 0
             if self.states[fd] != PARKED:
-                continue  # it is in use, and is added again when it is parked
+                continue  # the connection is in use; `park` adds it again
             if self.idle_until[fd] > now:
                 self.calendar_slots[fd] = self.calendar.add(fd, self.idle_until[fd])
             else:
--- a/gaproute/loop/__init__.py
+++ b/gaproute/loop/__init__.py
@@ -1,4 +1,4 @@
-"""A small event loop on `select.epoll`: timers, coroutines, streams, listeners, signals."""
+"""An event loop on `select.epoll` with timers, coroutines, streams, listeners and signal handlers."""
 
 from gaproute.loop.dialing import connect
 from gaproute.loop.listening import Listener
--- a/gaproute/loop/datagrams.py
+++ b/gaproute/loop/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams over UDP (IPv4, IPv6) and Unix sockets. One that cannot be sent or delivered is dropped."""
+"""Datagram sockets (UDP and Unix), which drop a message that cannot be sent or delivered."""
 
 import errno
 import os
@@ -9,14 +9,14 @@
 from gaproute.loop.descriptors import READ
 from gaproute.loop.loop import Loop
 
-MAX_READS_PER_TURN = 64  # messages that are read in one turn, to leave time for requests in flight
-MAX_MESSAGE_BYTES = 2048  # bytes of a message; a longer one is truncated and then rejected by its decoder
+MAX_READS_PER_TURN = 64  # bounds the reads in one turn, which leaves time for requests in flight
+MAX_MESSAGE_BYTES = 2048  # a longer message is truncated, and its decoder then rejects it
 
 
 class DatagramSocket:
-    """A datagram socket; `on_datagram(data)` is called for each message.
+    """A datagram socket that calls `on_datagram(data)` for each message.
 
-    Errors: OSError where the address cannot be bound.
+    Errors: OSError if the address cannot be bound.
     """
 
     def __init__(self, loop: Loop, local_address: str, on_datagram: Callable[[bytes], object]) -> None:
@@ -24,11 +24,11 @@
         self.dropped = 0  # messages that could not be sent
         try:
             family, target = parse_address(local_address)
-        except ValueError as error:  # a path that the name added to it made too long
+        except ValueError as error:  # the Unix socket's path is too long
             raise OSError(errno.ENAMETOOLONG, str(error)) from None
         self.path = target if isinstance(target, str) else None
         if self.path and os.path.exists(self.path):
-            os.unlink(self.path)  # of a past process: nobody can be connected to a datagram socket's name
+            os.unlink(self.path)  # left by an earlier process; a datagram socket has no connections to break
         self.sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
             self.sock.bind(target)
@@ -41,16 +41,16 @@
         for _ in range(MAX_READS_PER_TURN):
             try:
                 data = self.sock.recv(MAX_MESSAGE_BYTES)
-            except OSError:  # nothing more, or an error that a message of ours brought back
+            except OSError:  # no more messages, or the error of an earlier send
                 return
             self.on_datagram(data)
 
     def send(self, data: bytes, destination: str) -> None:
-        """Sends one message, or counts it as dropped."""
+        """Sends one message; a message that cannot be sent is counted as dropped."""
         try:
             family, target = parse_address(destination)
             if family != self.sock.family:
-                raise OSError("another family of addresses")
+                raise OSError("the destination has another address family than the socket")
             self.sock.sendto(data, target)
         except (OSError, ValueError):
             self.dropped += 1
--- a/gaproute/loop/dialing.py
+++ b/gaproute/loop/dialing.py
@@ -20,10 +20,10 @@
 from gaproute.units import MILLI
 
 BIND_ADDRESS_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT of Linux, which the socket module does not name
-FIRST_DIAL_PAUSE = 2 * MILLI  # until a dial that failed on this machine is retried; doubled with each failure
-MAX_DIAL_ATTEMPTS = 5  # of one dial, in about 30 ms; then the failure is reported
-MAX_CONNECT_CALLS = 8  # calls of connect(2) in one attempt, address signals interrupt it
-# Errnos of a second connect(2) after an interrupted one that goes on, and what they mean.
+FIRST_DIAL_PAUSE = 2 * MILLI  # until a dial that failed locally is retried; doubles with each failure
+MAX_DIAL_ATTEMPTS = 5  # within about 30 ms, after which the failure is reported
+MAX_CONNECT_CALLS = 8  # per attempt, as signals may interrupt connect(2)
+# Errnos of a connect(2) that repeats an interrupted one, and the errno that each stands for (0: connected).
 REPEATED_CONNECT_ERRNOS = {errno.EALREADY: errno.EINPROGRESS, errno.EISCONN: 0}
 
 DialCallback = Callable[[socket.socket | None, OSError | None], object]
@@ -38,8 +38,9 @@
 ) -> Callable[[], None]:
     """Opens a connection to `address` (see `parse_address`) in at most `timeout` ns.
 
-    `on_done(socket or None, error or None)` is called once, and later. `source`: the local address to connect
-    from, with any port. Returns a function that abandons the attempt; after it `on_done` is not called.
+    `on_done(socket or None, error or None)` is called once, after this call has returned. `source`: the local
+    IP address to connect from; the kernel picks the port. Returns a function that abandons the attempt; once
+    it is called, `on_done` is not called any more.
     """
     return Dial(loop, address, timeout, on_done, source).cancel
 
@@ -47,8 +48,8 @@
 class Dial:
     """A connection that is being opened.
 
-    A failure that concerns this machine alone is retried a few times with backoff, as the other side has not
-    noticed anything.
+    A failure that is local to this machine is retried a few times with backoff, as the attempt has had no
+    effect on the other side.
     """
 
     __slots__ = (
@@ -75,11 +76,11 @@
     ) -> None:
         self.loop = loop
         self.family, self.target = address
-        self.on_done: DialCallback | None = on_done  # None once it is over
+        self.on_done: DialCallback | None = on_done  # None once it was called or the dial was cancelled
         self.source = source
         self.sock: socket.socket | None = None
         self.retry_timer: Timer | None = None
-        self.last_error: OSError | None = None  # of the latest attempt that failed at once
+        self.last_error: OSError | None = None  # of the latest attempt that failed immediately
         self.backoff = Backoff(FIRST_DIAL_PAUSE, timeout)
         self.attempt_count = 0
         self.timeout_timer = loop.after(timeout, self._on_timeout)
@@ -105,7 +106,7 @@
         sock = socket.socket(self.family, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
         self.sock = sockets.configure(sock)
         if self.source is not None:
-            # The port is picked by connect(2), which may use one port for several servers; bind takes none.
+            # connect(2) picks the port instead of bind(2), and can use one port for several servers.
             sockets.enable_option(sock, socket.IPPROTO_IP, BIND_ADDRESS_NO_PORT)
             sock.bind((self.source, 0))
         return sock
@@ -113,7 +114,7 @@
     def _connect(self, sock: socket.socket) -> int:
         """Calls connect(2); returns its errno, or 0 if the socket is connected.
 
-        An interrupted connect(2) goes on by itself, as a second call of it shows.
+        The kernel goes on with an interrupted connect(2); a second call returns its state.
         """
         error_number = errno.EINTR
         for _ in range(MAX_CONNECT_CALLS):
@@ -133,26 +134,26 @@
             error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as error:
             if is_transient(error):
-                return  # the next turn reports it again
+                return  # epoll reports the descriptor again in the next turn
             self._finish(error)
             return
         self._finish(OSError(error_number, os.strerror(error_number)) if error_number else None)
 
     def _handle_failed_attempt(self, error: OSError) -> None:
-        """Handles an attempt that failed immediately: retries it if the cause may pass soon."""
+        """Retries a failed attempt if its cause is local and may pass soon; otherwise reports the failure."""
         self.last_error = error
         self._close()
         if self.attempt_count > 1 and error.errno in SHORTAGE_ERRNOS:
-            self.loop.relieve_shortage()  # a second failure is a shortage
+            self.loop.relieve_shortage()  # a second failure in a row means a lasting shortage
         if self.attempt_count < MAX_DIAL_ATTEMPTS and self._is_local(error):
             self.retry_timer = self.loop.after(self.backoff.next_pause(), self._attempt)
         else:
             self.loop.soon(self._finish, error)
 
     def _is_local(self, error: OSError) -> bool:
-        """Whether the failure concerns this machine alone and may pass.
+        """Whether the failure is local to this machine and may pass.
 
-        EAGAIN of a Unix socket means that the server's backlog is full, which is a refusal by the server.
+        EAGAIN from a Unix socket is not local: it means that the server's backlog is full.
         """
         if self.family == socket.AF_UNIX and error.errno == errno.EAGAIN:
             return False
@@ -164,7 +165,7 @@
             return
         if error is None and sock is not None:
             self.loop.unwatch(sock.fileno())
-            self.sock = None  # handed over
+            self.sock = None  # `on_done` takes it over
         self.cancel()
         on_done(sock if error is None else None, error)
 
@@ -172,7 +173,7 @@
         self._finish(self.last_error if self.retry_timer is not None else TimeoutError("connect timed out"))
 
     def cancel(self) -> None:
-        """Abandons the connection and releases its socket and timers; `on_done` is not called any more."""
+        """Abandons the dial and releases its socket and timers; `on_done` is not called any more."""
         self.on_done = None
         self.timeout_timer.cancel()
         if self.retry_timer is not None:
--- a/gaproute/loop/faults.py
+++ b/gaproute/loop/faults.py
@@ -1,15 +1,15 @@
-"""Classes of errnos, by the manual pages of Linux, and backoff between attempts."""
+"""Classes of errnos, as the manual pages of Linux document them, and backoff between attempts."""
 
 import errno
 
 # socket(2), accept(2), pipe2(2), epoll_create(2), epoll_ctl(2), open(2), send(2): the kernel has no
-# descriptor, buffer or memory for the call. ENOSPC is returned by epoll_ctl at the limit of a user's watches.
+# descriptor, buffer or memory for the call. epoll_ctl returns ENOSPC at the user's limit of watches.
 SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC))
 INTERRUPTION_ERRNOS = frozenset((errno.EINTR, errno.EAGAIN))
 TRANSIENT_ERRNOS = SHORTAGE_ERRNOS | INTERRUPTION_ERRNOS
 
-# bind(2): the port is still used by a process that ends, or the network interface is not up yet. A wrong
-# address fails with the same errnos, so these are retried for a shorter time.
+# bind(2): an ending process still uses the port, or the network interface is not up yet. A wrong address
+# fails with the same errnos, so calls that fail with them are retried for a shorter time.
 ADDRESS_UNAVAILABLE_ERRNOS = frozenset(
     (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN, errno.ENETUNREACH)
 )
@@ -19,7 +19,7 @@
 LOCAL_NETWORK_ERRNOS = frozenset((errno.ENETDOWN, errno.ENETUNREACH))
 
 # accept(2): the next connection in the queue has failed, and the one after it can be accepted. Linux returns
-# the network errors of the new socket; the manual page names the last four as well.
+# pending network errors of the new socket; the manual page lists the last four errnos as well.
 FAILED_CONNECTION_ERRNOS = frozenset(
     (
         errno.EINTR,
@@ -42,7 +42,7 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether the same call may succeed a moment later."""
+    """Whether the failed call may succeed a moment later."""
     return error.errno in TRANSIENT_ERRNOS
 
 
@@ -52,7 +52,7 @@
 
 
 def find_os_error(error: BaseException) -> OSError | None:
-    """The failure itself or its cause, if one of them is an OSError; else None."""
+    """The first OSError among the error and its cause; None if neither is an OSError."""
     for each in (error, error.__cause__):
         if isinstance(each, OSError):
             return each
@@ -60,14 +60,14 @@
 
 
 class Backoff:
-    """Pauses between attempts, ns: the first one, then twice the one before, up to the longest."""
+    """Pauses between attempts, ns: the first pause, then twice the previous one, up to the longest."""
 
     def __init__(self, first: int, longest: int) -> None:
         self.first, self.longest = first, longest
         self.pause = first
 
     def next_pause(self) -> int:
-        """The pause until the next attempt."""
+        """Returns the pause before the next attempt, and doubles the one after it."""
         pause, self.pause = self.pause, min(2 * self.pause, self.longest)
         return pause
 
@@ -77,5 +77,5 @@
         return self.pause > self.first
 
     def reset(self) -> None:
-        """Notes an attempt that succeeded: the next pause is the first one again."""
+        """Starts again with the first pause, after an attempt that succeeded."""
         self.pause = self.first
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets; accepting pauses while the process lacks descriptors."""
+"""Listening sockets, which pause accepting while the process lacks descriptors."""
 
 import os
 import socket
@@ -16,14 +16,14 @@
 from gaproute.units import MILLI
 
 BACKLOG = 4096  # connections that wait in the kernel to be accepted
-MAX_ACCEPTS_PER_TURN = 32  # so that requests in flight get their share of the turn
-MAX_FAILED_ACCEPTS = 16  # connections in a row that had failed before they were accepted, in one call
+MAX_ACCEPTS_PER_TURN = 32  # leaves time in the turn for requests in flight
+MAX_FAILED_ACCEPTS = 16  # in a row, in one call of `accept`: connections that failed in the backlog
 FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE = 2 * MILLI, 50 * MILLI  # while the process lacks descriptors
 ACCEPT_RETRY_PAUSE = 5 * MILLI  # between attempts to empty the backlog when the process stops
 
 
 class AcceptedSocket(NamedTuple):
-    """A connection that was accepted, and its client's address."""
+    """The socket of an accepted connection, and its client's address."""
 
     sock: socket.socket
     address: SocketAddress
@@ -32,7 +32,7 @@
 def open_listening_socket(
     requested_address: tuple[int, SocketAddress], backlog: int = BACKLOG
 ) -> socket.socket:
-    """A socket that listens. Errors: OSError."""
+    """Opens a listening socket. Errors: OSError."""
     family, target = requested_address
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
@@ -51,7 +51,7 @@
 
 
 def _remove_stale_socket_file(path: str) -> None:
-    """Removes a socket file on which nobody listens; one in use stays, and bind fails then."""
+    """Removes a socket file on which no process listens; bind(2) fails on a file that is in use."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
@@ -66,9 +66,9 @@
 class Listener:
     """Accepts connections at one address and calls `on_socket(sock)` for each.
 
-    With `on_ready` instead of `on_socket`, `on_ready()` is called while connections wait, and `accept` takes
-    them. `inherited`: a listening socket that another process has opened and still owns. `address`: the
-    address as text, with the port that the kernel picked. Errors: OSError.
+    With `on_ready` instead of `on_socket`, the listener calls `on_ready()` while connections wait, and the
+    owner calls `accept`. `inherited`: a listening socket that another process has opened and still owns.
+    `address`: the bound address as text, with the port that the kernel picked. Errors: OSError.
     """
 
     def __init__(
@@ -83,10 +83,10 @@
     ) -> None:
         self.loop, self.on_socket, self.on_ready = loop, on_socket, on_ready
         self.pause_count = 0
-        self.pause_timer: Timer | None = None  # ends a pause
+        self.pause_timer: Timer | None = None  # ends the present pause
         self.backoff = Backoff(FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE)
-        self.backlog_seen_empty = False  # by the last `accept`
-        self.backlog_since: int | None = None  # since when connections may wait in the backlog, ns
+        self.backlog_seen_empty = False  # whether the last `accept` found no waiting connection
+        self.backlog_since: int | None = None  # the earliest time (ns) of a connection in the backlog
         target = requested_address[1]
         self.path = target if isinstance(target, str) and inherited is None else None
         self.sock = open_listening_socket(requested_address, backlog) if inherited is None else inherited
@@ -112,7 +112,7 @@
                 self.on_socket(accepted.sock)
 
     def accept(self) -> AcceptedSocket | None:
-        """Accepts a connection; None if none waits (`backlog_empty`) or none can be accepted now."""
+        """Accepts a connection; None if no connection waits (`backlog_empty`) or can be accepted now."""
         self.backlog_seen_empty = False
         for _ in range(MAX_FAILED_ACCEPTS):
             if self.sock.fileno() < 0:
@@ -125,24 +125,28 @@
                 return None
             except OSError as error:
                 if error.errno in FAILED_CONNECTION_ERRNOS:
-                    continue  # this connection has failed: try the next one
+                    continue  # only this connection has failed; the next one may be fine
                 self._back_off(error)
                 return None
             self.backoff.reset()
             self._record_backlog_wait(sock.fileno())
             return AcceptedSocket(sockets.configure(sock), address)
-        self.pause(self.backoff.next_pause())  # the same connection may have failed each time
+        self.pause(self.backoff.next_pause())  # it may be the same connection that fails each time
         return None
 
     def _record_backlog_wait(self, fd: int) -> None:
-        """Notes since when the connection may have waited in the backlog: its first bytes may be as old."""
+        """Stores how long the connection may have waited in the backlog: its first bytes may be as old."""
         if self.backlog_since is None:
             self.loop.backlogged_since.pop(fd, None)
         else:
             self.loop.backlogged_since[fd] = self.backlog_since
 
     def _back_off(self, error: OSError) -> None:
-        """Pauses after a failure that concerns all connections; a second one in a row is a shortage."""
+        """Pauses after a failure that concerns all connections.
+
+        A second failure in a row means a lasting shortage, so descriptors are freed. Errors: `error`, unless
+        it is a shortage.
+        """
         repeated = self.backoff.has_failed
         self.pause(self.backoff.next_pause())
         if error.errno not in SHORTAGE_ERRNOS:
@@ -151,7 +155,7 @@
             self.loop.relieve_shortage()
 
     def accept_all(self, take: Callable[[socket.socket, SocketAddress], object]) -> bool:
-        """Calls `take(socket, address)` for each waiting connection; returns whether none waits any more."""
+        """Calls `take(socket, address)` for each waiting connection; returns whether the backlog is empty."""
         while (accepted := self.accept()) is not None:
             take(accepted.sock, accepted.address)
         return self.backlog_empty
@@ -162,7 +166,7 @@
         return self.backlog_seen_empty or self.sock.fileno() < 0
 
     def pause(self, span: int) -> None:
-        """Accepts no connection for `span` ns; new ones wait in the kernel's backlog."""
+        """Accepts no connection for `span` ns; new connections wait in the kernel's backlog."""
         self.pause_count += 1
         if self.backlog_since is None:
             self.backlog_since = self.loop.now()
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -1,9 +1,9 @@
 """The event loop: readiness by epoll, timers in a heap, generators as coroutines. Times are int nanoseconds.
 
-One turn dispatches everything that is readable, then the calls of `soon`, then the timers that are due, and
-last, for a bounded time, the connections that wait for admission (`gaproute/connections`).
+One turn dispatches the events of all ready descriptors, then the callbacks of `soon`, then the due timers,
+and last, for a bounded time, the connections that wait for admission (`gaproute/connections`).
 A turn that is late (the process was stopped, or the machine stalled) polls again, until nothing is readable,
-before any timer fires: whatever arrived in the meantime is read before a timer finds it overdue.
+before any timer fires. So everything that arrived in the meantime is read before a timer can find it overdue.
 """
 
 from __future__ import annotations
@@ -24,35 +24,35 @@
 from gaproute.loop.timers import Callback, Clock
 from gaproute.units import MILLI, SECOND
 
-# After such a delay the process was stopped: a busy turn lasts some milliseconds.
+# A longer delay means that the process was stopped or stalled, as a busy turn lasts only some milliseconds.
 LATE_TURN_THRESHOLD = 50 * MILLI
-MAX_POLLS_IN_LATE_TURN = 8  # in a late turn, so that a flood of data does not keep timers from firing
-MAX_POLL_TIME = SECOND  # longest wait in one poll, within which a jump of the clock is noticed
-MAX_PARKED_EVENTS = 4096  # taken from the epoll of parked connections in one poll
-MAX_STORED_ERRORS = 8  # last errors that are stored
+MAX_POLLS_IN_LATE_TURN = 8  # so that a flood of data does not keep timers from firing
+MAX_POLL_TIME = SECOND  # longest wait in one poll; the loop notices a jump of the clock within this time
+MAX_PARKED_EVENTS = 4096  # in one poll of the epoll of parked connections
+MAX_STORED_ERRORS = 8  # the latest errors of callbacks
 
 
 class ConnectionAdmission(Protocol):
-    """What the loop needs of its accepted connections: see `gaproute.connections`."""
+    """The accepted connections as the loop uses them: see `gaproute.connections`."""
 
     def enqueue_events(self, events: Events, seen_at: int) -> None:
-        """Queues the parked connections that have events, as of the time `seen_at`."""
+        """Queues the parked connections that have events; they wait since the time `seen_at` (ns)."""
 
     def serve(self, until: int) -> bool:
-        """Serves waiting connections until that time; returns whether some still wait."""
+        """Serves waiting connections until the time `until`; returns whether some still wait."""
 
     def evict_idle(self) -> None:
-        """Closes some idle connections, as descriptors or memory have run out."""
+        """Closes some idle connections, to free descriptors and memory."""
 
 
 class ClosingStream(Protocol):
-    """What is needed of a stream that waits for the other side to close: see `Stream.close`."""
+    """A stream that waits for the other side to close: see `Stream.close`."""
 
     def is_acknowledged(self) -> bool:
-        """Whether the other side has acknowledged all that was written."""
+        """Whether the other side has acknowledged all written bytes."""
 
     def reset(self) -> None:
-        """Closes at once with a reset."""
+        """Resets the connection."""
 
 
 class Loop(DescriptorWatcher):
@@ -64,32 +64,32 @@
     def __init__(self, clock: Clock = time.monotonic_ns) -> None:
         super().__init__(clock)
         self.poll: Callable[[select.epoll, int], Events] = getattr(clock, "poll", None) or wait_for_events
-        self.callbacks: deque[tuple[Callback, tuple[object, ...]]] = deque()  # of `soon`
+        self.callbacks: deque[tuple[Callback, tuple[object, ...]]] = deque()  # set by `soon`
         self.running = False
         self.signals = SignalHandlers()
-        self.errors: list[BaseException] = []  # the last few that escaped a callback
-        self.on_error: Callable[[BaseException], object] | None = None  # where somebody wants to log them
+        self.errors: list[BaseException] = []  # the latest errors that escaped a callback
+        self.on_error: Callable[[BaseException], object] | None = None  # replaces the print of a traceback
         # Accepted connections:
         self.connections: ConnectionAdmission | None = None
-        self.admission_pending = False  # whether some wait to be served
-        self.parked_epoll = select.epoll()  # of the parked ones; one event of the outer epoll
+        self.admission_pending = False  # whether some connections wait to be served
+        self.parked_epoll = select.epoll()  # watches parked connections; is one descriptor of `epoll`
         self._parked_epoll_fd = self.parked_epoll.fileno()
         self.epoll.register(self._parked_epoll_fd, READ)
-        # Streams that wait for the other side to close (`Stream.close`), since when; the oldest first.
+        # When each stream began to wait for the other side to close (`Stream.close`); the oldest first.
         self.closing_streams: dict[ClosingStream, int] = {}
         # How long bytes may have lain unread:
         self.turns = self.late_turns = 0
-        self.read_delay = 0  # in a late turn: how long ago what is read now may have come
+        self.read_delay = 0  # in a late turn: the possible age of the bytes that are read now
         self.polled_at = self.previous_poll_at = self.clock()  # when the last two polls returned
-        # By descriptor: since when its connection may have waited in a listener's backlog.
+        # By descriptor: the earliest time at which its connection may have entered a listener's backlog.
         self.backlogged_since: dict[int, int] = {}
-        # Called first in a late turn, to read what this loop does not poll.
+        # Called first in a late turn, to read sources that this loop does not poll.
         self.on_late_turn: list[Callable[[], object]] = []
 
     # Calls
 
     def soon(self, call: Callback, *args: object) -> None:
-        """Calls `call(*args)` in this turn or the next, after the descriptors that are readable."""
+        """Calls `call(*args)` in this turn or the next, after the handlers of ready descriptors."""
         self.callbacks.append((call, args))
 
     def sleep(self, span: int) -> Promise:
@@ -99,7 +99,7 @@
         return promise
 
     def spawn(self, generator: Generator[Promise, Any, object]) -> Coroutine:
-        """Drives a generator that yields promises; it starts with the next callbacks of `soon`."""
+        """Runs a generator that yields promises; it starts with the next callbacks of `soon`."""
         coroutine = Coroutine(generator, self.report_error)
         self.soon(coroutine.step)
         return coroutine
@@ -109,7 +109,7 @@
         self.signals.set_callback(self, number, call)
 
     def report_error(self, error: BaseException) -> None:
-        """Reports an error that escaped a callback."""
+        """Stores an error that escaped a callback, and passes it to `on_error` or prints its traceback."""
         self.errors = [*self.errors[1 - MAX_STORED_ERRORS :], error]
         if self.on_error is not None:
             self.on_error(error)
@@ -117,10 +117,10 @@
             traceback.print_exception(error)
 
     def call_guarded(self, call: Callback, *args: object) -> None:
-        """Calls `call(*args)`; an error is reported, so that other callbacks are still called."""
+        """Calls `call(*args)` and reports an error, so that other callbacks are still called."""
         try:
             call(*args)
-        except Exception as error:  # noqa: BLE001 - whatever it is, it is reported
+        except Exception as error:  # noqa: BLE001 - any error is reported
             self.report_error(error)
 
     def relieve_shortage(self) -> None:
@@ -131,15 +131,15 @@
     # Unread bytes
 
     def unread_since(self, fd: int) -> int:
-        """The earliest time (ns) at which bytes that are read from a descriptor in this turn may have come.
+        """The earliest time (ns) at which bytes that are read from `fd` in this turn may have arrived.
 
-        Bytes that came before the previous poll were reported by it, unless the connection was still waiting
-        to be accepted; that is considered for the first bytes that are read, and forgotten.
+        The previous poll reported all bytes that had arrived before it, unless the connection was still in a
+        listener's backlog. The time in the backlog counts for the first call only, which forgets it.
         """
         return min(self.previous_poll_at, self.backlogged_since.pop(fd, self.previous_poll_at))
 
     def poll_parked(self, limit: int = MAX_PARKED_EVENTS) -> Events:
-        """The events of parked connections now, at most `limit`."""
+        """Polls the parked connections without waiting; returns at most `limit` events."""
         while True:
             try:
                 return self.parked_epoll.poll(0, limit)
@@ -149,7 +149,7 @@
     # Turns
 
     def run(self, until: Promise | None = None) -> Any:
-        """Runs turns until `stop`, or until the promise `until` is settled; returns its value."""
+        """Runs turns until `stop`, or until the promise `until` is settled; returns the promise's value."""
         self.running = True
         while self.running and not (until is not None and until.ready):
             self.turn()
@@ -160,7 +160,7 @@
         return None
 
     def stop(self) -> None:
-        """Has `run` return after this turn."""
+        """Makes `run` return after this turn."""
         self.running = False
 
     def close(self) -> None:
@@ -169,7 +169,7 @@
         self.parked_epoll.close()
 
     def turn(self) -> None:
-        """Runs one turn, which waits no longer than until the next timer is due."""
+        """Runs one turn, which waits for events until the next timer is due at the latest."""
         self.turns += 1
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
@@ -198,7 +198,7 @@
             self.admission_pending = self.connections.serve(self.clock() + ADMISSION_TIME)
 
     def _dispatch_late(self, ready: Events, late: int) -> None:
-        """Dispatches the events of a turn that is `late` ns late: all that is readable, before the timers."""
+        """Dispatches the events of a turn that is `late` ns late, and polls until nothing is readable."""
         self.late_turns += 1
         self.read_delay = late
         for call in self.on_late_turn:
@@ -217,7 +217,7 @@
                 self._enqueue_parked()
                 continue
             call = self.watched.get(fd)
-            if call is None:  # closed by an earlier callback of this turn, or unregistering it failed
+            if call is None:  # unwatched by an earlier callback of this turn, or still registered
                 self._unregister(fd)
             elif fd not in self.newly_watched:
                 self.call_guarded(call, events)
--- a/gaproute/loop/polling.py
+++ b/gaproute/loop/polling.py
@@ -1,4 +1,4 @@
-"""Waiting for events by epoll, and a clock for tests that never waits."""
+"""Waits for events by epoll, or on a clock for tests that never waits."""
 
 import select
 
@@ -8,7 +8,7 @@
 
 
 def wait_for_events(epoll: select.epoll, span: int) -> Events:
-    """The events of an epoll, waiting at most `span` ns. A signal ends the wait early, without events."""
+    """Waits at most `span` ns for events; a signal ends the wait early, without events."""
     while True:
         try:
             return epoll.poll(max(0, span) / SECOND)
@@ -18,7 +18,7 @@
 
 
 class SteppedClock:
-    """A clock for tests: it stands still while there are events, and skips every wait without events."""
+    """A clock for tests, which stands still while there are events and skips each wait without events."""
 
     def __init__(self, now: int = 0) -> None:
         self.now = now
--- a/gaproute/loop/promises.py
+++ b/gaproute/loop/promises.py
@@ -7,22 +7,22 @@
 
 
 class Promise:
-    """A value that comes later. A coroutine that yields a promise is resumed with its value or error."""
+    """A value or error that is set later; a coroutine that yields the promise is resumed with it."""
 
     __slots__ = ("ready", "value", "error", "waiters")
 
     def __init__(self) -> None:
         self.ready = False
-        self.value: Any = None  # of the type that its users agree on
+        self.value: Any = None  # of any type, which the promise does not check
         self.error: BaseException | None = None
         self.waiters: list[Callable[[Promise], object]] = []
 
     def set(self, value: object = None) -> None:
-        """Settles the promise with a value; without effect if it is settled already."""
+        """Settles the promise with a value; does nothing if the promise is settled already."""
         self._settle(value, None)
 
     def fail(self, error: BaseException) -> None:
-        """Settles the promise with an error; without effect if it is settled already."""
+        """Settles the promise with an error; does nothing if the promise is settled already."""
         self._settle(None, error)
 
     def _settle(self, value: object, error: BaseException | None) -> None:
@@ -34,7 +34,7 @@
             waiter(self)
 
     def then(self, call: Callable[[Promise], object]) -> None:
-        """Calls `call(promise)` once the promise is settled, immediately if it is settled already."""
+        """Calls `call(promise)` once the promise is settled, or immediately if it is settled already."""
         if self.ready:
             call(self)
         else:
@@ -62,14 +62,14 @@
             self.done.set()
 
     def step(self, promise: Promise | None = None) -> None:
-        """Resumes the generator with a settled promise, until it yields one that is not settled."""
+        """Resumes the generator with a settled promise, until it yields a promise that is not settled."""
         while not self.done.ready:
             try:
                 awaited = self._resume(promise)
             except StopIteration as end:
                 self.done.set(end.value)
                 return
-            except Exception as error:  # noqa: BLE001 - whatever it is, it goes to the waiters or is reported
+            except Exception as error:  # noqa: BLE001 - any error goes to the waiters or is reported
                 if not self.done.waiters:
                     self.report_error(error)
                 self.done.fail(error)
--- a/gaproute/loop/signals.py
+++ b/gaproute/loop/signals.py
@@ -1,4 +1,4 @@
-"""Handles signals in turns of the loop, through a wake-up descriptor."""
+"""Handles signals in turns of the loop, by means of a wake-up descriptor."""
 
 import os
 import signal
@@ -6,23 +6,23 @@
 
 from gaproute.loop.descriptors import READ, DescriptorWatcher
 
-READ_SIZE = 512  # bytes read in one call; each is the number of a signal
+READ_SIZE = 512  # bytes read in one call; each byte is a signal number
 
 
 class SignalHandlers:
-    """The callbacks of signals; they are called in a turn of the loop, outside the signal handler.
+    """The callbacks of signals, which are called in a turn of the loop and not inside the signal handler.
 
-    The loop is an argument of each method and is not stored: it owns this object, and a reference cycle would
-    leave the epolls of an abandoned loop open until a garbage collection.
+    The loop is an argument of each method and is not stored. The loop owns this object, and a reference cycle
+    would leave the epolls of an abandoned loop open until a garbage collection.
     """
 
     def __init__(self) -> None:
         self.callbacks: dict[int, Callable[[], object]] = {}  # by signal number
 
     def set_callback(self, loop: DescriptorWatcher, number: int, call: Callable[[], object]) -> None:
-        """Has `call()` called for each signal of that number, in place of an earlier callback.
+        """Sets `call()` as the callback of signal `number`, in place of an earlier callback.
 
-        Errors: OSError where the wake-up descriptor cannot be opened; then nothing is changed.
+        Errors: OSError if the wake-up descriptor cannot be opened; then nothing is changed.
         """
         if not self.callbacks:
             self._open_wakeup(loop)
@@ -41,11 +41,13 @@
             raise
 
     def dispatch(self, loop: DescriptorWatcher, reader: int) -> None:
-        """Calls the callbacks of the signals that the descriptor reports, once for each number."""
+        """Reads signal numbers from the wake-up descriptor and calls the callback of each number once."""
         try:
             numbers = os.read(reader, READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         for number in dict.fromkeys(numbers):
             if number in self.callbacks:
-                loop.call_guarded(self.callbacks[number])  # the next one is called even if this one fails
+                loop.call_guarded(
+                    self.callbacks[number]
+                )  # an error does not keep the next callback from being called
--- a/gaproute/loop/sockets.py
+++ b/gaproute/loop/sockets.py
@@ -1,11 +1,11 @@
-"""Options and closing of sockets; failures of these calls do not matter and are ignored."""
+"""Sets options of sockets and closes them; failures of these calls are harmless and ignored."""
 
 import socket
 
 
 def enable_option(sock: socket.socket, level: int, option: int) -> None:
-    """Switches on an option of a socket; a failure is ignored, as the connection works without it."""
-    try:  # noqa: SIM105 - for each connection, where `suppress` costs as much as the call
+    """Enables a socket option; a failure is ignored, as the connection works without the option."""
+    try:  # noqa: SIM105 - runs for each connection; `suppress` takes as long as the call
         sock.setsockopt(level, option, 1)
     except OSError:
         pass
@@ -20,8 +20,8 @@
 
 
 def close_quietly(sock: socket.socket) -> None:
-    """Closes a socket; Linux gives the descriptor back whatever error close(2) returns."""
-    try:  # noqa: SIM105 - as above
+    """Closes a socket; Linux frees the descriptor even if close(2) returns an error."""
+    try:  # noqa: SIM105 - see `enable_option`
         sock.close()
     except OSError:
         pass
--- a/gaproute/loop/starting.py
+++ b/gaproute/loop/starting.py
@@ -1,4 +1,4 @@
-"""Retries the steps of a process's start for a bounded time, while system calls fail."""
+"""Retries the steps of a process's start for a bounded time while system calls fail."""
 
 import time
 from collections.abc import Callable
@@ -8,16 +8,18 @@
 from gaproute.loop.timers import Clock
 from gaproute.units import MILLI, SECOND
 
-START_RETRY_TIME = 6 * SECOND  # for all steps: a process must serve, or report why it cannot, within 10 s
-BIND_RETRY_TIME = 2 * SECOND  # for an address that cannot be bound, which is usually a wrong one
-# Between attempts. They allow over a hundred, as a step may make several calls of which one in three fails.
+START_RETRY_TIME = 6 * SECOND  # for all steps together; within 10 s a process must serve or report a failure
+# For an address that cannot be bound; shorter, as such an address is usually wrong.
+BIND_RETRY_TIME = 2 * SECOND
+# Between attempts. These values allow over a hundred attempts, which a step needs if it makes several system
+# calls of which one in three fails.
 FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE = 5 * MILLI, 50 * MILLI
 
 Result = TypeVar("Result")
 
 
 class StartupRetries:
-    """Calls the steps of a start; one that fails for a transient reason is called again.
+    """Calls the steps of a start, and calls a step again that fails for a transient reason.
 
     So a step must undo its effects when it fails. The process sleeps between attempts.
     """
@@ -29,7 +31,7 @@
         self.began_at = clock()
 
     def call(self, step: Callable[[], Result]) -> Result:
-        """Returns the result of the step. Errors: that of its last attempt, once no retry is of use."""
+        """Returns the result of the step. Errors: that of the last attempt, once the retry time is over."""
         backoff = Backoff(FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE)
         while True:
             try:
@@ -41,7 +43,7 @@
 
 
 def max_retry_time(error: OSError | None) -> int:
-    """For how long, from the beginning of the start, such a failure is retried, ns."""
+    """The time (ns) from the beginning of the start for which a step that fails with the error is retried."""
     if error is None:
         return 0
     if is_transient_read(error):
--- a/gaproute/loop/stream_reader.py
+++ b/gaproute/loop/stream_reader.py
@@ -1,4 +1,4 @@
-"""The reading half of a stream: reading, pausing, the end of the connection, and bytes not read yet."""
+"""The reading half of a stream: reading, pausing, the end of the connection, and unread bytes."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from gaproute.loop.unread import REMOTE_SHUTDOWN, Pending
 
 READ_SIZE = 65536  # bytes read in one call
-MAX_READS_TO_END = 128  # reads before the end of a connection: more than any receive buffer needs
+MAX_READS_TO_END = 128  # of a connection that has ended; enough to empty any receive buffer
 PEEK_FLAGS = socket.MSG_PEEK | socket.MSG_DONTWAIT
-MAX_PEEKS = 5  # attempts to find out whether bytes lie unread, after which that is assumed
+MAX_PEEKS = 5  # attempts to find out whether bytes are unread; if all fail, bytes are assumed
 
 BytesHandler = Callable[[bytes], object]
 EndHandler = Callable[[OSError | None], object]
 
 
 class StreamReader(StreamWriter):
-    """Reads a socket: `on_bytes(data)` is called for received bytes, `on_end(error or None)` once at the end.
+    """Reads a socket: calls `on_bytes(data)` for received bytes and `on_end(error or None)` once at the end.
 
-    If `on_half_close` is set, it is called when the other side has ended its sending; the stream does not end
-    then, and writing goes on.
+    If `on_half_close` is set, it is called when the other side has shut down its sending. The stream does not
+    end then, and writing goes on.
     """
 
     __slots__ = ("on_bytes", "on_end", "on_half_close", "paused_at", "unread_since")
@@ -44,9 +44,9 @@
         super().__init__(loop, sock, detect_hangup_early=detect_hangup_early)
         self.on_bytes, self.on_end = on_bytes, on_end
         self.on_half_close: Callable[[], object] | None = None
-        # When reading was paused, until all that came since then has been read.
+        # When reading was paused; None once all bytes that arrived during the pause have been read.
         self.paused_at: int | None = None
-        self.unread_since: int | None = None  # `paused_at` at the last read
+        self.unread_since: int | None = None  # the value of `paused_at` at the last read
         loop.watch(self.fd, self.events, self._handle_events)
 
     @abstractmethod
@@ -82,26 +82,26 @@
             self._other_side_ended()
 
     def _read_rest(self) -> None:
-        """Reads, in this turn, all bytes that came before the other side's end."""
+        """Reads in this turn all bytes that arrived before the other side closed."""
         for _ in range(MAX_READS_TO_END):
             if not self.open or not self.reading:
                 return
             self._read()
 
     def read_now(self) -> None:
-        """Reads now, without waiting for the loop to report the descriptor."""
+        """Reads now, without waiting until the loop reports the descriptor as readable."""
         if self.open and self.reading:
             self._read()
 
     def read_to_end(self) -> None:
-        """Handles the other side's close now: reads what came before it, or ends a paused stream."""
+        """Handles a close by the other side now: reads the bytes before it, or ends a paused stream."""
         if self.open and self.reading:
             self._read_rest()
         elif self.open:
             self._other_side_ended()
 
     def _other_side_ended(self) -> None:
-        """Handles the other side's end of sending; unread bytes of a paused stream are dropped."""
+        """Handles the end of what the other side sends; drops the unread bytes of a paused stream."""
         if self.on_half_close is None:
             self._finish(None)
         elif not self.half_closed:
@@ -110,7 +110,7 @@
             self.on_half_close()
 
     def _write_failed(self, error: OSError) -> None:
-        """Ends the stream as writing has failed; bytes that came before are read first."""
+        """Reads the bytes that have arrived, and ends the stream, as writing has failed."""
         for _ in range(MAX_READS_TO_END if self.reading else 0):
             try:
                 data = self.sock.recv(READ_SIZE) if self.open else b""
@@ -126,7 +126,7 @@
         self._finish(error)
 
     def pause(self) -> None:
-        """Stops reading until `resume`; bytes that come wait in the kernel, then at the other side."""
+        """Stops reading until `resume`; bytes wait in the kernel's buffer, and then at the sender."""
         if self.reading and self.paused_at is None:
             self.paused_at = self.loop.now()
         self.reading = False
@@ -137,13 +137,14 @@
         self.reading = True
         self._update_events()
 
-    # Bytes that lie unread
+    # Unread bytes
 
     def unread_age(self) -> int:
-        """How long the bytes that were read last may have lain unread, ns; takes one system call.
+        """How long the bytes that were read last may have been unread, ns; makes one system call.
 
-        The kernel gives the age of the last bytes; those that came in a pause of reading may be as old as the
-        pause. As the clocks of kernel and loop may differ, the age is limited by what the loop's polls show.
+        The kernel returns the age of the last bytes. Bytes that arrived while reading was paused may be as
+        old as the pause. As the clocks of kernel and loop may differ, `Loop.unread_since` limits the kernel's
+        age.
         """
         now = self.loop.now()
         paused = 0 if self.unread_since is None else now - self.unread_since
@@ -151,7 +152,7 @@
         return max(paused, min(unread.age_of_last_bytes(self.sock), bound))
 
     def is_quiet(self) -> bool:
-        """Whether no bytes lie unread and the other side has not closed; takes one system call."""
+        """Whether no bytes are unread and the other side has not closed; usually makes one system call."""
         for _ in range(MAX_PEEKS):
             try:
                 self.sock.recv(1, PEEK_FLAGS)
@@ -162,16 +163,16 @@
                     return False
             else:
                 return False
-        return False  # unknown: bytes may lie unread
+        return False  # the state is unknown: bytes may be unread
 
     def pending(self) -> Pending:
-        """Whether bytes or an end of the connection wait in the kernel; takes one system call."""
+        """Whether bytes or the end of the connection can be read; makes one system call."""
         return unread.pending(self.fd) if self.open else Pending(hung_up=True, unread=False)
 
     def hung_up(self) -> bool:
-        """Whether the other side has closed or reset the connection, even if bytes lie unread before that."""
+        """Whether the other side has closed or reset the connection, even if earlier bytes are unread."""
         return self.pending().hung_up
 
     def peek(self) -> bytes:
-        """The bytes that lie unread, up to a limit; they are not consumed."""
+        """The unread bytes, up to `MAX_PEEK_BYTES`; they stay unread."""
         return unread.peek(self.sock)
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -1,4 +1,4 @@
-"""The writing half of a stream: bytes that the kernel does not take immediately are queued."""
+"""The writing half of a stream, which queues bytes that the kernel does not accept immediately."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gaproute.loop.timers import Timer
 from gaproute.loop.unread import REMOTE_SHUTDOWN
 
-WRITE_HIGH_WATER = 1 << 20  # queued bytes above which `write` asks its caller to wait
+WRITE_HIGH_WATER = 1 << 20  # queued bytes from which on `write` returns False
 
 Data = bytes | bytearray | memoryview
 
@@ -20,8 +20,8 @@
 class StreamWriter(ABC):
     """A connected socket and the bytes that wait to be written to it.
 
-    `bytes_sent` counts the bytes that the kernel accepted, which shows what the other side may have received
-    before a failure. `on_writable()` is called when all queued bytes have been written.
+    `bytes_sent` counts the bytes that the kernel accepted: after a failure, the other side may have received
+    up to as many. `on_writable()` is called when all queued bytes have been written.
     """
 
     __slots__ = (
@@ -48,9 +48,9 @@
         self.closing = False  # whether `close` was called
         self.close_timer: Timer | None = None  # while the stream is being closed
         self.reading = True
-        self.half_closed = False  # whether the other side's end of sending was reported
+        self.half_closed = False  # whether the end of what the other side sends was reported
         self.detect_hangup_early = detect_hangup_early
-        # The events that the loop watches for:
+        # The events for which the loop watches the descriptor:
         self.events = READ | REMOTE_SHUTDOWN if detect_hangup_early else READ
         self.on_writable: Callable[[], object] | None = None
         self.outgoing: list[Data] = []
@@ -59,14 +59,14 @@
 
     @abstractmethod
     def _write_failed(self, error: OSError) -> None:
-        """Handles a failed write: the connection is broken."""
+        """Ends the stream after a failed write."""
 
     @abstractmethod
     def _shut_down_writing(self) -> None:
-        """Goes on with a close, once all queued bytes are written."""
+        """Continues a close once all queued bytes are written."""
 
     def write(self, data: Data) -> bool:
-        """Writes bytes, and queues those that the kernel does not take.
+        """Writes bytes, and queues those that the kernel does not accept.
 
         Returns whether the caller may write more before the queue is empty.
         """
@@ -84,9 +84,9 @@
         return self.bytes_unsent < WRITE_HIGH_WATER
 
     def try_write(self, data: Data) -> bool:
-        """Writes like `write`, but queues nothing unless the kernel took the first byte.
+        """Writes like `write`, but queues nothing unless the kernel accepts the first byte.
 
-        Returns False where it took none; `on_writable` is called when the caller may try again.
+        Returns False if the kernel accepts no byte; `on_writable` is called when the caller may try again.
         """
         if not self.open or self.closing:
             return False
@@ -99,7 +99,7 @@
         return bool(sent)
 
     def _send(self, data: Data) -> int | None:
-        """How many bytes the kernel took; None where the connection is broken."""
+        """Sends bytes; returns how many the kernel accepted, or None if the connection is broken."""
         try:
             sent = self.sock.send(data)
         except OSError as error:
@@ -129,7 +129,7 @@
             self.on_writable()
 
     def _update_events(self) -> None:
-        """Has the loop watch for the events that matter in the present state."""
+        """Has the loop watch for the events that the present state needs."""
         if self.reading:
             events = READ | REMOTE_SHUTDOWN if self.detect_hangup_early and not self.half_closed else READ
         else:
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -12,18 +12,18 @@
 
 __all__ = ["CLOSE_WAIT", "HANGUP_CHECK_INTERVAL", "READ_SIZE", "WRITE_HIGH_WATER", "Stream"]
 
-# Time between checks whether a client has closed, much shorter than the time after a client's leaving in
-# which an attempt may still begin.
+# Time between checks whether a client has closed; much shorter than the time for which an attempt may still
+# begin after its client has left.
 HANGUP_CHECK_INTERVAL = 20 * MILLI
-CLOSE_TIMEOUT = 30_000 * MILLI  # for the last bytes to be sent after a close; then the connection is reset
-# Time for the other side to close too, once all is written: some round trips. Bytes that it sends later are
-# answered by the kernel with a reset.
+CLOSE_TIMEOUT = 30_000 * MILLI  # for the remaining bytes after a close, before the connection is reset
+# Time for the other side to close too, once all bytes are written: some round trips. The kernel answers bytes
+# that arrive later with a reset.
 CLOSE_WAIT = 300 * MILLI
-LINGER_RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets the connection
+LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close resets the connection
 
 
 class Stream(StreamReader):
-    """A connected socket: reading, buffered writing, and a close that loses nothing.
+    """A connected socket with reading, buffered writing, and a close that loses no written bytes.
 
     `on_bytes(data)` is called for received bytes, `on_end(error or None)` once at the end. With
     `detect_hangup_early`, the stream notices the close by the other side in the turn in which it arrives,
@@ -34,28 +34,28 @@
     __slots__ = ()
 
     def detach(self) -> int:
-        """Returns the descriptor, open and no longer watched; no callback is called any more."""
+        """Stops watching the descriptor and returns it open; no callback is called any more."""
         self.on_bytes, self.on_end, self.open = _ignore, _ignore, False
         self.loop.unwatch(self.fd)
         return self.sock.detach()
 
     def close(self, closed: EndHandler | None = None) -> None:
-        """Sends all that was written, shuts writing down, and reads for a while until the other side closes.
+        """Sends the queued bytes, shuts down writing, and reads for a while until the other side closes.
 
         `closed(error)` is called once the descriptor is closed; no other callback is called any more. Closing
-        the socket immediately could lose the last answer: if bytes lie unread, or come after the close, the
-        kernel resets the connection, and a reset destroys bytes that are on their way. Streams that close in
-        this way still use descriptors; they are in `loop.closing_streams`.
+        the socket immediately could lose the last answer: if bytes are unread or arrive after the close, the
+        kernel resets the connection, and a reset discards bytes that are in transit. A stream that is closing
+        still uses a descriptor, and is in `loop.closing_streams`.
         """
         if self.closing or not self.open:
             return
         self.on_bytes, self.on_end, self.on_half_close = _ignore, closed or _ignore, None
         if not self.outgoing and not self.bytes_sent:
-            self._finish(None)  # nothing was sent that a reset could destroy
+            self._finish(None)  # nothing was sent that a reset could discard
             return
         self.closing = True
         self.loop.closing_streams[self] = self.loop.now()
-        if self.outgoing:  # reading is paused, as the other side's end would end the stream too early
+        if self.outgoing:  # while reading, a close by the other side would end the stream too early
             self.half_closed = True
             self.pause()
             self.close_timer = self.loop.after(CLOSE_TIMEOUT, self.reset)
@@ -63,7 +63,7 @@
             self._shut_down_writing()
 
     def _shut_down_writing(self) -> None:
-        with suppress(OSError):  # the connection was reset, which reading will report
+        with suppress(OSError):  # the connection was reset, which the next read reports
             self.sock.shutdown(socket.SHUT_WR)
         if self.close_timer is not None:
             self.close_timer.cancel()
@@ -74,7 +74,7 @@
     def finish_close(self, until: int = 0) -> None:
         """Closes the socket although the other side has not closed.
 
-        While the other side has not acknowledged all bytes, this waits, until the time `until` (ns).
+        Waits first until the other side has acknowledged all bytes, at most until the time `until` (ns).
         """
         if not self.is_acknowledged() and self.loop.now() < until:
             self.close_timer = self.loop.after(CLOSE_WAIT, self.finish_close, until)
@@ -82,7 +82,7 @@
             self._finish(None)
 
     def is_acknowledged(self) -> bool:
-        """Whether the other side has acknowledged all that was written."""
+        """Whether the other side has acknowledged all written bytes."""
         return not self.outgoing and not unread.unacknowledged_bytes(self.fd)
 
     def abort(self) -> None:
@@ -113,4 +113,4 @@
 
 
 def _ignore(*_: object) -> None:
-    """Replaces a callback that is not wanted any more."""
+    """Stands in for a callback that must not be called any more."""
--- a/gaproute/loop/timers.py
+++ b/gaproute/loop/timers.py
@@ -1,4 +1,4 @@
-"""Timers in a heap, by a clock of int nanoseconds."""
+"""Timers in a heap, on a clock that returns int nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 Callback = Callable[..., object]
 Clock = Callable[[], int]
 
-MIN_CANCELLED_TO_COMPACT = 1024  # cancelled timers in the heap above which it may be rebuilt without them
+MIN_CANCELLED_TO_COMPACT = 1024  # the heap is not rebuilt for fewer cancelled timers
 
 
 class TimerOwner(Protocol):
-    """Owns timers, and counts those that were cancelled and are still in its heap."""
+    """Counts the cancelled timers that are still in its heap."""
 
     cancelled_count: int
 
 
 class Timer:
-    """One call at a future time. `call` is None once the timer has fired or was cancelled."""
+    """One call at a future time; `call` is None once the timer has fired or was cancelled."""
 
     __slots__ = ("when", "call", "args", "loop")
 
@@ -30,7 +30,7 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Cancels the timer; without effect if it has fired already."""
+        """Cancels the timer; does nothing if the timer has fired already."""
         if self.call is not None:
             self.call = None
             self.args = ()
@@ -38,17 +38,17 @@
 
 
 class TimerQueue:
-    """Timers in the order in which they are due; those due at one time in the order of being set."""
+    """Timers in the order in which they are due, and in the order of creation if due at the same time."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        # (when it is due, its number, the timer): plain tuples, which the heap compares fast.
+        # (due time, number, timer): plain tuples, which the heap compares fast.
         self.timers: list[tuple[int, int, Timer]] = []
-        self.timer_count = 0  # set so far; the number of the latest
+        self.timer_count = 0  # timers created so far; the number of the latest timer
         self.cancelled_count = 0  # cancelled timers that are still in the heap
 
     def now(self) -> int:
-        """The time, ns."""
+        """The present time, ns."""
         return self.clock()
 
     def at(self, when: int, call: Callback, *args: object) -> Timer:
--- a/gaproute/loop/unread.py
+++ b/gaproute/loop/unread.py
@@ -1,7 +1,7 @@
-"""Asks the kernel about bytes of a connection that were not read or not acknowledged yet.
+"""Asks the kernel about the unread and the unacknowledged bytes of a connection.
 
-Each function makes one or two system calls and consumes nothing. If a call fails, the answer is as if there
-were nothing.
+Each function makes one or two system calls and consumes no bytes. If a call fails, the function returns the
+result for a connection without such bytes.
 """
 
 import fcntl
@@ -15,22 +15,22 @@
 
 # The other side has shut down its sending; epoll reports this even while received bytes are unread.
 REMOTE_SHUTDOWN = select.EPOLLRDHUP
-TCP_INFO_LAST_DATA_RECV = slice(52, 56)  # of `struct tcp_info`: ms since the last bytes came
-MAX_PEEK_BYTES = 2 << 20  # bytes that are peeked at most: more than the open requests of one client have
+TCP_INFO_LAST_DATA_RECV = slice(52, 56)  # field of `struct tcp_info`: ms since the last bytes arrived
+MAX_PEEK_BYTES = 2 << 20  # more than the open requests of one client have
 
 
 class Pending(NamedTuple):
-    """What waits in the kernel to be read."""
+    """What a connection has in the kernel to be read."""
 
     hung_up: bool  # the other side has closed or reset the connection
-    unread: bool  # bytes, or the end of the connection, can be read
+    unread: bool  # received bytes or the end of the connection can be read
 
 
 NOTHING_PENDING = Pending(hung_up=False, unread=False)
 
 
 def pending(fd: int) -> Pending:
-    """What waits to be read on a descriptor."""
+    """What a descriptor has in the kernel to be read."""
     poller = select.poll()
     poller.register(fd, select.POLLIN | REMOTE_SHUTDOWN)
     try:
@@ -45,7 +45,7 @@
 
 
 def peek(sock: socket.socket) -> bytes:
-    """The bytes that lie unread, at most `MAX_PEEK_BYTES`; they are not consumed."""
+    """The unread bytes, at most `MAX_PEEK_BYTES`; they stay unread."""
     try:
         unread = int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
         return (
@@ -56,7 +56,7 @@
 
 
 def unacknowledged_bytes(fd: int) -> int:
-    """How many sent bytes the other side has not acknowledged; 0 where that is not known."""
+    """The number of sent bytes that the other side has not acknowledged; 0 if it is unknown."""
     try:
         return int.from_bytes(fcntl.ioctl(fd, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
     except OSError:
@@ -64,7 +64,7 @@
 
 
 def age_of_last_bytes(sock: socket.socket) -> int:
-    """How long ago the last bytes came, read or not, in ns with a precision of 1 ms; 0 if not over TCP."""
+    """The age of the last received bytes, read or unread, ns in steps of 1 ms; 0 for a Unix socket."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECV.stop)
     except OSError:
