--- a/tests/connections/conftest.py
+++ b/tests/connections/conftest.py
@@ -1,4 +1,4 @@
-"""Servers on sockets whose clock a test may move, and their clients."""
+"""Harnesses with a server on real sockets, a clock that the test moves, and clients."""
 
 import socket
 import time
@@ -17,39 +17,40 @@
 LIMITS = Limits(idle_time=60 * SECOND)
 
 
-class ServedClients:
-    """A server on a loop of the test's own clock, and blocking clients."""
+class ServerHarness:
+    """A server on a loop whose clock runs `clock_offset` ns ahead of the real one, and blocking clients."""
 
-    def __init__(self, limits=LIMITS, made=None, *, answer=True):
-        self.skew = 0
-        self.loop = Loop(lambda: time.monotonic_ns() + self.skew)
-        self.connections = AcceptedConnections(self.loop, made)
-        self.asked, self.clients, self.answers = [], [], answer
+    def __init__(self, limits=LIMITS, admission=None, *, answer_requests=True):
+        self.clock_offset = 0
+        self.loop = Loop(lambda: time.monotonic_ns() + self.clock_offset)
+        self.connections = AcceptedConnections(self.loop, admission)
+        self.requests, self.clients, self.answer_requests = [], [], answer_requests
         self.server = Server(self.loop, parse_address("127.0.0.1:0"), self.handle, limits, counted=True)
-        self.at = parse_address(self.server.address)[1]
+        self.address = parse_address(self.server.address)[1]
 
     def handle(self, request):
-        self.asked.append(request)
-        if self.answers:
+        self.requests.append(request)
+        if self.answer_requests:
             self.server.answer(request, 200, (), b"ok")
 
-    def client(self, source="127.0.0.1"):
-        made = socket.create_connection(self.at, source_address=(source, 0))
-        made.settimeout(5)
-        self.clients.append(made)
-        return made
+    def connect_client(self, source="127.0.0.1"):
+        client = socket.create_connection(self.address, source_address=(source, 0))
+        client.settimeout(5)
+        self.clients.append(client)
+        return client
 
-    def turns(self, condition, most=2000):
-        for _ in range(most):
+    def run_until(self, condition, max_turns=2000):
+        for _ in range(max_turns):
             if condition():
                 return
             self.loop.run(until=self.loop.sleep(MILLI // 5))
-        raise AssertionError("it did not come about")
+        raise AssertionError(f"the condition does not hold after {max_turns} turns of the loop")
 
-    def ask(self, client):
-        before = len(self.asked)
+    def request(self, client):
+        """Sends a request and returns the bytes of its answer."""
+        before = len(self.requests)
         client.sendall(HEAD)
-        self.turns(lambda: len(self.asked) > before)
+        self.run_until(lambda: len(self.requests) > before)
         return client.recv(4096)
 
     def close(self):
@@ -60,35 +61,35 @@
 
 
 @pytest.fixture
-def serving():
-    """Makes servers with their clients and closes them after the test."""
-    yield from makers(ServedClients)
+def make_harness():
+    """Creates harnesses and closes them after the test."""
+    yield from makers(ServerHarness)
 
 
-class SteppedServer:
-    """A server on a loop of its own whose clock the test moves, and clients that are plain sockets."""
+class SteppedServerHarness:
+    """A server on a loop whose clock stands still unless the test advances it, and non-blocking clients."""
 
     def __init__(self):
-        self.before = open_descriptors()
-        self.clock, self.faults, self.clients, self.taken = Handed(), [], [], []
+        self.descriptors_before = open_descriptors()
+        self.clock, self.errors, self.clients, self.requests = Handed(), [], [], []
         self.loop = Loop(self.clock)
-        self.loop.on_error = self.faults.append
+        self.loop.on_error = self.errors.append
         self.loop.parked_epoll = FailingEpoll(self.loop.parked_epoll)
         self.server = Server(self.loop, parse_address("127.0.0.1:0"), self.handle, counted=True)
         self.connections = self.server.connections
 
     def handle(self, request):
-        self.taken.append(request)
+        self.requests.append(request)
         self.server.answer(request, 200, (), b"well")
 
-    def client(self, data=b""):
-        made = socket.create_connection(parse_address(self.server.address)[1])
-        made.sendall(data)
-        made.setblocking(False)
-        self.clients.append(made)
-        return made
+    def connect_client(self, data=b""):
+        client = socket.create_connection(parse_address(self.server.address)[1])
+        client.sendall(data)
+        client.setblocking(False)
+        self.clients.append(client)
+        return client
 
-    def passes(self, span, step=MILLI):
+    def advance(self, span, step=MILLI):
         until = self.clock.now + span
         while self.clock.now < until:
             self.clock.now = min(until, self.clock.now + step)
@@ -96,8 +97,8 @@
                 self.loop.soon(lambda: None)
                 self.loop.turn()
 
-    def answers(self, client):
-        self.passes(20 * MILLI)
+    def count_answers(self, client):
+        self.advance(20 * MILLI)
         try:
             return client.recv(65536).count(b"200")
         except BlockingIOError:
@@ -106,19 +107,19 @@
     def close(self):
         for client in self.clients:
             client.close()
-        self.passes(SECOND, 20 * MILLI)
+        self.advance(SECOND, 20 * MILLI)
         self.server.close()
         self.loop.close()
         assert not self.connections.client_count
         assert not self.connections.parked_count
         assert not self.server.active_connections
         assert not self.loop.watched
-        assert self.faults == []
-        assert open_descriptors() == self.before
+        assert self.errors == []
+        assert open_descriptors() == self.descriptors_before
 
 
 @pytest.fixture
-def stepped():
-    made = SteppedServer()
-    yield made
-    made.close()
+def harness():
+    harness = SteppedServerHarness()
+    yield harness
+    harness.close()
--- a/tests/connections/test_admission.py
+++ b/tests/connections/test_admission.py
@@ -1,4 +1,4 @@
-"""The decisions on admission: who is accepted, served next and evicted."""
+"""The decisions on admission: which connections are accepted, served next and evicted."""
 
 import pytest
 from client_admission import admission
@@ -21,11 +21,11 @@
 LIMITS = Limits(idle_time=60 * SECOND)
 
 
-def test_clients_can_never_take_what_is_reserved_for_hosts_and_operators():
-    assert admission(most=10**6, descriptors=20_000).max_connections == 20_000 - RESERVED_DESCRIPTORS - int(
-        20_000 * HOST_DESCRIPTOR_SHARE
-    )
-    assert admission(most=100).max_connections == 100
+def test_connection_limit_leaves_the_descriptors_reserved_for_hosts_and_operators():
+    assert admission(
+        max_connections=10**6, descriptors=20_000
+    ).max_connections == 20_000 - RESERVED_DESCRIPTORS - int(20_000 * HOST_DESCRIPTOR_SHARE)
+    assert admission(max_connections=100).max_connections == 100
     assert admission(descriptors=10).max_connections == 1
 
 
@@ -38,11 +38,13 @@
         (5, 10, True, Verdict.REJECT),
     ],
 )
-def test_an_arrival_is_accepted_evicts_or_is_rejected(client_count, address_count, can_evict, verdict):
+def test_a_new_connection_is_accepted_evicts_another_or_is_rejected(
+    client_count, address_count, can_evict, verdict
+):
     assert admission().admit(client_count, address_count, can_evict=can_evict) is verdict
 
 
-def test_the_least_valuable_goes_then_the_longest_idle_and_none_that_was_busy_just_now():
+def test_eviction_chooses_fewest_requests_then_longest_idle_and_skips_recently_busy():
     now = 100 * SECOND
     assert (
         admission().eviction_candidate(
@@ -59,20 +61,20 @@
     assert admission().eviction_candidate(now, []) is None
 
 
-def test_returning_connections_get_most_of_the_turns_and_new_ones_are_never_starved():
-    made = admission()
-    turns = [made.next_queue(1000, 100, arriving=True) for _ in range(4000)]
-    assert turns.count(AdmissionQueue.RETURNING) == 3000
-    assert 300 < turns.count(AdmissionQueue.NEW) < 700
-    assert 300 < turns.count(AdmissionQueue.ARRIVING) < 700
-    assert made.next_queue(0, 0, arriving=False) is None
-    assert {made.next_queue(1, 0, arriving=False) for _ in range(8)} == {AdmissionQueue.RETURNING}
-    assert {made.next_queue(0, MAX_NEW_WAITING, arriving=True) for _ in range(50)} == {
+def test_returning_connections_get_most_of_the_turns_and_new_ones_are_not_starved():
+    decisions = admission()
+    queues = [decisions.next_queue(1000, 100, arriving=True) for _ in range(4000)]
+    assert queues.count(AdmissionQueue.RETURNING) == 3000
+    assert 300 < queues.count(AdmissionQueue.NEW) < 700
+    assert 300 < queues.count(AdmissionQueue.ARRIVING) < 700
+    assert decisions.next_queue(0, 0, arriving=False) is None
+    assert {decisions.next_queue(1, 0, arriving=False) for _ in range(8)} == {AdmissionQueue.RETURNING}
+    assert {decisions.next_queue(0, MAX_NEW_WAITING, arriving=True) for _ in range(50)} == {
         AdmissionQueue.NEW
-    }  # no more are accepted
+    }  # accepting waits while too many new connections wait
 
 
 @given(st.integers(1, 10**12), st.integers(0, 10**12))
-def test_an_idle_time_is_never_shortened_and_spreads(idle, now):
-    ends = {admission().idle_deadline(now, idle) for _ in range(5)}
-    assert all(now + idle <= end <= now + idle * (1 + IDLE_JITTER) + 1 for end in ends)
+def test_jitter_lengthens_an_idle_time_and_never_shortens_it(idle, now):
+    deadlines = {admission().idle_deadline(now, idle) for _ in range(5)}
+    assert all(now + idle <= deadline <= now + idle * (1 + IDLE_JITTER) + 1 for deadline in deadlines)
--- a/tests/connections/test_eviction.py
+++ b/tests/connections/test_eviction.py
@@ -1,4 +1,4 @@
-"""Full gateways: idle connections are evicted for others, or arrivals rejected."""
+"""Full gateways evict idle connections, and reject new connections if none is idle."""
 
 from client_admission import admission
 
@@ -18,88 +18,93 @@
 
 
 def was_rejected(client):
-    """Whether the connection was answered that there is no room, and closed."""
-    said = b""
+    """Whether the server sent one 503 answer and closed the connection."""
+    answer = b""
     while part := client.recv(4096):
-        said += part
-    return said.startswith(b"HTTP/1.1 503") and said.count(b"HTTP/1.1") == 1 and b"Connection: close" in said
-
-
-def test_a_full_gateway_evicts_the_idle_and_rejects_where_none_is(serving):
-    made = serving(made=admission(most=3))
-    made.connections.admission.announces_close = lambda held: False
-    worthy, idle, busy = made.client(), made.client(), made.client()
-    made.turns(lambda: made.connections.parked_count == 3)
-    made.ask(worthy)
-    made.skew += 1300 * MILLI
-    made.turns(lambda: made.connections.parked_count == 3)
-    late = made.client()
-    made.turns(lambda: made.connections.rejected == 1)  # all were busy or came just now
-    assert was_rejected(late)
-    made.skew += MIN_IDLE
-    made.ask(busy)
-    fresh = made.client()
-    made.turns(lambda: made.connections.evicted == 1)
+        answer += part
+    return (
+        answer.startswith(b"HTTP/1.1 503")
+        and answer.count(b"HTTP/1.1") == 1
+        and b"Connection: close" in answer
+    )
+
+
+def test_a_full_gateway_evicts_an_idle_connection_and_rejects_a_new_one_if_none_is_idle(make_harness):
+    harness = make_harness(admission=admission(max_connections=3))
+    harness.connections.admission.announces_close = lambda client_count: False
+    valuable, idle, busy = harness.connect_client(), harness.connect_client(), harness.connect_client()
+    harness.run_until(lambda: harness.connections.parked_count == 3)
+    harness.request(valuable)
+    harness.clock_offset += 1300 * MILLI
+    harness.run_until(lambda: harness.connections.parked_count == 3)
+    rejected = harness.connect_client()
+    harness.run_until(
+        lambda: harness.connections.rejected == 1
+    )  # no connection has been idle for long enough
+    assert was_rejected(rejected)
+    harness.clock_offset += MIN_IDLE
+    harness.request(busy)
+    accepted = harness.connect_client()
+    harness.run_until(lambda: harness.connections.evicted == 1)
     assert idle.recv(1) == b""
-    assert made.connections.client_count == 3
-    assert b"200" in made.ask(fresh)
-    assert b"200" in made.ask(worthy)
+    assert harness.connections.client_count == 3
+    assert b"200" in harness.request(accepted)
+    assert b"200" in harness.request(valuable)
 
 
-def test_one_address_cannot_take_all_connections(serving):
-    made = serving(made=admission(per_address=2))
-    idle = [made.client("127.0.0.9") for _ in range(2)]
-    made.turns(lambda: made.connections.client_count == 2)
-    third = made.client("127.0.0.9")
-    made.turns(lambda: made.connections.rejected == 1)
+def test_one_address_cannot_take_all_connections(make_harness):
+    harness = make_harness(admission=admission(max_per_address=2))
+    idle = [harness.connect_client("127.0.0.9") for _ in range(2)]
+    harness.run_until(lambda: harness.connections.client_count == 2)
+    third = harness.connect_client("127.0.0.9")
+    harness.run_until(lambda: harness.connections.rejected == 1)
     assert was_rejected(third)
-    other = made.client("127.0.0.8")
-    made.turns(lambda: made.connections.client_count == 3)
+    other = harness.connect_client("127.0.0.8")
+    harness.run_until(lambda: harness.connections.client_count == 3)
     idle.pop().close()
-    made.turns(lambda: made.connections.client_count == 2)
-    again = made.client("127.0.0.9")
-    made.turns(lambda: made.connections.client_count == 3)
-    assert b"200" in made.ask(again)
-    assert b"200" in made.ask(other)
+    harness.run_until(lambda: harness.connections.client_count == 2)
+    again = harness.connect_client("127.0.0.9")
+    harness.run_until(lambda: harness.connections.client_count == 3)
+    assert b"200" in harness.request(again)
+    assert b"200" in harness.request(other)
 
 
-def test_where_connections_are_nearly_used_up_answers_say_that_the_connection_closes(serving):
-    made = serving(made=admission(most=2))
-    one, two = made.client(), made.client()
-    made.turns(lambda: made.connections.client_count == 2)
-    assert b"Connection: close" in made.ask(one)
-    made.turns(lambda: made.connections.client_count == 1)
-    assert b"Connection: close" not in made.ask(two)
+def test_answers_close_their_connection_when_nearly_all_connections_are_in_use(make_harness):
+    harness = make_harness(admission=admission(max_connections=2))
+    first, second = harness.connect_client(), harness.connect_client()
+    harness.run_until(lambda: harness.connections.client_count == 2)
+    assert b"Connection: close" in harness.request(first)
+    harness.run_until(lambda: harness.connections.client_count == 1)
+    assert b"Connection: close" not in harness.request(second)
 
 
-def test_an_address_whose_last_connection_makes_room_for_itself_is_counted_on():
+def test_an_address_stays_counted_if_its_only_connection_is_evicted_for_its_next_one():
     loop = Loop()
     connections = AcceptedConnections(loop, Admission(1, 10, 1000, Chance(1)))
     first = connections.admit("a", counted=True)
 
-    def displace():
+    def evict_first():
         connections.release(first, counted=True)
         return True
 
-    connections._evict_one = displace
-    place = connections.admit("a", counted=True)
-    connections.release(place, counted=True)
+    connections._evict_one = evict_first
+    second = connections.admit("a", counted=True)
+    connections.release(second, counted=True)
     assert connections.client_count == 0
     assert not connections.addresses
     loop.close()
 
 
-def calls_to_choose(serving, idle_clients):
-    """How many functions are called to find out whether a gateway that is full of so many idle clients has
-    one to evict."""
-    made = serving(made=admission(most=idle_clients, per_address=idle_clients))
+def calls_of_has_capacity(make_harness, idle_clients):
+    """The number of function calls of `has_capacity` in a server that is full of idle clients."""
+    harness = make_harness(admission=admission(max_connections=idle_clients, max_per_address=idle_clients))
     for _ in range(idle_clients):
-        made.client()
-    made.turns(lambda: made.connections.parked_count == idle_clients)
-    made.skew += 2 * MIN_IDLE
-    assert made.connections.has_capacity()  # which also registers all of them with the inner epoll
-    return function_calls(made.connections.has_capacity)
+        harness.connect_client()
+    harness.run_until(lambda: harness.connections.parked_count == idle_clients)
+    harness.clock_offset += 2 * MIN_IDLE
+    assert harness.connections.has_capacity()  # the first call also handles pending registrations
+    return function_calls(harness.connections.has_capacity)
 
 
-def test_choosing_whom_to_evict_calls_no_function_for_each_idle_connection(serving):
-    assert calls_to_choose(serving, 5) == calls_to_choose(serving, 40)
+def test_choosing_a_connection_to_evict_calls_no_function_per_idle_connection(make_harness):
+    assert calls_of_has_capacity(make_harness, 5) == calls_of_has_capacity(make_harness, 40)
--- a/tests/connections/test_syscalls_stop.py
+++ b/tests/connections/test_syscalls_stop.py
@@ -1,4 +1,4 @@
-"""Stops of servers and fronts while accepting and reading fail."""
+"""Stops of servers and fronts while accept and read calls fail."""
 
 import errno
 
@@ -7,32 +7,32 @@
 from scripted import MILLI, SECOND, Handed, nothing
 
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-EPOLL_SHORT = [errno.ENOSPC, errno.ENOMEM]
+EPOLL_SHORTAGE_ERRNOS = [errno.ENOSPC, errno.ENOMEM]
 
 
 def failing_accept(sock, *codes):
-    """Stands for a listening socket whose next accepts fail."""
-    made = FailingSocket(sock)
-    made.fail("accept", *codes)
-    return made
+    """A stand-in for a listening socket whose next accept calls fail."""
+    failing = FailingSocket(sock)
+    failing.fail("accept", *codes)
+    return failing
 
 
 @pytest.mark.parametrize(
     "code", [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.EINTR, errno.ENETDOWN]
 )
-def test_who_waits_in_the_queue_at_a_stop_is_answered_though_accepting_fails(stepped, code):
-    server = stepped.server
+def test_a_client_in_the_accept_queue_at_a_stop_is_answered_although_accepting_fails(harness, code):
+    server = harness.server
     server.listener.sock = failing_accept(server.listener.sock, *[code] * 20)
-    client = stepped.client(HEAD)
+    client = harness.connect_client(HEAD)
     emptied = []
-    server.on_emptied = lambda: emptied.append(stepped.clock.now)
+    server.on_emptied = lambda: emptied.append(harness.clock.now)
     server.stop(SECOND)
     assert server.connection_count
     assert not emptied
-    stepped.passes(200 * MILLI)
-    assert stepped.answers(client) == 1
+    harness.advance(200 * MILLI)
+    assert harness.count_answers(client) == 1
     client.close()
-    stepped.passes(SECOND, 10 * MILLI)
+    harness.advance(SECOND, 10 * MILLI)
     assert emptied
     assert server.listener.sock.fileno() < 0
     assert not server.connection_count
@@ -41,24 +41,24 @@
 @pytest.mark.parametrize(
     "code", [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.EINTR, errno.ENETDOWN]
 )
-def test_the_platforms_front_takes_in_who_waits_at_a_stop_though_accepting_fails(gate, code):
-    made = gate(clock=Handed())
-    front = made.process.front
+def test_the_platform_front_accepts_waiting_clients_at_a_stop_although_accepting_fails(gate, code):
+    platform = gate(clock=Handed())
+    front = platform.process.front
     front.listener.sock = failing_accept(front.listener.sock, *[code] * 20)
-    client = made.client()
+    client = platform.client()
     client.ask(1)
-    made.process.stop()
-    made.process.shutdown.stop_accepting()
-    assert front.connection_count  # neither connection nor end: one may wait
+    platform.process.stop()
+    platform.process.shutdown.stop_accepting()
+    assert front.connection_count  # counts one, as a connection may wait in the accept queue
     for _ in range(40):
-        made.passes(5 * MILLI)
+        platform.passes(5 * MILLI)
     assert len(client.answers) == 1
     assert front.listener.sock.fileno() < 0
 
 
-def test_a_front_that_is_closed_while_it_takes_in_leaves_no_timer(gate):
-    made = gate(clock=Handed())
-    front = made.process.front
+def test_a_front_that_is_closed_while_it_empties_the_accept_queue_leaves_no_timer(gate):
+    platform = gate(clock=Handed())
+    front = platform.process.front
     front.listener.sock = failing_accept(front.listener.sock, *[errno.EMFILE] * 99)
     front.stop()
     timer = front.drain_timer
@@ -70,17 +70,17 @@
     assert front.listener.pause_timer is None
 
 
-def test_one_that_could_not_be_looked_at_when_the_process_stopped_is_closed_a_moment_later(gate):
-    made = gate(nothing, clock=Handed())
-    client = made.client()
+def test_a_connection_that_could_not_be_peeked_at_during_a_stop_is_closed_later(gate):
+    platform = gate(nothing, clock=Handed())
+    client = platform.client()
     client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
-    made.until(lambda: client.answers)
-    (link,) = made.process.front.active_connections
-    link.stream.sock = FailingSocket(link.stream.sock)
-    link.stream.sock.fail("recv", *[errno.ENOMEM] * 6)
-    made.process.front.stop()
-    assert not link.closing
+    platform.until(lambda: client.answers)
+    (connection,) = platform.process.front.active_connections
+    connection.stream.sock = FailingSocket(connection.stream.sock)
+    connection.stream.sock.fail("recv", *[errno.ENOMEM] * 6)
+    platform.process.front.stop()
+    assert not connection.closing
     for _ in range(5):
-        made.passes(50 * MILLI)
+        platform.passes(50 * MILLI)
     assert client.ended
-    assert not made.process.front.active_connections
+    assert not platform.process.front.active_connections
--- a/tests/support/client_admission.py
+++ b/tests/support/client_admission.py
@@ -1,9 +1,8 @@
-"""Admission with limits that a test can reach."""
+"""Admission with limits that are low enough for tests to reach."""
 
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
 
 
-def admission(most=10, per_address=10, descriptors=10_000):
-    """Admission of so many connections."""
-    return Admission(most, per_address, descriptors, Chance(1))
+def admission(max_connections=10, max_per_address=10, descriptors=10_000):
+    return Admission(max_connections, max_per_address, descriptors, Chance(1))
