--- a/tests/loop/conftest.py
+++ b/tests/loop/conftest.py
@@ -1,4 +1,4 @@
-"""A loop that must end clean, and sockets whose calls fail, for the tests of dialing and accepting."""
+"""A loop that must leave nothing open, and sockets whose calls fail, for tests of dials and listeners."""
 
 import gc
 import socket
@@ -12,7 +12,7 @@
 
 
 class EvictionCounter:
-    """Stands for the accepted connections of a loop."""
+    """A stand-in for the accepted connections of a loop."""
 
     count = 0
 
@@ -23,27 +23,27 @@
 
 @pytest.fixture
 def loop():
-    """A loop on a stepped clock, on which nothing may be left behind."""
-    gc.collect()  # what an earlier test left unclosed is not to be collected between the two counts
+    """A loop on a stepped clock; no error, timer, registration or descriptor may be left after the test."""
+    gc.collect()  # frees what earlier tests left open, which could otherwise happen between the two counts
     before = open_descriptors()
-    made = Loop(SteppedClock(now=7 * SECOND))
-    made.faults = []
-    made.on_error = made.faults.append
-    yield made
-    assert made.faults == []
-    assert not made.watched
-    assert not made.pending_registrations
-    assert not [entry for entry in made.timers if entry[2].call is not None]
-    made.close()
+    loop = Loop(SteppedClock(now=7 * SECOND))
+    loop.reported_errors = []
+    loop.on_error = loop.reported_errors.append
+    yield loop
+    assert loop.reported_errors == []
+    assert not loop.watched
+    assert not loop.pending_registrations
+    assert not [entry for entry in loop.timers if entry[2].call is not None]
+    loop.close()
     assert open_descriptors() == before
 
 
 @pytest.fixture
-def real():
+def real_loop():
     """A loop on the real clock."""
-    made = Loop()
-    yield made
-    made.close()
+    loop = Loop()
+    yield loop
+    loop.close()
 
 
 @pytest.fixture
@@ -54,30 +54,32 @@
 
 
 @pytest.fixture
-def sockets(monkeypatch):
-    """Makes a call of the next sockets of dials and listeners fail: `sockets(name, *codes)`, one number for
-    each socket."""
+def fail_sockets(monkeypatch):
+    """Makes calls of the next sockets of dials and listeners fail.
 
-    class Made:
+    `fail_sockets(name, *errnos)`: the call `name` fails once per socket, with the next errno.
+    """
+
+    class SocketModule:
         def __getattr__(self, name):
             return getattr(socket, name)
 
-    stand_in = Made()
-    monkeypatch.setattr(dialing, "socket", stand_in)
-    monkeypatch.setattr(listening, "socket", stand_in)
+    socket_module = SocketModule()
+    monkeypatch.setattr(dialing, "socket", socket_module)
+    monkeypatch.setattr(listening, "socket", socket_module)
 
-    def fail(name, *codes):
+    def fail(name, *errnos):
         if name == "socket":
-            stand_in.socket = Failing(socket.socket, *codes)
+            socket_module.socket = Failing(socket.socket, *errnos)
             return
-        left = list(codes)
+        remaining = list(errnos)
 
-        def make(*args):
-            made = FailingSocket(socket.socket(*args))
-            if left:
-                made.fail(name, left.pop(0))
-            return made
+        def create(*args):
+            sock = FailingSocket(socket.socket(*args))
+            if remaining:
+                sock.fail(name, remaining.pop(0))
+            return sock
 
-        stand_in.socket = make
+        socket_module.socket = create
 
     return fail
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -16,7 +16,7 @@
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.addresses import parse_address
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import word_pb2
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
@@ -55,7 +55,7 @@
         self.record, self.name = Record(), name
         self.peer_server = PeerServer(loop, parse_address("127.0.0.1:0"), None, None, ())
         self.membership = MembershipTransport(
-            loop, name, self.peer_server.address, Chance(seed), self.record, partial(Datagrams, loop)
+            loop, name, self.peer_server.address, Chance(seed), self.record, partial(DatagramSocket, loop)
         )
         self.transport = CellTableTransport(
             loop,
--- a/tests/support/streams.py
+++ b/tests/support/streams.py
@@ -5,8 +5,8 @@
 from gaproute.loop import Stream
 
 
-def pair(loop, on_bytes=lambda data: None, on_end=lambda error: None):
-    """A stream on one end of a pair of sockets, and the other end."""
-    here, there = socket.socketpair()
-    here.setblocking(False)
-    return Stream(loop, here, on_bytes, on_end), there
+def stream_pair(loop, on_bytes=lambda data: None, on_end=lambda error: None):
+    """Returns a stream on one socket of a connected pair, and the other socket."""
+    local, remote = socket.socketpair()
+    local.setblocking(False)
+    return Stream(loop, local, on_bytes, on_end), remote
