--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -1,13 +1,13 @@
-"""Serves clients that call by JSON-RPC: requests go to the core, final answers back; bodies are not changed.
+"""Serves JSON-RPC clients: passes requests to the core and sends final answers; bodies are not changed.
 
-| final answer | what the client reads |
+| final answer | response to the client |
 | --- | --- |
 | delivered | a result with the host's body |
-| rejected | an error with the code for 'a retry is safe', and how long to wait before it |
+| rejected | an error with the code for a safe retry, and how long to wait before it |
 | failed | any other error |
 
 A message that cannot be decoded is answered with an error, and its connection is closed. A message that is no
-request, or an invalid request, is answered with an error, and the connection goes on.
+request, or an invalid request, is answered with an error, and its connection stays open.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
 from gaproute.fronts.jsonrpc import cancellation, responses
-from gaproute.fronts.jsonrpc.connection import ClientConnection
+from gaproute.fronts.jsonrpc.connection import RpcConnection
 from gaproute.fronts.jsonrpc.connection_owner import OpenRequest
 from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
-from gaproute.fronts.jsonrpc.memory_limit import connections_over_limit
+from gaproute.fronts.jsonrpc.memory_limit import connections_to_end
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
 from gaproute.interface.call import Call, Ending, Final
@@ -32,24 +32,24 @@
 from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
 from gaproute.units import MILLI, SECOND
 
-MAX_OPEN_REQUESTS = 32  # of one connection at a time, by the protocol
-SWEEP_INTERVAL = 100 * MILLI  # between checks for quiet and slow clients: one timer for all of them
-FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection: an unused one is to be closed within 3 s
-LATE_ANSWER_TIME = 500 * MILLI  # after a client's deadline, in which it may still accept an answer
-# Bytes of unsent answers and incomplete messages of all clients together, an eighth of the memory of a usual
-# gateway. Above it the connections that use the most are ended.
-MAX_BUFFERED = 24 << 20
+MAX_OPEN_REQUESTS = 32  # of one connection at a time, as the protocol allows
+SWEEP_INTERVAL = 100 * MILLI  # between checks of all connections, by one timer
+FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection, as unused ones must be closed within 3 s
+LATE_ANSWER_TOLERANCE = 500 * MILLI  # after its deadline, a client may still accept an answer
+# Unsent answers and incomplete messages of all clients together, above which the connections that use the
+# most memory are ended: an eighth of the memory that a gateway usually has.
+MAX_BUFFERED_BYTES = 24 << 20
 
 
 class ClassLimit(NamedTuple):
-    """What the front needs to know of a request class."""
+    """The limits of a request class."""
 
-    class_index: int  # in the terms' order
-    deadline: int  # how long a client waits at most, ns
+    class_index: int  # in the order of the core's request classes
+    time_limit: int  # how long a client waits at most, ns
 
 
-class JsonRpcFront(Acceptor[ClientConnection]):
-    """One listening address for clients. `core` takes the requests."""
+class JsonRpcFront(Acceptor[RpcConnection]):
+    """Serves clients on one listening address; `core` runs the requests."""
 
     def __init__(
         self,
@@ -59,87 +59,90 @@
         class_names: Sequence[str],
         request_classes: Sequence[RequestClass],
         is_ready: Callable[[], bool],
-        return_time: int,
+        answer_transit_time: int,
     ) -> None:
         """Listens at the address. Errors: OSError.
 
-        `class_names`: the names of `request_classes`, in the same order; `is_ready()`: whether requests can
-        be served; `return_time`: how long an answer takes to reach its client, ns.
+        `class_names`: of `request_classes`, in the same order; `is_ready()`: whether the gateway can serve
+        requests; `answer_transit_time`: how long an answer takes to reach its client, ns.
         """
         super().__init__(loop, address, counted=True)
-        self.core, self.is_ready, self.return_time = core, is_ready, return_time
+        self.core, self.is_ready, self.answer_transit_time = core, is_ready, answer_transit_time
         self.class_limits = {
             name: ClassLimit(index, request_class.hard_limit)
             for index, (name, request_class) in enumerate(zip(class_names, request_classes, strict=True))
         }
-        self.open_request_ids: dict[str, ClientConnection] = {}  # by the client's id of an open request
-        self.unresponsive = 0  # connections that were ended as their clients received no answers
+        self.open_request_ids: dict[str, RpcConnection] = {}  # by the client's id of the request
+        self.unresponsive_clients = 0  # number of connections ended as their clients received no answers
         self.on_protocol_error: Callable[[ErrorCode, str], None] = _ignore_error
         self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _first_request_due(self) -> int:
         return self.loop.now() + FIRST_MESSAGE_TIMEOUT
 
-    def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> ClientConnection:
-        return ClientConnection(self, sock, address_id, request_count)
+    def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> RpcConnection:
+        return RpcConnection(self, sock, address_id, request_count)
 
     # Limits
 
     def _sweep(self) -> None:
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)  # first: an error must not end it
+        # First, as an error must not end the sweeps
+        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
         now = self.loop.now()
         for connection in list(self.active_connections):
             self.loop.call_guarded(connection.check_progress, now)
         self.enforce_memory_limit()
 
     def enforce_memory_limit(self) -> None:
-        """Ends the connections that use the most memory while all together use too much.
+        """Ends connections while all connections together use too much memory.
 
-        Connections that are owed no answer are ended first. This guards against thousands of clients that
-        send slowly or receive no answers, each within the limits of one connection.
+        Connections that are owed no answer go first, then those that use the most memory. This guards against
+        thousands of clients that send slowly or receive no answers, each within the limits of one connection.
         """
-        for connection in connections_over_limit(self.active_connections, MAX_BUFFERED, self.loop.now()):
-            self.unresponsive += 1
+        for connection in connections_to_end(self.active_connections, MAX_BUFFERED_BYTES, self.loop.now()):
+            self.unresponsive_clients += 1
             connection.abort()
 
     # Requests
 
-    def handle_message(self, connection: ClientConnection, body: bytes) -> None:
-        """Handles a message of a client. Errors: ProtocolError, for the client."""
+    def handle_message(self, connection: RpcConnection, body: bytes) -> None:
+        """Handles a message of a client. Errors: ProtocolError, to be sent to the client."""
         message = decode_message(body)
         if message.method == cancellation.PING_METHOD:
             if message.number is not None:
                 connection.write(responses.encode_pong(message.number, ready=self.is_ready()))
-        elif message.method == cancellation.METHOD:
-            connection.cancel_request(cancellation.cancelled_request(message.params))
+        elif message.method == cancellation.CANCEL_METHOD:
+            connection.cancel_request(cancellation.decode_cancellation_params(message.params))
         else:
             self.start_request(connection, message)
 
-    def start_request(self, connection: ClientConnection, message: Message) -> None:
+    def start_request(self, connection: RpcConnection, message: Message) -> None:
         """Decodes a request and submits it to the core. Errors: ProtocolError."""
         number = self._check_number(connection, message)
         limit = self.class_limits[message.method]
-        request = decode_request(number, message.method, message.params, limit.deadline)
+        request = decode_request(number, message.method, message.params, limit.time_limit)
         self._check_capacity(connection, request)
         self.open_request_ids[request.request_id] = connection
         arrived_at = self.loop.now() - connection.read_delay
-        time_left = min(request.max_wait, limit.deadline)
+        time_left = min(request.max_wait, limit.time_limit)
         connection.request_count += 1
-        connection.owes_until = max(connection.owes_until, arrived_at + time_left + LATE_ANSWER_TIME)
+        connection.answers_owed_until = max(
+            connection.answers_owed_until, arrived_at + time_left + LATE_ANSWER_TOLERANCE
+        )
         key = self.core.submit(
-            self._call(connection, request),
+            self._build_call(connection, request),
             limit.class_index,
             0,
             request.concurrency,
             request.load_time,
             arrived_at,
-            time_left - self.return_time,
+            time_left - self.answer_transit_time,
             lambda final: self.finish_request(connection, request, final),
         )
         connection.open_requests[number] = OpenRequest(key, request.request_id)
 
-    def _check_number(self, connection: ClientConnection, message: Message) -> int:
-        """The number of a request of a known class. Errors: ProtocolError."""
+    def _check_number(self, connection: RpcConnection, message: Message) -> int:
+        """Checks the class and the number of a request; returns the number. Errors: ProtocolError."""
         number = message.number
         if number is None:
             raise ProtocolError(ErrorCode.INVALID_REQUEST, "a request needs an id")
@@ -150,8 +153,8 @@
             raise ProtocolError(ErrorCode.INVALID_REQUEST, "a request with this id is open")
         return number
 
-    def _check_capacity(self, connection: ClientConnection, request: Request) -> None:
-        """Checks that the request can be begun in addition to the open ones. Errors: ProtocolError."""
+    def _check_capacity(self, connection: RpcConnection, request: Request) -> None:
+        """Checks that the request may begin beside the open requests. Errors: ProtocolError."""
         if request.request_id in self.open_request_ids:
             raise ProtocolError(ErrorCode.INVALID_PARAMS, "a request with this i is open", request.number)
         if len(connection.open_requests) >= MAX_OPEN_REQUESTS:
@@ -160,8 +163,8 @@
         if self.stopping:
             raise ProtocolError(ErrorCode.REJECTED, "the gateway stops", request.number)
 
-    def _call(self, connection: ClientConnection, request: Request) -> Call:
-        """The call for the core; its `client_present` asks the connection whether the client still waits."""
+    def _build_call(self, connection: RpcConnection, request: Request) -> Call:
+        """Makes the call for the core; its `client_present` asks whether the client still waits."""
         return Call(
             request.function,
             "",
@@ -173,12 +176,12 @@
             client_present=lambda: connection.presence.is_waiting_for(request.number, request.request_id),
         )
 
-    def finish_request(self, connection: ClientConnection, request: Request, final: Final) -> None:
-        """Sends the final answer of a request, unless the client has cancelled it meanwhile."""
+    def finish_request(self, connection: RpcConnection, request: Request, final: Final) -> None:
+        """Sends the final answer to a request, unless the client has cancelled the request meanwhile."""
         number = request.number
         open_request = connection.open_requests.get(number)
-        if open_request is None or open_request.key != final.request:
-            return  # the request was cancelled; a new one may have its number by now
+        if open_request is None or open_request.gateway_request_id != final.request:
+            return  # the request was cancelled; a new request may have its number
         del connection.open_requests[number], self.open_request_ids[request.request_id]
         if final.answer is not None and final.ending is Ending.DELIVERED:
             connection.write(responses.encode_result(number, final.answer.body))
@@ -189,18 +192,18 @@
             connection.write(responses.encode_error(number, ErrorCode.FAILED, final.reason))
         connection.close_if_finished()
 
-    def client_left(self, request: OpenRequest) -> None:
-        """Notes that the client of a request does not wait any more."""
+    def abandon_request(self, request: OpenRequest) -> None:
+        """Ends a request whose client does not wait any more."""
         self.open_request_ids.pop(request.request_id, None)
-        self.core.client_left(request.key)
+        self.core.client_left(request.gateway_request_id)
 
-    # Stop
+    # Stopping
 
     def stop_accepting(self) -> None:
         """Stops accepting connections.
 
-        Those that wait in the kernel's queue are accepted first, as they would be reset; idle connections are
-        closed to free capacity for them. While there is none, or accepting fails, a timer tries again.
+        Connections in the kernel's queue are accepted first, as they would be reset; idle connections are
+        closed to free capacity for them. While there is no capacity or accepting fails, a timer retries.
         """
         self.drain_timer = None
         while (has_capacity := self.connections.has_capacity()) and (
@@ -218,7 +221,7 @@
     def stop(self) -> None:
         """Closes every connection once it has no open request and no incomplete message.
 
-        Messages that arrive until then are answered; requests among them are rejected.
+        Messages that arrive before are answered; requests among them are rejected.
         """
         if self.stopping:
             return
@@ -243,4 +246,4 @@
 
 
 def _ignore_error(code: ErrorCode, text: str) -> None:
-    """The default of `on_protocol_error`: does nothing."""
+    """The default of `on_protocol_error`."""
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -1,9 +1,9 @@
-"""The front at which other gateways forward calls to this one: the clients' form at the address of its peers.
+"""The front for calls that other gateways forward to this one, in the clients' form at the peer address.
 
-It answers them as a client's, but that it adds the cell's load and what the call found at the host, and that
-a rejected call that provably never ran is answered 404 where this gateway does not know the cell, else 429,
-in place of 503: by the results of the hosts (`gaproute.hosts.results`) these two alone prove that. Any other
-rejected call stays 503 and a failed one stays 504, which prove nothing.
+It answers forwarded calls as those of clients, with two differences. It adds the cell's load and what the
+call found at the host. And a rejected call that provably never ran is answered 404 if this gateway does not
+know the cell, else 429, in place of 503: only these statuses prove that a call never ran
+(`gaproute.hosts.results`). Any other rejected call is answered 503 and a failed one 504, which prove nothing.
 """
 
 from collections.abc import Callable
@@ -19,11 +19,11 @@
 from gaproute.interface import Found, Report
 from gaproute.interface.call import Answer, Call, Final
 
-NEVER_RAN, CELL_UNKNOWN = 429, 404  # status codes
+NEVER_RAN_STATUS, CELL_UNKNOWN_STATUS = 429, 404
 
 
 class EntryFront(RestFront):
-    """Serves other gateways on a server that hands over by `handle` what is for this front."""
+    """Serves other gateways; `server` passes the requests for this front to `handle`."""
 
     def __init__(
         self,
@@ -33,31 +33,31 @@
         is_ready: Callable[[], bool],
         load_report: Callable[[str], Report | None],
     ) -> None:
-        """`load_report(cell)`: the cell's load as it is sent to other gateways, where it is known."""
+        """`load_report(cell)`: the cell's load as it is sent to other gateways; None if unknown."""
         super().__init__(server, core, configuration, is_ready)
         self.load_report = load_report
 
-    def _call(self, request: Request, model: str, version: str) -> Call:
-        call = super()._call(request, model, version)
+    def _build_call(self, request: Request, model: str, version: str) -> Call:
+        call = super()._build_call(request, model, version)
         forwarded = forwarding.decode(request.headers)
         if forwarded is None:
             return call
         return call._replace(forwarded=forwarded, origin=forwarding.decode_origin(request.headers))
 
-    def _answer(self, request: Request, final: Final, answer: Answer) -> None:
+    def _send_answer(self, request: Request, final: Final, answer: Answer) -> None:
         forwarded = forwarding.decode(request.headers)
         if forwarded is not None:
-            fields = (*answer.fields, *self._metrics(forwarded.cell, final.found))
+            fields = (*answer.fields, *self._metrics_headers(forwarded.cell, final.found))
             answer = answer._replace(fields=fields)
-        super()._answer(request, final, answer)
+        super()._send_answer(request, final, answer)
 
-    def _rejected_status(self, request: Request, final: Final) -> int:
+    def _rejection_status(self, request: Request, final: Final) -> int:
         if not final.never_ran or forwarding.decode(request.headers) is None:
-            return super()._rejected_status(request, final)
-        return CELL_UNKNOWN if final.cell_unknown else NEVER_RAN
+            return super()._rejection_status(request, final)
+        return CELL_UNKNOWN_STATUS if final.cell_unknown else NEVER_RAN_STATUS
 
-    def _metrics(self, cell: str, found: Found) -> tuple[Header, ...]:
-        """The header with the cell's load and what the call found, as far as they are known."""
+    def _metrics_headers(self, cell: str, found: Found) -> tuple[Header, ...]:
+        """The header with the cell's load and what the call found at the host; none if neither is known."""
         report = self.load_report(cell)
         metrics: dict[str, float] = {}
         if report is not None and report.in_hand is not None:
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -11,7 +11,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
-LIMITS = Limits(idle_time=60 * SECOND)
+LIMITS = Limits(idle_timeout=60 * SECOND)
 
 
 def test_a_connection_is_parked_until_it_sends_bytes_and_again_when_it_is_quiet(make_harness):
@@ -66,7 +66,7 @@
 
 
 def test_a_connection_is_closed_at_its_idle_deadline_which_each_request_moves(make_harness):
-    harness = make_harness(Limits(idle_time=10 * SECOND))
+    harness = make_harness(Limits(idle_timeout=10 * SECOND))
     client = harness.connect_client()
     harness.run_until(lambda: harness.connections.parked_count == 1)
     harness.clock_offset += 9 * SECOND
@@ -84,7 +84,7 @@
 
 
 def test_after_a_stall_bytes_are_read_before_idle_deadlines_which_are_spread_over_turns(make_harness):
-    harness = make_harness(Limits(idle_time=10 * SECOND))
+    harness = make_harness(Limits(idle_timeout=10 * SECOND))
     sender = harness.connect_client()
     silent = [harness.connect_client() for _ in range(MAX_EXPIRIES_PER_TURN + 40)]
     harness.run_until(lambda: harness.connections.parked_count == len(silent) + 1)
@@ -165,7 +165,7 @@
 
 
 def test_a_reused_parked_descriptor_keeps_no_state_of_the_closed_connection(make_harness):
-    harness = make_harness(Limits(idle_time=10 * SECOND))
+    harness = make_harness(Limits(idle_timeout=10 * SECOND))
     old = harness.connect_client()
     harness.run_until(lambda: harness.connections.parked_count == 1)
     fd = next(fd for fd, state in enumerate(harness.connections.states) if state)
@@ -202,7 +202,7 @@
 
 
 def test_buffered_bytes_of_all_unfinished_requests_are_bounded_and_the_slowest_is_ended(make_harness):
-    harness = make_harness(Limits(idle_time=60 * SECOND, buffered=5000))
+    harness = make_harness(Limits(idle_timeout=60 * SECOND, max_buffered_bytes=5000))
     slow, other, quick = harness.connect_client(), harness.connect_client(), harness.connect_client()
     for client in (slow, other):
         client.sendall(b"POST / HTTP/1.1\r\nHost: g\r\nContent-Length: 4000\r\n\r\n" + b"x" * 2000)
