--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -100,9 +100,9 @@
         "connections": connections.client_count,
         "most": connections.admission.max_connections,
         "parked": connections.parked_count,
-        "displaced": connections.evicted,
-        "turned_away": connections.rejected,
-        "idle_ended": connections.expired,
+        "displaced": connections.evicted_count,
+        "turned_away": connections.rejected_count,
+        "idle_ended": connections.expired_count,
         "descriptors": descriptor_limit(),
         "kept_back": connections.admission.reserved_descriptors,
     }
--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -48,7 +48,7 @@
         self.returning_queue: deque[QueuedConnection] = deque()
         self.new_queue: deque[QueuedConnection] = deque()
         self.ready_listeners: dict[Listener, ConnectionOwner] = {}  # in the order in which they accept next
-        self.evicted = self.rejected = 0
+        self.evicted_count = self.rejected_count = 0
         loop.connections = self
 
     @classmethod
@@ -86,7 +86,7 @@
         """
         if counted:
             if not self._admits_client(address):
-                self.rejected += 1
+                self.rejected_count += 1
                 return None
             self.client_count += 1
         return self.address_counts.add(address)
@@ -108,7 +108,7 @@
         """Closes some idle connections, the longest idle first, to free descriptors."""
         self._enqueue_readable()  # a connection that has just sent bytes is not idle
         for fd in self.admission.oldest_idle(self.loop.now(), self._idle_sample()):
-            self.evicted += self._close_idle(fd)
+            self.evicted_count += self._close_idle(fd)
 
     def _evict_one(self) -> bool:
         stream = self._evictable_stream()
@@ -117,7 +117,7 @@
             return True
         while (fd := self._eviction_candidate()) is not None:
             if self._close_idle(fd):
-                self.evicted += 1
+                self.evicted_count += 1
                 return True
         return False
 
--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -43,9 +43,9 @@
         self, loop: Loop, address: Address, *, counted: bool, inherited: socket.socket | None = None
     ) -> None:
         self.loop, self.counted = loop, counted
-        self.active_connections: dict[Connection, None] = {}  # used as an ordered set
-        self.parked = 0
-        self.rejected_connections = 0  # rejected for lack of capacity
+        self.active_connections: dict[Connection, None] = {}  # connections in use, as an ordered set
+        self.parked_count = 0
+        self.rejected_connections = 0  # for lack of capacity
         self.protocol_errors = 0  # of all connections
         self.stopping = False
         self.on_emptied: Callable[[], None] | None = None  # set at a stop; called when no connection is left
@@ -60,7 +60,7 @@
     @property
     def connection_count(self) -> int:
         """Connections in use and parked, plus one while a stop has not emptied the kernel's accept queue."""
-        return len(self.active_connections) + self.parked + (self.drain_timer is not None)
+        return len(self.active_connections) + self.parked_count + (self.drain_timer is not None)
 
     # Methods that subclasses implement or override
 
@@ -99,7 +99,7 @@
             self.rejected_connections += 1
             self._reject(sock)
             return
-        self.parked += 1
+        self.parked_count += 1
         self.connections.park(
             sock.detach(),
             self.owner_id,
@@ -111,7 +111,7 @@
 
     def resume_connection(self, fd: int, data: bytes, address_id: int, request_count: int) -> None:
         """Makes a parked connection that has sent `data` active again."""
-        self.parked -= 1
+        self.parked_count -= 1
         sock = socket.socket(self.family, socket.SOCK_STREAM, 0, fd)
         connection = self._make_connection(sock, address_id, request_count)
         self.active_connections[connection] = None
@@ -122,7 +122,7 @@
     def park(self, connection: Connection, due: int) -> None:
         """Parks a quiet connection, and closes it at the time `due` (ns) if it has sent no bytes by then."""
         del self.active_connections[connection]
-        self.parked += 1
+        self.parked_count += 1
         self.connections.park(
             connection.stream.detach(),
             self.owner_id,
@@ -134,7 +134,7 @@
 
     def connection_closed(self) -> None:
         """Counts a parked connection that was closed."""
-        self.parked -= 1
+        self.parked_count -= 1
         self.check_emptied()
 
     def unregister(self, connection: Connection) -> None:
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -18,7 +18,7 @@
 from gaproute.loop.loop import Loop
 from gaproute.loop.timers import Timer
 
-MAX_EXPIRIES_PER_TURN = 256  # of idle deadlines; after a stall, many have passed at once
+MAX_EXPIRIES_PER_TURN = 256  # bounds the work of a turn after a stall, when many idle deadlines have passed
 NEXT_READ_EVENT = EPOLLIN | EPOLLONESHOT
 NOT_PARKED, PARKED, QUEUED = 0, 1, 2  # QUEUED: the connection has sent bytes and waits to be read
 
@@ -42,7 +42,7 @@
         self.address_counts = AddressCounts()
         self.client_count = 0  # connections of clients, parked or not
         self.parked_count = 0
-        self.expired = 0
+        self.expired_count = 0
         self.calendar: Calendar[int] = Calendar()  # descriptors by idle deadline
         self.expiry_timer: Timer | None = None
         # Keys: descriptors whose registration with the epoll failed; some may be closed by now.
@@ -219,5 +219,5 @@
             if self.idle_until[fd] > now:
                 self.calendar_slots[fd] = self.calendar.add(fd, self.idle_until[fd])
             else:
-                self.expired += self._close_idle(fd)
+                self.expired_count += self._close_idle(fd)
         self._set_expiry_timer()
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -17,7 +17,7 @@
 
 BACKLOG = 4096  # connections that wait in the kernel to be accepted
 MAX_ACCEPTS_PER_TURN = 32  # leaves time in the turn for requests in flight
-MAX_FAILED_ACCEPTS = 16  # in a row, in one call of `accept`: connections that failed in the backlog
+MAX_FAILED_ACCEPTS = 16  # in one call of `accept`: connections in a row that failed before they were accepted
 FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE = 2 * MILLI, 50 * MILLI  # while the process lacks descriptors
 ACCEPT_RETRY_PAUSE = 5 * MILLI  # between attempts to empty the backlog when the process stops
 
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -77,9 +77,9 @@
         self.epoll.register(self._parked_epoll_fd, READ)
         # When each stream began to wait for the other side to close (`Stream.close`); the oldest first.
         self.closing_streams: dict[ClosingStream, int] = {}
-        # How long bytes may have lain unread:
+        # The age of unread bytes:
         self.turns = self.late_turns = 0
-        self.read_delay = 0  # in a late turn: the possible age of the bytes that are read now
+        self.read_delay = 0  # the possible age (ns) of the bytes that are read now, if they waited
         self.polled_at = self.previous_poll_at = self.clock()  # when the last two polls returned
         # By descriptor: the earliest time at which its connection may have entered a listener's backlog.
         self.backlogged_since: dict[int, int] = {}
@@ -105,7 +105,7 @@
         return coroutine
 
     def on_signal(self, number: int, call: Callable[[], object]) -> None:
-        """Calls `call()` in a turn of the loop after each such signal. Errors: OSError."""
+        """Calls `call()` in a turn of the loop after each signal `number`. Errors: OSError."""
         self.signals.set_callback(self, number, call)
 
     def report_error(self, error: BaseException) -> None:
--- a/gaproute/loop/stream_reader.py
+++ b/gaproute/loop/stream_reader.py
@@ -12,10 +12,10 @@
 from gaproute.loop.faults import is_transient
 from gaproute.loop.loop import Loop
 from gaproute.loop.stream_writer import StreamWriter
-from gaproute.loop.unread import REMOTE_SHUTDOWN, Pending
+from gaproute.loop.unread import REMOTE_SHUTDOWN, PendingInput
 
 READ_SIZE = 65536  # bytes read in one call
-MAX_READS_TO_END = 128  # of a connection that has ended; enough to empty any receive buffer
+MAX_READS_TO_END = 128  # reads until the end of a connection; more than a full receive buffer needs
 PEEK_FLAGS = socket.MSG_PEEK | socket.MSG_DONTWAIT
 MAX_PEEKS = 5  # attempts to find out whether bytes are unread; if all fail, bytes are assumed
 
@@ -64,7 +64,7 @@
             elif events & HANGUP:
                 self._finish(ConnectionResetError(errno.ECONNRESET, "closed by the other side"))
             else:
-                self._other_side_ended()
+                self._handle_remote_end()
 
     def _read(self) -> None:
         try:
@@ -79,7 +79,7 @@
                 self.paused_at = None
             self.on_bytes(data)
         else:
-            self._other_side_ended()
+            self._handle_remote_end()
 
     def _read_rest(self) -> None:
         """Reads in this turn all bytes that arrived before the other side closed."""
@@ -98,9 +98,9 @@
         if self.open and self.reading:
             self._read_rest()
         elif self.open:
-            self._other_side_ended()
+            self._handle_remote_end()
 
-    def _other_side_ended(self) -> None:
+    def _handle_remote_end(self) -> None:
         """Handles the end of what the other side sends; drops the unread bytes of a paused stream."""
         if self.on_half_close is None:
             self._finish(None)
@@ -109,7 +109,7 @@
             self.pause()
             self.on_half_close()
 
-    def _write_failed(self, error: OSError) -> None:
+    def _handle_write_error(self, error: OSError) -> None:
         """Reads the bytes that have arrived, and ends the stream, as writing has failed."""
         for _ in range(MAX_READS_TO_END if self.reading else 0):
             try:
@@ -165,9 +165,9 @@
                 return False
         return False  # the state is unknown: bytes may be unread
 
-    def pending(self) -> Pending:
+    def pending(self) -> PendingInput:
         """Whether bytes or the end of the connection can be read; makes one system call."""
-        return unread.pending(self.fd) if self.open else Pending(hung_up=True, unread=False)
+        return unread.pending(self.fd) if self.open else PendingInput(hung_up=True, unread=False)
 
     def hung_up(self) -> bool:
         """Whether the other side has closed or reset the connection, even if earlier bytes are unread."""
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -58,7 +58,7 @@
         self.wants_writable = False  # `try_write` failed, and `on_writable` is to be called
 
     @abstractmethod
-    def _write_failed(self, error: OSError) -> None:
+    def _handle_write_error(self, error: OSError) -> None:
         """Ends the stream after a failed write."""
 
     @abstractmethod
@@ -105,7 +105,7 @@
         except OSError as error:
             if is_transient(error):
                 return 0
-            self.loop.soon(self._write_failed, error)
+            self.loop.soon(self._handle_write_error, error)
             return None
         self.bytes_sent += sent
         return sent
--- a/gaproute/loop/unread.py
+++ b/gaproute/loop/unread.py
@@ -19,17 +19,17 @@
 MAX_PEEK_BYTES = 2 << 20  # more than the open requests of one client have
 
 
-class Pending(NamedTuple):
+class PendingInput(NamedTuple):
     """What a connection has in the kernel to be read."""
 
     hung_up: bool  # the other side has closed or reset the connection
     unread: bool  # received bytes or the end of the connection can be read
 
 
-NOTHING_PENDING = Pending(hung_up=False, unread=False)
+NOTHING_PENDING = PendingInput(hung_up=False, unread=False)
 
 
-def pending(fd: int) -> Pending:
+def pending(fd: int) -> PendingInput:
     """What a descriptor has in the kernel to be read."""
     poller = select.poll()
     poller.register(fd, select.POLLIN | REMOTE_SHUTDOWN)
@@ -41,7 +41,7 @@
         return NOTHING_PENDING
     events = ready[0][1]
     hung_up = bool(events & (REMOTE_SHUTDOWN | select.POLLHUP | select.POLLERR))
-    return Pending(hung_up, bool(events & select.POLLIN))
+    return PendingInput(hung_up, bool(events & select.POLLIN))
 
 
 def peek(sock: socket.socket) -> bytes:
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -75,11 +75,11 @@
         front, connections = self.front, AcceptedConnections.for_loop(self.loop)
         return {
             "client_connections": connections.client_count,
-            "parked_connections": front.parked,
+            "parked_connections": front.parked_count,
             "protocol_errors": front.protocol_errors,
             "rejected_connections": front.rejected_connections,
             "unresponsive_clients": front.unresponsive_clients,
-            "evicted_idle": connections.evicted,
+            "evicted_idle": connections.evicted_count,
         }
 
     def _host_fields(self) -> dict[str, int]:
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -159,7 +159,7 @@
     made = rig(hosts=1)
     client = clients(made)
     asked_and_answered(made, client)
-    made.until(lambda: made.gate.fronts[0].server.parked)
+    made.until(lambda: made.gate.fronts[0].server.parked_count)
     made.gate.stop()
     assert made.gate.connections.client_count == 0
     assert rest_of(client) == b""
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -76,10 +76,10 @@
     harness.clock_offset += 7 * SECOND  # 9 s after the last request, 18 s after the accept
     harness.loop.run(until=harness.loop.sleep(20 * MILLI))
     assert harness.connections.client_count == 1
-    assert harness.connections.expired == 0
+    assert harness.connections.expired_count == 0
     harness.clock_offset += 1100 * MILLI
     harness.run_until(lambda: harness.connections.client_count == 0)
-    assert harness.connections.expired == 1
+    assert harness.connections.expired_count == 1
     assert client.recv(1) == b""
 
 
@@ -93,7 +93,7 @@
     harness.loop.turn()
     assert len(harness.requests) == 1
     assert harness.requests[0].arrived_at < harness.loop.now() - 40 * SECOND
-    assert 0 < harness.connections.expired <= MAX_EXPIRIES_PER_TURN
+    assert 0 < harness.connections.expired_count <= MAX_EXPIRIES_PER_TURN
     harness.run_until(lambda: harness.connections.client_count == 1)
     assert b"200" in sender.recv(4096)
 
--- a/tests/connections/test_eviction.py
+++ b/tests/connections/test_eviction.py
@@ -39,13 +39,13 @@
     harness.run_until(lambda: harness.connections.parked_count == 3)
     rejected = harness.connect_client()
     harness.run_until(
-        lambda: harness.connections.rejected == 1
+        lambda: harness.connections.rejected_count == 1
     )  # no connection has been idle for long enough
     assert was_rejected(rejected)
     harness.clock_offset += MIN_IDLE
     harness.request(busy)
     accepted = harness.connect_client()
-    harness.run_until(lambda: harness.connections.evicted == 1)
+    harness.run_until(lambda: harness.connections.evicted_count == 1)
     assert idle.recv(1) == b""
     assert harness.connections.client_count == 3
     assert b"200" in harness.request(accepted)
@@ -57,7 +57,7 @@
     idle = [harness.connect_client("127.0.0.9") for _ in range(2)]
     harness.run_until(lambda: harness.connections.client_count == 2)
     third = harness.connect_client("127.0.0.9")
-    harness.run_until(lambda: harness.connections.rejected == 1)
+    harness.run_until(lambda: harness.connections.rejected_count == 1)
     assert was_rejected(third)
     other = harness.connect_client("127.0.0.8")
     harness.run_until(lambda: harness.connections.client_count == 3)
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -94,7 +94,7 @@
     harness.clock.now = harness.connections.idle_until[fd] + SECOND
     harness.connections._close_expired()
     assert harness.connections.client_count == 1
-    assert harness.connections.expired == 0
+    assert harness.connections.expired_count == 0
     assert harness.count_answers(client) == 1
 
 
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -60,7 +60,7 @@
         client.ask(1)
         gateway.until(lambda: client.answers)
     else:
-        gateway.until(lambda: gateway.process.front.parked)
+        gateway.until(lambda: gateway.process.front.parked_count)
     client.ask(2)
     half_close(client.stream)
     gateway.until(lambda: not gateway.process.front.connection_count)
--- a/tests/fronts/test_shutdown.py
+++ b/tests/fronts/test_shutdown.py
@@ -130,7 +130,7 @@
         client.ask(1, i=f"{index:016x}")
     gateway.until(lambda: all(client.answers for client in idle_clients))
     gateway.passes(200 * MILLI)
-    gateway.until(lambda: front.parked == len(idle_clients))
+    gateway.until(lambda: front.parked_count == len(idle_clients))
     ended = begin_shutdown(gateway)
     late = [gateway.client() for _ in range(2)]
     gateway.loop.unwatch(front.listener.sock.fileno())
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -15,7 +15,7 @@
         client.ask(number)
         gateway.until(lambda number=number: len(client.answers) == number)
     gateway.passes(300 * MILLI)
-    gateway.until(lambda: gateway.process.front.parked)
+    gateway.until(lambda: gateway.process.front.parked_count)
     return client
 
 
@@ -42,7 +42,7 @@
     """The first request of the connection or a later one, which the loop has not noticed yet."""
     gateway = gate(clock=Handed())
     client, quiet = parked_client(gateway, asks), gateway.client()
-    gateway.until(lambda: gateway.process.front.parked == 2)
+    gateway.until(lambda: gateway.process.front.parked_count == 2)
     gateway.passes(300 * MILLI)
     client.ask(asks + 1)
     close(gateway.process.front.connections, gateway)
@@ -56,7 +56,7 @@
 def test_a_request_that_arrives_while_other_connections_are_closed_is_answered(gate):
     gateway = gate(clock=Handed())
     clients = [gateway.client() for _ in range(3)]
-    gateway.until(lambda: gateway.process.front.parked == 3)
+    gateway.until(lambda: gateway.process.front.parked_count == 3)
     connections, last = gateway.process.front.connections, clients[-1]
     close_parked = connections._close_parked
 
@@ -77,7 +77,7 @@
     gateway = gate(sockets=70, clock=Handed())
     connections = gateway.process.front.connections
     clients = [gateway.client() for _ in range(connections.admission.max_connections)]
-    gateway.until(lambda: gateway.process.front.parked == len(clients))
+    gateway.until(lambda: gateway.process.front.parked_count == len(clients))
     gateway.passes(200 * MILLI)
     late = gateway.client()
     late.ask(1, i="f" * 16)
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -16,7 +16,7 @@
     idle_clients = [clients(testbed) for _ in range(3)]
     for client in idle_clients:
         asked_and_answered(testbed, client)
-    testbed.until(lambda: testbed.gate.fronts[0].server.parked == 3)
+    testbed.until(lambda: testbed.gate.fronts[0].server.parked_count == 3)
     connections, sent = testbed.gate.connections, []
     close_parked = connections._close_parked
 
--- a/tests/platform/test_connection_limits.py
+++ b/tests/platform/test_connection_limits.py
@@ -16,7 +16,7 @@
     for place, client in enumerate(first):
         client.ask(1, i=f"{place:016x}")
     made.until(lambda: all(client.answers for client in first))
-    made.until(lambda: made.process.front.parked == most)
+    made.until(lambda: made.process.front.parked_count == most)
     late = made.client()
     late.ask(1, i="f" * 16)
     made.until(lambda: late.answers)
@@ -35,7 +35,7 @@
         end = made.loop.now() + 400 * MILLI // most
         made.until(lambda end=end: made.loop.now() >= end)
     assert made.process.front.rejected_connections == 0
-    assert made.process.front.connections.evicted >= most
+    assert made.process.front.connections.evicted_count >= most
 
 
 def test_at_a_full_house_at_work_arrivals_wait_and_are_served_when_one_leaves(gate):
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -116,7 +116,7 @@
     resting.ask(1)
     made.until(lambda: resting.answers)
     made.passes(200 * MILLI)
-    made.until(lambda: made.process.front.parked == 2)
+    made.until(lambda: made.process.front.parked_count == 2)
     busy.ask(2)
     made.until(lambda: busy.answers)
     terminated(made)
@@ -176,7 +176,7 @@
     made.passes(ACCEPT_TIME)
     made.passes(SECOND)
     assert made.loop.running
-    assert made.process.front.parked == 1
+    assert made.process.front.parked_count == 1
     client.stream.close()
     made.turns()
     assert not made.loop.running
@@ -201,7 +201,7 @@
         client.ask(1, i=f"{number:016x}")
     made.until(lambda: all(client.answers for client in clients))
     made.passes(200 * MILLI)
-    made.until(lambda: made.process.front.parked == len(clients))
+    made.until(lambda: made.process.front.parked_count == len(clients))
     began = made.loop.now()
     os.kill(os.getpid(), signal.SIGTERM)
     for number, client in enumerate(clients):
