--- a/benchmarks/connection_processes.py
+++ b/benchmarks/connection_processes.py
@@ -72,7 +72,7 @@
         self.held += 1
         while True:
             due = self._loop.now() + self._idle_time
-            timer = self._loop.at(due, received[0].set, None)
+            timer = self._loop.call_at(due, received[0].set, None)
             data = yield received[0]
             timer.cancel()
             if data is None:
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -68,7 +68,7 @@
         if self._chance.below(10) == 0:
             host.reply(stream, command, "overload")
         else:
-            self._loop.after(WORK_TIME, host.serve, stream, command)
+            self._loop.call_later(WORK_TIME, host.serve, stream, command)
 
 
 def run_hosts(seed: int, folder: Path) -> None:
@@ -133,7 +133,7 @@
     def start(self) -> None:
         """Send requests from now on."""
         self._next = self._loop.now()
-        self._loop.soon(self._send_due)
+        self._loop.call_soon(self._send_due)
 
     def reset_counts(self) -> None:
         """Count from now on."""
@@ -162,8 +162,10 @@
             client.ask(self.sent, REQUEST_CLASSES[self._chance.below(4)].name)
             if self._chance.below(10) == 0:
                 self._clients[place] = self._connect()
-                self._loop.after(self._chance.below(MAX_LEAVE_TIME), self._leave, client, f"{self.sent:016x}")
-        self._loop.at(self._next, self._send_due)
+                self._loop.call_later(
+                    self._chance.below(MAX_LEAVE_TIME), self._leave, client, f"{self.sent:016x}"
+                )
+        self._loop.call_at(self._next, self._send_due)
 
     def _leave(self, client: ScriptedClient, request_id: str) -> None:
         if client.stream is None:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -56,7 +56,7 @@
 
     def stop() -> None:
         server.stop()
-        loop.after(STOP_GRACE, loop.stop)
+        loop.call_later(STOP_GRACE, loop.stop)
 
     where: Any = (sock.family, None)
     server = Server(loop, where, handle, inherited=sock)
@@ -131,7 +131,7 @@
         """Play to the end."""
         self._loop.spawn(self._arrivals())
         self._loop.spawn(self._disturb())
-        self._loop.after(LENGTH, self._loop.stop)
+        self._loop.call_later(LENGTH, self._loop.stop)
         self._loop.run()
 
     def _arrivals(self) -> Generator[Promise, None, None]:
--- a/benchmarks/relay_processes.py
+++ b/benchmarks/relay_processes.py
@@ -98,7 +98,7 @@
         else:
             while self._idle:
                 self._send(self._idle.pop(), self.loop.now())
-        self.loop.at(self._ends_at + LAST_ANSWERS, self.loop.stop)
+        self.loop.call_at(self._ends_at + LAST_ANSWERS, self.loop.stop)
 
     def _arrivals(self) -> Generator[Promise, None, None]:
         """Coroutine: requests at random times; those that find no idle connection have failed."""
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -189,8 +189,8 @@
         if self.waiting:
             return
         self.end = self.loop.now() + round(self.seconds * SECOND)
-        self.loop.at(self.end, self.stop_when_over)
-        self.loop.at(self.end + ANSWER_TIME, self.loop.stop)
+        self.loop.call_at(self.end, self.stop_when_over)
+        self.loop.call_at(self.end + ANSWER_TIME, self.loop.stop)
         for each in self.clients:
             if self.rate:
                 self.loop.spawn(each.pace())
--- a/benchmarks/scale/membership_faults.py
+++ b/benchmarks/scale/membership_faults.py
@@ -58,7 +58,7 @@
         socket = SimulatedDatagrams(fleet.network, row.name, loop, row.where, answers.append)
         sender = MemberUpdate(row.name, row.where, MemberState.ALIVE, 1)
         ping = encode(MembershipMessage(MessageKind.PING, number, sender))
-        fleet.loop.at(fleet.loop.time + number * PING_INTERVAL, socket.send, ping, fleet.rows[0].where)
+        fleet.loop.call_at(fleet.loop.time + number * PING_INTERVAL, socket.send, ping, fleet.rows[0].where)
     return answers
 
 
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -68,7 +68,7 @@
         ignored: Any = IgnoredObservations()
         finished = partial(complete.append, number)
         ObservationClient(loop, peers, ignored, lambda subjects: 0, finished, ignored)
-    loop.after(round(seconds * SECOND), loop.stop)
+    loop.call_later(round(seconds * SECOND), loop.stop)
     loop.run()
     print(json.dumps({"whole": len(complete)}))
 
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -172,7 +172,7 @@
 
     def _poll_wanted_cells(self) -> None:
         """Follows the cells that the decisions need now, which depend on the functions that are requested."""
-        self.poll_timer = self.loop.after(self.cell_hosts_line.look, self._poll_wanted_cells)
+        self.poll_timer = self.loop.call_later(self.cell_hosts_line.look, self._poll_wanted_cells)
         self._follow_wanted_cells()
 
     def _follow_wanted_cells(self) -> None:
--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -38,7 +38,7 @@
         self.process: subprocess.Popen[bytes]
         with ExitStack() as rollback:
             self._start(command, descriptors, rollback)
-            self.start_timer: Timer = loop.after(MAX_START_TIME, self.kill)
+            self.start_timer: Timer = loop.call_later(MAX_START_TIME, self.kill)
             rollback.pop_all()
 
     def stop(self) -> None:
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -110,7 +110,7 @@
         """
         now = self.loop.now()
         restart_at = self.restarts.schedule_restart(now, slot, uptime)
-        self.loop.at(restart_at, self._restart, slot)
+        self.loop.call_at(restart_at, self._restart, slot)
         return int(restart_at - now)
 
     def _restart(self, slot: int) -> None:
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -164,7 +164,7 @@
         self.timer = None
         if self.events_pending:
             self.events_pending = False
-            self.timer = self.loop.after(self.apply_interval, self._apply_pending)
+            self.timer = self.loop.call_later(self.apply_interval, self._apply_pending)
             self._put_in_force()
 
     def _apply_after_stall(self) -> None:
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -94,7 +94,9 @@
         if self.timer is not None:
             self.timer.cancel()
         due = self.requests.due
-        self.timer = None if due is None else self.loop.at(max(due, self.loop.now() + MILLI), self._run_due)
+        self.timer = (
+            None if due is None else self.loop.call_at(max(due, self.loop.now() + MILLI), self._run_due)
+        )
 
     def stop(self) -> None:
         """Releases all leases; call `close` afterwards."""
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -68,7 +68,7 @@
     def _failed(self, error: ConfigurationError | OSError, backoff: Backoff, began: int) -> None:
         """Retries a failure that may pass until its time is over, and logs any other."""
         if self.loop.now() + backoff.pause <= began + max_retry_time(find_os_error(error)):
-            self.retry_timer = self.loop.after(backoff.next_pause(), self._attempt, backoff, began)
+            self.retry_timer = self.loop.call_later(backoff.next_pause(), self._attempt, backoff, began)
             return
         for mistake in error.mistakes if isinstance(error, ConfigurationError) else [error]:
             self.log.error("configuration_rejected", error=str(mistake))
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -47,7 +47,7 @@
         appliance.core.on_idle = self._end_if_empty
         for front in appliance.client_fronts:
             front.notify_when_emptied(self._end_if_empty)
-        self.loop.after(max_duration(appliance.configuration), self.loop.stop)
+        self.loop.call_later(max_duration(appliance.configuration), self.loop.stop)
         self._end_if_empty()
 
     def _end_if_empty(self) -> None:
@@ -55,4 +55,4 @@
         appliance = self.appliance
         if appliance.core.in_flight or any(front.connection_count for front in appliance.client_fronts):
             return
-        self.loop.after(LEAVE_TIME, self.loop.stop)
+        self.loop.call_later(LEAVE_TIME, self.loop.stop)
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -208,7 +208,7 @@
         signal.setitimer(signal.ITIMER_REAL, bound / SECOND + ALARM_AFTER_BOUND)
         try:
             played: Promise = self.loop.spawn(self.play()).done
-            self.loop.after(bound, played.fail, TimeoutError("the time bound is over"))
+            self.loop.call_later(bound, played.fail, TimeoutError("the time bound is over"))
             self.loop.run(until=played)
         except TimeoutError as error:
             self.record.void_reasons.append(str(error))
--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -150,7 +150,7 @@
         for number in range(len(self.lists)):
             delay = self._delays.get(number, 0)
             if delay:
-                self.loop.after(delay, self.write, number, snapshot)
+                self.loop.call_later(delay, self.write, number, snapshot)
             elif delay == 0:
                 self.write(number, snapshot)
             if number % WRITES_PER_TURN == WRITES_PER_TURN - 1:
--- a/gaproute/cluster/links/datagrams.py
+++ b/gaproute/cluster/links/datagrams.py
@@ -84,7 +84,7 @@
         self._routes = {}
         if self.held and not self._releasing:
             self._releasing = True
-            self.loop.soon(self._release, len(self.held))
+            self.loop.call_soon(self._release, len(self.held))
 
     def close(self) -> None:
         """Closes the socket."""
@@ -156,7 +156,7 @@
                 self._send(data, route)
             elif self._delayed < MAX_DELAYED:
                 self._delayed += 1
-                self.loop.at(due, self._send_delayed, due, data, route)
+                self.loop.call_at(due, self._send_delayed, due, data, route)
             else:
                 self.counts.discarded += 1
 
@@ -191,7 +191,7 @@
             self.held_bytes -= len(datagram.data)
             self._send_released(datagram)
         if left > MAX_RELEASED_PER_TURN:
-            self.loop.soon(self._release, left - MAX_RELEASED_PER_TURN)
+            self.loop.call_soon(self._release, left - MAX_RELEASED_PER_TURN)
         else:
             self._releasing = False
 
--- a/gaproute/cluster/links/emulator.py
+++ b/gaproute/cluster/links/emulator.py
@@ -61,7 +61,7 @@
                 self.conditions.end_fault(command.fault_id)
         if not self._changed:  # many commands at once, as when most slots move, cost one look at all
             self._changed = True
-            self.loop.soon(self.apply_changes)
+            self.loop.call_soon(self.apply_changes)
         return None
 
     def apply_changes(self) -> None:
--- a/gaproute/cluster/links/lateness.py
+++ b/gaproute/cluster/links/lateness.py
@@ -43,7 +43,7 @@
     def _check(self, due: int) -> None:
         now = self.loop.now()
         self._note(now - due)
-        self.loop.at(now + CHECK_INTERVAL, self._check, now + CHECK_INTERVAL)
+        self.loop.call_at(now + CHECK_INTERVAL, self._check, now + CHECK_INTERVAL)
 
     def _note(self, lateness: int) -> None:
         if lateness > self.recent:
--- a/gaproute/cluster/links/refuser.py
+++ b/gaproute/cluster/links/refuser.py
@@ -92,7 +92,7 @@
             return
         due = self.conditions.handshake_due(link, self.loop.now())
         if due is not None:
-            self.loop.at(due, self._refuse, packet)
+            self.loop.call_at(due, self._refuse, packet)
 
     def _refuse(self, packet: bytes) -> None:
         if self.sock is None:
--- a/gaproute/cluster/links/stream_end.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -175,7 +175,7 @@
         self.write_failed = True
         self.output.clear()
         if self.input_ended:
-            self.loop.soon(self._break_off_if_open)
+            self.loop.call_soon(self._break_off_if_open)
         else:
             self._update_mask()
 
--- a/gaproute/cluster/links/stream_relay.py
+++ b/gaproute/cluster/links/stream_relay.py
@@ -64,7 +64,7 @@
         self.near.transit.clear()
         self.far.transit.clear()
         self._on_finished(self)
-        self._loop.soon(self._untie)  # whoever is at work on an end still needs the other
+        self._loop.call_soon(self._untie)  # whoever is at work on an end still needs the other
 
     def _untie(self) -> None:
         """Removes circular references, so that no garbage collection is needed."""
--- a/gaproute/cluster/links/streams.py
+++ b/gaproute/cluster/links/streams.py
@@ -88,7 +88,7 @@
             self.loop.watch(pending.sock.fileno(), CALLER_LEFT, lambda events: self._give_up(pending))
         elif due > now:
             target = self._stream_address(pending.link)
-            self.loop.at(due, self._connect, pending, target)
+            self.loop.call_at(due, self._connect, pending, target)
         else:
             self._connect(pending, self._stream_address(pending.link))
 
--- a/gaproute/cluster/links/transit_queue.py
+++ b/gaproute/cluster/links/transit_queue.py
@@ -94,7 +94,7 @@
     def _set_timer(self) -> None:
         due = self.pieces[0].due
         if due is not None:  # else `conditions_changed` goes on
-            self.timer = self.loop.at(due, self._release)
+            self.timer = self.loop.call_at(due, self._release)
 
     def _release(self) -> None:
         self.timer = None
--- a/gaproute/cluster/operator_client.py
+++ b/gaproute/cluster/operator_client.py
@@ -44,7 +44,7 @@
     def __init__(self, loop: Loop, operator_address: str, request: bytes) -> None:
         self.promise = Promise()
         self._exchange = Exchange(loop, request, self._done)
-        self._timer: Timer = loop.after(ANSWER_TIMEOUT, self._time_up)
+        self._timer: Timer = loop.call_later(ANSWER_TIMEOUT, self._time_up)
         self._exchange.connect(parse_address(operator_address), CONNECT_TIMEOUT, MAX_HEAD, MAX_BODY)
 
     def _done(self, response: Response | None, failure: object) -> None:
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -56,7 +56,7 @@
         """Sends an event with what has changed soon."""
         if not self._publishing:
             self._publishing = True
-            self.loop.after(GATHER_TIME, self.publish_all_now)
+            self.loop.call_later(GATHER_TIME, self.publish_all_now)
 
     def publish_all_now(self) -> None:
         """Sends one event with what has changed since the last one."""
--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -160,7 +160,7 @@
         if self.shares_accept_queue or self.listener.accept_all(self.accept_connection):
             self.listener.close()
             return True
-        self.drain_timer = self.loop.after(ACCEPT_RETRY_PAUSE, self._drain_accept_queue)
+        self.drain_timer = self.loop.call_later(ACCEPT_RETRY_PAUSE, self._drain_accept_queue)
         return False
 
     def _cancel_drain(self) -> None:
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -157,7 +157,7 @@
         self.pending_registrations[fd] = None
         if self.register_timer is None:
             pause = self.register_backoff.next_pause()
-            self.register_timer = self.loop.after(pause, self._retry_registrations)
+            self.register_timer = self.loop.call_later(pause, self._retry_registrations)
 
     def _retry_registrations(self) -> None:
         """Retries all failed registrations; if all fail again, closes idle connections to free memory."""
@@ -204,7 +204,7 @@
             if timer is not None:
                 timer.cancel()
             # Not before the next turn, even if the deadline has passed.
-            self.expiry_timer = self.loop.at(max(due, self.loop.now() + 1), self._close_expired)
+            self.expiry_timer = self.loop.call_at(max(due, self.loop.now() + 1), self._close_expired)
 
     def _close_expired(self) -> None:
         self.expiry_timer = None
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -111,7 +111,7 @@
         handle = request.attempts[number].handle
         result = interface.Result.CANCELLED if handle.started else interface.Result.NOT_SENT
         handle.cancel()
-        self.loop.soon(self._attempt_withdrawn, request.id, number, result)
+        self.loop.call_soon(self._attempt_withdrawn, request.id, number, result)
 
     def _attempt_withdrawn(self, key: str, number: int, result: interface.Result) -> None:
         request = self.in_flight.get(key)
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -79,7 +79,7 @@
             request.cell_unknown,
             request.found,
         )
-        self.loop.soon(on_final, final)
+        self.loop.call_soon(on_final, final)
         self._withdraw_attempts(request)
 
     def _record_end(
@@ -127,7 +127,7 @@
             return
         request.deadline_timer.cancel()
         if not self.in_flight and self.on_idle is not None:
-            self.loop.soon(self.on_idle)
+            self.loop.call_soon(self.on_idle)
 
     # Errors
 
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -62,7 +62,7 @@
         now = self.loop.now()
         left = max(0, first_byte_at + time_left - now)
         deadline = now + left
-        deadline_timer = self.loop.at(deadline, self._deadline_passed, key)
+        deadline_timer = self.loop.call_at(deadline, self._deadline_passed, key)
         request = RequestInFlight(key, call, request_class, on_final, first_byte_at, deadline, deadline_timer)
         self.in_flight[key] = request
         self._record_arrival(request, now, left)
@@ -105,7 +105,7 @@
     def end_by(self, when: int) -> None:
         """Has each request get its final answer by `when`, as the process ends soon."""
         self.gateway.end_by = when
-        self.loop.at(when, self._end_all)
+        self.loop.call_at(when, self._end_all)
 
     def _end_all(self) -> None:
         for request in list(self.in_flight.values()):
@@ -118,7 +118,7 @@
     def wait(self, key: str, until: int, now: int) -> None:
         """Resumes the key's generator at `until`, in place of any earlier wait."""
         self.cancel_wait(key)
-        self.wait_timers[key] = self.loop.at(until, self._wait_elapsed, key)
+        self.wait_timers[key] = self.loop.call_at(until, self._wait_elapsed, key)
 
     def cancel_wait(self, key: str) -> None:
         """Cancels the wait of the key, if there is one."""
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -78,7 +78,7 @@
         self.disconnect()
         self.connection_count += 1
         self.connecting_since = self.last_progress_at = self.loop.now()
-        self.timer = self.loop.after(SILENCE_TIMEOUT, self.check_silence)
+        self.timer = self.loop.call_later(SILENCE_TIMEOUT, self.check_silence)
         connected = partial(self.on_connected, self.connection_count)
         self.cancel_connect = connect(self.loop, self.address, CONNECT_TIMEOUT, connected)
 
@@ -186,7 +186,7 @@
         if left <= 0:
             self.reconnect_later("silent")
         else:
-            self.timer = self.loop.after(left, self.check_silence)
+            self.timer = self.loop.call_later(left, self.check_silence)
 
     def reconnect_later(self, reason: object) -> None:
         """Connect once more after the backoff, with jitter so that gateways do not all connect at once."""
@@ -195,7 +195,7 @@
         jitter = self.backoff * self.chance.below(JITTER_STEPS) // (2 * JITTER_STEPS)
         wait = self.backoff // 2 + jitter
         self.backoff = min(2 * self.backoff, self.max_backoff)
-        self.timer = self.loop.after(wait, self.connect)
+        self.timer = self.loop.call_later(wait, self.connect)
 
     def disconnect(self) -> None:
         """End the connection, and any attempt at one."""
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -58,7 +58,7 @@
         self._check_again()
 
     def _check_again(self) -> None:
-        self.timer = self.loop.after(self.interval, self._check_again)
+        self.timer = self.loop.call_later(self.interval, self._check_again)
         self.check()
 
     def check(self) -> None:
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -75,7 +75,7 @@
         self.open_request_ids: dict[str, RpcConnection] = {}  # by the client's id of the request
         self.unresponsive_clients = 0  # number of connections ended as their clients received no answers
         self.on_protocol_error: Callable[[ErrorCode, str], None] = _ignore_error
-        self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
+        self.sweep_timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def _first_request_due(self) -> int:
         return self.loop.now() + FIRST_MESSAGE_TIMEOUT
@@ -87,7 +87,7 @@
 
     def _sweep(self) -> None:
         # First, as an error must not end the sweeps
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.loop.now()
         for connection in list(self.active_connections):
             self.loop.call_guarded(connection.check_progress, now)
@@ -211,9 +211,9 @@
         ) is not None:
             self.accept_connection(*accepted)
         if not has_capacity:
-            self.drain_timer = self.loop.after(FULL_RETRY_PAUSE, self.stop_accepting)
+            self.drain_timer = self.loop.call_later(FULL_RETRY_PAUSE, self.stop_accepting)
         elif not self.listener.backlog_empty:
-            self.drain_timer = self.loop.after(ACCEPT_RETRY_PAUSE, self.stop_accepting)
+            self.drain_timer = self.loop.call_later(ACCEPT_RETRY_PAUSE, self.stop_accepting)
         else:
             self.listener.close()
             self.check_emptied()
--- a/gaproute/fronts/jsonrpc/presence.py
+++ b/gaproute/fronts/jsonrpc/presence.py
@@ -50,10 +50,10 @@
             return False
         now = loop.now()
         if now - self.checked_at >= HANGUP_CHECK_INTERVAL and not self._check_socket(now):
-            loop.soon(connection.stream.read_to_end)
+            loop.call_soon(connection.stream.read_to_end)
             return False
         if number in self.unread_cancellations or request_id in self.unread_cancellations:
-            loop.soon(connection.cancel_request, request_id)
+            loop.call_soon(connection.cancel_request, request_id)
             return False
         return True
 
--- a/gaproute/hollow/cells/metered_loop.py
+++ b/gaproute/hollow/cells/metered_loop.py
@@ -17,9 +17,9 @@
         super().__init__(shared, lag)
         self.cpu_time = 0
 
-    def at(self, when: int, call: Callback, *args: object) -> Timer:
+    def call_at(self, when: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` then, later by the lag, and measure it."""
-        return super().at(when, self._measure, call, args)
+        return super().call_at(when, self._measure, call, args)
 
     def _measure(self, call: Callback, args: tuple[object, ...]) -> None:
         began = time.thread_time_ns()
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -100,11 +100,11 @@
         self.bytes += transferred(HTTP_REQUEST + len(body))
         server = self._network.pull_servers.get(where)
         if server is None or self._network.is_partitioned(self._name, server.name):
-            self._loop.after(EXCHANGE_TIME, self._finish, self._current, None, done)
+            self._loop.call_later(EXCHANGE_TIME, self._finish, self._current, None, done)
             return
         delay = self._network.delay_between(self._name, server.name)
         arrival = TRIPS_OF_REQUEST * delay
-        self._loop.after(arrival, self._arrived, self._current, server, body, delay, done)
+        self._loop.call_later(arrival, self._arrived, self._current, server, body, delay, done)
 
     def drop(self) -> None:
         """End the pull that is open."""
@@ -115,7 +115,7 @@
     ) -> None:
         reply = server.handle(body)
         answer = wire.decode_answer(reply.body) if reply.status == OK else None
-        self._loop.after(delay, self._finish, number, answer, done)
+        self._loop.call_later(delay, self._finish, number, answer, done)
 
     def _finish(self, number: int, answer: PullAnswer | None, done: PullCallback) -> None:
         if number == self._current:
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -52,7 +52,7 @@
 
     on_late_turn: list[Callable[[], object]]
 
-    def after(self, span: int, call: Callback, /, *args: object) -> Timer:
+    def call_later(self, span: int, call: Callback, /, *args: object) -> Timer:
         """Calls `call(*args)` after the span, ns."""
 
 
--- a/gaproute/hollow/gateway.py
+++ b/gaproute/hollow/gateway.py
@@ -64,7 +64,7 @@
 
     def _schedule(self) -> None:
         times = [part.next_tick for part in self.parts.values() if part.next_tick is not None]
-        self._timer = self.loop.at(min(times), self._tick) if times else None
+        self._timer = self.loop.call_at(min(times), self._tick) if times else None
 
     def _tick(self) -> None:
         now = self.loop.now()
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -70,8 +70,8 @@
         self._check_due = self._loop.now() + LATENESS_INTERVAL
         self._unread = b""  # the beginning of an order
         for index in range(first, min(first + count, len(rows))):
-            self._loop.after((index - first) * START_INTERVAL, self._start, index)
-        self._loop.after(LATENESS_INTERVAL, self._check_lateness)
+            self._loop.call_later((index - first) * START_INTERVAL, self._start, index)
+        self._loop.call_later(LATENESS_INTERVAL, self._check_lateness)
         self._loop.watch(sys.stdin.fileno(), READ, self._read_orders)
 
     def run(self) -> None:
@@ -157,4 +157,4 @@
     def _check_lateness(self) -> None:
         now = self._loop.now()
         self._lateness, self._check_due = max(self._lateness, now - self._check_due), now + LATENESS_INTERVAL
-        self._loop.at(self._check_due, self._check_lateness)
+        self._loop.call_at(self._check_due, self._check_lateness)
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -80,7 +80,7 @@
         self.ended_totals: Counter[str] = Counter()  # counters of gateways that ended
         self._disks: dict[str, SimulatedDisk] = {}  # of members of the Raft group, by name
         for row in self.rows:
-            self.loop.at(self.chance.below(START_SPAN), self.start, row)
+            self.loop.call_at(self.chance.below(START_SPAN), self.start, row)
 
     @staticmethod
     def address(number: int) -> str:
--- a/gaproute/hollow/simulation/loop.py
+++ b/gaproute/hollow/simulation/loop.py
@@ -25,7 +25,7 @@
         """Simulated nanoseconds."""
         return self.time
 
-    def at(self, when: int, call: Callback, *args: object) -> Timer:
+    def call_at(self, when: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` then, or as the next event where that has passed."""
         timer = Timer(self, when, call, args)
         self._timer_count += 1
@@ -60,14 +60,14 @@
         """Simulated nanoseconds."""
         return self.shared.time
 
-    def at(self, when: int, call: Callback, *args: object) -> Timer:
+    def call_at(self, when: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` then, later by the lag."""
-        return self.shared.at(max(when, self.shared.time) + self.lag, call, *args)
+        return self.shared.call_at(max(when, self.shared.time) + self.lag, call, *args)
 
-    def after(self, span: int, call: Callback, *args: object) -> Timer:
+    def call_later(self, span: int, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` after the span, ns."""
-        return self.at(self.shared.time + span, call, *args)
+        return self.call_at(self.shared.time + span, call, *args)
 
-    def soon(self, call: Callback, *args: object) -> Timer:
+    def call_soon(self, call: Callback, *args: object) -> Timer:
         """Call `call(*args)` as soon as the gateway has a turn."""
-        return self.at(self.shared.time, call, *args)
+        return self.call_at(self.shared.time, call, *args)
--- a/gaproute/hollow/simulation/network.py
+++ b/gaproute/hollow/simulation/network.py
@@ -57,7 +57,7 @@
             self.lost += 1
             return
         delay = NEAR if sender.region == receiver.region else FAR
-        receiver.loop.at(self.loop.time + delay, receiver.deliver, data)
+        receiver.loop.call_at(self.loop.time + delay, receiver.deliver, data)
 
 
 class SimulatedDatagrams:
--- a/gaproute/hosts/attempts.py
+++ b/gaproute/hosts/attempts.py
@@ -21,7 +21,7 @@
 
     def __init__(self, loop: Loop, on_ended: OnAttemptEnded, result: Result) -> None:
         self.on_ended: OnAttemptEnded | None = on_ended
-        loop.soon(self._end, AttemptResult(result, None))
+        loop.call_soon(self._end, AttemptResult(result, None))
 
     def _end(self, result: AttemptResult) -> None:
         if self.on_ended is not None:
--- a/gaproute/hosts/cell_hosts.py
+++ b/gaproute/hosts/cell_hosts.py
@@ -33,7 +33,7 @@
     def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
         """As `KServeClient.order`; a host that is gone has no space."""
         if self._is_gone(host_name):
-            self.loop.soon(on_ended, Result.FULL, 0)
+            self.loop.call_soon(on_ended, Result.FULL, 0)
         else:
             super().order(host_name, function, copies, on_ended)
 
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -154,7 +154,7 @@
         """
         host = self.hosts.get(host_name)
         if host is None or not host.active:
-            self.loop.soon(unavailable)
+            self.loop.call_soon(unavailable)
             return
 
         def ended(outcome: Reply | Result) -> bool:
@@ -172,6 +172,6 @@
 
         request = self.submit(host, tag, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, ended)
         if request is None:  # no further connection can be had here
-            self.loop.soon(on_ended, Result.NOT_SENT)
+            self.loop.call_soon(on_ended, Result.NOT_SENT)
             return
-        timer = self.loop.after(timeout, timed_out, host, request)
+        timer = self.loop.call_later(timeout, timed_out, host, request)
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -92,7 +92,7 @@
             self.written += len(data)
             request.end_offset, request.encode = self.written, already_written
             if stream.bytes_unsent and request.until < NO_DEADLINE:
-                loop.after(WRITE_TIMEOUT, self._check_written, request)
+                loop.call_later(WRITE_TIMEOUT, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
         """Close the connection if the request is still written only in part: its time limit is wrong now."""
@@ -102,7 +102,7 @@
     def _fail_unsent(self, request: PendingRequest, result: Result) -> None:
         """End a request that has not begun."""
         del self.pending[request.id]
-        self.pool.loop.soon(request.end, result)
+        self.pool.loop.call_soon(request.end, result)
 
     def is_written(self, request: PendingRequest) -> bool:
         """Whether the host may have received the complete request."""
@@ -164,7 +164,7 @@
         self.pending = {}
         self.drop()
         for request, result in ended:
-            self.pool.loop.soon(request.end, result)
+            self.pool.loop.call_soon(request.end, result)
 
     def drain(self) -> None:
         """Begin no further request; close the connection once none is in flight."""
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -152,7 +152,7 @@
                 ):
                     connection.drop()
             self._forget_if_gone(host)
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def _forget_if_gone(self, host: Host) -> None:
         """Forget a host that was gone at the last sweep already.
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -86,7 +86,7 @@
         """Close connections that have been idle too long, and go on doing so."""
         for host in self.hosts.values():
             host.close_expired()
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def send(
         self,
@@ -135,7 +135,7 @@
         data = messages.encode_load(function, copies, host.address_text, self.gateway)
         timeout = self.settings.order_timeout
         if not self._exchange_within(host, data, timeout, ended, partial(on_ended, Result.TIMEOUT, 0)):
-            self.loop.soon(on_ended, Result.FULL, 0)
+            self.loop.call_soon(on_ended, Result.FULL, 0)
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
         """Ask for readiness and load; `on_ended` is called with both once, never at once.
@@ -187,7 +187,7 @@
         exchange = self._start_exchange(host, data, Idempotency.IDEMPOTENT, ended)
         if exchange is None:
             return False
-        timer = self.loop.after(timeout, overdue, exchange)
+        timer = self.loop.call_later(timeout, overdue, exchange)
         return True
 
     def _start_exchange(
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -72,7 +72,7 @@
         """
         self.exchange, self.bytes_sent_before = exchange, self.stream.bytes_sent
         if not self.stream.try_write(data):
-            self.loop.soon(self._fail, "sending the request failed: the connection takes no bytes")
+            self.loop.call_soon(self._fail, "sending the request failed: the connection takes no bytes")
 
     def _receive(self, data: bytes) -> None:
         try:
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -118,7 +118,7 @@
         now = self.server.loop.now()
         if now - self.presence_checked_at >= HANGUP_CHECK_INTERVAL:
             if self.stream.hung_up():
-                self.server.loop.soon(self.stream.read_to_end)
+                self.server.loop.call_soon(self.stream.read_to_end)
                 return False
             self.presence_checked_at = now
         return True
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -116,7 +116,7 @@
     def _start_timer(self, deadline: int) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.server.loop.at(deadline, self._on_deadline)
+        self.timer = self.server.loop.call_at(deadline, self._on_deadline)
 
     def _on_deadline(self) -> None:
         self.timer = None
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -135,7 +135,7 @@
     def fail_if_unsent(self, text: str) -> None:
         """Fails the exchange if its connection is still being opened; the request never ran."""
         if self._stop_connecting():
-            self.loop.soon(self._fail_unsent, text)
+            self.loop.call_soon(self._fail_unsent, text)
 
     def cancel(self) -> bool:
         """Ends the exchange and its connection without `on_done`; returns whether any byte was sent."""
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -103,7 +103,7 @@
         """Queues a quiet connection, to be parked at `due` (ns)."""
         self.quiet_connections.append(QuietConnection(due, connection))
         if self.sweep_timer is None:
-            self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
+            self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
         """Parks the queued connections that are due and have been quiet since they were queued."""
@@ -112,7 +112,9 @@
             due, connection = self.quiet_connections.popleft()
             if connection.in_quiet_queue and connection.deadline == due:
                 connection.park()
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep) if self.quiet_connections else None
+        self.sweep_timer = (
+            self.loop.call_later(SWEEP_INTERVAL, self._sweep) if self.quiet_connections else None
+        )
 
     def enforce_memory_limit(self) -> None:
         """Rejects the oldest incomplete request; called when all of them use too much memory.
--- a/gaproute/load/connector.py
+++ b/gaproute/load/connector.py
@@ -44,7 +44,7 @@
 
     def open_later(self, connection: LoadConnection, delay: int | None = None) -> None:
         """Open the connection after `delay` ns, by default that between attempts."""
-        self._loop.after(self._retry_delay if delay is None else delay, self.open, connection)
+        self._loop.call_later(self._retry_delay if delay is None else delay, self.open, connection)
 
     def _connect_queued(self) -> None:
         while self._queue and self._connecting < MAX_CONNECTING:
--- a/gaproute/load/generator.py
+++ b/gaproute/load/generator.py
@@ -86,7 +86,7 @@
         active = self._traffic[traffic.name]
         if traffic.think and self.started_at is not None and self._is_sending():
             pause = round(self.random.expovariate(1 / traffic.think))
-            self.loop.after(pause, self._pause_over, connection, connection.stream)
+            self.loop.call_later(pause, self._pause_over, connection, connection.stream)
         elif active.waiting:
             connection.send_requests(traffic, active.waiting.popleft())
         else:
@@ -155,7 +155,7 @@
                 client = SlowClient(self.loop, slow, self.random, self._targets, self.counts, self.ends_at)
                 self.loop.spawn(client.play())
         for storm in self.script.storms:
-            self.loop.after(storm.at, self._storm, storm)
+            self.loop.call_later(storm.at, self._storm, storm)
         self.loop.spawn(self.watch_deadlines())
 
     def result(self) -> LoadResult:
--- a/gaproute/loop/descriptors.py
+++ b/gaproute/loop/descriptors.py
@@ -88,7 +88,9 @@
             raise error
         self.pending_registrations[fd] = events
         if self.register_timer is None:
-            self.register_timer = self.after(self.register_backoff.next_pause(), self._retry_registrations)
+            self.register_timer = self.call_later(
+                self.register_backoff.next_pause(), self._retry_registrations
+            )
 
     def _retry_registrations(self) -> None:
         """Retries all failed registrations; if all fail again, frees descriptors or memory."""
--- a/gaproute/loop/dialing.py
+++ b/gaproute/loop/dialing.py
@@ -83,7 +83,7 @@
         self.last_error: OSError | None = None  # of the latest attempt that failed immediately
         self.backoff = Backoff(FIRST_DIAL_PAUSE, timeout)
         self.attempt_count = 0
-        self.timeout_timer = loop.after(timeout, self._on_timeout)
+        self.timeout_timer = loop.call_later(timeout, self._on_timeout)
         self._attempt()
 
     def _attempt(self) -> None:
@@ -98,7 +98,7 @@
         if error_number == errno.EINPROGRESS:
             self._watch(sock)
         elif error_number == 0:
-            self.loop.soon(self._finish, None)
+            self.loop.call_soon(self._finish, None)
         else:
             self._handle_failed_attempt(OSError(error_number, os.strerror(error_number)))
 
@@ -146,9 +146,9 @@
         if self.attempt_count > 1 and error.errno in SHORTAGE_ERRNOS:
             self.loop.relieve_shortage()  # a second failure in a row means a lasting shortage
         if self.attempt_count < MAX_DIAL_ATTEMPTS and self._is_local(error):
-            self.retry_timer = self.loop.after(self.backoff.next_pause(), self._attempt)
+            self.retry_timer = self.loop.call_later(self.backoff.next_pause(), self._attempt)
         else:
-            self.loop.soon(self._finish, error)
+            self.loop.call_soon(self._finish, error)
 
     def _is_local(self, error: OSError) -> bool:
         """Whether the failure is local to this machine and may pass.
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -172,7 +172,7 @@
             self.backlog_since = self.loop.now()
         self.loop.unwatch(self.sock.fileno())
         self._cancel_pause()
-        self.pause_timer = self.loop.after(span, self._resume)
+        self.pause_timer = self.loop.call_later(span, self._resume)
 
     def _cancel_pause(self) -> None:
         if self.pause_timer is not None:
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -1,7 +1,7 @@
 """The event loop: readiness by epoll, timers in a heap, generators as coroutines. Times are int nanoseconds.
 
-One turn dispatches the events of all ready descriptors, then the callbacks of `soon`, then the due timers,
-and last, for a bounded time, the connections that wait for admission (`gaproute/connections`).
+One turn dispatches the events of all ready descriptors, then the callbacks of `call_soon`, then the timers
+that are due, and last, for a bounded time, the connections that wait for admission (`gaproute/connections`).
 A turn that is late (the process was stopped, or the machine stalled) polls again, until nothing is readable,
 before any timer fires. So everything that arrived in the meantime is read before a timer can find it overdue.
 """
@@ -64,7 +64,7 @@
     def __init__(self, clock: Clock = time.monotonic_ns) -> None:
         super().__init__(clock)
         self.poll: Callable[[select.epoll, int], Events] = getattr(clock, "poll", None) or wait_for_events
-        self.callbacks: deque[tuple[Callback, tuple[object, ...]]] = deque()  # set by `soon`
+        self.callbacks: deque[tuple[Callback, tuple[object, ...]]] = deque()  # set by `call_soon`
         self.running = False
         self.signals = SignalHandlers()
         self.errors: list[BaseException] = []  # the latest errors that escaped a callback
@@ -88,20 +88,20 @@
 
     # Calls
 
-    def soon(self, call: Callback, *args: object) -> None:
+    def call_soon(self, call: Callback, *args: object) -> None:
         """Calls `call(*args)` in this turn or the next, after the handlers of ready descriptors."""
         self.callbacks.append((call, args))
 
     def sleep(self, span: int) -> Promise:
         """A promise that is settled after `span` ns."""
         promise = Promise()
-        self.after(span, promise.set)
+        self.call_later(span, promise.set)
         return promise
 
     def spawn(self, generator: Generator[Promise, Any, object]) -> Coroutine:
-        """Runs a generator that yields promises; it starts with the next callbacks of `soon`."""
+        """Runs a generator that yields promises; it starts with the next callbacks of `call_soon`."""
         coroutine = Coroutine(generator, self.report_error)
-        self.soon(coroutine.step)
+        self.call_soon(coroutine.step)
         return coroutine
 
     def on_signal(self, number: int, call: Callable[[], object]) -> None:
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -105,7 +105,7 @@
         except OSError as error:
             if is_transient(error):
                 return 0
-            self.loop.soon(self._handle_write_error, error)
+            self.loop.call_soon(self._handle_write_error, error)
             return None
         self.bytes_sent += sent
         return sent
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -58,7 +58,7 @@
         if self.outgoing:  # while reading, a close by the other side would end the stream too early
             self.half_closed = True
             self.pause()
-            self.close_timer = self.loop.after(CLOSE_TIMEOUT, self.reset)
+            self.close_timer = self.loop.call_later(CLOSE_TIMEOUT, self.reset)
         else:
             self._shut_down_writing()
 
@@ -67,7 +67,9 @@
             self.sock.shutdown(socket.SHUT_WR)
         if self.close_timer is not None:
             self.close_timer.cancel()
-        self.close_timer = self.loop.after(CLOSE_WAIT, self.finish_close, self.loop.now() + CLOSE_TIMEOUT)
+        self.close_timer = self.loop.call_later(
+            CLOSE_WAIT, self.finish_close, self.loop.now() + CLOSE_TIMEOUT
+        )
         self.resume()
         self._read()
 
@@ -77,7 +79,7 @@
         Waits first until the other side has acknowledged all bytes, at most until the time `until` (ns).
         """
         if not self.is_acknowledged() and self.loop.now() < until:
-            self.close_timer = self.loop.after(CLOSE_WAIT, self.finish_close, until)
+            self.close_timer = self.loop.call_later(CLOSE_WAIT, self.finish_close, until)
         else:
             self._finish(None)
 
--- a/gaproute/loop/timers.py
+++ b/gaproute/loop/timers.py
@@ -51,7 +51,7 @@
         """The present time, ns."""
         return self.clock()
 
-    def at(self, when: int, call: Callback, *args: object) -> Timer:
+    def call_at(self, when: int, call: Callback, *args: object) -> Timer:
         """Calls `call(*args)` at the time `when` (ns), never early; returns the timer."""
         timer = Timer(self, when, call, args)
         self.timer_count += 1
@@ -60,9 +60,9 @@
             self._compact()
         return timer
 
-    def after(self, span: int, call: Callback, *args: object) -> Timer:
+    def call_later(self, span: int, call: Callback, *args: object) -> Timer:
         """Calls `call(*args)` after `span` ns; returns the timer."""
-        return self.at(self.clock() + span, call, *args)
+        return self.call_at(self.clock() + span, call, *args)
 
     def _compact(self) -> None:
         self.timers = [entry for entry in self.timers if entry[2].call is not None]
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -44,7 +44,7 @@
         self._observe_at = self._peers_at = now
         self._observed_until = now  # the time until which warm instances are recorded
         transport.register(PayloadKind.GOSSIP, self._received)
-        self._timer = loop.at(now, self._tick)
+        self._timer = loop.call_at(now, self._tick)
 
     def record_arrival(self, now: int, function: str, request_class: int) -> None:
         """Records a request that arrived."""
@@ -63,7 +63,7 @@
         try:
             self._turn(now)
         finally:  # an error in one turn is logged by the loop and must not end the later turns
-            self._timer = self.loop.at(max(self.node.due, now + MIN_TURN_INTERVAL), self._tick)
+            self._timer = self.loop.call_at(max(self.node.due, now + MIN_TURN_INTERVAL), self._tick)
 
     def _turn(self, now: int) -> None:
         if now >= self._peers_at:
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -91,7 +91,7 @@
             return
         if timer is not None:
             timer.cancel()
-        self._timer = self.loop.at(due, self._tick)
+        self._timer = self.loop.call_at(due, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -172,7 +172,7 @@
             promise.set(_ExchangeResult(None, timed_out=True))
 
         exchange.connect(parse_address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
-        timer = self._loop.after(ANSWER_TIMEOUT, time_up)
+        timer = self._loop.call_later(ANSWER_TIMEOUT, time_up)
         promise.then(lambda _: timer.cancel())
         return promise
 
--- a/gaproute/peers/ports.py
+++ b/gaproute/peers/ports.py
@@ -46,14 +46,14 @@
     def now(self) -> int:
         """The time."""
 
-    def at(self, when: int, call: Callback, /, *args: object) -> Timer:
+    def call_at(self, when: int, call: Callback, /, *args: object) -> Timer:
         """Calls `call(*args)` at the time `when`; returns the timer."""
 
 
 class CallbackLoop(TimerLoop, Protocol):
     """A loop that also calls back in its present or next turn."""
 
-    def soon(self, call: Callback, /, *args: object) -> object:
+    def call_soon(self, call: Callback, /, *args: object) -> object:
         """Calls `call(*args)` after the callbacks that are due now."""
 
 
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -118,7 +118,7 @@
     def _send(self, messages: Iterable[tuple[str, RaftMessage]]) -> None:
         for to, message in messages:
             if to == self.name:
-                self.loop.soon(self.receive, to, message)
+                self.loop.call_soon(self.receive, to, message)
             else:
                 self.transport.send(to, message)
 
@@ -126,7 +126,7 @@
         times = [part.due for part in self._parts() if part.due is not None]
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.at(min(times), self.run_due) if times else None
+        self.timer = self.loop.call_at(min(times), self.run_due) if times else None
 
     def _after_turn(self, begun: int) -> None:
         self._schedule()
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -166,7 +166,7 @@
         self.counts["lost"] += state.push(wire.encode_message(message))
         if state.exchange is None and state.timer is None:
             # After the present callbacks, so that all messages of one turn are sent in one batch.
-            state.timer = self.loop.at(max(self.loop.now(), state.retry_at), self._send_batch, to, state)
+            state.timer = self.loop.call_at(max(self.loop.now(), state.retry_at), self._send_batch, to, state)
 
     def _send_batch(self, to: str, state: PeerState) -> None:
         """Sends the messages that are queued, in one exchange."""
@@ -179,7 +179,7 @@
         state.exchange = Exchange(
             self.loop, data, lambda answer, fault: self._finish(to, state, len(messages), answer)
         )
-        state.timer = self.loop.after(EXCHANGE_TIMEOUT, self._finish, to, state, len(messages), None)
+        state.timer = self.loop.call_later(EXCHANGE_TIMEOUT, self._finish, to, state, len(messages), None)
         if state.connection is not None and state.connection.open:
             state.exchange.send_on(state.connection)
             return
@@ -208,7 +208,7 @@
         self.counts["sent" if sent else "lost"] += messages
         state.retry_at = now if sent else now + RETRY_DELAY
         if state.queue and not self.closed:
-            state.timer = self.loop.at(state.retry_at, self._send_batch, to, state)
+            state.timer = self.loop.call_at(state.retry_at, self._send_batch, to, state)
 
     def close(self) -> None:
         """Ends sending and listening."""
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -39,13 +39,13 @@
         try:
             target = parse_address(where)
         except ValueError:
-            self._timer = self.loop.after(0, done, None)
+            self._timer = self.loop.call_later(0, done, None)
             return
         exchange: Exchange = Exchange(
             self.loop, data, lambda response, fault: self._end(exchange, response, done)
         )
         self.exchange = exchange
-        self._timer = self.loop.after(EXCHANGE_TIME, self._end, exchange, None, done)
+        self._timer = self.loop.call_later(EXCHANGE_TIME, self._end, exchange, None, done)
         exchange.connect(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
 
     def drop(self) -> None:
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -194,7 +194,7 @@
         due = max(self.disseminator.due, self.loop.now() + MIN_TURN_INTERVAL)
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.at(due, self._tick)
+        self.timer = self.loop.call_at(due, self._tick)
         self._report_table()
 
     def _send(self, send: Send) -> None:
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -43,7 +43,7 @@
         except OSError as error:
             if not self.backoff.has_failed:
                 self.log.warning("peer_socket_unavailable", listen_address=listen, error=str(error))
-            self.retry_timer = self.loop.after(self.backoff.next_pause(), self.open)
+            self.retry_timer = self.loop.call_later(self.backoff.next_pause(), self.open)
             return
         if self.backoff.has_failed:
             self.log.info("peer_socket_bound", listen_address=listen)
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -51,6 +51,6 @@
             if error.cause.errno in SHORTAGE_ERRNOS:
                 self.loop.relieve_shortage()
             self.log.warning("configuration_read_failed", error=str(error))
-            self.retry_timer = self.loop.after(self.backoff.next_pause(), self._read)
+            self.retry_timer = self.loop.call_later(self.backoff.next_pause(), self._read)
         else:
             self.log.error("configuration_rejected", error=str(error))
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -63,9 +63,9 @@
         signalled_at = now - self.loop.read_delay
         close_at, exit_at = self.times = shutdown_times(self.deadlines, signalled_at, now)
         self.core.end_by(close_at - response_margin())
-        self.loop.at(exit_at, self.loop.stop)  # first: an error must not keep the process
-        self.loop.at(close_at, front.stop)
-        self.loop.at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
+        self.loop.call_at(exit_at, self.loop.stop)  # first: an error must not keep the process
+        self.loop.call_at(close_at, front.stop)
+        self.loop.call_at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
 
     def stop_accepting(self) -> None:
         """Stops accepting connections, and ends the loop once the last open one is closed."""
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -39,7 +39,7 @@
 
     def write(self) -> None:
         """Writes a line now and sets the timer of the next one."""
-        self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
+        self.loop.call_later(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
         self.log.info("status", **self._fields())
 
     def _fields(self) -> dict[str, object]:
--- a/gaproute/standins/cell_source.py
+++ b/gaproute/standins/cell_source.py
@@ -89,7 +89,7 @@
         self._event_delay = 0  # ns
         self.listener = Listener(loop, parse_address(where), self._accept)
         self.address = self.listener.address
-        self._timer = loop.after(comment, self._send_comments)
+        self._timer = loop.call_later(comment, self._send_comments)
 
     def publish(self, cell: str, *members: ListedMember) -> None:
         """The cell's first list, or the next change of it."""
@@ -102,7 +102,7 @@
             self.send(cell, event[: len(event) // 2])
             self.cut()
         elif self.fault is not SourceFault.SILENT and self._event_delay:
-            self.loop.after(self._event_delay, self.send, cell, event)
+            self.loop.call_later(self._event_delay, self.send, cell, event)
         elif self.fault is not SourceFault.SILENT:
             self.send(cell, event)
 
@@ -154,12 +154,12 @@
         connection.write(RESPONSE_HEAD)
         events = self.logs[cell].since(last)
         if self._event_delay:
-            self.loop.after(self._event_delay, connection.write, events)
+            self.loop.call_later(self._event_delay, connection.write, events)
         else:
             connection.write(events)
 
     def _send_comments(self) -> None:
-        self._timer = self.loop.after(self.comment_interval, self._send_comments)
+        self._timer = self.loop.call_later(self.comment_interval, self._send_comments)
         if self.fault is SourceFault.SILENT:
             return
         for connection, cell in self.connections.items():
--- a/gaproute/standins/kserve/client_request.py
+++ b/gaproute/standins/kserve/client_request.py
@@ -105,10 +105,10 @@
         owner = self.owner
         owner.open_requests += 1
         self._reused = self.gateway.idle.take()
-        self._timers.append(owner.loop.after(self.patience + LATE_ANSWER_WAIT, self._give_up, "overdue"))
+        self._timers.append(owner.loop.call_later(self.patience + LATE_ANSWER_WAIT, self._give_up, "overdue"))
         if owner.chance.random() < owner.traffic.impatient:
             span = round(self.patience * owner.chance.random())
-            self._timers.append(owner.loop.after(span, self._give_up, "left"))
+            self._timers.append(owner.loop.call_later(span, self._give_up, "left"))
         if self._reused is not None:
             self._exchange.send_on(self._reused)
         else:
@@ -182,7 +182,7 @@
             retry = attempt._replace(
                 id=f"{attempt.id}r", time_limit=left, number=attempt.number + 1, refused=(), crossed=False
             )
-            owner.loop.after(pause, owner.send, retry)
+            owner.loop.call_later(pause, owner.send, retry)
 
     def _note(self, what: str, **fields: Any) -> None:
         self.owner.tap.note(
--- a/gaproute/standins/kserve/clients.py
+++ b/gaproute/standins/kserve/clients.py
@@ -64,7 +64,7 @@
         self._all_arrived = False
         self._max_lateness = 0  # of an arrival against its time, ns
         self._next_arrival = loop.now()
-        loop.soon(self._arrive)
+        loop.call_soon(self._arrive)
         self._check_end()
 
     def command(self, command: dict[str, Any]) -> None:
@@ -78,7 +78,7 @@
             self._next_arrival += self.source.draw_gap()
             self.start_request()
         if self._next_arrival < self.until:
-            self.loop.at(self._next_arrival, self._arrive)
+            self.loop.call_at(self._next_arrival, self._arrive)
         else:
             self._all_arrived = True
 
@@ -114,8 +114,8 @@
 
     def _check_end(self) -> None:
         if not self._all_arrived or self.open_requests:
-            self.loop.after(CHECK_INTERVAL, self._check_end)
+            self.loop.call_later(CHECK_INTERVAL, self._check_end)
             return
         self.tap.note("done", late=self._max_lateness)
         self.tap.flush()
-        self.loop.after(LAST_ANSWERS, self.loop.stop)
+        self.loop.call_later(LAST_ANSWERS, self.loop.stop)
--- a/gaproute/standins/kserve/host.py
+++ b/gaproute/standins/kserve/host.py
@@ -122,7 +122,7 @@
         self.tap.note("said", id=taken.id, status=STATUS[end])
         self.server.answer(request, STATUS[end], headers, body)
         if self.model_server.faults.is_active(HostFault.SHUT):
-            self.loop.soon(request.connection.close_gracefully)
+            self.loop.call_soon(request.connection.close_gracefully)
 
     def _result(self, taken: HostRequest) -> bytes:
         output = {"name": "at", "shape": [1], "datatype": "BYTES", "data": [self.profile.name]}
--- a/gaproute/standins/model_server/processor.py
+++ b/gaproute/standins/model_server/processor.py
@@ -63,7 +63,7 @@
         if self.running:
             left = max(0.0, min(request.work_left for request in self.running))
             span = round(left / self.rate(self.loop.now())) + ROUNDING
-            self._timer = self.loop.after(span, self._finish_done)
+            self._timer = self.loop.call_later(span, self._finish_done)
 
     def stop(self) -> None:
         """Drops all requests; nothing is called for them."""
--- a/gaproute/standins/model_server/server.py
+++ b/gaproute/standins/model_server/server.py
@@ -231,7 +231,7 @@
             return
         self.pool.unload_idle(self.loop.now())
         note_violations(self.tap, find_violations(self))
-        self.loop.after(UPKEEP_INTERVAL, self._upkeep)
+        self.loop.call_later(UPKEEP_INTERVAL, self._upkeep)
 
 
 def _ignore() -> None:
--- a/gaproute/standins/model_store.py
+++ b/gaproute/standins/model_store.py
@@ -79,7 +79,7 @@
             self._timer.cancel()
         if self._fetches:
             left = max(0.0, min(self._fetches.values()))
-            self._timer = self.loop.after(round(left / self._share_a_ns()) + ROUNDING, self._answer_done)
+            self._timer = self.loop.call_later(round(left / self._share_a_ns()) + ROUNDING, self._answer_done)
 
     def _answer_done(self) -> None:
         self._advance()
--- a/gaproute/standins/platform/change_log.py
+++ b/gaproute/standins/platform/change_log.py
@@ -50,7 +50,7 @@
         for feed in self.feeds:
             feed.upkeep()
         note_violations(self.tap, find_violations(self.feeds, len(self.events)))
-        self.loop.after(UPKEEP_INTERVAL, self._upkeep)
+        self.loop.call_later(UPKEEP_INTERVAL, self._upkeep)
 
     # Commands
 
--- a/gaproute/standins/platform/client_attempt.py
+++ b/gaproute/standins/platform/client_attempt.py
@@ -94,10 +94,10 @@
     def start(self) -> None:
         """Sends it."""
         loop, chance = self.owner.loop, self.owner.chance
-        self._timers = [loop.after(self.patience + GRACE, self._give_up, "overdue")]
+        self._timers = [loop.call_later(self.patience + GRACE, self._give_up, "overdue")]
         if chance.random() < self.owner.traffic.impatient:
             span = round(self.patience * chance.random())
-            self._timers.append(loop.after(span, self._give_up, "left"))
+            self._timers.append(loop.call_later(span, self._give_up, "left"))
         self._send()
 
     def _send(self) -> None:
--- a/gaproute/standins/platform/client_request.py
+++ b/gaproute/standins/platform/client_request.py
@@ -61,7 +61,7 @@
         in_time = owner.loop.now() + pause < self.deadline
         if may_retry and self._attempt_count < owner.traffic.retries and in_time:
             self._attempt_count += 1
-            owner.loop.after(pause, self._retry)
+            owner.loop.call_later(pause, self._retry)
         else:
             self.attempt_ended()
 
--- a/gaproute/standins/platform/clients.py
+++ b/gaproute/standins/platform/clients.py
@@ -71,7 +71,7 @@
     def _await_gateways(self) -> None:
         now = self.loop.now()
         if not self.pool.all_in() and now < self._start_by:
-            self.loop.after(CHECK_INTERVAL, self._await_gateways)
+            self.loop.call_later(CHECK_INTERVAL, self._await_gateways)
             return
         self._next_arrival, self.until = now, now + self._length
         self.tap.note("begun")
@@ -85,7 +85,7 @@
             self.start_request()
             self._next_arrival += self.source.draw_gap()
         if self._next_arrival < until:
-            self.loop.at(self._next_arrival, self._arrive)
+            self.loop.call_at(self._next_arrival, self._arrive)
         else:
             self._all_arrived = True
 
@@ -105,11 +105,11 @@
 
     def _check_end(self) -> None:
         if not self._all_arrived or self.open_requests:
-            self.loop.after(CHECK_INTERVAL, self._check_end)
+            self.loop.call_later(CHECK_INTERVAL, self._check_end)
             return
         self.tap.note("done")
         self.tap.flush()
-        self.loop.after(LAST_ANSWERS, self.loop.stop)
+        self.loop.call_later(LAST_ANSWERS, self.loop.stop)
 
     def command(self, command: JsonObject) -> None:
         """Changes the load; see `TrafficCommand` for the form. `weights` shares it out among gateways;
--- a/gaproute/standins/platform/gateway_feed.py
+++ b/gaproute/standins/platform/gateway_feed.py
@@ -120,7 +120,7 @@
         """Sends a new event, now or later."""
         late = self.faults.get(FeedFault.LATE)
         if late is not None:
-            self.log.loop.after(late.command.delay, self._release, len(self.log.events))
+            self.log.loop.call_later(late.command.delay, self._release, len(self.log.events))
         self._push()
 
     def _release(self, last: int) -> None:
--- a/gaproute/standins/platform/gateway_pool.py
+++ b/gaproute/standins/platform/gateway_pool.py
@@ -71,4 +71,4 @@
         unused_since = self.loop.now() - IDLE_TIME
         for gateway in self.gateways:
             gateway.close_idle(unused_since)
-        self.loop.after(SWEEP_INTERVAL, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL, self._sweep)
--- a/gaproute/standins/platform/host.py
+++ b/gaproute/standins/platform/host.py
@@ -62,7 +62,7 @@
         self.address = self.listener.address
         self.model_server.on_overload = self._reset_all
         self.model_server.start()
-        self._sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     # Connections
 
@@ -84,7 +84,7 @@
         for connection in list(self._connections.values()):
             if connection.is_idle and connection.used_at < unused_since:
                 connection.close()
-        self._sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     # Messages
 
@@ -160,7 +160,7 @@
         self.tap.note("said", id=request.id, status=kind.status)
         connection.send(kind, request.id, details, data if kind is AnswerKind.SERVED else None)
         if self.model_server.faults.is_active(HostFault.SHUT):
-            self.loop.soon(self._close_if_idle, connection)
+            self.loop.call_soon(self._close_if_idle, connection)
 
     # Load orders
 
--- a/gaproute/standins/platform/pooled_gateway.py
+++ b/gaproute/standins/platform/pooled_gateway.py
@@ -93,7 +93,7 @@
         Ping(self.pool.loop, self.where, on_up=self._come_in, on_failed=self._ping_later)
 
     def _ping_later(self) -> None:
-        self.pool.loop.after(PING_INTERVAL, self._ping)
+        self.pool.loop.call_later(PING_INTERVAL, self._ping)
 
     def _come_in(self) -> None:
         self.is_in, self._accepts_new, self._is_going_out = True, True, False
@@ -104,15 +104,15 @@
         if self.is_in and not self._is_going_out:
             self._is_going_out = True
             span = round(self.pool.chance.uniform(*DEATH_NOTICE) * SECOND)
-            self.pool.loop.after(span, self._go_out)
+            self.pool.loop.call_later(span, self._go_out)
 
     def restart_announced(self) -> None:
         """The gateway will be restarted."""
         if self.is_in and not self._is_going_out:
             self._is_going_out = True
             span = round(self.pool.chance.uniform(*RESTART_NOTICE) * SECOND)
-            self.pool.loop.after(span, self._stop_connecting)
-            self.pool.loop.after(span + LAST_REQUESTS, self._go_out)
+            self.pool.loop.call_later(span, self._stop_connecting)
+            self.pool.loop.call_later(span + LAST_REQUESTS, self._go_out)
 
     def _stop_connecting(self) -> None:
         self._accepts_new = False
@@ -139,7 +139,7 @@
     ) -> None:
         self._on_up, self._on_failed = on_up, on_failed
         self._connection = RpcConnection(loop, where, lambda text: None, lambda connection: None)
-        self._timer = loop.after(PING_INTERVAL, self._timed_out)
+        self._timer = loop.call_later(PING_INTERVAL, self._timed_out)
         self._connection.call({"method": "ping", "params": {}}, self._answered, self._lost)
 
     def _answered(self, message: JsonObject) -> None:
--- a/gaproute/standins/tap_flusher.py
+++ b/gaproute/standins/tap_flusher.py
@@ -30,4 +30,4 @@
             self.tap.note("late", by=now - due)
         self.tap.flush()
         self.flush_others()
-        self.loop.at(now + FLUSH_INTERVAL, self._run, now + FLUSH_INTERVAL)
+        self.loop.call_at(now + FLUSH_INTERVAL, self._run, now + FLUSH_INTERVAL)
--- a/tests/appliance/test_cell_lists.py
+++ b/tests/appliance/test_cell_lists.py
@@ -37,7 +37,7 @@
         """All files are looked at."""
         end = self.loop.now() + 12 * MILLI
         while self.loop.now() < end:
-            self.loop.after(MILLI, lambda: None)
+            self.loop.call_later(MILLI, lambda: None)
             self.loop.turn()
 
 
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -40,7 +40,7 @@
         end = self.loop.now() + 5 * SECOND
         while not condition():
             assert self.loop.now() < end, "waited too long"
-            self.loop.after(MILLI, lambda: None)
+            self.loop.call_later(MILLI, lambda: None)
             self.loop.turn()
 
     def close(self):
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -98,7 +98,7 @@
 
 def test_a_crew_acquires_a_lease_that_nobody_else_gets_and_releases_it(site):
     for after in range(0, MAX_DURATION, 50):  # the machine stalls: to the gateways that is no time
-        site.made.loop.after(after * MILLI, time.sleep, 1.2 * MAX_DURATION / 1000)
+        site.made.loop.call_later(after * MILLI, time.sleep, 1.2 * MAX_DURATION / 1000)
     one = site.held("d", "out h0", for_ms=5000)
     time.sleep(2 * MAX_DURATION / 1000)
     assert one["state"] == "held"
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -51,7 +51,9 @@
     def handle(self, request):
         status = self.statuses.pop(0) if len(self.statuses) > 1 else self.statuses[0]
         self.targets_by_status.setdefault(status, []).append(bytes(request.target).decode())
-        self.loop.after(self.after, self.server.answer, request, status, ((b"Why", b"busy"),), b"details")
+        self.loop.call_later(
+            self.after, self.server.answer, request, status, ((b"Why", b"busy"),), b"details"
+        )
 
 
 @pytest.fixture
--- a/tests/cluster/test_emulator_checks.py
+++ b/tests/cluster/test_emulator_checks.py
@@ -25,7 +25,7 @@
     loop.poll = lambda epoll, span: epoll.poll(0)
     late = LinkLateness(loop)
     assert late.take() == 0
-    loop.soon(lambda: now.__setitem__(0, now[0] + 30 * MILLI))  # a long turn
+    loop.call_soon(lambda: now.__setitem__(0, now[0] + 30 * MILLI))  # a long turn
     loop.turn()
     loop.turn()
     assert late.take() == 30 * MILLI
--- a/tests/connections/conftest.py
+++ b/tests/connections/conftest.py
@@ -94,7 +94,7 @@
         while self.clock.now < until:
             self.clock.now = min(until, self.clock.now + step)
             for _ in range(4):
-                self.loop.soon(lambda: None)
+                self.loop.call_soon(lambda: None)
                 self.loop.turn()
 
     def count_answers(self, client):
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -197,7 +197,7 @@
 
     made = core(serve)
     submit(made)
-    made.loop.after(15 * MILLI, lambda: made.hosts.sent[0](AttemptResult(face.Result.FULL, None)))
+    made.loop.call_later(15 * MILLI, lambda: made.hosts.sent[0](AttemptResult(face.Result.FULL, None)))
     run(made, 100 * MILLI)
     assert times == [(10 * MILLI, None), (15 * MILLI, face.Result.FULL), (25 * MILLI, None)]
 
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -135,7 +135,7 @@
             if stream.open:
                 for piece in self.says():
                     stream.write(piece)
-                self.loop.after(100 * MILLI, say)
+                self.loop.call_later(100 * MILLI, say)
 
         say()
 
--- a/tests/discovery/test_change_log_dials.py
+++ b/tests/discovery/test_change_log_dials.py
@@ -100,7 +100,7 @@
         dials.append(where)
         if len(dials) > 3:
             return connect(loop, where, within, done)
-        return loop.after(within, done, None, TimeoutError()).cancel
+        return loop.call_later(within, done, None, TimeoutError()).cancel
 
     monkeypatch.setattr(watching, "connect", dial)
     made.passes(4 * SECOND - 20 * MILLI)
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -171,7 +171,7 @@
         while clock.now < end:
             clock.now += 10 * MILLI
             for _ in range(6):
-                loop.soon(lambda: None)
+                loop.call_soon(lambda: None)
                 loop.turn()
 
     while not seen:
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -65,10 +65,10 @@
 
 
 def wall_clock_used_for_waits(patch):
-    def after(loop, span, call, *args):
-        return loop.at(loops.time.time_ns() - EPOCH + span, call, *args)
+    def call_later(loop, span, call, *args):
+        return loop.call_at(loops.time.time_ns() - EPOCH + span, call, *args)
 
-    patch.setattr(Loop, "after", after)
+    patch.setattr(Loop, "call_later", call_later)
 
 
 def wall_clock_used_for_deadlines(patch):
@@ -128,7 +128,7 @@
 
     def finish(stream, error):
         if error is not None:
-            stream.loop.after(HOUR, stream.reset)
+            stream.loop.call_later(HOUR, stream.reset)
         honest(stream, error)
 
     patch.setattr(Stream, "_finish", finish)
@@ -158,7 +158,7 @@
     honest = Core._finish
 
     def final(core, held, *others):
-        core.loop.after(2 * SECOND, honest, core, held, *others)
+        core.loop.call_later(2 * SECOND, honest, core, held, *others)
 
     patch.setattr(Core, "_finish", final)
 
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -124,7 +124,7 @@
         leave(client)
         gateway.clock.now += LONG_TURN
 
-    gateway.loop.at(gateway.loop.now(), long_turn)  # before the timer of the attempt, in the same turn
+    gateway.loop.call_at(gateway.loop.now(), long_turn)  # before the timer of the attempt, in the same turn
     gateway.clock.now += 100 * MILLI
     gateway.turns()
     stays = leave is DEPARTURES["stays"]
@@ -245,7 +245,7 @@
         exchange = Exchange(loop, b"x", lambda *result: results.append(result), still_wanted=lambda: False)
         exchange.connect((socket.AF_INET, server.getsockname()), SECOND, 1024, 1024)
         while not results:
-            loop.after(MILLI, lambda: None)
+            loop.call_later(MILLI, lambda: None)
             loop.turn()
         accepted, _ = server.accept()
         assert accepted.recv(1) == b""
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -101,7 +101,7 @@
     sock.sendall(b"POST /a HTTP/1.1\r\nHost: g\r\nContent-Length: 150000\r\n\r\n" + b"x" * 150_000)
     sock.shutdown(socket.SHUT_WR)
     while not requests_read:
-        loop.after(MILLI, lambda: None)
+        loop.call_later(MILLI, lambda: None)
         loop.turn()
     assert requests_read[0].client_closed
     assert len(requests_read[0].body) == 150_000
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -87,7 +87,7 @@
     end = loop.now() + 5 * SECOND
     while not condition():
         assert loop.now() < end, "waited too long"
-        loop.after(MILLI, lambda: None)
+        loop.call_later(MILLI, lambda: None)
         loop.turn()
 
 
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -35,7 +35,7 @@
         self.most = max(self.most, self.server.connection_count)
         if self.delay is not None:
             headers = ((b"Gaproute-Outcome", b"delivered"),)
-            self.loop.after(self.delay, self.server.answer, request, 200, headers, b"ok")
+            self.loop.call_later(self.delay, self.server.answer, request, 200, headers, b"ok")
 
 
 @pytest.fixture
--- a/tests/loop/test_loop.py
+++ b/tests/loop/test_loop.py
@@ -22,16 +22,16 @@
 def test_timers_fire_in_order_at_exactly_their_time(loop):
     fired = []
     for span in (30, 10, 20):
-        loop.after(span * MILLI, lambda span=span: fired.append((span, loop.now() - 7 * SECOND)))
+        loop.call_later(span * MILLI, lambda span=span: fired.append((span, loop.now() - 7 * SECOND)))
     loop.run(until=loop.sleep(50 * MILLI))
     assert fired == [(10, 10 * MILLI), (20, 20 * MILLI), (30, 30 * MILLI)]
 
 
 def test_cancelled_timers_do_not_fire_and_many_of_them_are_removed_from_the_heap(loop):
     fired = []
-    for timer in [loop.after(SECOND, fired.append, number) for number in range(5000)]:
+    for timer in [loop.call_later(SECOND, fired.append, number) for number in range(5000)]:
         timer.cancel()
-    loop.after(SECOND, fired.append, "fired")
+    loop.call_later(SECOND, fired.append, "fired")
     assert len(loop.timers) < 3000
     loop.run(until=loop.sleep(2 * SECOND))
     assert fired == ["fired"]
@@ -47,7 +47,7 @@
     def outer():
         yield loop.sleep(MILLI)
         failing = Promise()
-        loop.after(MILLI, failing.fail, KeyError())
+        loop.call_later(MILLI, failing.fail, KeyError())
         return (yield from inner(failing)), loop.now()
 
     assert loop.run(until=loop.spawn(outer()).done) == ("caught", 7 * SECOND + 2 * MILLI)
@@ -72,8 +72,8 @@
 
 def test_an_error_in_one_callback_does_not_stop_the_others(loop):
     fired = []
-    loop.after(MILLI, lambda: 1 / 0)
-    loop.after(MILLI, fired.append, "next")
+    loop.call_later(MILLI, lambda: 1 / 0)
+    loop.call_later(MILLI, fired.append, "next")
     loop.run(until=loop.sleep(2 * MILLI))
     assert fired == ["next"]
     assert isinstance(loop.errors[0], ZeroDivisionError)
@@ -84,7 +84,7 @@
     loop, order = Loop(clock), []
     stream, remote = stream_pair(loop, lambda data: order.append(("bytes", loop.read_delay)))
     loop.on_late_turn.append(lambda: order.append("late turn"))
-    loop.after(10 * MILLI, order.append, "timer")
+    loop.call_later(10 * MILLI, order.append, "timer")
     remote.send(b"x")
     clock.now += 2 * SECOND  # as if the process had been stopped
     loop.turn()
@@ -99,11 +99,11 @@
     def fire_again():
         remaining[0] -= 1
         if remaining[0]:
-            loop.after(0, fire_again)
+            loop.call_later(0, fire_again)
 
     stream, remote = stream_pair(loop, received.append)
-    loop.after(0, fire_again)
-    loop.after(0, remote.send, b"x")
+    loop.call_later(0, fire_again)
+    loop.call_later(0, remote.send, b"x")
     loop.turn()
     loop.turn()
     assert received == [b"x"]
@@ -112,7 +112,7 @@
 
 def test_a_turn_on_time_is_not_late(loop):
     loop.on_late_turn.append(lambda: pytest.fail("a late turn was reported"))
-    loop.after(10 * MILLI, lambda: None)
+    loop.call_later(10 * MILLI, lambda: None)
     loop.run(until=loop.sleep(20 * MILLI))
     assert loop.late_turns == 0
 
--- a/tests/loop/test_streams.py
+++ b/tests/loop/test_streams.py
@@ -89,7 +89,7 @@
         remote.close()
         stream.write(b"crosses")
 
-    real_loop.after(0, answer_and_reset)
+    real_loop.call_later(0, answer_and_reset)
     real_loop.turn()
     real_loop.turn()
     assert order[0] == b"a whole answer"
@@ -111,7 +111,7 @@
     remote.setblocking(False)
     while received < size:
         remote.send(b"crosses")
-        real_loop.after(0, lambda: None)
+        real_loop.call_later(0, lambda: None)
         real_loop.turn()
         with contextlib.suppress(BlockingIOError):
             received += len(remote.recv(1 << 16))
--- a/tests/loop/test_syscalls_loop.py
+++ b/tests/loop/test_syscalls_loop.py
@@ -186,7 +186,7 @@
     loop, order = Loop(PollingClock()), []
     loop.epoll = FailingEpoll(loop.epoll)
     loop.watch(local.fileno(), READ, lambda events: (local.recv(9), order.append("bytes")))
-    loop.after(10 * MILLI, order.append, "timer")
+    loop.call_later(10 * MILLI, order.append, "timer")
     remote.send(b"x")
     loop.clock.now += 2 * SECOND
     loop.epoll.fail("poll", errno.EINTR)
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -211,7 +211,7 @@
 
     def time_passes():
         made.clock.now += MILLI
-        made.loop.soon(time_passes)
+        made.loop.call_soon(time_passes)
 
     time_passes()
     made.loop.run()
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -82,9 +82,9 @@
         self.sent.append((self.clock.now, name, command["req"], float(command["meta"]["limit"])))
         count = len(host.seen("go"))
         if count % 7 == 0:
-            self.loop.after(SERVED, host.reply, stream, command, "overload")
+            self.loop.call_later(SERVED, host.reply, stream, command, "overload")
         else:
-            self.loop.after(LOADED if count % 9 == 0 else SERVED, host.serve, stream, command)
+            self.loop.call_later(LOADED if count % 9 == 0 else SERVED, host.serve, stream, command)
 
     def send_event(self, number, name, phase, since=0):
         watch_event = event(number, (name, self.hosts[name].address, phase))
@@ -110,7 +110,7 @@
                 client.ask(number, method, o=f"{number % FUNCTIONS:016x}")
             self.clock.now += STEP
             for _ in range(4):
-                self.loop.soon(lambda: None)
+                self.loop.call_soon(lambda: None)
                 self.loop.turn()
             for answer in client.answers:
                 self.came.setdefault(answer["id"], []).append((self.clock.now, answer))
--- a/tests/scenarios/test_gateways.py
+++ b/tests/scenarios/test_gateways.py
@@ -82,7 +82,7 @@
         loop.stop()
 
     loop.spawn(watch())
-    loop.after(within, loop.stop)
+    loop.call_later(within, loop.stop)
     loop.run()
     assert found, "the start did not end"
     return found[0]
@@ -92,7 +92,7 @@
     loop = Loop()
     fleet = gateways(loop, tmp_path, "import time; time.sleep(60)")
     start = loop.spawn(fleet.start(0))
-    loop.after(100 * MILLI, lambda: loop.spawn(fleet.kill_and_restart(0, 600 * SECOND)))
+    loop.call_later(100 * MILLI, lambda: loop.spawn(fleet.kill_and_restart(0, 600 * SECOND)))
     assert ended(loop, start) is None
     assert fleet.trial.tap.events == ["killed"]
     fleet.processes[0].child.wait()
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -108,7 +108,7 @@
 
 
 def test_a_request_whose_connection_is_reset_later_is_lost(play):
-    played = play(lambda played, request, name: played.loop.after(80 * MILLI, reset_connection, request))
+    played = play(lambda played, request, name: played.loop.call_later(80 * MILLI, reset_connection, request))
     played.until("broken")
     assert len(played.came) == 1
 
@@ -124,7 +124,7 @@
 
 def answered_after(span):
     """A gateway that delivers each answer `span` ms after its request."""
-    return lambda played, request, name: played.loop.after(span * MILLI, played.deliver, request, name)
+    return lambda played, request, name: played.loop.call_later(span * MILLI, played.deliver, request, name)
 
 
 def test_an_answer_before_its_deadline_is_in_time(play):
@@ -154,7 +154,7 @@
 def test_a_late_rejection_is_not_retried(play):
     def reject_late(played, request, name):
         rejected = (b"Gaproute-Outcome", b"declined")
-        played.loop.after(300 * MILLI, played.server.answer, request, 503, (rejected,), b"")
+        played.loop.call_later(300 * MILLI, played.server.answer, request, 503, (rejected,), b"")
 
     played = play(reject_late, patience=(0.2, 0.2), retries=1)
     played.until("done")
@@ -163,7 +163,7 @@
 
 def test_a_connection_that_ends_after_the_deadline_leaves_its_request_overdue(play):
     def close_late(played, request, name):
-        played.loop.after(300 * MILLI, read_and_closed, played, request, name)
+        played.loop.call_later(300 * MILLI, read_and_closed, played, request, name)
 
     played = play(close_late, patience=(0.2, 0.2))
     played.until("overdue")
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -48,7 +48,7 @@
 
     def rest(self, span):
         end = self.loop.now() + span
-        timer = self.loop.at(end, lambda: None)
+        timer = self.loop.call_at(end, lambda: None)
         while self.loop.now() < end:
             self.loop.turn()
         timer.cancel()
--- a/tests/standins/test_platform_clients.py
+++ b/tests/standins/test_platform_clients.py
@@ -171,7 +171,7 @@
         stream.abort()
 
     def closes_late(gate, stream, request):
-        bench.loop.after(80 * MILLI, stream.abort)
+        bench.loop.call_later(80 * MILLI, stream.abort)
 
     for days, (answer, tries) in enumerate([(closes_always, 2), (closes_late, 1)], start=2):
         _, gates = day(bench, [answer], length=1)
--- a/tests/storage/test_observation_writer.py
+++ b/tests/storage/test_observation_writer.py
@@ -42,7 +42,7 @@
 
     def run(span):
         end = clock.now + span
-        loop.at(end, lambda: None)
+        loop.call_at(end, lambda: None)
         while clock.now < end:
             loop.turn()
         return {subject[1] for subject, _, _ in made.store.read(9)}
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -85,7 +85,7 @@
 
     def run(self, span):
         end = self.loop.now() + span
-        self.loop.at(end, lambda: None)
+        self.loop.call_at(end, lambda: None)
         while self.loop.now() < end:
             self.loop.turn()
 
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -208,7 +208,7 @@
 
     def wait(self, promise, within=10):
         """The promise's value."""
-        timer = self.loop.after(within * SECOND, promise.fail, TimeoutError("waited too long"))
+        timer = self.loop.call_later(within * SECOND, promise.fail, TimeoutError("waited too long"))
         value = self.loop.run(until=promise)
         timer.cancel()
         return value
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -78,7 +78,7 @@
         while self.clock.now < end:
             self.clock.now = min(end, self.clock.now + step)
             for _ in range(6):
-                self.loop.soon(lambda: None)
+                self.loop.call_soon(lambda: None)
                 self.loop.turn()
 
     def until(self, condition, within=30 * SECOND):
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -139,7 +139,7 @@
     end = loop.now() + within * SECOND
     while not condition():
         assert loop.now() < end, "waited too long"
-        loop.after(MILLI, lambda: None)
+        loop.call_later(MILLI, lambda: None)
         loop.turn()
 
 
@@ -267,7 +267,7 @@
 
     def wait(self, promise, within=10):
         """The promise's value; a test that waits longer than `within` seconds has failed."""
-        timer = self.loop.after(within * SECOND, promise.fail, TimeoutError("waited too long"))
+        timer = self.loop.call_later(within * SECOND, promise.fail, TimeoutError("waited too long"))
         value = self.loop.run(until=promise)
         timer.cancel()
         return value
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -98,7 +98,7 @@
         while self.clock.now < until:
             self.clock.now = min(until, self.clock.now + step)
             for _ in range(6):
-                self.loop.soon(lambda: None)
+                self.loop.call_soon(lambda: None)
                 self.loop.turn()
 
     def close(self):
@@ -167,7 +167,7 @@
     def turns(self, count=20):
         """A few turns, so that whatever is under way on loopback arrives."""
         for _ in range(count):
-            self.loop.after(0, lambda: None)
+            self.loop.call_later(0, lambda: None)
             self.loop.turn()
 
     def passes(self, span):
