--- a/benchmarks/connection_processes.py
+++ b/benchmarks/connection_processes.py
@@ -17,7 +17,7 @@
 from gaproute.load import LoadGenerator, read_load_script
 from gaproute.load.results import TrafficResult
 from gaproute.loop import Listener, Loop, Promise, Stream
-from gaproute.loop.addresses import Address, address
+from gaproute.loop.addresses import Address, parse_address
 from gaproute.loop.descriptors import READ
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -72,7 +72,7 @@
         self.held += 1
         while True:
             due = self._loop.now() + self._idle_time
-            timer = self._loop.at(due, received[0].set, None)
+            timer = self._loop.call_at(due, received[0].set, None)
             data = yield received[0]
             timer.cancel()
             if data is None:
@@ -164,7 +164,7 @@
     Orders: {"idle": ns}, {"late": true} and {"held": true}; the last two are answered.
     """
     loop = Loop()
-    server = SERVERS[form](loop, address("127.0.0.1:0"))
+    server = SERVERS[form](loop, parse_address("127.0.0.1:0"))
     gc.collect()
     gc.freeze()
     gc.set_threshold(10_000, 50, 100)
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -27,8 +27,8 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.addresses import parse_address
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.peer_server import LIMITS
@@ -92,7 +92,12 @@
     def listen(self, where: str) -> PeerServer:
         """Opens the address for other gateways. Errors: OSError; `close` is to be called then."""
         server = PeerServer(
-            self.loop, address(where), self.gateway, self.host_history, self.request_classes, self._limits()
+            self.loop,
+            parse_address(where),
+            self.gateway,
+            self.host_history,
+            self.request_classes,
+            self._limits(),
         )
         self.peer_server = server
         try:
@@ -203,7 +208,7 @@
 
     def _open_membership(self, server: PeerServer) -> MembershipTransport:
         chance = RandomGenerator(self.seed + SeedOffset.MEMBERSHIP)
-        open_datagrams = partial(Datagrams, self.loop)
+        open_datagrams = partial(DatagramSocket, self.loop)
         return MembershipTransport(
             self.loop, self.configuration.name, server.address, chance, self.record, open_datagrams
         )
--- a/gaproute/cluster/links/stream_end.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -175,7 +175,7 @@
         self.write_failed = True
         self.output.clear()
         if self.input_ended:
-            self.loop.soon(self._break_off_if_open)
+            self.loop.call_soon(self._break_off_if_open)
         else:
             self._update_mask()
 
@@ -210,7 +210,7 @@
             if self._mask is None:
                 self.loop.watch(self.sock.fileno(), mask, self._ready)
             else:
-                self.loop.rewatch(self.sock.fileno(), mask)
+                self.loop.change_events(self.sock.fileno(), mask)
             self._mask = mask
 
     def close(self) -> None:
--- a/gaproute/connections/descriptors.py
+++ b/gaproute/connections/descriptors.py
@@ -1,8 +1,8 @@
-"""The operating system's limit on open descriptors."""
+"""Reads the operating system's limit on open descriptors."""
 
 import resource
 
 
-def descriptors() -> int:
+def descriptor_limit() -> int:
     """The process's soft limit on open descriptors."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -112,7 +112,7 @@
         handle = request.attempts[number].handle
         result = interface.Result.CANCELLED if handle.started else interface.Result.NOT_SENT
         handle.cancel()
-        self.loop.soon(self._end_withdrawn_attempt, request.id, number, result)
+        self.loop.call_soon(self._end_withdrawn_attempt, request.id, number, result)
 
     def _end_withdrawn_attempt(self, key: str, number: int, result: interface.Result) -> None:
         request = self.in_flight.get(key)
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -83,7 +83,7 @@
             request.cell_unknown,
             request.found,
         )
-        self.loop.soon(on_final, final)
+        self.loop.call_soon(on_final, final)
         self._withdraw_attempts(request)
 
     def _record_end(
@@ -131,7 +131,7 @@
             return
         request.deadline_timer.cancel()
         if not self.in_flight and self.on_idle is not None:
-            self.loop.soon(self.on_idle)
+            self.loop.call_soon(self.on_idle)
 
     # Errors
 
@@ -144,7 +144,7 @@
 
     def _handle_decision_error(self, key: str, error: Exception) -> None:
         """Reports an error of the decision module and drops the generator that raised it."""
-        self.loop.failed(error)
+        self.loop.report_error(error)
         self.record.log_internal_error(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
             self.housekeeping_generator = None  # a new one starts with the next host list
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -62,7 +62,7 @@
         now = self.loop.now()
         remaining_time = max(0, first_byte_at + time_left - now)
         deadline = now + remaining_time
-        deadline_timer = self.loop.at(deadline, self._deadline_passed, key)
+        deadline_timer = self.loop.call_at(deadline, self._deadline_passed, key)
         request = RequestInFlight(key, call, request_class, on_final, first_byte_at, deadline, deadline_timer)
         self.in_flight[key] = request
         self._record_arrival(request, now, remaining_time)
@@ -108,7 +108,7 @@
     def end_requests_by(self, when: int) -> None:
         """Ensures that each request gets its final answer by `when`, as the process ends soon."""
         self.gateway.end_by = when
-        self.loop.at(when, self._end_all_requests)
+        self.loop.call_at(when, self._end_all_requests)
 
     def _end_all_requests(self) -> None:
         for request in list(self.in_flight.values()):
@@ -121,7 +121,7 @@
     def start_wait(self, key: str, until: int, now: int) -> None:
         """Schedules the end of the generator's wait at `until`; replaces an earlier wait of the key."""
         self.cancel_wait(key)
-        self.wait_timers[key] = self.loop.at(until, self._wait_elapsed, key)
+        self.wait_timers[key] = self.loop.call_at(until, self._wait_elapsed, key)
 
     def cancel_wait(self, key: str) -> None:
         """Cancels the wait of the key, if there is one."""
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -14,7 +14,7 @@
 from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.watcher import SILENCE_TIMEOUT, ChangeLogWatcher
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.addresses import parse_address
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
@@ -80,7 +80,7 @@
         """Reconnects after the backoff, to the next source if there are several."""
         if not self.failing:
             self.failing = True
-            self.loop.guard(self.on_lost, f"{self.address_text}: {reason}")
+            self.loop.call_guarded(self.on_lost, f"{self.address_text}: {reason}")
         if len(self.sources) > 1:
             self.source_index = (self.source_index + 1) % len(self.sources)
             self.address_text = self.sources[self.source_index]
@@ -93,7 +93,7 @@
         super().on_connection_proved()
         if self.failing and self.last_message_at >= self.connecting_since + SILENCE_TIMEOUT:
             self.failing = False
-            self.loop.guard(self.on_restored)
+            self.loop.call_guarded(self.on_restored)
 
     def follows_last_event(self, event: Event) -> bool:
         """Whether the event is a complete list or follows one without a gap."""
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -19,7 +19,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.interface import ListedHost, ListedHostState
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 
 class MemberConverter:
@@ -67,7 +67,7 @@
 
     def _convert(self, member: MemberRecord, last_absent_at: int | None) -> Endpoint:
         """Converts one member. Errors: ValueError, KeyError."""
-        address(member.host_port)
+        parse_address(member.host_port)
         state = STATES_BY_PHASE[member.phase]
         zone = self.zones.setdefault(member.locality, len(self.zones))
         cell = member.cell
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -8,7 +8,7 @@
 from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.sse import MAX_EVENT_BYTES, ChangeLogError, EventReader
 from gaproute.loop import Loop, Stream, connect
-from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI, SECOND
@@ -78,7 +78,7 @@
         self.disconnect()
         self.connection_count += 1
         self.connecting_since = self.last_progress_at = self.loop.now()
-        self.timer = self.loop.after(SILENCE_TIMEOUT, self.check_silence)
+        self.timer = self.loop.call_later(SILENCE_TIMEOUT, self.check_silence)
         connected = partial(self.on_connected, self.connection_count)
         self.cancel_connect = connect(self.loop, self.address, CONNECT_TIMEOUT, connected)
 
@@ -135,7 +135,7 @@
             self.restart_count += 1
         self.last_seq, self.backoff = event.seq, self.first_backoff
         self.remember_list(event)
-        self.loop.guard(self.on_event, event)
+        self.loop.call_guarded(self.on_event, event)
         return True
 
     # Methods that a watcher of several sources overrides
@@ -186,7 +186,7 @@
         if remaining <= 0:
             self.reconnect_later("silent")
         else:
-            self.timer = self.loop.after(remaining, self.check_silence)
+            self.timer = self.loop.call_later(remaining, self.check_silence)
 
     def reconnect_later(self, reason: object) -> None:
         """Reconnects after the backoff, with jitter so that gateways do not all connect at the same time."""
@@ -195,7 +195,7 @@
         jitter = self.backoff * self.chance.below(JITTER_STEPS) // (2 * JITTER_STEPS)
         wait = self.backoff // 2 + jitter
         self.backoff = min(2 * self.backoff, self.max_backoff)
-        self.timer = self.loop.after(wait, self.connect)
+        self.timer = self.loop.call_later(wait, self.connect)
 
     def disconnect(self) -> None:
         """Ends the connection and cancels a connection attempt or retry."""
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -8,7 +8,7 @@
 from gaproute.config import ConfigurationError, read_hosts
 from gaproute.config.errors import Mistake
 from gaproute.loop import Loop
-from gaproute.loop.faults import cause_of, is_transient_read
+from gaproute.loop.faults import find_os_error, is_transient_read
 from gaproute.loop.timers import Timer
 
 FAILURES_BEFORE_REPORT = 2  # consecutive reads that fail for a transient reason
@@ -59,7 +59,7 @@
         self._check_periodically()
 
     def _check_periodically(self) -> None:
-        self.timer = self.loop.after(self.interval, self._check_periodically)
+        self.timer = self.loop.call_later(self.interval, self._check_periodically)
         self.check()
 
     def check(self) -> None:
@@ -94,7 +94,7 @@
 
     def _should_report(self, error: ConfigurationError) -> bool:
         """Whether to report the error; a transient error is reported only when it repeats."""
-        cause = cause_of(error)
+        cause = find_os_error(error)
         if cause is None or not is_transient_read(cause):
             self.failed_reads = 0
             return True
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -177,7 +177,7 @@
 
     def end_queue_sharing(self) -> None:
         """Records that no other process accepts from the listening socket, so a stop empties its queue."""
-        self.server.shares_queue = False
+        self.server.shares_accept_queue = False
 
     def notify_when_emptied(self, callback: Callable[[], None]) -> None:
         """Calls `callback()` when the last connection is closed after a stop."""
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -52,7 +52,7 @@
 
     on_late_turn: list[Callable[[], object]]
 
-    def after(self, span: int, call: Callback, /, *args: object) -> Timer:
+    def call_later(self, span: int, call: Callback, /, *args: object) -> Timer:
         """Calls `call(*args)` after the span, ns."""
 
 
@@ -63,7 +63,7 @@
     `loop` is a `gaproute.loop.Loop` where there are real sockets. `configuration` is checked, and shared by
     all gateways of a process. These make what sends and receives:
 
-    - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.Datagrams`
+    - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.DatagramSocket`
     - `open_raft_transport(loop, name, peers, receive)`: as `gaproute.peers.raft.RaftTransport`
 
     `open_raft_disk(name)` makes the disk of a member of the Raft group. `wall_clock` returns ns since 1970.
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -18,7 +18,7 @@
 from gaproute.hollow.parts import ConfiguredGateway, PartFactory
 from gaproute.hollow.peer_server import PeerServerPart
 from gaproute.loop import Loop
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.loop.descriptors import READ
 from gaproute.peers.raft import RaftTransport
 from gaproute.shared.raft import Disk
@@ -70,8 +70,8 @@
         self._check_due = self._loop.now() + LATENESS_INTERVAL
         self._unread = b""  # the beginning of an order
         for index in range(first, min(first + count, len(rows))):
-            self._loop.after((index - first) * START_INTERVAL, self._start, index)
-        self._loop.after(LATENESS_INTERVAL, self._check_lateness)
+            self._loop.call_later((index - first) * START_INTERVAL, self._start, index)
+        self._loop.call_later(LATENESS_INTERVAL, self._check_lateness)
         self._loop.watch(sys.stdin.fileno(), READ, self._read_orders)
 
     def run(self) -> None:
@@ -142,7 +142,7 @@
             address=row.where,
             configuration=self._configuration,
             seed=self._seed * SEEDS_APART + index * GATEWAYS_APART,
-            open_datagrams=Datagrams,
+            open_datagrams=DatagramSocket,
             open_raft_transport=RaftTransport,
             open_raft_disk=no_disk,
             wall_clock=time.time_ns,
@@ -157,4 +157,4 @@
     def _check_lateness(self) -> None:
         now = self._loop.now()
         self._lateness, self._check_due = max(self._lateness, now - self._check_due), now + LATENESS_INTERVAL
-        self._loop.at(self._check_due, self._check_lateness)
+        self._loop.call_at(self._check_due, self._check_lateness)
--- a/gaproute/hosts/cell_hosts.py
+++ b/gaproute/hosts/cell_hosts.py
@@ -38,7 +38,7 @@
     def order(self, host_name: str, function: str, instance_count: int, on_ended: OnLoadOrderEnded) -> None:
         """Sends a load order as `KServeClient.order` does; an unavailable host counts as full."""
         if self._is_unavailable(host_name):
-            self.loop.soon(on_ended, Result.FULL, 0)
+            self.loop.call_soon(on_ended, Result.FULL, 0)
         else:
             super().order(host_name, function, instance_count, on_ended)
 
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -156,7 +156,7 @@
         """
         host = self.hosts.get(host_name)
         if host is None or not host.active:
-            self.loop.soon(on_unavailable)
+            self.loop.call_soon(on_unavailable)
             return
 
         def ended(outcome: Reply | Result) -> bool:
@@ -174,6 +174,6 @@
 
         request = self.submit(host, request_id, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, ended)
         if request is None:  # no connection can be used or opened
-            self.loop.soon(on_ended, Result.NOT_SENT)
+            self.loop.call_soon(on_ended, Result.NOT_SENT)
             return
-        timer = self.loop.after(timeout, timed_out, host, request)
+        timer = self.loop.call_later(timeout, timed_out, host, request)
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -87,12 +87,12 @@
                 self._fail_unsent(request, Result.NOT_SENT)
                 continue
             data = request.encode(now)
-            if not stream.try_begin(data):
+            if not stream.try_write(data):
                 return  # the stream calls `on_writable` once it has room
             self.bytes_written += len(data)
             request.end_offset, request.encode = self.bytes_written, encode_nothing
             if stream.bytes_unsent and request.start_before < NO_DEADLINE:
-                loop.after(WRITE_TIMEOUT_NS, self._check_written, request)
+                loop.call_later(WRITE_TIMEOUT_NS, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
         """Closes the connection if the request is still partly written, as its time limit is wrong by now."""
@@ -102,7 +102,7 @@
     def _fail_unsent(self, request: PendingRequest, result: Result) -> None:
         """Ends a request that has not started."""
         del self.pending[request.id]
-        self.pool.loop.soon(request.end, result)
+        self.pool.loop.call_soon(request.end, result)
 
     def is_written(self, request: PendingRequest) -> bool:
         """Whether the host may have received the complete request."""
@@ -164,7 +164,7 @@
         self.pending = {}
         self.drop()
         for request, result in failed_requests:
-            self.pool.loop.soon(request.end, result)
+            self.pool.loop.call_soon(request.end, result)
 
     def drain(self) -> None:
         """Starts no further request, and closes the connection once no request is in flight."""
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -155,7 +155,7 @@
                 ):
                     connection.drop()
             self._forget_if_gone(host)
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def _forget_if_gone(self, host: Host) -> None:
         """Forgets a host that was already gone at the last sweep.
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -91,7 +91,7 @@
         """Closes connections that have been idle too long; runs every second."""
         for host in self.hosts.values():
             host.close_expired()
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def send(
         self,
@@ -144,7 +144,7 @@
         if not self._start_exchange_with_timeout(
             host, data, timeout, ended, partial(on_ended, Result.TIMEOUT, 0)
         ):
-            self.loop.soon(on_ended, Result.FULL, 0)
+            self.loop.call_soon(on_ended, Result.FULL, 0)
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
         """Asks a host for its readiness and load; `on_ended` is called with both once, and later.
@@ -196,7 +196,7 @@
         exchange = self._start_exchange(host, data, Idempotency.IDEMPOTENT, ended)
         if exchange is None:
             return False
-        timer = self.loop.after(timeout, timed_out, exchange)
+        timer = self.loop.call_later(timeout, timed_out, exchange)
         return True
 
     def _start_exchange(
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -71,8 +71,8 @@
         ran.
         """
         self.exchange, self.bytes_sent_before = exchange, self.stream.bytes_sent
-        if not self.stream.try_begin(data):
-            self.loop.soon(self._fail, "sending the request failed: the connection takes no bytes")
+        if not self.stream.try_write(data):
+            self.loop.call_soon(self._fail, "sending the request failed: the connection takes no bytes")
 
     def _receive(self, data: bytes) -> None:
         try:
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -56,7 +56,7 @@
         self.read_delay = 0  # for how long the bytes that are being decoded may have been unread, ns
         limits = server.limits
         self.reader = RequestReader(self._arrival_time, limits.max_head_bytes, limits.max_body_bytes)
-        self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
+        self.stream = Stream(server.loop, sock, self.receive, self._on_closed, detect_hangup_early=True)
         self.stream.on_half_close = self._on_client_closed
         self.stream.on_writable = self._resume_reading
 
@@ -118,7 +118,7 @@
         now = self.server.loop.now()
         if now - self.presence_checked_at >= HANGUP_CHECK_INTERVAL:
             if self.stream.hung_up():
-                self.server.loop.soon(self.stream.read_to_end)
+                self.server.loop.call_soon(self.stream.read_to_end)
                 return False
             self.presence_checked_at = now
         return True
--- a/gaproute/loop/polling.py
+++ b/gaproute/loop/polling.py
@@ -1,4 +1,4 @@
-"""Waiting for events by epoll, and a clock for tests that never waits."""
+"""Waits for events by epoll, or on a clock for tests that never waits."""
 
 import select
 
@@ -7,8 +7,8 @@
 Events = list[tuple[int, int]]  # (descriptor, mask of events), as epoll reports them
 
 
-def wait(epoll: select.epoll, span: int) -> Events:
-    """The events of an epoll, waiting at most `span` ns. A signal ends the wait early, without events."""
+def wait_for_events(epoll: select.epoll, span: int) -> Events:
+    """Waits at most `span` ns for events; a signal ends the wait early, without events."""
     while True:
         try:
             return epoll.poll(max(0, span) / SECOND)
@@ -17,8 +17,8 @@
                 return []
 
 
-class Stepped:
-    """A clock for tests: it stands still while there are events, and skips every wait without events."""
+class SteppedClock:
+    """A clock for tests, which stands still while there are events and skips each wait without events."""
 
     def __init__(self, now: int = 0) -> None:
         self.now = now
@@ -28,7 +28,7 @@
         return self.now
 
     def poll(self, epoll: select.epoll, span: int) -> Events:
-        """Replaces `wait`: without events it advances the clock by `span` instead of waiting."""
+        """Replaces `wait_for_events`: without events it advances the clock by `span` instead of waiting."""
         ready = epoll.poll(0)
         if not ready:
             self.now += max(0, span)
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -1,4 +1,4 @@
-"""The writing half of a stream: bytes that the kernel does not take immediately are queued."""
+"""The writing half of a stream, which queues bytes that the kernel does not accept immediately."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from gaproute.loop.faults import is_transient
 from gaproute.loop.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.loop.unread import END
+from gaproute.loop.unread import REMOTE_SHUTDOWN
 
-WRITE_HIGH_WATER = 1 << 20  # queued bytes above which `write` asks its caller to wait
+WRITE_HIGH_WATER = 1 << 20  # queued bytes from which on `write` returns False
 
 Data = bytes | bytearray | memoryview
 
@@ -20,8 +20,8 @@
 class StreamWriter(ABC):
     """A connected socket and the bytes that wait to be written to it.
 
-    `bytes_sent` counts the bytes that the kernel accepted, which shows what the other side may have received
-    before a failure. `on_writable()` is called when all queued bytes have been written.
+    `bytes_sent` counts the bytes that the kernel accepted: after a failure, the other side may have received
+    up to as many. `on_writable()` is called when all queued bytes have been written.
     """
 
     __slots__ = (
@@ -33,7 +33,7 @@
         "close_timer",
         "reading",
         "half_closed",
-        "hangup_first",
+        "detect_hangup_early",
         "events",
         "on_writable",
         "outgoing",
@@ -42,30 +42,31 @@
         "wants_writable",
     )
 
-    def __init__(self, loop: Loop, sock: socket.socket, *, hangup_first: bool) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, *, detect_hangup_early: bool) -> None:
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
         self.open = True
         self.closing = False  # whether `close` was called
         self.close_timer: Timer | None = None  # while the stream is being closed
         self.reading = True
-        self.half_closed = False  # whether the other side's end of sending was reported
-        self.hangup_first = hangup_first
-        self.events = READ | END if hangup_first else READ  # the events that the loop watches for
+        self.half_closed = False  # whether the end of what the other side sends was reported
+        self.detect_hangup_early = detect_hangup_early
+        # The events for which the loop watches the descriptor:
+        self.events = READ | REMOTE_SHUTDOWN if detect_hangup_early else READ
         self.on_writable: Callable[[], object] | None = None
         self.outgoing: list[Data] = []
         self.bytes_unsent = self.bytes_sent = 0
-        self.wants_writable = False  # `try_begin` failed, and `on_writable` is to be called
+        self.wants_writable = False  # `try_write` failed, and `on_writable` is to be called
 
     @abstractmethod
-    def _write_failed(self, fault: OSError) -> None:
-        """Handles a failed write: the connection is broken."""
+    def _handle_write_error(self, error: OSError) -> None:
+        """Ends the stream after a failed write."""
 
     @abstractmethod
     def _shut_down_writing(self) -> None:
-        """Goes on with a close, once all queued bytes are written."""
+        """Continues a close once all queued bytes are written."""
 
     def write(self, data: Data) -> bool:
-        """Writes bytes, and queues those that the kernel does not take.
+        """Writes bytes, and queues those that the kernel does not accept.
 
         Returns whether the caller may write more before the queue is empty.
         """
@@ -82,10 +83,10 @@
                 self._update_events()
         return self.bytes_unsent < WRITE_HIGH_WATER
 
-    def try_begin(self, data: Data) -> bool:
-        """Writes like `write`, but queues nothing unless the kernel took the first byte.
+    def try_write(self, data: Data) -> bool:
+        """Writes like `write`, but queues nothing unless the kernel accepts the first byte.
 
-        Returns False where it took none; `on_writable` is called when the caller may try again.
+        Returns False if the kernel accepts no byte; `on_writable` is called when the caller may try again.
         """
         if not self.open or self.closing:
             return False
@@ -98,13 +99,13 @@
         return bool(sent)
 
     def _send(self, data: Data) -> int | None:
-        """How many bytes the kernel took; None where the connection is broken."""
+        """Sends bytes; returns how many the kernel accepted, or None if the connection is broken."""
         try:
             sent = self.sock.send(data)
-        except OSError as fault:
-            if is_transient(fault):
+        except OSError as error:
+            if is_transient(error):
                 return 0
-            self.loop.soon(self._write_failed, fault)
+            self.loop.call_soon(self._handle_write_error, error)
             return None
         self.bytes_sent += sent
         return sent
@@ -128,13 +129,13 @@
             self.on_writable()
 
     def _update_events(self) -> None:
-        """Has the loop watch for the events that matter in the present state."""
+        """Has the loop watch for the events that the present state needs."""
         if self.reading:
-            events = READ | END if self.hangup_first and not self.half_closed else READ
+            events = READ | REMOTE_SHUTDOWN if self.detect_hangup_early and not self.half_closed else READ
         else:
-            events = 0 if self.half_closed else END
+            events = 0 if self.half_closed else REMOTE_SHUTDOWN
         if self.outgoing or self.wants_writable:
             events |= WRITE
         if self.open and events != self.events:
             self.events = events
-            self.loop.rewatch(self.fd, events)
+            self.loop.change_events(self.fd, events)
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -4,7 +4,7 @@
 import traceback
 
 from gaproute.connections import AcceptedConnections
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import (
     MIN_EVICTION_IDLE_TIME_WITH_RETRIES,
@@ -18,7 +18,7 @@
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform.configuration import Configuration, LoadedConfiguration
 from gaproute.platform.host_list import HostList
 from gaproute.platform.log import Log
@@ -57,7 +57,7 @@
         self.log = log or Log()
         self.loop.on_error = self._log_error
         self.seed = int(self.configuration.seed, SEED_BASE)
-        self.descriptor_limit = min(self.configuration.limits.sockets, descriptors())
+        self.descriptor_limit = min(self.configuration.limits.sockets, descriptor_limit())
         self.record = GatewayRecord(self.log, self.deployment.class_names, trace_one_in)
         self._divide_descriptors()
         self._make_core()
@@ -79,7 +79,7 @@
         shares = split_descriptors(self.descriptor_limit)
         self.host_client = JsonLinesClient(self.loop, ConnectionReusePolicy(), self.deployment, shares.hosts)
         self.host_client.on_host_removed = self.record.forget_host
-        AcceptedConnections.of(self.loop).admission = Admission(
+        AcceptedConnections.for_loop(self.loop).admission = Admission(
             shares.clients,
             shares.clients + 1,
             self.descriptor_limit,
@@ -123,7 +123,7 @@
     def _create_front(self) -> JsonRpcFront:
         front = JsonRpcFront(
             self.loop,
-            address(self.listen),
+            parse_address(self.listen),
             self.core,
             self.deployment.class_names,
             self.terms.request_classes,
@@ -167,7 +167,7 @@
         """Runs the loop until the process stops, then closes all components."""
         self.loop.run()
         if self.status is not None:
-            self.loop.guard(self.status.write)
+            self.loop.call_guarded(self.status.write)
         connections = self.front.connection_count if self.front is not None else 0
         self.log.info("stopped", requests_in_flight=len(self.core.in_flight), client_connections=connections)
         self.reloader.cancel()
@@ -177,7 +177,7 @@
         """Closes all components, even if closing one of them raises an error."""
         for component in (self.front, self.host_list, self.host_client, self.peer_reports):
             if component is not None:
-                self.loop.guard(component.close)
+                self.loop.call_guarded(component.close)
 
     # Log
 
@@ -188,7 +188,7 @@
             listen_address=front.address,
             hosts=len(self.host_client.hosts),
             descriptor_limit=self.descriptor_limit,
-            max_client_connections=AcceptedConnections.of(self.loop).admission.max_connections,
+            max_client_connections=AcceptedConnections.for_loop(self.loop).admission.max_connections,
             max_host_connections=self.host_client.max_connections,
             limits=self.configuration.limits,
             report_names=self.deployment.report_names,
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -65,9 +65,9 @@
         close_at, exit_at = self.times = shutdown_times(self.deadlines, signalled_at, now)
         self.core.end_requests_by(close_at - response_margin())
         # The exit timer is set first, so that the process exits even if a later step raises an error.
-        self.loop.at(exit_at, self.loop.stop)
-        self.loop.at(close_at, front.stop)
-        self.loop.at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
+        self.loop.call_at(exit_at, self.loop.stop)
+        self.loop.call_at(close_at, front.stop)
+        self.loop.call_at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
 
     def stop_accepting(self) -> None:
         """Stops accepting connections, and stops the loop once the last open connection is closed."""
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -40,7 +40,7 @@
     def write(self) -> None:
         """Writes a status line and schedules the next one."""
         # The timer is set first, so that an error in this line does not end the status log.
-        self.loop.after(STATUS_INTERVAL, self.write)
+        self.loop.call_later(STATUS_INTERVAL, self.write)
         self.log.info("status", **self._fields())
 
     def _fields(self) -> dict[str, object]:
@@ -77,14 +77,14 @@
         }
 
     def _client_fields(self) -> dict[str, int]:
-        front, connections = self.front, AcceptedConnections.of(self.loop)
+        front, connections = self.front, AcceptedConnections.for_loop(self.loop)
         return {
             "client_connections": connections.client_count,
-            "parked_connections": front.parked,
+            "parked_connections": front.parked_count,
             "protocol_errors": front.protocol_errors,
             "rejected_connections": front.rejected_connections,
             "unresponsive_clients": front.unresponsive_clients,
-            "evicted_idle": connections.evicted,
+            "evicted_idle": connections.evicted_count,
         }
 
     def _host_fields(self) -> dict[str, int]:
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -7,7 +7,7 @@
 from gaproute.core.core import Core
 from gaproute.core.in_flight import AttemptResult
 from gaproute.interface.call import Answer, Call, FinalResult
-from gaproute.loop import Loop, Stepped
+from gaproute.loop import Loop, SteppedClock
 from gaproute.telemetry.record import GatewayRecord
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -56,7 +56,7 @@
 
 
 def make_core(serve):
-    loop = Loop(Stepped())
+    loop = Loop(SteppedClock())
     loop.on_error = lambda error: None
     core = Core(
         loop,
@@ -204,7 +204,7 @@
 
     core = make_core(serve)
     submit(core)
-    core.loop.after(15 * MILLI, lambda: core.hosts.sent[0](AttemptResult(interface.Result.FULL, None)))
+    core.loop.call_later(15 * MILLI, lambda: core.hosts.sent[0](AttemptResult(interface.Result.FULL, None)))
     run_loop(core, 100 * MILLI)
     assert times == [(10 * MILLI, None), (15 * MILLI, interface.Result.FULL), (25 * MILLI, None)]
 
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -9,7 +9,7 @@
 from followed_fleet import DRAIN_GRACE, FollowedFleet
 from helpers import MILLI, SECOND, makers
 
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.standins.cell_source import CellSource, SourceFault
 
 ONE_CELL_EACH = {"a1": ("a1", ("ga",)), "b1": ("b1", ("gb",))}
@@ -125,7 +125,7 @@
     assert fleet.wait(fleet.ask("ga", "check-0", "t1")).status == 200
     drained = fleet.came("t1")[0]
     connections_before = fleet.status("ga")["clients"]["connections"]
-    with socket.create_connection(address(fleet.clients["ga"])[1]) as client:
+    with socket.create_connection(parse_address(fleet.clients["ga"])[1]) as client:
         client.settimeout(5)
         fleet.until(lambda: fleet.status("ga")["clients"]["connections"] > connections_before)
         fleet.processes["ga"].send_signal(signal.SIGTERM)
--- a/tests/discovery/test_change_log_dials.py
+++ b/tests/discovery/test_change_log_dials.py
@@ -105,7 +105,7 @@
         attempts.append(where)
         if len(attempts) > 3:
             return connect(loop, where, within, done)
-        return loop.after(within, done, None, TimeoutError()).cancel
+        return loop.call_later(within, done, None, TimeoutError()).cancel
 
     monkeypatch.setattr(watcher_module, "connect", connect_after_three_timeouts)
     followed_log.passes(4 * SECOND - 20 * MILLI)
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -196,7 +196,7 @@
         while clock.now < end:
             clock.now += 10 * MILLI
             for _ in range(6):
-                loop.soon(lambda: None)
+                loop.call_soon(lambda: None)
                 loop.turn()
 
     while not received_events:
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -19,8 +19,8 @@
 from gaproute.interface import Result
 from gaproute.loop import Listener, Loop, Stream, sockets, unread
 from gaproute.loop import loop as loops
-from gaproute.loop.datagrams import Datagrams
-from gaproute.loop.listening import Accepted
+from gaproute.loop.datagrams import DatagramSocket
+from gaproute.loop.listening import AcceptedSocket
 from gaproute.units import SECOND
 
 HOUR = 3600 * SECOND
@@ -32,7 +32,7 @@
             sock, address = listener.sock.accept()
         except BlockingIOError:
             return None
-        return Accepted(sockets.configure(sock), address)
+        return AcceptedSocket(sockets.configure(sock), address)
 
     patch.setattr(Listener, "accept", accept)
 
@@ -65,10 +65,10 @@
 
 
 def wall_clock_used_for_waits(patch):
-    def after(loop, span, call, *args):
-        return loop.at(loops.time.time_ns() - EPOCH + span, call, *args)
+    def call_later(loop, span, call, *args):
+        return loop.call_at(loops.time.time_ns() - EPOCH + span, call, *args)
 
-    patch.setattr(Loop, "after", after)
+    patch.setattr(Loop, "call_later", call_later)
 
 
 def wall_clock_used_for_deadlines(patch):
@@ -128,7 +128,7 @@
 
     def finish(stream, error):
         if error is not None:
-            stream.loop.after(HOUR, stream.reset)
+            stream.loop.call_later(HOUR, stream.reset)
         honest(stream, error)
 
     patch.setattr(Stream, "_finish", finish)
@@ -143,11 +143,11 @@
         except OSError:
             datagrams.loop.unwatch(datagrams.sock.fileno())
 
-    patch.setattr(Datagrams, "_ready", ready)
+    patch.setattr(DatagramSocket, "_handle_events", ready)
 
 
 def client_that_left_not_noticed(patch):
-    patch.setattr(Stream, "pending", lambda stream: unread.NOTHING)
+    patch.setattr(Stream, "pending", lambda stream: unread.NOTHING_PENDING)
 
 
 def request_of_a_broken_connection_retained(patch):
@@ -158,7 +158,7 @@
     honest = Core._give_final_answer
 
     def final(core, held, *others):
-        core.loop.after(2 * SECOND, honest, core, held, *others)
+        core.loop.call_later(2 * SECOND, honest, core, held, *others)
 
     patch.setattr(Core, "_give_final_answer", final)
 
--- a/tests/fronts/test_client_limits.py
+++ b/tests/fronts/test_client_limits.py
@@ -6,13 +6,13 @@
 
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform.shutdown import ACCEPT_TIME
 
 
 def flooding_client(gateway, data):
     """A socket that reads nothing, and a function that sends `data` on it until it takes no more."""
-    sock = socket.create_connection(address(gateway.where)[1])
+    sock = socket.create_connection(parse_address(gateway.where)[1])
     sock.setblocking(False)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
     gateway.turns(3)
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -8,7 +8,7 @@
 
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.streams import READ_SIZE
 
 
@@ -95,13 +95,13 @@
 def test_over_http_a_request_with_a_long_body_before_a_half_close_is_answered():
     """The end is noticed when the first bytes are read, and the request is still read completely."""
     loop, requests_read = Loop(), []
-    server = Server(loop, address("127.0.0.1:0"), requests_read.append, Limits())
+    server = Server(loop, parse_address("127.0.0.1:0"), requests_read.append, Limits())
     buffers_much(server.listener)
     sock = connected(server.address)
     sock.sendall(b"POST /a HTTP/1.1\r\nHost: g\r\nContent-Length: 150000\r\n\r\n" + b"x" * 150_000)
     sock.shutdown(socket.SHUT_WR)
     while not requests_read:
-        loop.after(MILLI, lambda: None)
+        loop.call_later(MILLI, lambda: None)
         loop.turn()
     assert requests_read[0].client_closed
     assert len(requests_read[0].body) == 150_000
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -11,7 +11,7 @@
 from gaproute.http1 import exchange as exchange_module
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from tests.appliance.test_departed_forwarded import CALL, Way
 from tests.http1.test_http1 import HEAD
 
@@ -75,8 +75,8 @@
 def server_setup():
     """A loop, a server that reads two requests ahead on a connection, its requests, and a client."""
     loop, received = Loop(), []
-    server = Server(loop, address("127.0.0.1:0"), received.append, Limits(max_pipelined=2))
-    client = socket.create_connection(address(server.address)[1])
+    server = Server(loop, parse_address("127.0.0.1:0"), received.append, Limits(max_pipelined=2))
+    client = socket.create_connection(parse_address(server.address)[1])
     yield loop, server, received, client
     client.close()
     server.close()
@@ -87,7 +87,7 @@
     deadline = loop.now() + 5 * SECOND
     while not condition():
         assert loop.now() < deadline, "waited too long"
-        loop.after(MILLI, lambda: None)
+        loop.call_later(MILLI, lambda: None)
         loop.turn()
 
 
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -11,7 +11,7 @@
 from gaproute.fronts.jsonrpc import connection as connection_module
 from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT_NS
 from gaproute.loop import unread
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 
 SLACK_MS = 150  # by which a time limit may be too long, by the operators' terms
 CLIENT_TIMEOUT_MS = 2000  # sent with each request
@@ -32,7 +32,7 @@
     """The loop does not run meanwhile, on the system's clock: the kernel knows the age of the bytes."""
     gateway = gate()
     data = requests(gateway, 1, 10).replace(b'"d": 3000', b'"d": %d' % CLIENT_TIMEOUT_MS)
-    sock = socket.create_connection(address(gateway.where)[1])
+    sock = socket.create_connection(parse_address(gateway.where)[1])
     sock.sendall(data)
     time.sleep(wait_ms / 1000)
     gateway.until(gateway.came)
@@ -147,7 +147,7 @@
     monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age_ns, kernel_age(sock)))
     gateway = gate()
     gateway.process.front.listener.pause(600 * MILLI)
-    sock = socket.create_connection(address(gateway.where)[1])
+    sock = socket.create_connection(parse_address(gateway.where)[1])
     sock.sendall(requests(gateway, 1, 10).replace(b'"d": 3000', b'"d": %d' % CLIENT_TIMEOUT_MS))
     gateway.until(gateway.came)
     assert time_limit_accounts_for(gateway, 600)
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -17,7 +17,7 @@
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import NoResponseError
 from gaproute.interface.call import Call
-from gaproute.loop import Loop, Stepped, dialing
+from gaproute.loop import Loop, SteppedClock, dialing
 from gaproute.platform import log as log_module
 from gaproute.platform.log import Log
 
@@ -41,7 +41,7 @@
 
     def make(error_number):
         monkeypatch.setattr(dialing, "socket", FailingSockets(error_number))
-        loop = Loop(Stepped(now=7 * SECOND))
+        loop = Loop(SteppedClock(now=7 * SECOND))
         loops.append(loop)
         client = KServeClient(loop, ConnectionReusePolicy())
         listed = interface.ListedHost("a", 0, 0, interface.ListedHostState.ACTIVE, 1.0, None)
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -15,8 +15,8 @@
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.addresses import parse_address
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import word_pb2
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
@@ -53,9 +53,14 @@
 
     def __init__(self, loop, name, seed, fleet=FLEET, path=None):
         self.record, self.name = Record(), name
-        self.peer_server = PeerServer(loop, address("127.0.0.1:0"), None, None, ())
+        self.peer_server = PeerServer(loop, parse_address("127.0.0.1:0"), None, None, ())
         self.membership = MembershipTransport(
-            loop, name, self.peer_server.address, RandomGenerator(seed), self.record, partial(Datagrams, loop)
+            loop,
+            name,
+            self.peer_server.address,
+            RandomGenerator(seed),
+            self.record,
+            partial(DatagramSocket, loop),
         )
         self.transport = CellTableTransport(
             loop,
--- a/tests/platform/test_connection_limits.py
+++ b/tests/platform/test_connection_limits.py
@@ -16,7 +16,7 @@
     for number, client in enumerate(first_clients):
         client.ask(1, i=f"{number:016x}")
     gateway.until(lambda: all(client.answers for client in first_clients))
-    gateway.until(lambda: gateway.process.front.parked == max_connections)
+    gateway.until(lambda: gateway.process.front.parked_count == max_connections)
     late = gateway.client()
     late.ask(1, i="f" * 16)
     gateway.until(lambda: late.answers)
@@ -35,7 +35,7 @@
         end = gateway.loop.now() + 400 * MILLI // max_connections
         gateway.until(lambda end=end: gateway.loop.now() >= end)
     assert gateway.process.front.rejected_connections == 0
-    assert gateway.process.front.connections.evicted >= max_connections
+    assert gateway.process.front.connections.evicted_count >= max_connections
 
 
 def test_new_connections_wait_and_are_served_when_all_accepted_ones_are_busy(gate):
@@ -50,7 +50,7 @@
         clients.append(gateway.client())
         clients[-1].ask(1, i=f"{number:016x}")
         gateway.until(lambda number=number: len(held_commands) == min(number + 1, max_connections))
-    gateway.until(lambda: gateway.process.front.listener.pauses)
+    gateway.until(lambda: gateway.process.front.listener.pause_count)
     gateway.hosts[0].answer = gateway.hosts[0].serve
     for stream, command in held_commands:
         gateway.hosts[0].serve(stream, command)
--- a/tests/platform/test_fleet.py
+++ b/tests/platform/test_fleet.py
@@ -5,7 +5,7 @@
 from scripted import SETTINGS
 
 from gaproute.discovery.changelog import events
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.standins.platform import event
 
 
@@ -14,7 +14,7 @@
     settings = SETTINGS | {"balancers": 2, "limits": SETTINGS["limits"] | {"peers": True}}
     gateway = gate(settings=settings, peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
     received = []
-    peer = Datagrams(gateway.loop, "127.0.0.1:0", received.append)
+    peer = DatagramSocket(gateway.loop, "127.0.0.1:0", received.append)
     loopback = "127.0.0.1:%d"
     gateway.process.configuration.peers_all = loopback % peer.sock.getsockname()[1]
     gateway.client().ask(1)
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -14,7 +14,7 @@
 
 from gaproute.core.termination import KILL_GRACE, MAX_COUNTED_DEADLINE
 from gaproute.fronts.jsonrpc.errors import ErrorCode
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform.shutdown import ACCEPT_TIME, shutdown_times
 
 REQUEST_INTERVAL = 20 * MILLI  # between two requests of a client
@@ -42,7 +42,7 @@
 def refuses_connections(listen_address):
     """Whether a new connection is refused."""
     try:
-        socket.create_connection(address(listen_address)[1]).close()
+        socket.create_connection(parse_address(listen_address)[1]).close()
     except ConnectionRefusedError:
         return True
     return False
@@ -118,7 +118,7 @@
     parked.ask(1)
     gateway.until(lambda: parked.answers)
     gateway.passes(200 * MILLI)
-    gateway.until(lambda: gateway.process.front.parked == 2)
+    gateway.until(lambda: gateway.process.front.parked_count == 2)
     busy.ask(2)
     gateway.until(lambda: busy.answers)
     terminate(gateway)
@@ -178,7 +178,7 @@
     gateway.passes(ACCEPT_TIME)
     gateway.passes(SECOND)
     assert gateway.loop.running
-    assert gateway.process.front.parked == 1
+    assert gateway.process.front.parked_count == 1
     client.stream.close()
     gateway.turns()
     assert not gateway.loop.running
@@ -207,7 +207,7 @@
         client.ask(1, i=f"{number:016x}")
     gateway.until(lambda: all(client.answers for client in clients))
     gateway.passes(200 * MILLI)
-    gateway.until(lambda: gateway.process.front.parked == len(clients))
+    gateway.until(lambda: gateway.process.front.parked_count == len(clients))
     terminated_at = gateway.loop.now()
     os.kill(os.getpid(), signal.SIGTERM)
     for number, client in enumerate(clients):
@@ -217,7 +217,7 @@
 
     def time_passes():
         gateway.clock.now += MILLI
-        gateway.loop.soon(time_passes)
+        gateway.loop.call_soon(time_passes)
 
     time_passes()
     gateway.loop.run()
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -82,9 +82,11 @@
         self.received_by_hosts.append((self.clock.now, name, command["req"], float(command["meta"]["limit"])))
         count = len(host.seen("go"))
         if count % 7 == 0:
-            self.loop.after(ANSWER_TIME, host.reply, stream, command, "overload")
+            self.loop.call_later(ANSWER_TIME, host.reply, stream, command, "overload")
         else:
-            self.loop.after(SLOW_ANSWER_TIME if count % 9 == 0 else ANSWER_TIME, host.serve, stream, command)
+            self.loop.call_later(
+                SLOW_ANSWER_TIME if count % 9 == 0 else ANSWER_TIME, host.serve, stream, command
+            )
 
     def send_event(self, number, name, phase, since=0):
         watch_event = event(number, (name, self.hosts[name].address, phase))
@@ -110,7 +112,7 @@
                 client.ask(number, method, o=f"{number % FUNCTION_COUNT:016x}")
             self.clock.now += CLOCK_STEP
             for _ in range(4):
-                self.loop.soon(lambda: None)
+                self.loop.call_soon(lambda: None)
                 self.loop.turn()
             for answer in client.answers:
                 self.answers.setdefault(answer["id"], []).append((self.clock.now, answer))
--- a/tests/platform/test_syscalls_reload.py
+++ b/tests/platform/test_syscalls_reload.py
@@ -48,7 +48,7 @@
     monkeypatch.setattr(loop, "watch", Failing(loop.watch, errno.EPERM))
     # The traceback refers to the socket, so the garbage collector cannot be what closes the socket.
     with pytest.raises(PermissionError) as raised:
-        datagrams.Datagrams(loop, "127.0.0.1:0", lambda data: None)
+        datagrams.DatagramSocket(loop, "127.0.0.1:0", lambda data: None)
     assert open_descriptors() == before
     assert raised.tb is not None
     loop.close()
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -17,8 +17,8 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed
 
 from gaproute.loop import dialing, listening
-from gaproute.loop.faults import cause_of
-from gaproute.loop.starting import ADDRESS_TIME, START_TIME, StartupRetries
+from gaproute.loop.faults import find_os_error
+from gaproute.loop.starting import BIND_RETRY_TIME, START_RETRY_TIME, StartupRetries
 from gaproute.platform import __main__ as program
 from gaproute.platform import configuration as platform_configuration
 from gaproute.platform.log import Log
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     ("code", "duration"),
     [
-        (errno.EMFILE, START_TIME),
-        (errno.EADDRINUSE, ADDRESS_TIME),
-        (errno.EADDRNOTAVAIL, ADDRESS_TIME),
+        (errno.EMFILE, START_RETRY_TIME),
+        (errno.EADDRINUSE, BIND_RETRY_TIME),
+        (errno.EADDRNOTAVAIL, BIND_RETRY_TIME),
         (errno.EACCES, 0),
         (errno.EAFNOSUPPORT, 0),
     ],
@@ -71,7 +71,7 @@
     retries.call(Failing(lambda: None, *[errno.EMFILE] * 100))
     with pytest.raises(OSError, match=rf"Errno {errno.EMFILE}\b"):
         retries.call(Failing(lambda: None, *[errno.EMFILE] * 999))
-    assert retries.clock() - started_at <= START_TIME < 10 * SECOND
+    assert retries.clock() - started_at <= START_RETRY_TIME < 10 * SECOND
 
 
 def test_an_error_other_than_an_os_error_is_raised_at_once(retries):
@@ -161,7 +161,7 @@
         )
         assert run_program(listen=listen_address) == 3
     assert f"cannot listen on {listen_address}" in capsys.readouterr().err
-    assert retries.clock() - started_at <= ADDRESS_TIME + MILLI
+    assert retries.clock() - started_at <= BIND_RETRY_TIME + MILLI
     assert not run_program.processes
 
 
@@ -211,7 +211,7 @@
     monkeypatch.setattr(os, "pipe2", flaky(os.pipe2))
     monkeypatch.setattr(platform_configuration, "open", flaky(builtins.open), raising=False)
     assert run_program() == 0
-    assert retries.clock() - started_at < START_TIME
+    assert retries.clock() - started_at < START_RETRY_TIME
 
 
 def test_a_missing_configuration_ends_the_start_without_retries(run_program, monkeypatch, retries, capsys):
@@ -226,7 +226,7 @@
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, *[errno.EMFILE] * 999))
     assert run_program() == 3
     assert "cannot start" in capsys.readouterr().err
-    assert retries.clock() - started_at <= START_TIME
+    assert retries.clock() - started_at <= START_RETRY_TIME
 
 
 def test_the_program_waits_for_its_address_and_then_serves(tmp_path):
@@ -266,5 +266,5 @@
 def test_cause_of_returns_the_os_error_from_which_an_error_was_raised():
     with pytest.raises(platform_configuration.ConfigurationUnreadableError) as outer:
         _raise_from_os_error()
-    assert cause_of(outer.value).errno == errno.EMFILE
-    assert cause_of(ValueError()) is None
+    assert find_os_error(outer.value).errno == errno.EMFILE
+    assert find_os_error(ValueError()) is None
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -8,7 +8,7 @@
 
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers.raft import (
     HostedNode,
     NodeEnvironment,
@@ -101,7 +101,7 @@
     results = []
     request = b"POST /keepers HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
     Exchange(group.loop, request, lambda response, error: results.append(response)).connect(
-        address(group.peers[to]), SECOND, 4096, 4096, lambda connection: results.append(connection)
+        parse_address(group.peers[to]), SECOND, 4096, 4096, lambda connection: results.append(connection)
     )
     group.run_until(lambda: len(results) == 2)
     results[0].abort()
--- a/tests/storage/test_observation_writer.py
+++ b/tests/storage/test_observation_writer.py
@@ -11,13 +11,13 @@
 from gaproute.decisions.reports.cpu_budget import MIN_SLICE_INTERVAL, SLICE_CPU_TIME
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
-from gaproute.loop.polling import Stepped
+from gaproute.loop.addresses import parse_address
+from gaproute.loop.polling import SteppedClock
 from gaproute.storage.observation_store import MIN_BACKOFF
 
 
 def front(appliance):
-    return address(appliance.fronts[0].address)
+    return parse_address(appliance.fronts[0].address)
 
 
 def test_a_gateway_that_starts_without_its_store_serves_and_writes_later(fleet, tmp_path, disk):
@@ -35,14 +35,14 @@
 
 
 def test_what_failed_rounds_passed_over_is_written_in_the_first_that_does_not(store, disk):
-    clock = Stepped()
+    clock = SteppedClock()
     clock.wall = 10**18
     loop = Loop(clock)
     made = ObservationWriter(loop, store(clock), gateway(), HostHistory(), ("t",), lambda: 0)
 
     def run(span):
         end = clock.now + span
-        loop.at(end, lambda: None)
+        loop.call_at(end, lambda: None)
         while clock.now < end:
             loop.turn()
         return {subject[1] for subject, _, _ in made.store.read(9)}
@@ -90,7 +90,7 @@
 @pytest.fixture
 def writer(store):
     """A writer whose clock and CPU stand still: `spends` is what each reading of the meter adds."""
-    loop = Loop(Stepped())
+    loop = Loop(SteppedClock())
     made = ObservationWriter(loop, store(), gateway(), HostHistory(), ("t",), lambda: next(made.ticks))
     made.ticks = itertools.repeat(0)
     yield made
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -20,7 +20,7 @@
 from gaproute.hosts.jsonlines import connection as connections
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface.call import Call, FinalResult
-from gaproute.loop import Loop, Stepped
+from gaproute.loop import Loop, SteppedClock
 from gaproute.telemetry.record import GatewayRecord
 
 HOSTS = ("a", "b")
@@ -40,7 +40,7 @@
 )
 
 
-class TickingClock(Stepped):
+class TickingClock(SteppedClock):
     """A clock that advances by a microsecond each time it is read, so that no answer takes no time."""
 
     def __call__(self):
@@ -60,7 +60,7 @@
         self.on_writable, self.bytes_sent, self.bytes_unsent, self.open = None, 0, 0, True
         self.world.streams.append(self)
 
-    def try_begin(self, data):
+    def try_write(self, data):
         if not self.open or self.bytes_unsent or not self.world.send_capacity:
             return False
         self.world.check_attempt(self, json.loads(data), len(data))
