--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -91,12 +91,12 @@
         self.appliance = Appliance(read_configuration("g", text), seed=seed, log=logger(DiscardedLog()))
         self.appliance.start()
         assert self.appliance.cells is not None
-        self.lists: Any = self.appliance.cells.lists  # CellLists or, with `followed`, FollowedLists
+        self.lists: Any = self.appliance.cells.host_lists  # CellLists or, with `followed`, FollowedLists
         self.logs = [VersionedHostList() for _ in range(KNOWN)]
         if followed:
             for place in range(KNOWN):
                 self._begin(place)
-        assert len(self.appliance.rows) == KNOWN * hosts, len(self.appliance.rows)
+        assert len(self.appliance.endpoints) == KNOWN * hosts, len(self.appliance.endpoints)
 
     def _begin(self, place: int) -> None:
         """Hand over the complete list of one cell, as though a connection brought it."""
@@ -109,13 +109,13 @@
     def feed(self, place: int, data: bytes) -> None:
         """Hand over bytes of one cell's log and put their events in force."""
         self.lists.followed[names(KNOWN)[place]].watcher.on_bytes(data)
-        if self.lists.timer is not None:
-            self.lists.timer.cancel()
+        if self.lists.apply_timer is not None:
+            self.lists.apply_timer.cancel()
         self.lists._apply_pending()
 
     def state(self) -> str:
         """The state of the first cell's first host, as the gateway has it."""
-        return str(self.appliance.rows["0-host-0000"].listed.state.value)
+        return str(self.appliance.endpoints["0-host-0000"].listed.state.value)
 
     def close(self) -> None:
         """Close the gateway and remove its files."""
--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -46,11 +46,11 @@
         """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
         dropped = [cell for cell in self.watches if cell not in zones]
         for cell in dropped:
-            self._forget(cell)
+            self._stop_following(cell)
         rezoned = [cell for cell in self.zones if self.zones[cell] != zones.get(cell)]
         self.zones = dict(zones)
         for cell in [cell for cell in zones if cell not in self.watches]:
-            self._watch(cell)
+            self._start_following(cell)
         for cell in rezoned:
             if cell in self.watches:
                 self.watches[cell].read()
@@ -71,24 +71,24 @@
         for watch in self.watches.values():
             watch.close()
 
-    def _watch(self, cell: str) -> None:
+    def _start_following(self, cell: str) -> None:
         # A watch reads its file while it is being made, before it is stored in `watches`.
         self.watches[cell] = FileWatch(
             self.loop,
             path_of(self.folder, cell),
             self.poll_interval,
-            partial(self._read, cell),
+            partial(self._accept_lines, cell),
             partial(self.on_rejected, cell),
             read_cell_hosts,
         )
 
-    def _forget(self, cell: str) -> None:
+    def _stop_following(self, cell: str) -> None:
         self.watches.pop(cell).close()
         self.last_read.pop(cell, None)
         self.in_force.pop(cell, None)
         self.conflicts.pop(cell, None)
 
-    def _read(self, cell: str, lines: list[HostLine]) -> None:
+    def _accept_lines(self, cell: str, lines: list[HostLine]) -> None:
         mistakes = zone_mistakes(path_of(self.folder, cell), lines, self.zones[cell])
         if mistakes:
             self.on_rejected(cell, mistakes)
@@ -100,7 +100,7 @@
         """Uses the newest lists that are consistent; `changed`: they differ from those of the last call
         anyway.
         """
-        lists, conflicts = self._consistent()
+        lists, conflicts = self._find_consistent_lists()
         for cell, mistake in conflicts.items():
             if self.conflicts.get(cell) != mistake:
                 self.on_rejected(cell, [mistake])
@@ -109,7 +109,7 @@
             self.in_force = lists
             self.on_change(lists)
 
-    def _consistent(self) -> tuple[ListsByCell, dict[str, Mistake]]:
+    def _find_consistent_lists(self) -> tuple[ListsByCell, dict[str, Mistake]]:
         """The newest lists that are consistent, and why others are not used; of those the list in force
         stays.
         """
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -20,12 +20,12 @@
 
 
 # Why a table of the file is rejected, by the names in the status.
-REASONS: dict[type[Exception], str] = {
+REJECTION_REASONS: dict[type[Exception], str] = {
     OtherFleetError: "other fleet",
     StaleVersionError: "older",
     ContradictionError: "contradicts",
 }
-WRONG_FILE = "wrong file"
+INVALID_FILE = "wrong file"
 
 
 def change_between(before: CellTable, after: CellTable) -> TableChange:
@@ -38,8 +38,8 @@
 class CellTableSource:
     """Calls `on_table(table)` for each newer table, from the file or from other gateways.
 
-    `transport` disseminates the table among the gateways. `rejected` counts, by reason, the tables of the
-    file that were rejected.
+    `transport` disseminates the table among the gateways. `rejected_files` counts, by reason, the tables of
+    the file that were rejected.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         on_table: Callable[[CellTable], None],
     ) -> None:
         self.loop, self.cells_line, self.record, self.transport = loop, cells_line, record, transport
-        self.rejected: Counter[str] = Counter()
+        self.rejected_files: Counter[str] = Counter()
         self.watch: FileWatch | None = None
         transport.on_table(on_table)
 
@@ -75,10 +75,10 @@
         if self.watch is not None:
             self.watch.read()
 
-    def rejections(self) -> dict[str, int]:
+    def rejection_counts(self) -> dict[str, int]:
         """By reason: how many tables of the file and of other gateways were rejected."""
         sent = {f"sent: {reason}": count for reason, count in self.transport.disseminator.rejections.items()}
-        return dict(self.rejected) | sent
+        return dict(self.rejected_files) | sent
 
     def stop(self) -> None:
         """Ends watching the file, sending and receiving."""
@@ -92,12 +92,12 @@
         if current is not None and table.version == current.version and table.cells == current.cells:
             return
         try:
-            self._check(table, current)
+            self._check_adoptable(table, current)
             self._publish(table, current)
         except (TableError, DocumentError) as error:
-            self._reject(REASONS.get(type(error), WRONG_FILE), [error])
+            self._reject(REJECTION_REASONS.get(type(error), INVALID_FILE), [error])
 
-    def _check(self, table: CellTable, current: CellTable | None) -> None:
+    def _check_adoptable(self, table: CellTable, current: CellTable | None) -> None:
         if table.fleet != self.cells_line.fleet:
             raise OtherFleetError(self.cells_line.fleet, table.fleet)
         if current is None:
@@ -119,9 +119,9 @@
         self.transport.publish(table)
 
     def _reject_file(self, mistakes: Iterable[object]) -> None:
-        self._reject(WRONG_FILE, mistakes)
+        self._reject(INVALID_FILE, mistakes)
 
     def _reject(self, reason: str, mistakes: Iterable[object]) -> None:
-        self.rejected[reason] += 1
+        self.rejected_files[reason] += 1
         for mistake in mistakes:
             self.record.event("error", "cell_table_rejected", error=str(mistake))
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -36,15 +36,15 @@
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import GatewayRecord
 
-WRONG_LIST = "wrong host list"  # as operators read it in the status
-WRONG_MEMBER = "wrong host of a source"
+INVALID_LIST = "wrong host list"  # as operators read it in the status
+INVALID_MEMBER = "wrong host of a source"
 
 
 class CellServices:
     """The parts that a gateway in a fleet of cells has instead of one host list for the whole fleet.
 
     `gateway`, `hosts` and `core` are the decisions, the connections to hosts and the request driver.
-    `hosts_changed(rows)` is called with all known hosts each time that they change, before the decisions.
+    `on_hosts_changed(rows)` is called with all known hosts each time that they change, before the decisions.
     `placeholder_gateway` knows no host: gateways in a fleet of cells do not exchange the host observations
     that are exchanged in a fleet without cells.
     """
@@ -57,7 +57,7 @@
         seed: int,
         client_settings: ClientSettings,
         run_name: str,
-        hosts_changed: Callable[[Sequence[Endpoint]], None],
+        on_hosts_changed: Callable[[Sequence[Endpoint]], None],
     ) -> None:
         """`run_name` identifies this run of the process. Errors: ValueError where no cells are configured."""
         if configuration.cells is None or configuration.cell_hosts is None:
@@ -65,20 +65,20 @@
         self.loop, self.configuration, self.record, self.seed = loop, configuration, record, seed
         self.cells_line: CellsLine = configuration.cells
         self.cell_hosts_line: CellHostsLine = configuration.cell_hosts
-        self.hosts_changed = hosts_changed
+        self.on_hosts_changed = on_hosts_changed
         location = GatewayLocation(configuration.name, self.cells_line.region, self.cells_line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
         self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
         self.hosts = CellHostClient(loop, ConnectionReusePolicy(), client_settings, configuration.name)
-        self.entries = EntryGateways(loop, client_settings, configuration.name)
+        self.entry_gateways = EntryGateways(loop, client_settings, configuration.name)
         self.core = CellularCore(
-            loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entries
+            loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entry_gateways
         )
-        self.endpoints = CellEndpoints(loop, use_capacities=configuration.capacities_reported)
-        self.lists = self._make_lists()
+        self.endpoint_converter = CellEndpoints(loop, use_capacities=configuration.capacities_reported)
+        self.host_lists = self._make_host_lists()
         self.applied_lists: ListsByCell = {}  # the lists that the decisions were given last
         self.rejected_lists = self.rejected_members = 0
-        self.table: CellTableSource | None = None  # None until `listen`
+        self.table_source: CellTableSource | None = None  # None until `listen`
         self.poll_timer: Timer | None = None
 
     def listen(self, peer_services: PeerServices, ready: Callable[[], bool]) -> EntryFront:
@@ -100,26 +100,28 @@
             RandomGenerator(self.seed + SeedOffset.CELL_TABLE),
             self.record,
         )
-        self.table = CellTableSource(self.loop, self.cells_line, self.record, transport, self._table_adopted)
+        self.table_source = CellTableSource(
+            self.loop, self.cells_line, self.record, transport, self._adopt_table
+        )
         return front
 
     def start(self) -> None:
         """Reads the table and the lists, and watches them from now on."""
-        if self.table is not None:
-            self.table.start()
+        if self.table_source is not None:
+            self.table_source.start()
         self._poll_wanted_cells()
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
         """Takes over the addresses of the other gateways by name."""
-        if self.table is not None:
+        if self.table_source is not None:
             peers = tuple(Peer(name, where) for name, where in addresses.items())
-            self.table.transport.set_peers(peers)
+            self.table_source.transport.set_peers(peers)
 
     def reload(self) -> None:
         """Reads all files now."""
-        if self.table is not None:
-            self.table.reload()
-        self.lists.reload()
+        if self.table_source is not None:
+            self.table_source.reload()
+        self.host_lists.reload()
 
     def gateways(self) -> list[Gateway]:
         """The decisions of each known cell."""
@@ -137,35 +139,35 @@
         status: JsonObject = {
             "version": str(table.version) if table else None,
             "cells": len(table.cells) if table else 0,
-            "known": sorted(self.lists.in_force),
+            "known": sorted(self.host_lists.in_force),
             "forwarded_in": self.core.forwarded_in,
             "forwarded_out": self.core.forwarded_out,
-            "refused": self._rejections(),
+            "refused": self._rejection_counts(),
         }
-        if isinstance(self.lists, FollowedLists) and self.cell_hosts_line.sources:
-            status["sources"] = self.lists.status()
+        if isinstance(self.host_lists, FollowedLists) and self.cell_hosts_line.sources:
+            status["sources"] = self.host_lists.status()
         return status
 
     def stop(self) -> None:
         """Stops sending and receiving tables, and follows the lists of the present cells only."""
-        if self.table is not None:
-            self.table.stop()
+        if self.table_source is not None:
+            self.table_source.stop()
         if self.poll_timer is not None:
             self.poll_timer.cancel()
 
     def close(self) -> None:
         """Closes the connections to entry gateways; the appliance closes those to hosts."""
         self.stop()
-        self.lists.close()
-        self.entries.close()
+        self.host_lists.close()
+        self.entry_gateways.close()
 
     def _current_table(self) -> CellTable | None:
-        return None if self.table is None else self.table.table
+        return None if self.table_source is None else self.table_source.table
 
-    def _table_adopted(self, table: CellTable) -> None:
+    def _adopt_table(self, table: CellTable) -> None:
         now = self.loop.now()
         self.gateway.adopt(now, table)
-        self.entries.apply_table(table)
+        self.entry_gateways.apply_table(table)
         self.record.event("info", "cell_table_adopted", version=str(table.version), cells=len(table.cells))
         self._follow_wanted_cells()
         self.core.start_housekeeping(now)
@@ -180,8 +182,8 @@
         if table is None:
             return
         zones = {name: table.by_name[name].zone for name in self.gateway.cells_to_follow()}
-        if zones != self.lists.zones:
-            self.lists.set_cells(zones)
+        if zones != self.host_lists.zones:
+            self.host_lists.set_cells(zones)
         self._reapply_released_lists()
 
     def _reapply_released_lists(self) -> None:
@@ -192,53 +194,55 @@
         if all(cell in known for cell in self.applied_lists):
             return
         self.applied_lists = {cell: lines for cell, lines in self.applied_lists.items() if cell in known}
-        self._apply_lists(self.lists.in_force)
+        self._apply_lists(self.host_lists.in_force)
 
     def _apply_lists(self, lists: ListsByCell) -> None:
         """Applies all lists in force, first to the connections: the decisions may use a new host at once."""
-        endpoints = self.endpoints.convert(lists, self.lists.zones, self.lists.current_at())
-        self.hosts_changed([endpoint for of_cell in endpoints.values() for endpoint in of_cell])
+        endpoints = self.endpoint_converter.convert(
+            lists, self.host_lists.zones, self.host_lists.current_at()
+        )
+        self.on_hosts_changed([endpoint for of_cell in endpoints.values() for endpoint in of_cell])
         before, self.applied_lists = self.applied_lists, dict(lists)
         for cell, of_cell in endpoints.items():
             if before.get(cell) != lists[cell]:
                 self.core.update_cell_hosts(cell, [endpoint.listed for endpoint in of_cell])
 
-    def _make_lists(self) -> CellLists | FollowedLists:
+    def _make_host_lists(self) -> CellLists | FollowedLists:
         """Makes the host lists, from files or from change logs."""
         if self.cell_hosts_line.folder is not None:
-            return CellLists(self.loop, self.cell_hosts_line, self._apply_lists, self._list_rejected)
+            return CellLists(self.loop, self.cell_hosts_line, self._apply_lists, self._log_rejected_list)
         return FollowedLists(
             self.loop,
             self.cells_line.fleet,
             self.cell_hosts_line,
             self._apply_lists,
-            self._members_rejected,
-            self._source_changed,
+            self._log_rejected_members,
+            self._log_source_change,
             RandomGenerator(self.seed + SeedOffset.CELL_SOURCES),
         )
 
-    def _list_rejected(self, cell: str, mistakes: Sequence[Mistake]) -> None:
+    def _log_rejected_list(self, cell: str, mistakes: Sequence[Mistake]) -> None:
         self.rejected_lists += 1
         for mistake in mistakes:
             self.record.event("error", "host_list_rejected", cell=cell, error=str(mistake))
 
-    def _members_rejected(self, cell: str, count: int, members: Sequence[RejectedMember]) -> None:
+    def _log_rejected_members(self, cell: str, count: int, members: Sequence[RejectedMember]) -> None:
         self.rejected_members += count
         for host, reason in members:
             self.record.event("error", "cell_host_rejected", cell=cell, host=host, error=reason)
 
-    def _source_changed(self, cell: str, error: str | None) -> None:
+    def _log_source_change(self, cell: str, error: str | None) -> None:
         if error is None:
             self.record.event("info", "cell_source_restored", cell=cell)
         else:
             self.record.event("error", "cell_source_lost", cell=cell, error=error)
 
-    def _rejections(self) -> dict[str, int]:
-        rejections = {} if self.table is None else self.table.rejections()
+    def _rejection_counts(self) -> dict[str, int]:
+        rejections = {} if self.table_source is None else self.table_source.rejection_counts()
         if self.rejected_lists:
-            rejections[WRONG_LIST] = self.rejected_lists
+            rejections[INVALID_LIST] = self.rejected_lists
         if self.rejected_members:
-            rejections[WRONG_MEMBER] = self.rejected_members
+            rejections[INVALID_MEMBER] = self.rejected_members
         return rejections
 
     def _load_report(self, cell: str) -> HostLoadReport | None:
--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -17,27 +17,27 @@
 from gaproute.units import SECOND
 
 MAX_START_TIME = 30 * SECOND  # until a child serves, on a busy machine; then it is killed
-READY_MESSAGE_BYTES = 16  # longer than the message of a child
+MAX_READY_MESSAGE_BYTES = 16  # longer than the message of a child
 
 
 class ChildProcess:
     """One process. Errors: OSError where it cannot be started; then nothing of it is left.
 
     `ready` is settled with True once the process serves, with False if it ended before; `ended` with its
-    return code. `started`: when it was started, ns of the loop's clock.
+    return code. `started_at`: when it was started, ns of the loop's clock.
     """
 
     def __init__(self, loop: Loop, command: Sequence[str], descriptors: Iterable[int]) -> None:
         """`descriptors`: those of the listening sockets that the child inherits."""
         self.loop = loop
-        self.started: int = loop.now()
+        self.started_at: int = loop.now()
         self.ready, self.ended = Promise(), Promise()
         self.liveness_pipe: int | None = None
         self.ready_pipe: int | None = None
         self.pidfd: int | None = None
         self.process: subprocess.Popen[bytes]
         with ExitStack() as rollback:
-            self._start(command, descriptors, rollback)
+            self._start_process(command, descriptors, rollback)
             self.start_timer: Timer = loop.call_later(MAX_START_TIME, self.kill)
             rollback.pop_all()
 
@@ -57,7 +57,7 @@
         if not self.ended.ready:
             self.process.kill()
 
-    def _start(self, command: Sequence[str], descriptors: Iterable[int], rollback: ExitStack) -> None:
+    def _start_process(self, command: Sequence[str], descriptors: Iterable[int], rollback: ExitStack) -> None:
         with ExitStack() as child_ends:
             liveness_end, self.liveness_pipe = os.pipe2(os.O_CLOEXEC)
             child_ends.callback(os.close, liveness_end)
@@ -75,7 +75,7 @@
     def _on_ready(self, events: int) -> None:
         assert self.ready_pipe is not None
         try:
-            message = os.read(self.ready_pipe, READY_MESSAGE_BYTES)
+            message = os.read(self.ready_pipe, MAX_READY_MESSAGE_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         self._close_ready_pipe()
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -22,16 +22,16 @@
 class ServeCommand:
     """The command line of a child, except for its slot and its sockets."""
 
-    file: str  # path of the configuration
-    count: int  # number of children
+    configuration_file: str  # path of the configuration
+    process_count: int  # number of children
     seed: int | None  # of the decisions' random numbers; None: each child draws its own
 
     def arguments(self, slot: int, sockets: Mapping[str, socket.socket]) -> list[str]:
         """The complete command line; `sockets`: by address."""
-        serve = [sys.executable, "-m", "gaproute", "serve", self.file]
-        arguments = [*serve, "--seat", str(slot), str(self.count)]
-        for where, sock in sockets.items():
-            arguments += ["--inherited", f"{sock.fileno()}={where}"]
+        serve = [sys.executable, "-m", "gaproute", "serve", self.configuration_file]
+        arguments = [*serve, "--seat", str(slot), str(self.process_count)]
+        for address, sock in sockets.items():
+            arguments += ["--inherited", f"{sock.fileno()}={address}"]
         if self.seed is not None:
             arguments += ["--seed", str(self.seed * SEEDS_PER_PARENT + slot)]
         return arguments
@@ -67,18 +67,18 @@
         descriptors = [sock.fileno() for sock in sockets.values()]
         child = ChildProcess(self.loop, self.command.arguments(slot, sockets), descriptors)
         self.by_slot[slot] = child
-        child.ended.then(lambda promise: self._on_ended(slot, child, promise.value))
+        child.ended.then(lambda promise: self._on_child_ended(slot, child, promise.value))
         return child
 
     def start_missing(self) -> None:
         """Starts a child in each empty slot. Errors: OSError; then it may be called again."""
-        for slot in range(self.command.count):
+        for slot in range(self.command.process_count):
             if slot not in self.by_slot:
                 self.start(slot)
 
     def free_slot(self) -> int:
         """The first slot without a child."""
-        return next(slot for slot in range(self.command.count + 1) if slot not in self.by_slot)
+        return next(slot for slot in range(self.command.process_count + 1) if slot not in self.by_slot)
 
     def stop(self) -> None:
         """Asks all children to end together."""
@@ -93,7 +93,7 @@
         for child in self.by_slot.values():
             child.kill()
 
-    def _on_ended(self, slot: int, child: ChildProcess, code: int) -> None:
+    def _on_child_ended(self, slot: int, child: ChildProcess, code: int) -> None:
         if self.by_slot.get(slot) is not child:
             return  # it was replaced in a rolling reload
         del self.by_slot[slot]
@@ -101,7 +101,7 @@
             if not self.by_slot:
                 self.on_all_ended()
             return
-        backoff = self._schedule_restart(slot, self.loop.now() - child.started)
+        backoff = self._schedule_restart(slot, self.loop.now() - child.started_at)
         self.log.warning("child_exited", process_slot=slot, exit_code=code, restart_in_ms=backoff // MILLI)
 
     def _schedule_restart(self, slot: int, uptime: int) -> int:
@@ -114,7 +114,7 @@
         return int(restart_at - now)
 
     def _restart(self, slot: int) -> None:
-        if self.stopping or slot in self.by_slot or len(self.by_slot) >= self.command.count:
+        if self.stopping or slot in self.by_slot or len(self.by_slot) >= self.command.process_count:
             return
         try:
             self.start(slot)
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -21,8 +21,8 @@
 from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
 
-MAX_CELLS = 64  # followed at a time; a view of 512 hosts has fewer, unless its cells are tiny
-MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS_PER_CELL  # of all cells: four times what a view has by its table
+MAX_FOLLOWED_CELLS = 64  # followed at a time; a view of 512 hosts has fewer, unless its cells are tiny
+MAX_FOLLOWED_HOSTS = 2 * MAX_HOSTS_PER_CELL  # of all cells: four times what a view has by its table
 MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
 
 
@@ -37,7 +37,7 @@
         self.conflicts: dict[str, str] = {}  # by host: why it is not in force
         # How many rejections were logged, and the number of the connection that brought them
         self.logged_count, self.logged_connection = 0, 0
-        self.failing = False
+        self.sources_failing = False
 
     def select_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """The rejected members to be logged: each one once, and a limited number for a connection."""
@@ -76,28 +76,28 @@
         on_change: Callable[[ListsByCell], None],
         on_rejected: Callable[[str, int, Sequence[RejectedMember]], None],
         on_source_changed: Callable[[str, str | None], None],
-        chance: RandomSource,
+        random_source: RandomSource,
     ) -> None:
         self.loop, self.fleet, self.sources, self.apply_interval = loop, fleet, line.sources, line.look
         self.on_change, self.on_rejected, self.on_source_changed = on_change, on_rejected, on_source_changed
-        self.chance = chance
+        self.random_source = random_source
         self.zones: dict[str, str] = {}  # by cell
         self.in_force: ListsByCell = {}
         self.followed: dict[str, FollowedCell] = {}  # by cell
         self.reconciler = CellReconciler()
-        self.timer: Timer | None = None
+        self.apply_timer: Timer | None = None
         self.events_pending = False  # whether events have come that are not applied yet
         loop.on_late_turn.append(self._apply_after_stall)
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
         """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
         self.zones = dict(zones)
-        chosen = list(zones)[:MAX_CELLS]
+        chosen = list(zones)[:MAX_FOLLOWED_CELLS]
         for cell in [cell for cell in self.followed if cell not in chosen]:
             self.followed.pop(cell).close()
         for cell in chosen:
             if cell not in self.followed:
-                self._follow(cell)
+                self._start_following(cell)
         self._put_in_force()
 
     def reload(self) -> None:
@@ -114,7 +114,7 @@
         followed = self.followed.values()
         return {
             "followed": len(self.followed),
-            "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
+            "failing": sorted(cell for cell, each in self.followed.items() if each.sources_failing),
             "asked": sum(each.watcher.connection_count for each in followed),
             "begun_anew": sum(each.watcher.restart_count for each in followed),
         }
@@ -125,19 +125,19 @@
             self.loop.on_late_turn.remove(self._apply_after_stall)
         for followed in self.followed.values():
             followed.close()
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.apply_timer is not None:
+            self.apply_timer.cancel()
 
-    def _follow(self, cell: str) -> None:
+    def _start_following(self, cell: str) -> None:
         followed = self.followed[cell] = FollowedCell()
         followed.watcher = CellWatcher(
             self.loop,
             self.sources,
             cell_path(self.fleet, cell),
             partial(self._on_event, cell),
-            partial(self._source_changed, cell),
-            partial(self._source_changed, cell, None),
-            self.chance,
+            partial(self._on_source_event, cell),
+            partial(self._on_source_event, cell, None),
+            self.random_source,
         )
 
     def _on_event(self, cell: str, event: Event) -> None:
@@ -147,24 +147,24 @@
         hosts_of_others = sum(
             len(each.members.reported_lines) for name, each in self.followed.items() if name != cell
         )
-        rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - hosts_of_others)
+        rejected = followed.members.apply(event.fleet, MAX_FOLLOWED_HOSTS - hosts_of_others)
         if rejected:
             self.on_rejected(cell, len(rejected), followed.select_for_log(rejected))
-        self._schedule()
+        self._schedule_apply()
 
-    def _schedule(self) -> None:
+    def _schedule_apply(self) -> None:
         """Schedules applying the events: at once, but no more often than an interval, so that a flood is
         cheap.
         """
         self.events_pending = True
-        if self.timer is None:
+        if self.apply_timer is None:
             self._apply_pending()
 
     def _apply_pending(self) -> None:
-        self.timer = None
+        self.apply_timer = None
         if self.events_pending:
             self.events_pending = False
-            self.timer = self.loop.call_later(self.apply_interval, self._apply_pending)
+            self.apply_timer = self.loop.call_later(self.apply_interval, self._apply_pending)
             self._put_in_force()
 
     def _apply_after_stall(self) -> None:
@@ -172,8 +172,8 @@
         for followed in list(self.followed.values()):
             followed.watcher.read_now()
         if self.events_pending:
-            if self.timer is not None:
-                self.timer.cancel()
+            if self.apply_timer is not None:
+                self.apply_timer.cancel()
             self._apply_pending()
 
     def _put_in_force(self) -> None:
@@ -187,7 +187,7 @@
         self.reconciler.reconcile(offered, self.zones)
         self._report_conflicts()
         in_force = {
-            cell: self._lines(cell, lines, unchanged=before.get(cell) is lines)
+            cell: self._reuse_unchanged_list(cell, lines, unchanged=before.get(cell) is lines)
             for cell, lines in self.reconciler.lines_in_force.items()
             if lines or cell in self.in_force
         }
@@ -195,7 +195,9 @@
             self.in_force = in_force
             self.on_change(in_force)
 
-    def _lines(self, cell: str, lines: Mapping[str, HostLine], *, unchanged: bool) -> list[HostLine]:
+    def _reuse_unchanged_list(
+        self, cell: str, lines: Mapping[str, HostLine], *, unchanged: bool
+    ) -> list[HostLine]:
         """The lines as a list; the former list object where they are unchanged, which is compared quickly."""
         if unchanged and cell in self.in_force:
             return self.in_force[cell]
@@ -208,8 +210,8 @@
             if new:
                 self.on_rejected(cell, len(new), followed.limit_for_log(new))
 
-    def _source_changed(self, cell: str, error: str | None) -> None:
+    def _on_source_event(self, cell: str, error: str | None) -> None:
         followed = self.followed.get(cell)
         if followed is not None:
-            followed.failing = error is not None
+            followed.sources_failing = error is not None
             self.on_source_changed(cell, error)
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -46,12 +46,12 @@
         loop: Loop | None = None,
         seed: int | None = None,
         log: Log | None = None,
-        inherited: Mapping[str, socket.socket] | None = None,
+        inherited_sockets: Mapping[str, socket.socket] | None = None,
     ) -> None:
-        """`inherited`: listening sockets that a parent has opened, by the address as configured."""
-        self.configuration, self.inherited = configuration, dict(inherited or {})
+        """`inherited_sockets`: listening sockets that a parent has opened, by the address as configured."""
+        self.configuration, self.inherited_sockets = configuration, dict(inherited_sockets or {})
         self.loop = loop or Loop()
-        self.started: int = self.loop.now()  # ns of the loop's clock
+        self.started_at: int = self.loop.now()  # ns of the loop's clock
         self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
         self.log: Log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
         self.loop.on_error = self._log_error
@@ -62,7 +62,7 @@
         self.address_shared = False
         self.fronts: list[Front] = []
         self.client_fronts: list[RestFront] = []
-        path = make_request_path(self.loop, configuration, self.record, self.seed, self.hosts_changed)
+        path = make_request_path(self.loop, configuration, self.record, self.seed, self.apply_endpoints)
         self.gateway, self.hosts, self.core, self.cells = path.gateway, path.hosts, path.core, path.cells
         self.connections = self._make_connections()
         self.peers = self._make_peer_services()
@@ -70,9 +70,9 @@
     def _make_connections(self) -> AcceptedConnections:
         connections = AcceptedConnections.for_loop(self.loop)
         clients = self.configuration.client_limits
-        chance = RandomGenerator(self.seed + SeedOffset.ADMISSION)
+        random_source = RandomGenerator(self.seed + SeedOffset.ADMISSION)
         connections.admission = Admission(
-            clients.connections, clients.per_address, descriptor_limit(), chance
+            clients.connections, clients.per_address, descriptor_limit(), random_source
         )
         return connections
 
@@ -103,35 +103,40 @@
         self.log.info(
             "started",
             listen_addresses=[front.address for front in self.fronts],
-            hosts=len(self.rows),
+            hosts=len(self.endpoints),
             descriptor_limit=descriptor_limit(),
             max_client_connections=self.connections.admission.max_connections,
         )
 
     def _listen(self) -> None:
-        for kind, where in self.configuration.listen_addresses:
+        for kind, address in self.configuration.listen_addresses:
             try:
-                self._open_front(kind, where)
+                self._open_front(kind, address)
             except OSError as error:
                 self._close_fronts()
-                raise OSError(error.errno, f"{where}: {error.strerror}") from error
+                raise OSError(error.errno, f"{address}: {error.strerror}") from error
 
-    def _open_front(self, kind: str, where: str) -> None:
+    def _open_front(self, kind: str, address: str) -> None:
         if kind == CLIENT_PROTOCOL:
-            front = self._client_front(where)
+            front = self._open_client_front(address)
             self.fronts.append(front)
             self.client_fronts.append(front)
         elif kind == PEER_PROTOCOL:
-            self.fronts.append(self.peers.listen(where))
+            self.fronts.append(self.peers.listen(address))
             if self.cells is not None:
                 self.client_fronts.append(self.cells.listen(self.peers, self.ready))
         else:
-            self.fronts.append(OperatorFront(self.loop, parse_address(where), self))
+            self.fronts.append(OperatorFront(self.loop, parse_address(address), self))
 
-    def _client_front(self, where: str) -> KServeFront:
-        inherited = self.inherited.get(where)
+    def _open_client_front(self, address: str) -> KServeFront:
+        inherited_socket = self.inherited_sockets.get(address)
         return KServeFront(
-            self.loop, parse_address(where), self.core, self.configuration, self.address_ready, inherited
+            self.loop,
+            parse_address(address),
+            self.core,
+            self.configuration,
+            self.address_ready,
+            inherited_socket,
         )
 
     def _close_fronts(self) -> None:
@@ -145,20 +150,20 @@
     # The host list
 
     @property
-    def rows(self) -> dict[str, Endpoint]:
+    def endpoints(self) -> dict[str, Endpoint]:
         """The known hosts, by name."""
-        return self.host_list.rows
+        return self.host_list.endpoints
 
-    def update_hosts(self, rows: Sequence[Endpoint]) -> None:
+    def update_hosts(self, endpoints: Sequence[Endpoint]) -> None:
         """Applies a complete host list, to the connections first: decisions may use a new host at once."""
-        self.hosts_changed(rows)
-        self.core.update_hosts([row.listed for row in rows], complete=True)
-        self.peers.update_hosts(self.host_list.states())
+        self.apply_endpoints(endpoints)
+        self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete=True)
+        self.peers.update_hosts(self.host_list.states_and_start_times())
 
-    def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
+    def apply_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
         """Passes all hosts that are known now to the connections and the host list."""
-        self.hosts.update(rows, complete=True)
-        self.host_list.replace(rows)
+        self.hosts.update(endpoints, complete=True)
+        self.host_list.replace_endpoints(endpoints)
 
     def reload_host_lists(self) -> None:
         """Reads the files of hosts now."""
@@ -171,14 +176,14 @@
 
     def ready(self) -> bool:
         """Whether this process serves and has a host, or a gateway to which it can forward."""
-        return not self.stopping and self._has_active_host()
+        return not self.stopping and self._can_serve()
 
     def address_ready(self) -> bool:
         """Whether the clients' addresses are served, by this process or by others that share them."""
-        return (self.address_shared or not self.stopping) and self._has_active_host()
+        return (self.address_shared or not self.stopping) and self._can_serve()
 
-    def _has_active_host(self) -> bool:
-        active = any(row.listed.state is ListedHostState.ACTIVE for row in self.rows.values())
+    def _can_serve(self) -> bool:
+        active = any(endpoint.listed.state is ListedHostState.ACTIVE for endpoint in self.endpoints.values())
         return active or self.cells is not None and self.cells.can_forward()
 
     # Signals and the parent
@@ -222,7 +227,7 @@
         """Runs the loop until `stop` has ended it, then closes all parts."""
         self.loop.run()
         self.close()
-        uptime = max(1, self.loop.now() - self.started)
+        uptime = max(1, self.loop.now() - self.started_at)
         self.log.info(
             "stopped",
             requests_in_flight=len(self.core.in_flight),
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -11,11 +11,11 @@
 from gaproute.loop import Loop
 from gaproute.telemetry.record import GatewayRecord
 
-NO_START = 0  # ns since 1970, for a host whose start the list does not give
+UNKNOWN_START_TIME = 0  # ns since 1970, for a host whose start the list does not give
 
 
 class HostList:
-    """All known hosts: `rows` by name. `watch` follows the file of hosts, if there is one.
+    """All known hosts: `endpoints` by name. `watch` follows the file of hosts, if there is one.
 
     In a fleet of cells `CellServices` follows the lists, and `replace` is given the hosts of all known cells.
     """
@@ -23,7 +23,7 @@
     def __init__(self, loop: Loop, configuration: Configuration, record: GatewayRecord) -> None:
         self.loop, self.configuration, self.record = loop, configuration, record
         self.converter = HostLineConverter(loop, use_capacities=configuration.capacities_reported)
-        self.rows: dict[str, Endpoint] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.watch: FileWatch | None = None
 
     def follow(self, on_list: Callable[[Sequence[Endpoint]], None]) -> None:
@@ -37,28 +37,28 @@
         if source is None:
             convert(self.configuration.hosts)
         else:
-            self.watch = FileWatch(self.loop, source.path, source.look, convert, self.log_rejected)
+            self.watch = FileWatch(self.loop, source.path, source.look, convert, self.log_rejected_list)
 
-    def replace(self, rows: Iterable[Endpoint]) -> None:
+    def replace_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
         """Takes over all hosts that are known now, and logs the changes."""
-        before, self.rows = self.rows, {row.listed.host: row for row in rows}
-        changed = [name for name, row in self.rows.items() if before.get(name) != row]
-        gone = [name for name in before if name not in self.rows]
+        before, self.endpoints = self.endpoints, {endpoint.listed.host: endpoint for endpoint in endpoints}
+        changed = [name for name, endpoint in self.endpoints.items() if before.get(name) != endpoint]
+        gone = [name for name in before if name not in self.endpoints]
         for name in sorted(changed + gone):
-            row = self.rows.get(name)
+            endpoint = self.endpoints.get(name)
             self.record.event(
-                "info", "host_changed", host=name, state=row.listed.state.value if row else "gone"
+                "info", "host_changed", host=name, state=endpoint.listed.state.value if endpoint else "gone"
             )
 
-    def states(self) -> dict[str, tuple[str, int]]:
-        """By host: its state, and its start by the list, in ns since 1970 or `NO_START`."""
+    def states_and_start_times(self) -> dict[str, tuple[str, int]]:
+        """By host: its state, and its start by the list, in ns since 1970 or `UNKNOWN_START_TIME`."""
         start_times = self.converter.start_times
         return {
-            name: (row.listed.state.value, start_times.reported_start(name) or NO_START)
-            for name, row in self.rows.items()
+            name: (endpoint.listed.state.value, start_times.reported_start(name) or UNKNOWN_START_TIME)
+            for name, endpoint in self.endpoints.items()
         }
 
-    def log_rejected(self, mistakes: Iterable[Mistake]) -> None:
+    def log_rejected_list(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list that was read last is not used."""
         for mistake in mistakes:
             self.record.event("error", "host_list_rejected", error=str(mistake))
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -27,8 +27,8 @@
 from gaproute.units import MILLI
 
 # Each run draws the first number of its requests from this range; all numbers stay below JSON's 2^53.
-RUN_BITS = 40
-REQUEST_BITS = 12
+RUN_NUMBER_BITS = 40
+REQUEST_NUMBER_BITS = 12
 
 
 class LeaseService:
@@ -39,19 +39,19 @@
     """
 
     def __init__(
-        self, loop: Loop, name: str, line: RaftGroupLine, record: GatewayRecord, chance: RandomSource
+        self, loop: Loop, name: str, line: RaftGroupLine, record: GatewayRecord, random_source: RandomSource
     ) -> None:
         self.loop = loop
         self.peers: dict[str, str] = {}  # addresses by name
-        self.disk: RaftLogFile | None = None
+        self.log_file: RaftLogFile | None = None
         if name in line.names and line.votes is not None:
-            self.disk = self._open_raft_log(line.votes, record)
+            self.log_file = self._open_raft_log(line.votes, record)
         self.hosted_node = HostedNode(
-            NodeEnvironment(loop, record, chance, partial(RaftTransport, loop, name, self.peers)),
+            NodeEnvironment(loop, record, random_source, partial(RaftTransport, loop, name, self.peers)),
             RaftGroupView(name, line.names),
-            NodeStorage(LeaseTable(max_duration=line.longest), self.disk, time.time_ns() // MILLI),
+            NodeStorage(LeaseTable(max_duration=line.longest), self.log_file, time.time_ns() // MILLI),
         )
-        last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
+        last_number = secrets.randbits(RUN_NUMBER_BITS) << REQUEST_NUMBER_BITS
         self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
         self.timer: Timer | None = None
 
@@ -74,28 +74,28 @@
             del self.peers[name]
         self.peers.update(peers)
 
-    def handle(self, server: Server, request: Request) -> None:
+    def handle_messages(self, server: Server, request: Request) -> None:
         """Handles a batch of messages from another gateway."""
         self.hosted_node.transport.handle(server, request)
 
     def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
         """Carries out an operator's command. Errors: `LeaseRequestError`."""
         status = self.requests.execute(self.loop.now(), command)
-        self._run_due()
+        self._run_due_work()
         return status
 
     def table(self) -> JsonObject:
         """The lease table at the operators' address; its JSON keys are older than the names in the code."""
         return {"errands": self.requests.table(self.loop.now()), **self.hosted_node.status()}
 
-    def _run_due(self) -> None:
+    def _run_due_work(self) -> None:
         self.requests.tick(self.loop.now())
         self.hosted_node.run_due()
         if self.timer is not None:
             self.timer.cancel()
         due = self.requests.due
         self.timer = (
-            None if due is None else self.loop.call_at(max(due, self.loop.now() + MILLI), self._run_due)
+            None if due is None else self.loop.call_at(max(due, self.loop.now() + MILLI), self._run_due_work)
         )
 
     def stop(self) -> None:
@@ -107,5 +107,5 @@
         if self.timer is not None:
             self.timer.cancel()
         self.hosted_node.close()
-        if self.disk is not None:
-            self.disk.close()
+        if self.log_file is not None:
+            self.log_file.close()
--- a/gaproute/appliance/listening_sockets.py
+++ b/gaproute/appliance/listening_sockets.py
@@ -31,20 +31,20 @@
         wanted = _client_addresses(configuration)
         opened: dict[str, socket.socket] = {}
         try:
-            for where in wanted:
-                if where not in self.by_address:
-                    opened[where] = open_listening_socket(parse_address(where))
+            for address in wanted:
+                if address not in self.by_address:
+                    opened[address] = open_listening_socket(parse_address(address))
         except OSError:
             for sock in opened.values():
                 sock.close()
             raise
         self.by_address |= opened
-        return {where: self.by_address[where] for where in wanted}
+        return {address: self.by_address[address] for address in wanted}
 
     def close_unused(self, configuration: Configuration) -> None:
         """Closes the sockets that the configuration does not name."""
-        for where in self.by_address.keys() - set(_client_addresses(configuration)):
-            self.by_address.pop(where).close()
+        for address in self.by_address.keys() - set(_client_addresses(configuration)):
+            self.by_address.pop(address).close()
 
     def close(self) -> None:
         """Closes all sockets of this process; those that children have inherited stay open there."""
@@ -53,8 +53,8 @@
 
     def unlink_paths(self) -> None:
         """Removes the files of Unix sockets."""
-        for where in self.by_address:
-            family, target = parse_address(where)
+        for address in self.by_address:
+            family, target = parse_address(address)
             if family == socket.AF_UNIX and isinstance(target, str) and os.path.exists(target):
                 os.unlink(target)
 
@@ -64,7 +64,7 @@
 
 
 def _client_addresses(configuration: Configuration) -> list[str]:
-    return [where for kind, where in configuration.listen_addresses if kind == CLIENT_PROTOCOL]
+    return [address for kind, address in configuration.listen_addresses if kind == CLIENT_PROTOCOL]
 
 
 def _displayed_address(sock: socket.socket) -> str:
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -13,13 +13,13 @@
 from gaproute.loop.addresses import Address
 from gaproute.shared.leases.operator_requests import decode_command
 
-LEASES = b"/permits"
-TABLES: dict[bytes, Callable[[RunningGateway], object]] = {
+LEASES_PATH = b"/permits"
+TABLES_BY_PATH: dict[bytes, Callable[[RunningGateway], object]] = {
     b"/status": status.status,
     b"/hosts": status.host_table,
     b"/knows": status.warm_instances,
     b"/peers": status.peer_table,
-    LEASES: status.lease_table,
+    LEASES_PATH: status.lease_table,
     b"/events": status.event_table,
 }
 JSON_HEADERS = ((b"Content-Type", b"application/json"),)
@@ -32,17 +32,17 @@
 class OperatorFront:
     """Serves what the command line reads. Errors: OSError where the address cannot be listened on."""
 
-    def __init__(self, loop: Loop, where: Address, appliance: RunningGateway) -> None:
+    def __init__(self, loop: Loop, address: Address, appliance: RunningGateway) -> None:
         self.appliance = appliance
-        self.server = Server(loop, where, self.handle)
+        self.server = Server(loop, address, self.handle)
         self.address: str = self.server.address
 
     def handle(self, request: Request) -> None:
         """Answers one request."""
-        if request.target == LEASES and request.method == b"POST":
+        if request.target == LEASES_PATH and request.method == b"POST":
             self._execute(request)
             return
-        table = TABLES.get(request.target)
+        table = TABLES_BY_PATH.get(request.target)
         if table is None:
             self._answer(request, HTTPStatus.NOT_FOUND, {"error": f"the paths are {_paths()}"})
         else:
@@ -69,5 +69,5 @@
 
 
 def _paths() -> str:
-    *names, last = (path.decode() for path in TABLES)
+    *names, last = (path.decode() for path in TABLES_BY_PATH)
     return f"{', '.join(names)} and {last}"
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -19,29 +19,29 @@
 
 
 class Parent:
-    """`count` gateways by a configuration that was read from `file`, and is read from there again at a
-    reload.
-    """
+    """`process_count` gateways of one configuration, which a reload reads again from `configuration_file`."""
 
     def __init__(
         self,
-        file: str | Path,
+        configuration_file: str | Path,
         configuration: Configuration,
-        count: int,
+        process_count: int,
         seed: int | None = None,
         loop: Loop | None = None,
         log: Log | None = None,
     ) -> None:
-        self.count = count
+        self.process_count = process_count
         self.loop = loop or Loop()
         name = f"{configuration.name}, parent"
         self.log: Log = log or logger(level=configuration.log_level).bind(gateway=name)
         self.listeners = ListeningSockets()
-        command = ServeCommand(str(file), count, seed)
+        command = ServeCommand(str(configuration_file), process_count, seed)
         self.children = ChildProcesses(
             self.loop, self.log, command, configuration, self.listeners, self.loop.stop
         )
-        self.reloads = RollingReload(self.loop, self.log, str(file), self.children, self.listeners)
+        self.reloads = RollingReload(
+            self.loop, self.log, str(configuration_file), self.children, self.listeners
+        )
 
     @property
     def stopping(self) -> bool:
@@ -60,7 +60,9 @@
         self.loop.on_signal(signal.SIGHUP, self.reloads.reload)
         self.children.start_missing()
         self.log.info(
-            "parent_started", processes=self.count, listen_addresses=self.listeners.displayed_addresses()
+            "parent_started",
+            processes=self.process_count,
+            listen_addresses=self.listeners.displayed_addresses(),
         )
 
     def stop(self) -> None:
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -37,7 +37,7 @@
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import GatewayRecord
 
-LAST_RUN = "past life"  # the origin of observations from the store, as operators read it
+LAST_RUN_ORIGIN = "past life"  # the origin of observations from the store, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
 # Connections of gateways that request leases from a member of the Raft group: batches are long, and every
 # gateway of a large fleet may have a connection to each member.
@@ -82,18 +82,18 @@
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
         self.request_classes = [line.name for line in configuration.request_classes]
-        self.follower = HintSelector(
+        self.hint_selector = HintSelector(
             self.observations,
             configuration.terms.keep_alive,
             {name: number for number, name in enumerate(self.request_classes)},
             RandomGenerator(seed + SeedOffset.OBSERVATIONS),
         )
 
-    def listen(self, where: str) -> PeerServer:
+    def listen(self, address: str) -> PeerServer:
         """Opens the address for other gateways. Errors: OSError; `close` is to be called then."""
         server = PeerServer(
             self.loop,
-            parse_address(where),
+            parse_address(address),
             self.gateway,
             self.host_history,
             self.request_classes,
@@ -119,14 +119,19 @@
                 (),
                 self.observations,
                 self.apply_observations,
-                self.observations_complete,
+                self.apply_request_mix,
                 self.record,
             )
             self.update_peers(self.configuration.peers)
         source = self.configuration.peers_file
         if source is not None:
             self.peer_list_watch = FileWatch(
-                self.loop, source.path, source.look, self.update_peers, self.peer_list_rejected, read_peers
+                self.loop,
+                source.path,
+                source.look,
+                self.update_peers,
+                self.log_rejected_peer_list,
+                read_peers,
             )
 
     def update_hosts(self, states: Mapping[str, tuple[str, int]]) -> None:
@@ -149,7 +154,7 @@
         if self.observation_client is not None:
             self.observation_client.set_peers(others)
 
-    def peer_list_rejected(self, mistakes: Iterable[Mistake]) -> None:
+    def log_rejected_peer_list(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list of peers that was read last is not used."""
         for mistake in mistakes:
             self.record.event("error", "peer_list_rejected", error=str(mistake))
@@ -174,9 +179,9 @@
     def apply_observations(self, subjects: Collection[Subject]) -> int:
         """Passes the observations of these subjects to the decisions as hints; returns how many were used."""
         starts = self.host_history.active_start_times()
-        return self.follower.apply_hints(self.gateway, self.loop.now(), starts, subjects)
+        return self.hint_selector.apply_hints(self.gateway, self.loop.now(), starts, subjects)
 
-    def observations_complete(self) -> None:
+    def apply_request_mix(self) -> None:
         """Notes that one source has sent all its observations: the mix of functions is known now."""
         self.gateway.hint_function_mix(self.observations.request_mix())
 
@@ -207,37 +212,37 @@
                 part.close()
 
     def _open_membership(self, server: PeerServer) -> MembershipTransport:
-        chance = RandomGenerator(self.seed + SeedOffset.MEMBERSHIP)
+        random_source = RandomGenerator(self.seed + SeedOffset.MEMBERSHIP)
         open_datagrams = partial(DatagramSocket, self.loop)
         return MembershipTransport(
-            self.loop, self.configuration.name, server.address, chance, self.record, open_datagrams
+            self.loop, self.configuration.name, server.address, random_source, self.record, open_datagrams
         )
 
     def _open_leases(self, server: PeerServer) -> None:
         line = self.configuration.raft_group
         if line is not None:
-            chance = RandomGenerator(self.seed + SeedOffset.LEASES)
-            self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, chance)
-            server.routes[TARGET] = self.leases.handle
+            random_source = RandomGenerator(self.seed + SeedOffset.LEASES)
+            self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, random_source)
+            server.routes[TARGET] = self.leases.handle_messages
 
     def _make_gossip(self, transport: MembershipTransport) -> GossipTransport:
-        chance = RandomGenerator(self.seed + SeedOffset.GOSSIP)
-        return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, chance)
+        random_source = RandomGenerator(self.seed + SeedOffset.GOSSIP)
+        return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, random_source)
 
     def _limits(self) -> Limits:
         limits = LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
         if self.configuration.cells is None:
             return limits
-        return _with_forwarded_requests(limits, self.configuration.client_limits)
+        return _raise_limits_for_forwarding(limits, self.configuration.client_limits)
 
     def _restore(self, store: ObservationStore) -> None:
         now = self.loop.now()
         for subject, value, age in store.read(MAX_OBSERVATIONS):
             observed_at = self.observations.earliest_observation_time(now, age)
             if observed_at is not None:
-                self.observations.add(subject, SharedObservation(observed_at, LAST_RUN, 0, value))
+                self.observations.add(subject, SharedObservation(observed_at, LAST_RUN_ORIGIN, 0, value))
         applied = self.apply_observations(self.observations.by_subject)
-        self.observations_complete()
+        self.apply_request_mix()
         self.record.event(
             "info",
             "observations_restored",
@@ -250,7 +255,7 @@
         self.record.event("warning", "observation_store_fault", message=text)
 
 
-def _with_forwarded_requests(limits: Limits, clients: ClientLimitsLine) -> Limits:
+def _raise_limits_for_forwarding(limits: Limits, clients: ClientLimitsLine) -> Limits:
     """Limits where other gateways also forward requests: as large as the limits for clients."""
     return limits._replace(
         max_head_bytes=clients.head + FORWARDED_HEADER_BYTES,
--- a/gaproute/appliance/request_path.py
+++ b/gaproute/appliance/request_path.py
@@ -31,14 +31,14 @@
     configuration: Configuration,
     record: GatewayRecord,
     seed: int,
-    hosts_changed: Callable[[Sequence[Endpoint]], None],
+    on_hosts_changed: Callable[[Sequence[Endpoint]], None],
 ) -> RequestPath:
-    """Makes the parts. `hosts_changed` is called with all known hosts after a change, in a fleet of cells."""
+    """`on_hosts_changed` is called with all known hosts after a change in a fleet of cells."""
     run_name = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids of two runs differ
     limits = configuration.host_limits
     settings = ClientSettings(limits.connect, limits.probe, limits.order, limits.connections, limits.answer)
     if configuration.cells is not None:
-        cells = CellServices(loop, configuration, record, seed, settings, run_name, hosts_changed)
+        cells = CellServices(loop, configuration, record, seed, settings, run_name, on_hosts_changed)
         return RequestPath(cells.placeholder_gateway, cells.hosts, cells.core, cells)
     gateway = configuration.decisions(seed, configuration.terms, loop.now())
     hosts = KServeClient(loop, ConnectionReusePolicy(), settings, configuration.name)
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -22,7 +22,7 @@
 
 
 class RollingReload:
-    """Reads the configuration `file` again at a reload and replaces the children one by one.
+    """Reads the configuration file again at a reload and replaces the children one by one.
 
     `rolling`: whether children are being replaced now; `retry_timer`: set after a failure that may pass.
     """
@@ -31,14 +31,14 @@
         self,
         loop: Loop,
         log: Log,
-        file: str,
+        configuration_file: str,
         children: ChildProcesses,
         listeners: ListeningSockets,
     ) -> None:
-        self.loop, self.log, self.file = loop, log, file
+        self.loop, self.log, self.configuration_file = loop, log, configuration_file
         self.children, self.listeners = children, listeners
         self.rolling = False
-        self.requested = False  # a reload was requested during another one
+        self.reload_requested = False  # a reload was requested during another one
         self.retry_timer: Timer | None = None
 
     def reload(self) -> None:
@@ -46,39 +46,41 @@
         one.
         """
         if self.rolling:
-            self.requested = True
+            self.reload_requested = True
             return
-        self._attempt(Backoff(MIN_BACKOFF, MAX_BACKOFF), self.loop.now())
+        self._try_reload(Backoff(MIN_BACKOFF, MAX_BACKOFF), self.loop.now())
 
-    def _attempt(self, backoff: Backoff, began: int) -> None:
+    def _try_reload(self, backoff: Backoff, started_at: int) -> None:
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
         if self.rolling or self.children.stopping:
             return
         try:
-            configuration = read_configuration(self.file)
+            configuration = read_configuration(self.configuration_file)
             self.listeners.open(configuration)
         except (ConfigurationError, OSError) as error:
-            self._failed(error, backoff, began)
+            self._handle_failure(error, backoff, started_at)
             return
         self.rolling = True
-        self.loop.spawn(self._roll(configuration))
+        self.loop.spawn(self._replace_children(configuration))
 
-    def _failed(self, error: ConfigurationError | OSError, backoff: Backoff, began: int) -> None:
+    def _handle_failure(self, error: ConfigurationError | OSError, backoff: Backoff, started_at: int) -> None:
         """Retries a failure that may pass until its time is over, and logs any other."""
-        if self.loop.now() + backoff.pause <= began + max_retry_time(find_os_error(error)):
-            self.retry_timer = self.loop.call_later(backoff.next_pause(), self._attempt, backoff, began)
+        if self.loop.now() + backoff.pause <= started_at + max_retry_time(find_os_error(error)):
+            self.retry_timer = self.loop.call_later(
+                backoff.next_pause(), self._try_reload, backoff, started_at
+            )
             return
         for mistake in error.mistakes if isinstance(error, ConfigurationError) else [error]:
             self.log.error("configuration_rejected", error=str(mistake))
 
-    def _roll(self, configuration: Configuration) -> Generator[Promise, object, None]:
+    def _replace_children(self, configuration: Configuration) -> Generator[Promise, object, None]:
         previous, self.children.configuration = self.children.configuration, configuration
         for slot in sorted(self.children.by_slot):
             if self.children.stopping:
                 break
-            replaced = yield from self._replace(slot)
+            replaced = yield from self._replace_child(slot)
             if not replaced:
                 self.children.configuration = previous
                 break
@@ -86,17 +88,17 @@
             self.log.info("rolling_reload_completed", processes=len(self.children.by_slot))
             self.listeners.close_unused(configuration)
         self.rolling = False
-        if self.requested and not self.children.stopping:
-            self.requested = False
+        if self.reload_requested and not self.children.stopping:
+            self.reload_requested = False
             self.reload()
 
-    def _replace(self, slot: int) -> Generator[Promise, object, bool]:
+    def _replace_child(self, slot: int) -> Generator[Promise, object, bool]:
         """Starts a new child beside that of the slot, which is asked to end only once the new one serves.
 
         Returns whether the new child serves.
         """
         free_slot = self.children.free_slot()
-        replacement = yield from self._start(free_slot)
+        replacement = yield from self._start_child(free_slot)
         serves = replacement is not None and (yield replacement.ready)
         if not serves:
             self.log.error("rolling_reload_abandoned", process_slot=free_slot)
@@ -107,7 +109,7 @@
             yield old.ended
         return True
 
-    def _start(self, slot: int) -> Generator[Promise, object, ChildProcess | None]:
+    def _start_child(self, slot: int) -> Generator[Promise, object, ChildProcess | None]:
         """Starts a new child of the slot, with retries; returns None where all fail."""
         backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
         for _ in range(MAX_START_ATTEMPTS):
--- a/gaproute/appliance/running_gateway.py
+++ b/gaproute/appliance/running_gateway.py
@@ -28,11 +28,11 @@
 
 
 class RunningGateway(Protocol):
-    """The parts of a gateway process and its state. `started`: ns of the loop's clock."""
+    """The parts of a gateway process and its state. `started_at`: ns of the loop's clock."""
 
     configuration: Configuration
     loop: Loop
-    started: int
+    started_at: int
     stopping: bool
     record: GatewayRecord
     core: Core
@@ -54,7 +54,7 @@
         """The decisions for the whole fleet, or for each known cell."""
 
     @property
-    def rows(self) -> Mapping[str, Endpoint]:
+    def endpoints(self) -> Mapping[str, Endpoint]:
         """The known hosts, by name."""
 
     def ready(self) -> bool:
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -15,12 +15,12 @@
 ANSWER_MARGIN = 100 * MILLI  # between the answers to the last requests in flight and the earliest SIGKILL
 
 
-def answer_time(configuration: Configuration) -> int:
+def max_answer_time(configuration: Configuration) -> int:
     """How long requests may be in flight; then the remaining ones get a final answer at once."""
     return min_kill_delay(configuration.max_deadline) - ANSWER_MARGIN - configuration.client_limits.way_back
 
 
-def max_duration(configuration: Configuration) -> int:
+def max_shutdown_time(configuration: Configuration) -> int:
     """The time after which the process ends, whatever is still open."""
     return LATE_REQUEST_TIME + configuration.max_deadline + LEAVE_TIME
 
@@ -43,14 +43,14 @@
         appliance.peers.stop()
         if appliance.cells is not None:
             appliance.cells.stop()
-        appliance.core.end_requests_by(self.loop.now() + answer_time(appliance.configuration))
-        appliance.core.on_idle = self._end_if_empty
+        appliance.core.end_requests_by(self.loop.now() + max_answer_time(appliance.configuration))
+        appliance.core.on_idle = self._end_if_idle
         for front in appliance.client_fronts:
-            front.notify_when_emptied(self._end_if_empty)
-        self.loop.call_later(max_duration(appliance.configuration), self.loop.stop)
-        self._end_if_empty()
+            front.notify_when_emptied(self._end_if_idle)
+        self.loop.call_later(max_shutdown_time(appliance.configuration), self.loop.stop)
+        self._end_if_idle()
 
-    def _end_if_empty(self) -> None:
+    def _end_if_idle(self) -> None:
         """Ends the loop once no request is in flight and no client's connection is left."""
         appliance = self.appliance
         if appliance.core.in_flight or any(front.connection_count for front in appliance.client_fronts):
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -23,11 +23,11 @@
         "name": appliance.configuration.name,
         "stopping": appliance.stopping,
         "ready": appliance.ready(),
-        "up_ms": (appliance.loop.now() - appliance.started) // MILLI,
+        "up_ms": (appliance.loop.now() - appliance.started_at) // MILLI,
         "held": len(appliance.core.in_flight),
         "late_turns": appliance.loop.late_turns,
         "counts": legacy_counts(appliance.record.counts),
-        "clients": _clients(appliance),
+        "clients": _client_connections(appliance),
         "connections": {
             "opened": hosts.connections_opened,
             "reused": hosts.connections_reused,
@@ -36,9 +36,9 @@
         "gateways": membership_transport and membership_transport.membership.live_count(),
         "cells": appliance.cells and appliance.cells.status(),
         "weak_word": gossip and gossip.node.status(appliance.loop.now()),
-        "learnt": _observations_taken(appliance),
-        "telling": _observations_given(peer_services),
-        "memory": _observation_store(peer_services),
+        "learnt": _received_observations(appliance),
+        "telling": _sent_observations(peer_services),
+        "memory": _observation_store_status(peer_services),
     }
 
 
@@ -46,14 +46,14 @@
     """The hosts of the list, by name."""
     attempts = legacy_counts(appliance.record.counts).get("relay", {})
     table = []
-    for name, row in sorted(appliance.rows.items()):
+    for name, endpoint in sorted(appliance.endpoints.items()):
         host = appliance.hosts.hosts.get(name)
         table.append(
             {
                 "name": name,
-                "address": row.address,
-                "state": row.listed.state.value,
-                "capacity": row.listed.capacity,
+                "address": endpoint.address,
+                "state": endpoint.listed.state.value,
+                "capacity": endpoint.listed.capacity,
                 "connections": len(host.open_connections) if host else 0,
                 "relays": attempts.get(name, {}),
             }
@@ -71,7 +71,7 @@
         row
         for gateway in appliance.decisions
         for name, function in gateway.functions_by_name.items()
-        for row in _instances(appliance, name, function)
+        for row in _function_instances(appliance, name, function)
     ]
     return sorted(rows, key=lambda row: int(row["age_ms"]))
 
@@ -98,7 +98,7 @@
     return [legacy_event(event, fields) for event, fields in appliance.record.events]
 
 
-def _clients(appliance: RunningGateway) -> JsonObject:
+def _client_connections(appliance: RunningGateway) -> JsonObject:
     connections = appliance.connections
     return {
         "connections": connections.client_count,
@@ -112,7 +112,7 @@
     }
 
 
-def _observations_taken(appliance: RunningGateway) -> JsonObject:
+def _received_observations(appliance: RunningGateway) -> JsonObject:
     """Observations taken over from other gateways and from the last run, and how many proved right."""
     observations = appliance.peers.observations
     client = appliance.peers.observation_client
@@ -126,7 +126,7 @@
     }
 
 
-def _observations_given(peer_services: PeerServices) -> JsonObject | None:
+def _sent_observations(peer_services: PeerServices) -> JsonObject | None:
     """Observations that other gateways were sent at their request."""
     server = peer_services.peer_server
     if server is None:
@@ -134,7 +134,7 @@
     return {"facts": server.transfers.encoded, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
 
 
-def _observation_store(peer_services: PeerServices) -> JsonObject | None:
+def _observation_store_status(peer_services: PeerServices) -> JsonObject | None:
     writer = peer_services.observation_writer
     if writer is None:
         return None
@@ -146,7 +146,7 @@
     }
 
 
-def _instances(appliance: RunningGateway, name: str, function: Function) -> Iterator[JsonObject]:
+def _function_instances(appliance: RunningGateway, name: str, function: Function) -> Iterator[JsonObject]:
     """The instances of one function: first by own attempts, then those that others reported."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
--- a/gaproute/cli/common.py
+++ b/gaproute/cli/common.py
@@ -20,23 +20,23 @@
     """The exit codes of commands."""
 
     OK = 0
-    NOT_WELL = 1  # the command found something wrong: a broken rule, a gateway that is not ready
-    WRONG_INPUT = 2  # arguments or configuration
-    IMPOSSIBLE = 3  # the command could not be carried out
+    PROBLEM_FOUND = 1  # the command found something wrong: a broken rule, a gateway that is not ready
+    INVALID_INPUT = 2  # arguments or configuration
+    COMMAND_FAILED = 3  # the command could not be carried out
 
 
-def fail(message: str, code: ExitCode = ExitCode.WRONG_INPUT) -> NoReturn:
+def exit_with_error(message: str, code: ExitCode = ExitCode.INVALID_INPUT) -> NoReturn:
     """Ends the command with the message."""
     click.echo(message, err=True)
     sys.exit(code)
 
 
-def reject(error: ConfigurationError, consequence: str) -> NoReturn:
+def exit_with_mistakes(error: ConfigurationError, consequence: str) -> NoReturn:
     """Ends the command with all mistakes and what follows from them."""
     for mistake in error.mistakes:
         click.echo(str(mistake), err=True)
     count = len(error.mistakes)
-    fail(f"{count} mistake{'' if count == 1 else 's'}; {consequence}")
+    exit_with_error(f"{count} mistake{'' if count == 1 else 's'}; {consequence}")
 
 
 def show_table(columns: Sequence[str], rows: Iterable[Iterable[str]]) -> None:
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -14,7 +14,7 @@
 import click
 from rich.console import Console
 
-from gaproute.cli.common import ExitCode, JsonObject, fail, json_option, show_table
+from gaproute.cli.common import ExitCode, JsonObject, exit_with_error, json_option, show_table
 from gaproute.config import ConfigurationError
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     from gaproute.scenarios.result import DayResult
     from gaproute.scenarios.trial import Trial
 
-WIDTH = 80  # columns of a verdict
+RESULT_WIDTH = 80  # columns of a verdict
 
 
 @click.command()
@@ -42,7 +42,7 @@
     try:
         parsed = read_script(script)
     except ConfigurationError as error:
-        fail(str(error))
+        exit_with_error(str(error))
     out = out or tempfile.mkdtemp(prefix="gaproute-trial-")
     trial_class = _trial_class(parsed)
     result = trial_class(parsed, out, seed, decisions, None if as_json else click.echo).run()
@@ -72,7 +72,7 @@
     from gaproute.cluster.verdict import ClusterVerdict
     from gaproute.scenarios.result_table import print_result
 
-    console = Console(width=WIDTH)
+    console = Console(width=RESULT_WIDTH)
     if isinstance(result, ClusterVerdict):
         show(result, console)
     else:
@@ -84,7 +84,11 @@
 
     if result.well:
         return ExitCode.OK
-    return ExitCode.IMPOSSIBLE if isinstance(result, ClusterVerdict) and result.void else ExitCode.NOT_WELL
+    return (
+        ExitCode.COMMAND_FAILED
+        if isinstance(result, ClusterVerdict) and result.void
+        else ExitCode.PROBLEM_FOUND
+    )
 
 
 @click.command()
@@ -101,7 +105,7 @@
     try:
         parsed = read_load_script(script)
     except ConfigurationError as error:
-        fail(str(error))
+        exit_with_error(str(error))
     loop = Loop()
     generator = LoadGenerator(loop, parsed, seed, None if as_json else _echo_progress)
     loop.run(until=loop.spawn(generator.play()).done)
@@ -113,7 +117,7 @@
     else:
         _show_load(rows)
         click.echo(", ".join(f"{what}: {count}" for what, count in sorted(generator.counts.items())))
-    sys.exit(ExitCode.NOT_WELL if any(row["not well"] for row in rows) else ExitCode.OK)
+    sys.exit(ExitCode.PROBLEM_FOUND if any(row["not well"] for row in rows) else ExitCode.OK)
 
 
 def _echo_progress(text: str) -> None:
@@ -138,7 +142,7 @@
     try:
         rows = summary_rows(results)
     except (OSError, ValueError) as error:
-        fail(str(error))
+        exit_with_error(str(error))
     if as_json:
         click.echo(json.dumps(rows))
     else:
@@ -148,10 +152,10 @@
 def _show_load(rows: list[JsonObject]) -> None:
     """Prints a load's rows as a table."""
     columns = list(rows[0]) if rows else []
-    show_table(columns, (map(_load_cell, row.values()) for row in rows))
+    show_table(columns, (map(_format_load_figure, row.values()) for row in rows))
 
 
-def _load_cell(value: object) -> str:
+def _format_load_figure(value: object) -> str:
     if isinstance(value, dict):
         return ", ".join(f"{key} {count}" for key, count in value.items())
     return f"{value:g}" if isinstance(value, float) else str(value)
@@ -169,7 +173,7 @@
     try:
         text, left_out = convert_bench_day(json.load(day), hosts, gateways, scale)
     except (ValueError, KeyError, TypeError) as error:
-        fail(f"{day.name}: no day file: {error!r}")
+        exit_with_error(f"{day.name}: no day file: {error!r}")
     click.echo(text, nl=False)
     for kind in left_out:
         click.echo(f"left out: {kind} has no counterpart on sockets", err=True)
--- a/gaproute/cli/migration.py
+++ b/gaproute/cli/migration.py
@@ -4,7 +4,7 @@
 
 import click
 
-from gaproute.cli.common import ExitCode, fail, reject
+from gaproute.cli.common import ExitCode, exit_with_error, exit_with_mistakes
 from gaproute.config import ConfigurationError, NotDurableError, read_text, write_whole
 from gaproute.config import migrate as migrate_configuration
 
@@ -27,7 +27,7 @@
     try:
         text, left_behind = migrate_configuration(old, read_text(old), shape, read_text(shape), new)
     except ConfigurationError as error:
-        reject(error, "nothing is written")
+        exit_with_mistakes(error, "nothing is written")
     if dry_run:
         click.echo(text, nl=False)
     else:
@@ -36,7 +36,7 @@
         click.echo(str(line), err=True)
     outcome = "nothing is written" if dry_run else f"written: {new}"
     click.echo(f"{len(left_behind)} left behind; {outcome}", err=True)
-    sys.exit(ExitCode.NOT_WELL if left_behind else ExitCode.OK)
+    sys.exit(ExitCode.PROBLEM_FOUND if left_behind else ExitCode.OK)
 
 
 def _write(path: str, text: str, preserved: tuple[str, ...], *, replace: bool) -> None:
@@ -44,11 +44,11 @@
     try:
         write_whole(path, text, replace=replace, preserved=preserved)
     except FileExistsError:
-        fail(f"{path}: stands already; name another file or say --replace; nothing is written")
+        exit_with_error(f"{path}: stands already; name another file or say --replace; nothing is written")
     except NotDurableError as error:
-        fail(
+        exit_with_error(
             f"{path}: written, but a crash of the machine may undo it ({error.strerror}); "
             "write it again with --replace"
         )
     except OSError as error:
-        fail(f"{path}: {error.strerror}; name a file that can be written; nothing is written")
+        exit_with_error(f"{path}: {error.strerror}; name a file that can be written; nothing is written")
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -10,28 +10,28 @@
 from rich.console import Console
 from rich.table import Table
 
-from gaproute.cli.common import ExitCode, JsonObject, fail, json_option, show_table
+from gaproute.cli.common import ExitCode, JsonObject, exit_with_error, json_option, show_table
 from gaproute.loop.addresses import parse_address
 
-TIMEOUT = 5  # seconds
+TIMEOUT_SECONDS = 5
 STATUS_COUNTS = ("taken", "delivered", "declined", "scrapped", "left")  # as the gateway names them
 
-at_option = click.option("--at", "where", required=True, help="Its `listen operator` address.")
+at_option = click.option("--at", "address", required=True, help="Its `listen operator` address.")
 
 
-def ask(where: str, path: bytes) -> Any:
+def ask(address: str, path: bytes) -> Any:
     """The answer of a gateway at the path of its operators' address; ends the command if none comes."""
     try:
-        return json.loads(_get(where, path))
+        return json.loads(_get(address, path))
     except (OSError, ValueError) as error:
-        fail(f"no gateway answers at {where}: {error}", ExitCode.IMPOSSIBLE)
+        exit_with_error(f"no gateway answers at {address}: {error}", ExitCode.COMMAND_FAILED)
 
 
-def _get(where: str, path: bytes) -> bytes:
+def _get(address: str, path: bytes) -> bytes:
     """The body of an answer. Errors: OSError."""
-    family, target = parse_address(where)
+    family, target = parse_address(address)
     with socket.socket(family, socket.SOCK_STREAM) as sock:
-        sock.settimeout(TIMEOUT)
+        sock.settimeout(TIMEOUT_SECONDS)
         sock.connect(target)
         sock.sendall(b"GET %s HTTP/1.1\r\nHost: operator\r\nConnection: close\r\n\r\n" % path)
         with sock.makefile("rb") as answer:
@@ -42,33 +42,33 @@
 
 
 def list_objects(
-    where: str,
+    address: str,
     path: bytes,
     columns: Sequence[str],
-    cells: Callable[[JsonObject], Iterable[str]],
+    make_row: Callable[[JsonObject], Iterable[str]],
     *,
     as_json: bool,
 ) -> None:
     """Prints the objects at the path: as JSON, or as a row of `cells` for each object."""
-    objects = ask(where, path)
+    objects = ask(address, path)
     if as_json:
         click.echo(json.dumps(objects))
     else:
-        show_table(columns, map(cells, objects))
+        show_table(columns, map(make_row, objects))
 
 
 @click.command()
 @at_option
 @json_option
-def status(where: str, *, as_json: bool) -> None:
+def status(address: str, *, as_json: bool) -> None:
     """What a running gateway holds and has answered. Exits 1 where it is not ready."""
-    answer = ask(where, b"/status")
+    answer = ask(address, b"/status")
     if as_json:
         click.echo(json.dumps(answer))
     else:
         click.echo(_summary(answer))
         Console().print(_counts_table(answer["counts"]))
-    sys.exit(ExitCode.OK if answer["ready"] else ExitCode.NOT_WELL)
+    sys.exit(ExitCode.OK if answer["ready"] else ExitCode.PROBLEM_FOUND)
 
 
 def _summary(answer: JsonObject) -> str:
@@ -96,13 +96,13 @@
 @click.command()
 @at_option
 @json_option
-def hosts(where: str, *, as_json: bool) -> None:
+def hosts(address: str, *, as_json: bool) -> None:
     """The hosts that a running gateway knows."""
     columns = ("host", "address", "state", "capacity", "connections", "relays by outcome")
-    list_objects(where, b"/hosts", columns, _host_cells, as_json=as_json)
+    list_objects(address, b"/hosts", columns, _host_row, as_json=as_json)
 
 
-def _host_cells(host: JsonObject) -> tuple[str, ...]:
+def _host_row(host: JsonObject) -> tuple[str, ...]:
     return (
         host["name"],
         host["address"],
@@ -116,13 +116,13 @@
 @click.command()
 @at_option
 @json_option
-def knows(where: str, *, as_json: bool) -> None:
+def knows(address: str, *, as_json: bool) -> None:
     """The copies that a running gateway believes to stand, the latest use first."""
     columns = ("host", "function", "last use", "known by")
-    list_objects(where, b"/knows", columns, _instance_cells, as_json=as_json)
+    list_objects(address, b"/knows", columns, _instance_row, as_json=as_json)
 
 
-def _instance_cells(instance: JsonObject) -> tuple[str, ...]:
+def _instance_row(instance: JsonObject) -> tuple[str, ...]:
     return (
         instance["worker"],
         instance["function"],
@@ -134,13 +134,13 @@
 @click.command()
 @at_option
 @json_option
-def peers(where: str, *, as_json: bool) -> None:
+def peers(address: str, *, as_json: bool) -> None:
     """The other gateways that a running one knows: who is up, and what each told at the start."""
     columns = ("gateway", "address", "state", "for", "last heard", "told at the start")
-    list_objects(where, b"/peers", columns, _peer_cells, as_json=as_json)
+    list_objects(address, b"/peers", columns, _peer_row, as_json=as_json)
 
 
-def _peer_cells(peer: JsonObject) -> tuple[str, ...]:
+def _peer_row(peer: JsonObject) -> tuple[str, ...]:
     heard = peer.get("heard_ms")
     return (
         peer["name"],
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -9,7 +9,7 @@
 
 import click
 
-from gaproute.cli.common import ExitCode, fail, reject
+from gaproute.cli.common import ExitCode, exit_with_error, exit_with_mistakes
 from gaproute.config import ConfigurationError, read_configuration, read_hosts, read_peers
 from gaproute.config.cell_files import check_cells
 from gaproute.config.configuration import Configuration
@@ -33,7 +33,7 @@
     try:
         configuration: Configuration = StartupRetries().call(lambda: _read_files(file, with_cells=with_cells))
     except ConfigurationError as error:
-        reject(error, "nothing of it is used")
+        exit_with_mistakes(error, "nothing of it is used")
     return configuration
 
 
@@ -49,14 +49,14 @@
     return configuration
 
 
-def attempt(
+def run_startup_step(
     retries: StartupRetries, step: Callable[[], StepResult], message: str = "cannot start"
 ) -> StepResult:
     """The result of a step of the start; ends the command with the message if the step raises OSError."""
     try:
         result: StepResult = retries.call(step)
     except OSError as error:
-        fail(f"{message}: {error}", ExitCode.IMPOSSIBLE)
+        exit_with_error(f"{message}: {error}", ExitCode.COMMAND_FAILED)
     return result
 
 
@@ -85,25 +85,25 @@
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
     configuration, retries = load_configuration(file), StartupRetries()
     if processes is not None:
-        _serve_by_children(retries, file, configuration, processes, seed)
+        _serve_with_children(retries, file, configuration, processes, seed)
         return
     if process_slot is not None:
         configuration.assign_process_slot(*process_slot)
     appliance = _make_appliance(retries, configuration, seed, inherited)
-    attempt(retries, appliance.start, "cannot listen")
+    run_startup_step(retries, appliance.start, "cannot listen")
     if liveness_pipe is not None and ready_pipe is not None:
         appliance.attach_to_parent(liveness_pipe, ready_pipe)
     _tune_garbage_collection()
     appliance.run()
 
 
-def _serve_by_children(
+def _serve_with_children(
     retries: StartupRetries, file: str, configuration: Configuration, processes: int, seed: int | None
 ) -> None:
     from gaproute.appliance.parent import Parent  # here, as most commands run no gateway
 
-    parent = Parent(file, configuration, processes, seed, loop=attempt(retries, Loop))
-    attempt(retries, parent.start, "cannot listen")
+    parent = Parent(file, configuration, processes, seed, loop=run_startup_step(retries, Loop))
+    run_startup_step(retries, parent.start, "cannot listen")
     _tune_garbage_collection()
     parent.run()
 
@@ -116,11 +116,11 @@
 
     sockets = {}
     for text in inherited:
-        descriptor, _, where = text.partition("=")
-        sockets[where] = socket.socket(fileno=int(descriptor))
-    loop = attempt(retries, Loop)
-    appliance = Appliance(configuration, loop=loop, seed=seed, inherited=sockets)
-    attempt(retries, appliance.handle_signals)
+        descriptor, _, address = text.partition("=")
+        sockets[address] = socket.socket(fileno=int(descriptor))
+    loop = run_startup_step(retries, Loop)
+    appliance = Appliance(configuration, loop=loop, seed=seed, inherited_sockets=sockets)
+    run_startup_step(retries, appliance.handle_signals)
     return appliance
 
 
--- a/tests/appliance/test_attempt_results.py
+++ b/tests/appliance/test_attempt_results.py
@@ -62,7 +62,7 @@
     inner = gateway.attempt_ended
     gateway.attempt_ended = lambda now, outcome: (heard.set(outcome.result), inner(now, outcome))
     made.relist(f"host x {where}")
-    made.until(lambda: "x" in made.gate.rows)
+    made.until(lambda: "x" in made.gate.endpoints)
     asked = made.ask("crew")
     result = made.wait(heard)
     made.wait(asked)
--- a/tests/appliance/test_gateway_host_list.py
+++ b/tests/appliance/test_gateway_host_list.py
@@ -11,7 +11,7 @@
     made.wait(made.ask("lamp", "a"))
     rows = made.list.read_text().splitlines()
     made.relist(rows[0] + " state draining", rows[1])
-    made.until(lambda: made.gate.rows["h0"].listed.state.value != "active")
+    made.until(lambda: made.gate.endpoints["h0"].listed.state.value != "active")
     reported_at = made.loop.now()
     for number in range(30):
         assert outcome(made.wait(made.ask("lamp", f"b{number}"))) == "delivered"
@@ -34,7 +34,7 @@
             filler.connect_ex(full.getsockname())
         row = "host slow {}:{} rack r0".format(*full.getsockname())
         made.relist(row)
-        made.until(lambda: "slow" in made.gate.rows)
+        made.until(lambda: "slow" in made.gate.endpoints)
         asked = made.ask("crew", "w")
         made.until(lambda: made.gate.hosts.hosts["slow"].connecting_exchanges)
         begun = made.loop.now()
@@ -51,7 +51,7 @@
     good = made.list.read_text()
     made.relist("host h0 nowhere", *good.splitlines()[1:])
     made.until(lambda: any(what == "host_list_rejected" for what, _ in made.gate.record.events))
-    assert set(made.gate.rows) == {"h0", "h1"}
+    assert set(made.gate.endpoints) == {"h0", "h1"}
     assert outcome(made.wait(made.ask())) == "delivered"
 
 
@@ -59,8 +59,8 @@
     made = rig(hosts=1)
     row = made.list.read_text().strip()
     made.relist(f"{row} started 1000.5")
-    made.until(lambda: made.gate.rows["h0"].listed.started is not None)
-    first = made.gate.rows["h0"].listed.started
+    made.until(lambda: made.gate.endpoints["h0"].listed.started is not None)
+    first = made.gate.endpoints["h0"].listed.started
     made.relist(f"{row} started 1000.5 zone other")
-    made.until(lambda: made.gate.rows["h0"].listed.zone != 0)
-    assert made.gate.rows["h0"].listed.started == first
+    made.until(lambda: made.gate.endpoints["h0"].listed.zone != 0)
+    assert made.gate.endpoints["h0"].listed.started == first
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -85,7 +85,7 @@
 
         if FakeChild.failing is not None:
             FakeChild.failing()
-        self.started, self.ready, self.ended = loop.now(), Promise(), Promise()
+        self.started_at, self.ready, self.ended = loop.now(), Promise(), Promise()
         self.ready.set(True)
 
     def stop(self):
--- a/tests/cli/test_queries.py
+++ b/tests/cli/test_queries.py
@@ -81,8 +81,8 @@
     ("changes", "first", "code"),
     [
         ({}, "g: ready, up 12 s, 3 tasks held", ExitCode.OK),
-        ({"ready": False}, "g: not ready: no active host, up 12 s, 3 tasks held", ExitCode.NOT_WELL),
-        ({"ready": False, "stopping": True}, "g: stopping, up 12 s, 3 tasks held", ExitCode.NOT_WELL),
+        ({"ready": False}, "g: not ready: no active host, up 12 s, 3 tasks held", ExitCode.PROBLEM_FOUND),
+        ({"ready": False, "stopping": True}, "g: stopping, up 12 s, 3 tasks held", ExitCode.PROBLEM_FOUND),
     ],
 )
 def test_status_shows_whether_the_gateway_is_ready(run, changes, first, code):
@@ -93,5 +93,5 @@
 
 def test_a_gateway_that_does_not_answer_ends_the_command(tmp_path):
     result = CliRunner().invoke(main, ["hosts", "--at", f"unix:{tmp_path}/none"])
-    assert result.exit_code == ExitCode.IMPOSSIBLE
+    assert result.exit_code == ExitCode.COMMAND_FAILED
     assert "no gateway answers at unix:" in result.output
--- a/tests/discovery/test_cells_followed.py
+++ b/tests/discovery/test_cells_followed.py
@@ -5,7 +5,7 @@
 import pytest
 from followed_cells import SECOND, event, host, hosts
 
-from gaproute.appliance.followed_lists import MAX_CELLS, MAX_HOSTS_FOLLOWED, MAX_LOGGED_REJECTIONS
+from gaproute.appliance.followed_lists import MAX_FOLLOWED_CELLS, MAX_FOLLOWED_HOSTS, MAX_LOGGED_REJECTIONS
 from gaproute.loop import Stream
 from gaproute.standins.platform.host_list import member
 
@@ -46,13 +46,13 @@
 
 
 def test_the_numbers_of_followed_cells_and_of_hosts_in_all_lists_are_bounded(followed_cells):
-    cell_names = [f"c{number}" for number in range(MAX_CELLS + 6)]
+    cell_names = [f"c{number}" for number in range(MAX_FOLLOWED_CELLS + 6)]
     cells = followed_cells(zones=dict.fromkeys(cell_names, "a"))
     for number, cell in enumerate(cell_names):
         cells.sources[0].publish(cell, member(f"h{number}", f"127.0.0.1:{number + 1}", zone=""))
     cells.lists.set_cells(cells.zones)
-    cells.until(lambda: len(cells.lists_in_force) == MAX_CELLS)
-    assert set(cells.lists.followed) == set(cells.lists_in_force) == set(cell_names[:MAX_CELLS])
+    cells.until(lambda: len(cells.lists_in_force) == MAX_FOLLOWED_CELLS)
+    assert set(cells.lists.followed) == set(cells.lists_in_force) == set(cell_names[:MAX_FOLLOWED_CELLS])
     templates = [member(f"n{number}", f"127.0.1.1:{number + 1}", zone="a") for number in range(1_200)]
     for number, cell in enumerate(cell_names[:3]):
         members = [
@@ -63,9 +63,9 @@
     cells.advance(SECOND)
     sizes = [len(cells.lists_in_force.get(cell, ())) for cell in cell_names[:3]]
     assert sizes[0] == 1_024
-    assert sum(map(len, cells.lists_in_force.values())) <= MAX_HOSTS_FOLLOWED
+    assert sum(map(len, cells.lists_in_force.values())) <= MAX_FOLLOWED_HOSTS
     assert cells.rejected_count > 1_000
-    assert len(cells.rejected) <= 4 * MAX_LOGGED_REJECTIONS + MAX_CELLS
+    assert len(cells.rejected) <= 4 * MAX_LOGGED_REJECTIONS + MAX_FOLLOWED_CELLS
 
 
 # Conflicting and invalid hosts
--- a/tests/discovery/test_stepped_clock_lists.py
+++ b/tests/discovery/test_stepped_clock_lists.py
@@ -107,12 +107,12 @@
     converter.start_times.clock_offset = WALL_CLOCK_START + HOUR
     lines = gateway_rig.list.read_text().splitlines()
     gateway_rig.relist(lines[0])
-    gateway_rig.until(lambda: set(gateway_rig.gate.rows) == {"h0"})
+    gateway_rig.until(lambda: set(gateway_rig.gate.endpoints) == {"h0"})
     without_at = gateway_rig.loop.now()
     started = (WALL_CLOCK_START + gateway_rig.loop.now()) / SECOND
     gateway_rig.relist(lines[0], f"{lines[1]} started {started:.6f}")
-    gateway_rig.until(lambda: set(gateway_rig.gate.rows) == {"h0", "h1"})
-    assert gateway_rig.gate.rows["h1"].listed.started >= without_at - SECOND
+    gateway_rig.until(lambda: set(gateway_rig.gate.endpoints) == {"h0", "h1"})
+    assert gateway_rig.gate.endpoints["h1"].listed.started >= without_at - SECOND
     assert gateway_rig.loop.now() < gateway_rig.gate.core.gateway.hosts_by_id["h1"].warm_at
 
 
@@ -147,7 +147,10 @@
     endpoints = SimpleNamespace(convert=lambda *arguments: calls.append(arguments) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
     CellServices._apply_lists(
-        SimpleNamespace(endpoints=endpoints, lists=lists, hosts_changed=list, applied_lists={}), {}
+        SimpleNamespace(
+            endpoint_converter=endpoints, host_lists=lists, on_hosts_changed=list, applied_lists={}
+        ),
+        {},
     )
     assert calls == [({}, {"a1": "a"}, {"a1": 5})]
 
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -21,7 +21,7 @@
     node = second.peers.gossip.node
     made.until(lambda: "third" in node.table.received and node.warm_instances(made.loop.now(), "lamp"))
     ((host, (age, by)),) = node.warm_instances(made.loop.now(), "lamp").items()
-    assert host in third.rows
+    assert host in third.endpoints
     assert by == ("third",)
     assert age >= 0
     assert made.gate.peers.gossip is None
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -151,7 +151,7 @@
     made.until(lambda: held)
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith("host h1 ")])
-    made.until(lambda: "h1" not in other.rows)
+    made.until(lambda: "h1" not in other.endpoints)
     body = bodies.pop(0)
     held[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
     made.until(lambda: other.peers.observations.rejections["not listed"])
@@ -174,7 +174,7 @@
     assert "lamp" not in third.core.gateway.functions_by_name, "a hint was passed on"
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith(f"host {host} ")])
-    made.until(lambda: all(host not in each.rows for each in (made.gate, second, third)))
+    made.until(lambda: all(host not in each.endpoints for each in (made.gate, second, third)))
     fourth = start("fourth", f"peer g {where(made.gate)}", f"peer second {where(second)}")
     made.until(
         lambda: all(state.startswith("told") for state in fourth.peers.observation_client.state.values())
@@ -187,7 +187,7 @@
     made, start = fleet
     rows = made.list.read_text().splitlines()
     made.relist(*[f"{row} started 1000" for row in rows])
-    made.until(lambda: all(row.listed.started is not None for row in made.gate.rows.values()))
+    made.until(lambda: all(row.listed.started is not None for row in made.gate.endpoints.values()))
     assert made.wait(made.ask("lamp", "w1")).status == 200
     second = start("second")
     made.relist(*[f"{row} started 2000" for row in rows])
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -128,7 +128,7 @@
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in range(1, 4)]))
         request = part.leases.hosted_node.client.acquire(part.loop.now(), "host-7", SECOND)
-        part.leases._run_due()
+        part.leases._run_due_work()
         part.run(SECOND)
         assert node.storage_failure
         assert not node.is_leader
--- a/tests/telemetry/test_on_call_page.py
+++ b/tests/telemetry/test_on_call_page.py
@@ -9,7 +9,7 @@
 import pytest
 from written_log import WrittenLog, operators_keys, read_written_log
 
-from gaproute.appliance.legacy_names import EVENTS
+from gaproute.appliance.legacy_names import LEGACY_EVENTS
 
 PAGE = Path(__file__).parents[2] / "docs" / "on-call.md"
 QUOTED = re.compile(r"`([^`]+)`")
@@ -86,8 +86,8 @@
 
 
 def test_each_event_at_the_operators_address_has_a_legacy_name(written):
-    assert written.recorded == set(EVENTS)
-    for event, legacy in EVENTS.items():
+    assert written.recorded == set(LEGACY_EVENTS)
+    for event, legacy in LEGACY_EVENTS.items():
         assert set(legacy.fields) <= written.fields[event], event
 
 
