--- a/gaproute/appliance/__init__.py
+++ b/gaproute/appliance/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway process: makes all parts, starts and stops them, and reloads the host list."""
+"""The appliance: the gateway process of `gaproute serve`, optionally with a parent over several of them."""
 
 from gaproute.appliance.gateway import Appliance
 
--- a/gaproute/appliance/cell_endpoints.py
+++ b/gaproute/appliance/cell_endpoints.py
@@ -1,4 +1,4 @@
-"""Converts host lines of cells to endpoints; of a changed list only the changed lines are converted again."""
+"""Converts the host lists of cells to endpoints; in a changed list, only the changed lines are converted."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class ConvertedLine(NamedTuple):
-    """A line of a list, and the endpoint that was made of it."""
+    """A line of a host list and its endpoint."""
 
     line: HostLine
     endpoint: Endpoint
 
 
 class ConvertedList(NamedTuple):
-    """The list of a cell with its endpoints."""
+    """The host list of a cell and its endpoints."""
 
     zone: str
     lines: list[HostLine]
@@ -26,7 +26,7 @@
 
 
 class CellEndpoints:
-    """The endpoints of the lists in force. `use_capacities`: whether the capacities in the lines are used."""
+    """The endpoints of the host lists in force. `use_capacities`: whether to use the lines' capacities."""
 
     def __init__(self, loop: Loop, *, use_capacities: bool) -> None:
         self.converter = HostLineConverter(loop, use_capacities=use_capacities)
@@ -38,10 +38,10 @@
         zones: Mapping[str, str],
         current_at: Mapping[str, int | None] | None = None,
     ) -> dict[str, list[Endpoint]]:
-        """The endpoints by cell, of the lines by cell; a host whose line names no zone is in the zone of its
-        cell.
+        """Converts the host lines of all cells; returns the endpoints by cell.
 
-        `current_at`: by cell, when its former list was last known to be in force, ns of the loop's clock.
+        A host whose line names no zone is in the zone of its cell, which `zones` has by cell.
+        `current_at`: by cell, when its previous list was last known to be current, ns of the loop's clock.
         """
         current_at = current_at or {}
         self.lists = {
@@ -55,7 +55,7 @@
         self, cell: str, lines: list[HostLine], zone: str, current_at: int | None
     ) -> ConvertedList:
         before = self.lists.get(cell)
-        absent_at = current_at if before is not None else None  # the first list of a cell has none before it
+        absent_at = current_at if before is not None else None  # None for the first list of a cell
         if before is not None and before.zone == zone and before.lines is lines:
             return before
         known = before.by_host if before is not None and before.zone == zone else {}
--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -1,8 +1,8 @@
-"""The host lists of the cells that a gateway knows: files `CELL.hosts` of one folder, watched for changes.
+"""The host lists of the cells that a gateway follows: files `CELL.hosts` in one folder, watched for changes.
 
-Invariants: the lists in force never name a host twice, nor one in another zone than its cell's. A list that
-does is rejected, and the last good list of its cell stays in force. All lists are checked together, so that a
-host may move from one cell to another whichever file changes first.
+Invariants: the lists in force name each host once, and only hosts in the zone of their cell. A list that
+breaks an invariant is rejected, and the last valid list of its cell stays in force. All lists are checked
+together, so that a host can move from one cell to another whichever of the two files changes first.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -18,10 +18,10 @@
 
 
 class CellLists:
-    """Follows the files of the cells given by `set_cells`; `in_force` has the lists that are used now.
+    """Follows the files of the cells that `set_cells` names; `in_force` holds the lists that are used now.
 
-    `on_change(lists)` is called with all lists in force each time that they change, `on_rejected(cell,
-    mistakes)` for each list that is not used.
+    `on_change(lists)` is called with all lists in force each time that one of them changes, and
+    `on_rejected(cell, mistakes)` for each rejected list.
     """
 
     def __init__(
@@ -31,19 +31,19 @@
         on_change: Callable[[ListsByCell], None],
         on_rejected: Callable[[str, Sequence[Mistake]], None],
     ) -> None:
-        """Errors: ValueError where the line names no folder."""
+        """Errors: ValueError if the configuration line names no folder."""
         if line.folder is None:
-            raise ValueError("host lists of files need a folder")
+            raise ValueError("the configuration line of the cells' host lists names no folder")
         self.loop, self.folder, self.poll_interval = loop, line.folder, line.look
         self.on_change, self.on_rejected = on_change, on_rejected
         self.zones: dict[str, str] = {}  # by cell
         self.watches: dict[str, FileWatch] = {}  # by cell
         self.last_read: ListsByCell = {}
         self.in_force: ListsByCell = {}
-        self.conflicts: dict[str, Mistake] = {}  # by cell: why the list that was read last is not in force
+        self.conflicts: dict[str, Mistake] = {}  # by cell: why the list last read is not in force
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
-        """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
+        """Follows the lists of the cells in `zones`, {cell: its zone}, and of no others."""
         dropped = [cell for cell in self.watches if cell not in zones]
         for cell in dropped:
             self._stop_following(cell)
@@ -63,16 +63,16 @@
             watch.read()
 
     def current_at(self) -> dict[str, int | None]:
-        """By cell: when its file was last seen unchanged, before the change that is being handled; ns."""
+        """By cell: when its file was last seen without the change being applied, ns of the loop's clock."""
         return {cell: watch.current_at for cell, watch in self.watches.items()}
 
     def close(self) -> None:
-        """Ends all watches."""
+        """Stops watching all files."""
         for watch in self.watches.values():
             watch.close()
 
     def _start_following(self, cell: str) -> None:
-        # A watch reads its file while it is being made, before it is stored in `watches`.
+        # `FileWatch` reads the file in its constructor, before the watch is stored in `watches`.
         self.watches[cell] = FileWatch(
             self.loop,
             path_of(self.folder, cell),
@@ -97,8 +97,9 @@
         self._put_in_force()
 
     def _put_in_force(self, *, changed: bool = False) -> None:
-        """Uses the newest lists that are consistent; `changed`: they differ from those of the last call
-        anyway.
+        """Puts the newest consistent lists in force, and reports each new conflict.
+
+        `changed`: a cell was dropped from `in_force`, so `on_change` is called in any case.
         """
         lists, conflicts = self._find_consistent_lists()
         for cell, mistake in conflicts.items():
@@ -110,13 +111,14 @@
             self.on_change(lists)
 
     def _find_consistent_lists(self) -> tuple[ListsByCell, dict[str, Mistake]]:
-        """The newest lists that are consistent, and why others are not used; of those the list in force
-        stays.
+        """Returns the newest consistent lists, and by cell why its newest list is not among them.
+
+        A cell whose newest list conflicts with another list keeps its list in force.
         """
         unchanged = {
             cell: lines for cell, lines in self.last_read.items() if self.in_force.get(cell) == lines
         }
-        # Those in force come first, so that the newer of two conflicting lists is rejected
+        # Lists in force come first, so that the newer one of two conflicting lists is rejected
         lists = unchanged | self.last_read
         paths = {cell: path_of(self.folder, cell) for cell in lists}
         conflicts: dict[str, Mistake] = {}
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -1,4 +1,4 @@
-"""The cell table of a running gateway: from its file, from other gateways, or as it was stored on disk."""
+"""The cell table of a running gateway, read from its file, from other gateways, or from the copy on disk."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -16,10 +16,10 @@
 
 
 class ContradictionError(TableError):
-    """A table has the version of the current one, but other content."""
+    """A table has the version of the current table but different content."""
 
 
-# Why a table of the file is rejected, by the names in the status.
+# The reasons for which a table in the file is rejected, as the status names them
 REJECTION_REASONS: dict[type[Exception], str] = {
     OtherFleetError: "other fleet",
     StaleVersionError: "older",
@@ -29,17 +29,17 @@
 
 
 def change_between(before: CellTable, after: CellTable) -> TableChange:
-    """The change that makes the table `after` of the table `before`."""
+    """Returns the change that turns the table `before` into the table `after`."""
     rows = tuple(cell for cell in after.cells if before.by_name.get(cell.name) != cell)
     removed = tuple(name for name in before.by_name if name not in after.by_name)
     return TableChange(after.fleet, before.version, after.version, rows, removed)
 
 
 class CellTableSource:
-    """Calls `on_table(table)` for each newer table, from the file or from other gateways.
+    """Calls `on_table(table)` for each newer table from the file or from another gateway.
 
-    `transport` disseminates the table among the gateways. `rejected_files` counts, by reason, the tables of
-    the file that were rejected.
+    `transport` disseminates the table among the gateways. `rejected_files` counts by reason how often the
+    content of the file was rejected.
     """
 
     def __init__(
@@ -57,13 +57,11 @@
 
     @property
     def table(self) -> CellTable | None:
-        """The last good table, None before the first one."""
+        """The current table; None before the first one."""
         return self.transport.table()
 
     def start(self) -> None:
-        """Takes the table that was stored on disk, then checks the file and receives tables of other
-        gateways.
-        """
+        """Loads the table stored on disk, then watches the file and receives tables of other gateways."""
         self.transport.start()
         line = self.cells_line
         self.watch = FileWatch(
@@ -71,23 +69,23 @@
         )
 
     def reload(self) -> None:
-        """Reads the file now."""
+        """Reads the file now, without waiting for a change."""
         if self.watch is not None:
             self.watch.read()
 
     def rejection_counts(self) -> dict[str, int]:
-        """By reason: how many tables of the file and of other gateways were rejected."""
+        """Counts of rejected tables, by reason, from the file and from other gateways."""
         sent = {f"sent: {reason}": count for reason, count in self.transport.disseminator.rejections.items()}
         return dict(self.rejected_files) | sent
 
     def stop(self) -> None:
-        """Ends watching the file, sending and receiving."""
+        """Stops watching the file, and stops sending and receiving tables."""
         if self.watch is not None:
             self.watch.close()
         self.transport.stop()
 
     def _publish_newer(self, table: CellTable) -> None:
-        """Takes over and disseminates the file's table if it is newer than the current one, or rejects it."""
+        """Adopts and disseminates the file's table if it is newer than the current one, or rejects it."""
         current = self.table
         if current is not None and table.version == current.version and table.cells == current.cells:
             return
@@ -103,13 +101,15 @@
         if current is None:
             return
         if table.version == current.version:
-            raise ContradictionError(f"version {table.version} is held with other content")
+            raise ContradictionError(
+                f"the current table has the same version {table.version} and different content"
+            )
         if table.version < current.version:
             raise StaleVersionError(current.version, table.version)
 
     def _publish(self, table: CellTable, current: CellTable | None) -> None:
-        """Sends the difference to the current table; the whole table where most of it differs or there is
-        none.
+        """Sends the change since the current table, or the whole table if there is none or more than half of
+        its cells differ.
         """
         if current is not None:
             change = change_between(current, table)
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -1,4 +1,4 @@
-"""The cells of a running gateway: the cell table, the host lists that are needed by it, and forwarding.
+"""The parts of a gateway in a fleet of cells: the cell table, the cells' host lists, and forwarding.
 
 This module connects the parts; the decisions are in `gaproute.decisions.cells`.
 """
@@ -36,17 +36,18 @@
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import GatewayRecord
 
-INVALID_LIST = "wrong host list"  # as operators read it in the status
+# Reasons of rejections, as operators read them in the status
+INVALID_LIST = "wrong host list"
 INVALID_MEMBER = "wrong host of a source"
 
 
 class CellServices:
-    """The parts that a gateway in a fleet of cells has instead of one host list for the whole fleet.
+    """The parts that a gateway in a fleet of cells has in place of one host list for the whole fleet.
 
-    `gateway`, `hosts` and `core` are the decisions, the connections to hosts and the request driver.
-    `on_hosts_changed(rows)` is called with all known hosts each time that they change, before the decisions.
-    `placeholder_gateway` knows no host: gateways in a fleet of cells do not exchange the host observations
-    that are exchanged in a fleet without cells.
+    `gateway` makes the decisions, `hosts` has the connections to hosts, and `core` drives requests.
+    `on_hosts_changed(endpoints)` is called with all known hosts each time that they change, before the
+    decisions use them. `placeholder_gateway` knows no host: it stands for the decisions in the exchange of
+    observations with other gateways, as a fleet of cells exchanges no observations of hosts.
     """
 
     def __init__(
@@ -59,9 +60,9 @@
         run_name: str,
         on_hosts_changed: Callable[[Sequence[Endpoint]], None],
     ) -> None:
-        """`run_name` identifies this run of the process. Errors: ValueError where no cells are configured."""
+        """`run_name` identifies this run of the process. Errors: ValueError if no cells are configured."""
         if configuration.cells is None or configuration.cell_hosts is None:
-            raise ValueError("the configuration has no cells")
+            raise ValueError("the configuration has no lines for cells and their hosts")
         self.loop, self.configuration, self.record, self.seed = loop, configuration, record, seed
         self.cells_line: CellsLine = configuration.cells
         self.cell_hosts_line: CellHostsLine = configuration.cell_hosts
@@ -76,19 +77,17 @@
         )
         self.endpoint_converter = CellEndpoints(loop, use_capacities=configuration.capacities_reported)
         self.host_lists = self._make_host_lists()
-        self.applied_lists: ListsByCell = {}  # the lists that the decisions were given last
+        self.applied_lists: ListsByCell = {}  # the lists that were passed to the decisions last
         self.rejected_lists = self.rejected_members = 0
         self.table_source: CellTableSource | None = None  # None until `listen`
         self.poll_timer: Timer | None = None
 
     def listen(self, peer_services: PeerServices, ready: Callable[[], bool]) -> EntryFront:
-        """Opens the front for requests that other gateways forward, and receives their tables; returns the
-        front.
-        """
+        """Opens the front for forwarded requests and receives cell tables. Errors: ValueError if no peers."""
         server = peer_services.peer_server
         membership_transport = peer_services.membership_transport
         if server is None or membership_transport is None:
-            raise ValueError("the address of the peers is not listened on")
+            raise ValueError("cells need the address for other gateways, which is not open")
         front = EntryFront(server.server, self.core, self.configuration, ready, self._load_report)
         server.forwarded = front.handle
         transport = CellTableTransport(
@@ -106,25 +105,25 @@
         return front
 
     def start(self) -> None:
-        """Reads the table and the lists, and watches them from now on."""
+        """Begins to follow the cell table and the host lists."""
         if self.table_source is not None:
             self.table_source.start()
         self._poll_wanted_cells()
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
-        """Takes over the addresses of the other gateways by name."""
+        """Replaces the addresses of all other gateways, by name."""
         if self.table_source is not None:
             peers = tuple(Peer(name, where) for name, where in addresses.items())
             self.table_source.transport.set_peers(peers)
 
     def reload(self) -> None:
-        """Reads all files now."""
+        """Reads the files of the cell table and the host lists now."""
         if self.table_source is not None:
             self.table_source.reload()
         self.host_lists.reload()
 
     def gateways(self) -> list[Gateway]:
-        """The decisions of each known cell."""
+        """The decisions for each known cell."""
         single = self.gateway.single_gateway
         return [single] if single is not None else list(self.gateway.local.gateways.values())
 
@@ -134,7 +133,7 @@
         return table is not None and any(self.gateway.entries.ordered_entries(cell) for cell in table.cells)
 
     def status(self) -> JsonObject:
-        """The status for operators; its keys are older than the names in the code."""
+        """The status for operators; the keys are older than the names in the code."""
         table = self._current_table()
         status: JsonObject = {
             "version": str(table.version) if table else None,
@@ -149,14 +148,14 @@
         return status
 
     def stop(self) -> None:
-        """Stops sending and receiving tables, and follows the lists of the present cells only."""
+        """Stops following the cell table; the host lists of the cells known now are still followed."""
         if self.table_source is not None:
             self.table_source.stop()
         if self.poll_timer is not None:
             self.poll_timer.cancel()
 
     def close(self) -> None:
-        """Closes the connections to entry gateways; the appliance closes those to hosts."""
+        """Closes all parts except the connections to hosts, which the appliance closes."""
         self.stop()
         self.host_lists.close()
         self.entry_gateways.close()
@@ -173,7 +172,7 @@
         self.core.start_housekeeping(now)
 
     def _poll_wanted_cells(self) -> None:
-        """Follows the cells that the decisions need now, which depend on the functions that are requested."""
+        """Follows the cells that the decisions need, which change with the functions that clients request."""
         self.poll_timer = self.loop.call_later(self.cell_hosts_line.look, self._poll_wanted_cells)
         self._follow_wanted_cells()
 
@@ -187,7 +186,7 @@
         self._reapply_released_lists()
 
     def _reapply_released_lists(self) -> None:
-        """Gives the decisions their lists again if they released a cell and want it again."""
+        """Applies a list again whose cell the decisions released, so that they can use the cell again."""
         if self.gateway.single_gateway is not None:
             return
         known = self.gateway.local.gateways
@@ -197,7 +196,7 @@
         self._apply_lists(self.host_lists.in_force)
 
     def _apply_lists(self, lists: ListsByCell) -> None:
-        """Applies all lists in force, first to the connections: the decisions may use a new host at once."""
+        """Applies all lists in force, first to the connections, as decisions may use new hosts at once."""
         endpoints = self.endpoint_converter.convert(
             lists, self.host_lists.zones, self.host_lists.current_at()
         )
@@ -208,7 +207,7 @@
                 self.core.update_cell_hosts(cell, [endpoint.listed for endpoint in of_cell])
 
     def _make_host_lists(self) -> CellLists | FollowedLists:
-        """Makes the host lists, from files or from change logs."""
+        """Makes the host lists, which are read from files or from change logs."""
         if self.cell_hosts_line.folder is not None:
             return CellLists(self.loop, self.cell_hosts_line, self._apply_lists, self._log_rejected_list)
         return FollowedLists(
--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -1,8 +1,8 @@
-"""One gateway process under a parent: started, watched until it serves, asked to end or killed.
+"""One gateway process under a parent process, which starts it, waits until it serves, and stops it.
 
-Two pipes connect the processes. The child writes to the ready pipe once it serves. The parent has the writing
-end of the liveness pipe and never writes to it: its end of file means that the parent has ended, or that all
-children are to end together.
+Two pipes connect the two processes. The child writes to the ready pipe once it serves. The parent holds the
+write end of the liveness pipe and never writes to it: the child reads the end of file when the parent has
+ended, or when the parent closes the pipe to stop all children together.
 """
 
 import os
@@ -16,19 +16,19 @@
 from gaproute.loop.timers import Timer
 from gaproute.units import SECOND
 
-MAX_START_TIME = 30 * SECOND  # until a child serves, on a busy machine; then it is killed
-MAX_READY_MESSAGE_BYTES = 16  # longer than the message of a child
+MAX_START_TIME = 30 * SECOND  # a child that does not serve by then is killed; long enough for a busy machine
+MAX_READY_MESSAGE_BYTES = 16  # more than the `READY_MESSAGE` of a child
 
 
 class ChildProcess:
-    """One process. Errors: OSError where it cannot be started; then nothing of it is left.
+    """A child process. Errors: OSError if it cannot be started; no process and no descriptor is left then.
 
-    `ready` is settled with True once the process serves, with False if it ended before; `ended` with its
-    return code. `started_at`: when it was started, ns of the loop's clock.
+    The promise `ready` is settled with True once the process serves, or with False if it ends before. The
+    promise `ended` is settled with the return code. `started_at`: ns of the loop's clock.
     """
 
     def __init__(self, loop: Loop, command: Sequence[str], descriptors: Iterable[int]) -> None:
-        """`descriptors`: those of the listening sockets that the child inherits."""
+        """`descriptors`: descriptors of the listening sockets that the child inherits."""
         self.loop = loop
         self.started_at: int = loop.now()
         self.ready, self.ended = Promise(), Promise()
@@ -42,15 +42,15 @@
             rollback.pop_all()
 
     def stop(self) -> None:
-        """Asks this process to end, while others go on accepting clients."""
+        """Asks this process to stop, while other processes go on accepting clients."""
         if not self.ended.ready:
             self.process.send_signal(signal.SIGTERM)
 
     def stop_with_all(self) -> None:
-        """Asks the process to end together with all others, so that it accepts the clients in the queue."""
+        """Asks this process to stop together with all others; it first accepts the clients in the queue."""
         self._close_liveness_pipe()
         if not self.ready.ready:
-            self.stop()  # it does not watch the pipe yet, and has accepted no client
+            self.stop()  # a child that does not serve yet does not watch the pipe, and has accepted no client
 
     def kill(self) -> None:
         """Kills the process."""
@@ -79,7 +79,7 @@
         except (BlockingIOError, InterruptedError):
             return
         self._close_ready_pipe()
-        if message:  # without a message the process has ended
+        if message:  # an empty read means that the process has ended
             self.start_timer.cancel()
             self.ready.set(True)
 
@@ -117,7 +117,7 @@
 def _spawn(
     command: Sequence[str], liveness_end: int, ready_end: int, descriptors: Iterable[int]
 ) -> subprocess.Popen[bytes]:
-    """Starts the process with its ends of the pipes and the listening sockets."""
+    """Starts the process, which inherits its ends of the pipes and the listening sockets."""
     inherited = (liveness_end, ready_end, *descriptors)
     for descriptor in inherited:
         os.set_inheritable(descriptor, True)
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -1,4 +1,4 @@
-"""The children of a parent by process slot; a child that dies is started again."""
+"""The children of a parent, by process slot; a child that ends unasked is started again."""
 
 import os
 import socket
@@ -15,19 +15,20 @@
 from gaproute.telemetry.record import Log
 from gaproute.units import MILLI
 
-SEEDS_PER_PARENT = 1000  # so that children of parents with neighbouring seeds have different seeds
+# More seeds than a parent has slots, so that children of parents with consecutive seeds have different seeds
+SEEDS_PER_PARENT = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class ServeCommand:
-    """The command line of a child, except for its slot and its sockets."""
+    """The part of a child's command line that is the same for all children."""
 
-    configuration_file: str  # path of the configuration
+    configuration_file: str  # its path
     process_count: int  # number of children
-    seed: int | None  # of the decisions' random numbers; None: each child draws its own
+    seed: int | None  # of the decisions' random numbers; None: each child draws its own seed
 
     def arguments(self, slot: int, sockets: Mapping[str, socket.socket]) -> list[str]:
-        """The complete command line; `sockets`: by address."""
+        """The complete command line of the child in `slot`; `sockets`: the inherited ones, by address."""
         serve = [sys.executable, "-m", "gaproute", "serve", self.configuration_file]
         arguments = [*serve, "--seat", str(slot), str(self.process_count)]
         for address, sock in sockets.items():
@@ -38,11 +39,11 @@
 
 
 class ChildProcesses:
-    """The children `by_slot`. Slots are numbered from 0; a rolling reload uses one slot more than there are
+    """The children `by_slot`. Slots are numbered from 0; a rolling reload needs one slot more than there are
     children.
 
-    `configuration`: the one with which new children are started. `on_all_ended`: called once no child is left
-    after `stop`.
+    `configuration` has the addresses whose sockets new children inherit. `on_all_ended` is called once no
+    child is left after `stop`.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         self.stopping = False
 
     def start(self, slot: int) -> ChildProcess:
-        """Starts a child. Errors: OSError where the process, or one of its sockets, cannot be opened."""
+        """Starts a child in `slot`. Errors: OSError if a listening socket or the process fails to start."""
         sockets = self.listeners.open(self.configuration)
         descriptors = [sock.fileno() for sock in sockets.values()]
         child = ChildProcess(self.loop, self.command.arguments(slot, sockets), descriptors)
@@ -71,17 +72,17 @@
         return child
 
     def start_missing(self) -> None:
-        """Starts a child in each empty slot. Errors: OSError; then it may be called again."""
+        """Starts a child in each empty slot. Errors: as `start`; the call may be repeated then."""
         for slot in range(self.command.process_count):
             if slot not in self.by_slot:
                 self.start(slot)
 
     def free_slot(self) -> int:
-        """The first slot without a child."""
+        """The lowest slot without a child."""
         return next(slot for slot in range(self.command.process_count + 1) if slot not in self.by_slot)
 
     def stop(self) -> None:
-        """Asks all children to end together."""
+        """Asks all children to stop together."""
         self.stopping = True
         for child in self.by_slot.values():
             child.stop_with_all()
@@ -89,13 +90,13 @@
             self.on_all_ended()
 
     def kill(self) -> None:
-        """Kills the children that are left."""
+        """Kills all remaining children."""
         for child in self.by_slot.values():
             child.kill()
 
     def _on_child_ended(self, slot: int, child: ChildProcess, code: int) -> None:
         if self.by_slot.get(slot) is not child:
-            return  # it was replaced in a rolling reload
+            return  # a rolling reload has replaced the child
         del self.by_slot[slot]
         if self.stopping:
             if not self.by_slot:
@@ -105,9 +106,7 @@
         self.log.warning("child_exited", process_slot=slot, exit_code=code, restart_in_ms=backoff // MILLI)
 
     def _schedule_restart(self, slot: int, uptime: int) -> int:
-        """Fills the slot again after a backoff; `uptime`: how long its child ran. Returns the backoff. Times
-        are ns.
-        """
+        """Schedules a new child for the slot; returns the delay, ns. `uptime`: of the last child, ns."""
         now = self.loop.now()
         restart_at = self.restarts.schedule_restart(now, slot, uptime)
         self.loop.call_at(restart_at, self._restart, slot)
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -1,9 +1,9 @@
-"""The host lists of the cells that a gateway knows, each followed by a change log.
+"""The host lists of the cells that a gateway follows, each received from a change log.
 
-There is one connection for each cell, opened when the cell is first needed and closed when it is released. If
-the sources fail, the last good list of a cell stays in force. Bounded are the followed cells, the hosts of
-all of them, the bytes of an event, how often events are applied, and the lines that are logged for each
-connection.
+Each cell has one connection, opened when the cell is first needed and closed when it is released. If the
+sources fail, the last valid list of the cell stays in force. There are bounds on the number of followed
+cells, the number of their hosts, the size of an event, the rate at which events are applied, and the number
+of lines logged for each connection.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -21,26 +21,26 @@
 from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
 
-MAX_FOLLOWED_CELLS = 64  # followed at a time; a view of 512 hosts has fewer, unless its cells are tiny
-MAX_FOLLOWED_HOSTS = 2 * MAX_HOSTS_PER_CELL  # of all cells: four times what a view has by its table
-MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
+MAX_FOLLOWED_CELLS = 64  # at a time; a view of 512 hosts has fewer cells unless they are tiny
+MAX_FOLLOWED_HOSTS = 2 * MAX_HOSTS_PER_CELL  # in all cells: four times the hosts of a view by the cell table
+MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; further ones are only counted
 
 
 class FollowedCell:
-    """One cell: the watcher of its change log, what it reported, and which rejections were logged."""
+    """A followed cell: the watcher of its change log, the reported members, and the logged rejections."""
 
-    watcher: CellWatcher  # set as soon as it is made, as it may call back while it is being made
+    watcher: CellWatcher  # set after construction, as the watcher may call back within its constructor
 
     def __init__(self) -> None:
         self.members = CellMembers()
-        self.rejected: dict[str, str] = {}  # by host: why its member is rejected
-        self.conflicts: dict[str, str] = {}  # by host: why it is not in force
-        # How many rejections were logged, and the number of the connection that brought them
+        self.rejected: dict[str, str] = {}  # by host: why its reported member is invalid
+        self.conflicts: dict[str, str] = {}  # by host: why its valid line is not in force
+        # The number of rejections logged for the connection with the number `logged_connection`
         self.logged_count, self.logged_connection = 0, 0
         self.sources_failing = False
 
     def select_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
-        """The rejected members to be logged: each one once, and a limited number for a connection."""
+        """Returns the rejected members to log: each rejection once, and a limited number for a connection."""
         unlogged = [member for member in rejected if self.rejected.get(member.host) != member.reason]
         if len(self.rejected) + len(unlogged) > MAX_HOSTS_PER_CELL:
             self.rejected = {}
@@ -48,7 +48,7 @@
         return self.limit_for_log(unlogged)
 
     def limit_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
-        """As many of the members as may still be logged for this connection."""
+        """Returns as many of the rejected members as may still be logged for the present connection."""
         if self.logged_connection != self.watcher.connection_count:
             self.logged_connection, self.logged_count = self.watcher.connection_count, 0
         allowed = rejected[: MAX_LOGGED_REJECTIONS - self.logged_count]
@@ -56,16 +56,17 @@
         return allowed
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Closes the connection to the change log."""
         self.watcher.close()
 
 
 class FollowedLists:
-    """As `CellLists`: `on_change(lists)` is called with all lists in force, each time that they change.
+    """Follows change logs as `CellLists` follows files.
 
-    `on_rejected(cell, count, members)`: that many members were rejected, of which `members` are to be logged.
-    `on_source_changed(cell, error)`: the sources of a cell begin to fail, or, with `error` None, one of them
-    answers again.
+    `on_change(lists)` is called with all lists in force each time that one of them changes.
+    `on_rejected(cell, count, members)` is called when `count` members were rejected, of which `members` are
+    to be logged. `on_source_changed(cell, error)` is called when all sources of a cell fail and, with `error`
+    None, when one of them answers again.
     """
 
     def __init__(
@@ -86,11 +87,11 @@
         self.followed: dict[str, FollowedCell] = {}  # by cell
         self.reconciler = CellReconciler()
         self.apply_timer: Timer | None = None
-        self.events_pending = False  # whether events have come that are not applied yet
+        self.events_pending = False  # whether events were received that are not applied yet
         loop.on_late_turn.append(self._apply_after_stall)
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
-        """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
+        """Follows the lists of the cells in `zones`, {cell: its zone}, and of no others."""
         self.zones = dict(zones)
         chosen = list(zones)[:MAX_FOLLOWED_CELLS]
         for cell in [cell for cell in self.followed if cell not in chosen]:
@@ -101,16 +102,14 @@
         self._put_in_force()
 
     def reload(self) -> None:
-        """Does nothing: a change log sends changes by itself."""
+        """Does nothing, as change logs send each change at once."""
 
     def current_at(self) -> dict[str, int | None]:
-        """By cell: when its list was last known to be unchanged, before the change being applied; ns."""
+        """By cell: when its list was last known without the change being applied, ns of the loop's clock."""
         return {cell: followed.watcher.current_at for cell, followed in self.followed.items()}
 
     def status(self) -> JsonObject:
-        """The status for operators: followed cells, those whose sources fail, and connections that were
-        tried.
-        """
+        """The status for operators: followed cells, cells whose sources fail, and counts of connections."""
         followed = self.followed.values()
         return {
             "followed": len(self.followed),
@@ -120,7 +119,7 @@
         }
 
     def close(self) -> None:
-        """Ends following all cells."""
+        """Stops following all cells."""
         if self._apply_after_stall in self.loop.on_late_turn:
             self.loop.on_late_turn.remove(self._apply_after_stall)
         for followed in self.followed.values():
@@ -143,7 +142,7 @@
     def _on_event(self, cell: str, event: Event) -> None:
         followed = self.followed.get(cell)
         if followed is None:
-            return  # the cell was released as a result of an earlier event in the same bytes
+            return  # an earlier event in the same read made the decisions release the cell
         hosts_of_others = sum(
             len(each.members.reported_lines) for name, each in self.followed.items() if name != cell
         )
@@ -153,8 +152,9 @@
         self._schedule_apply()
 
     def _schedule_apply(self) -> None:
-        """Schedules applying the events: at once, but no more often than an interval, so that a flood is
-        cheap.
+        """Applies the received events now, or at the end of the interval in which events were applied last.
+
+        The interval bounds the cost of a flood of events.
         """
         self.events_pending = True
         if self.apply_timer is None:
@@ -168,7 +168,7 @@
             self._put_in_force()
 
     def _apply_after_stall(self) -> None:
-        """After a stall, applies the waiting events before the requests that came in the meantime."""
+        """After a stall of the loop, applies waiting events before requests that arrived during the stall."""
         for followed in list(self.followed.values()):
             followed.watcher.read_now()
         if self.events_pending:
@@ -177,7 +177,7 @@
             self._apply_pending()
 
     def _put_in_force(self) -> None:
-        """Uses the hosts that are consistent."""
+        """Puts the reported hosts in force that do not conflict with each other."""
         offered = {
             cell: followed.members.reported_lines
             for cell, followed in self.followed.items()
@@ -198,7 +198,7 @@
     def _reuse_unchanged_list(
         self, cell: str, lines: Mapping[str, HostLine], *, unchanged: bool
     ) -> list[HostLine]:
-        """The lines as a list; the former list object where they are unchanged, which is compared quickly."""
+        """The lines as a list; if unchanged, the list object in force, as identical objects compare fast."""
         if unchanged and cell in self.in_force:
             return self.in_force[cell]
         return list(lines.values())
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process: makes, starts and stops its parts."""
+"""The appliance: one gateway process, which makes, starts and stops its parts."""
 
 import secrets
 import signal
@@ -33,11 +33,11 @@
 
 
 class Appliance:
-    """A gateway process.
+    """A gateway process, run by `gaproute serve`.
 
-    `fronts`: all that listens; `client_fronts`: those of them that take requests, from clients or forwarded.
-    `gateway` exchanges observations with other gateways; in a fleet of cells it knows no host, and each known
-    cell has decisions of its own.
+    `fronts` are all open fronts; `client_fronts` are those for requests, from clients or forwarded by other
+    gateways. `gateway` makes the decisions, and has the observations that other gateways exchange; in a fleet
+    of cells it knows no host, and each known cell has decisions of its own.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.record = GatewayRecord(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
-        # Whether other processes serve at the clients' addresses, even after this one has stopped
+        # Whether other processes share the clients' addresses and serve them after this process stops
         self.address_shared = False
         self.fronts: list[Front] = []
         self.client_fronts: list[RestFront] = []
@@ -81,16 +81,15 @@
 
     @property
     def decisions(self) -> Sequence[Gateway]:
-        """The decisions for the whole fleet, or for each known cell."""
+        """The decisions for the whole fleet, or those for each known cell."""
         return [self.gateway] if self.cells is None else self.cells.gateways()
 
     # Start
 
     def start(self) -> None:
-        """Listens and begins to serve.
+        """Opens all fronts and begins to serve.
 
-        Errors: OSError where an address cannot be listened on. Then nothing listens, and it may be called
-        again.
+        Errors: OSError if an address cannot be listened on. No front is open then; the call may be repeated.
         """
         self._listen()
         if self.peers.gossip is not None:
@@ -140,7 +139,7 @@
         )
 
     def _close_fronts(self) -> None:
-        """Closes the fronts that were opened, after a failed start."""
+        """Closes the fronts that a failed start has opened."""
         for front in self.fronts:
             front.close()
         self.peers.close()
@@ -155,18 +154,18 @@
         return self.host_list.endpoints
 
     def update_hosts(self, endpoints: Sequence[Endpoint]) -> None:
-        """Applies a complete host list, to the connections first: decisions may use a new host at once."""
+        """Applies a complete host list, first to the connections, as decisions may use new hosts at once."""
         self.apply_endpoints(endpoints)
         self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete=True)
         self.peers.update_hosts(self.host_list.states_and_start_times())
 
     def apply_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
-        """Passes all hosts that are known now to the connections and the host list."""
+        """Passes all hosts known now to the connections and to the host list."""
         self.hosts.update(endpoints, complete=True)
         self.host_list.replace_endpoints(endpoints)
 
     def reload_host_lists(self) -> None:
-        """Reads the files of hosts now."""
+        """Reads the files with lists of hosts now."""
         if self.cells is not None:
             self.cells.reload()
         else:
@@ -175,7 +174,7 @@
     # Readiness
 
     def ready(self) -> bool:
-        """Whether this process serves and has a host, or a gateway to which it can forward."""
+        """Whether this process serves and has an active host or a gateway to forward to."""
         return not self.stopping and self._can_serve()
 
     def address_ready(self) -> bool:
@@ -189,7 +188,7 @@
     # Signals and the parent
 
     def handle_signals(self) -> None:
-        """Sets the handlers: SIGTERM and SIGINT stop the process, SIGHUP reads the host list again.
+        """Sets signal handlers: SIGTERM and SIGINT stop the process, SIGHUP reads the host lists again.
 
         It is called before `start`, so that no signal is missed. Errors: OSError.
         """
@@ -198,10 +197,10 @@
         self.loop.on_signal(signal.SIGHUP, self.reload_host_lists)
 
     def attach_to_parent(self, liveness_pipe: int, ready_pipe: int) -> None:
-        """Reports to the parent that this process serves, and stops it when the liveness pipe ends.
+        """Reports to the parent that this process serves, and stops it when the liveness pipe is closed.
 
-        The end of the pipe means that all processes at the addresses end; any earlier stop is of this process
-        alone.
+        A closed pipe means that all processes at the clients' addresses stop; an earlier stop is of this
+        process alone.
         """
         self.address_shared = True
         watch_parent(self.loop, liveness_pipe, self._stop_with_all)
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -1,4 +1,4 @@
-"""The hosts that a gateway knows, and the file or configuration that lists them."""
+"""The hosts that a gateway knows, as listed in a file or in the configuration."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -11,13 +11,14 @@
 from gaproute.loop import Loop
 from gaproute.telemetry.record import GatewayRecord
 
-UNKNOWN_START_TIME = 0  # ns since 1970, for a host whose start the list does not give
+UNKNOWN_START_TIME = 0  # ns since 1970; for a host whose list line has no start time
 
 
 class HostList:
     """All known hosts: `endpoints` by name. `watch` follows the file of hosts, if there is one.
 
-    In a fleet of cells `CellServices` follows the lists, and `replace` is given the hosts of all known cells.
+    In a fleet of cells `CellServices` follows the lists and passes the hosts of all known cells to
+    `replace_endpoints`.
     """
 
     def __init__(self, loop: Loop, configuration: Configuration, record: GatewayRecord) -> None:
@@ -27,7 +28,7 @@
         self.watch: FileWatch | None = None
 
     def follow(self, on_list: Callable[[Sequence[Endpoint]], None]) -> None:
-        """Calls `on_list` with the complete list, now and each time that its file has changed."""
+        """Calls `on_list` with the complete list, now and after each change of its file."""
 
         def convert(lines: Sequence[HostLine]) -> None:
             current_at = self.watch.current_at if self.watch is not None else None
@@ -40,7 +41,7 @@
             self.watch = FileWatch(self.loop, source.path, source.look, convert, self.log_rejected_list)
 
     def replace_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
-        """Takes over all hosts that are known now, and logs the changes."""
+        """Replaces all known hosts, and logs each host that changed or is gone."""
         before, self.endpoints = self.endpoints, {endpoint.listed.host: endpoint for endpoint in endpoints}
         changed = [name for name, endpoint in self.endpoints.items() if before.get(name) != endpoint]
         gone = [name for name in before if name not in self.endpoints]
@@ -51,7 +52,7 @@
             )
 
     def states_and_start_times(self) -> dict[str, tuple[str, int]]:
-        """By host: its state, and its start by the list, in ns since 1970 or `UNKNOWN_START_TIME`."""
+        """By host: its state, and its listed start time in ns since 1970 or `UNKNOWN_START_TIME`."""
         start_times = self.converter.start_times
         return {
             name: (endpoint.listed.state.value, start_times.reported_start(name) or UNKNOWN_START_TIME)
@@ -59,7 +60,7 @@
         }
 
     def log_rejected_list(self, mistakes: Iterable[Mistake]) -> None:
-        """Logs why the list that was read last is not used."""
+        """Logs why the list last read is not used."""
         for mistake in mistakes:
             self.record.event("error", "host_list_rejected", error=str(mistake))
 
@@ -69,6 +70,6 @@
             self.watch.read()
 
     def close(self) -> None:
-        """Ends following the file."""
+        """Stops following the file."""
         if self.watch is not None:
             self.watch.close()
--- a/gaproute/appliance/json_object.py
+++ b/gaproute/appliance/json_object.py
@@ -1,5 +1,5 @@
-"""The type of what operators read at the operators' address."""
+"""The type of the JSON objects served at the operators' address."""
 
 from typing import Any
 
-JsonObject = dict[str, Any]  # plain data for JSON
+JsonObject = dict[str, Any]  # plain data that JSON can encode
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -1,6 +1,6 @@
 """The leases of one gateway: its node of the Raft group, and lease requests at the operators' address.
 
-This module connects the parts and makes no decisions.
+This module only connects the parts.
 """
 
 import secrets
@@ -26,7 +26,8 @@
 from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
-# Each run draws the first number of its requests from this range; all numbers stay below JSON's 2^53.
+# Each run draws the high bits of its request numbers, so that two runs use different numbers. All numbers
+# stay below 2^53, up to which JSON numbers are exact.
 RUN_NUMBER_BITS = 40
 REQUEST_NUMBER_BITS = 12
 
@@ -34,15 +35,15 @@
 class LeaseService:
     """A gateway's lease client, and its node of the Raft group if `line` names the gateway as a member.
 
-    `line`: the configuration's line `keepers`. Errors: OSError where the Raft log file cannot be opened. A
-    disk that fails for a while raises none: the node does nothing until the disk works.
+    `line`: the configuration's line `keepers`. Errors: OSError if the Raft log file cannot be opened, except
+    for disk faults that may pass: the node then does nothing until the disk works.
     """
 
     def __init__(
         self, loop: Loop, name: str, line: RaftGroupLine, record: GatewayRecord, random_source: RandomSource
     ) -> None:
         self.loop = loop
-        self.peers: dict[str, str] = {}  # addresses by name
+        self.peers: dict[str, str] = {}  # the other gateways' addresses, by name
         self.log_file: RaftLogFile | None = None
         if name in line.names and line.votes is not None:
             self.log_file = self._open_raft_log(line.votes, record)
@@ -65,17 +66,17 @@
         except OSError as error:
             if error.errno not in TRANSIENT_ERRNOS:
                 raise
-            # The node opens the file at its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
+            # The node opens the file when it first reads, which it retries every `STORAGE_RETRY_INTERVAL`
         return log_file
 
     def update_peers(self, peers: dict[str, str]) -> None:
-        """Takes over the addresses, by name, of all gateways that may request leases."""
+        """Replaces the addresses, by name, of all other gateways."""
         for name in [name for name in self.peers if name not in peers]:
             del self.peers[name]
         self.peers.update(peers)
 
     def handle_messages(self, server: Server, request: Request) -> None:
-        """Handles a batch of messages from another gateway."""
+        """Handles a batch of Raft messages from another gateway."""
         self.hosted_node.transport.handle(server, request)
 
     def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
@@ -85,7 +86,7 @@
         return status
 
     def table(self) -> JsonObject:
-        """The lease table at the operators' address; its JSON keys are older than the names in the code."""
+        """The lease table for operators; its JSON keys are older than the names in the code."""
         return {"errands": self.requests.table(self.loop.now()), **self.hosted_node.status()}
 
     def _run_due_work(self) -> None:
@@ -99,11 +100,11 @@
         )
 
     def stop(self) -> None:
-        """Releases all leases; call `close` afterwards."""
+        """Releases all leases; `close` has to follow."""
         self.hosted_node.stop()
 
     def close(self) -> None:
-        """Closes the timer, the sockets and the disk."""
+        """Cancels the timer, and closes the sockets and the Raft log file."""
         if self.timer is not None:
             self.timer.cancel()
         self.hosted_node.close()
--- a/gaproute/appliance/legacy_names.py
+++ b/gaproute/appliance/legacy_names.py
@@ -1,7 +1,7 @@
-"""The names at the operators' address that are older than those of the code and of the log.
+"""The old names of counters and events at the operators' address.
 
-Operators' tools read the counters and events there, so these have the names that they had at first. No other
-module uses the old names; `docs/glossary.md` lists them.
+Operators' tools read them there, so they keep their first names although the code and the log have new ones.
+No other module uses the old names; `docs/glossary.md` lists them.
 """
 
 from collections.abc import Mapping
@@ -28,11 +28,11 @@
     Result.STREAM_STARTED.value: "begun",
     Result.CLIENT_LEFT.value: "departed",
 }
-COUNTERS_WITH_RESULTS = ("attempts", "failed_attempts")  # the last part of their keys is a result
+COUNTERS_WITH_RESULTS = ("attempts", "failed_attempts")  # counters whose keys end with a result
 
 
 class LegacyEvent(NamedTuple):
-    """The old name of an event, and those of its fields that had another name."""
+    """The old name of an event, and the old names of its fields by their new ones, where they differ."""
 
     name: str
     fields: Mapping[str, str] = MappingProxyType({})
@@ -71,12 +71,12 @@
 
 
 def legacy_counts(counts: Mapping[tuple[str, ...], int]) -> JsonObject:
-    """Counters as nested plain data, by their old names."""
+    """Converts counters to nested plain data with their old names."""
     return nested_counters({_legacy_key(key): count for key, count in counts.items()})
 
 
 def legacy_event(event: str, fields: Mapping[str, object]) -> JsonObject:
-    """An event that was recorded, as plain data by its old names."""
+    """Converts a recorded event to plain data with its old names."""
     name, old_fields = LEGACY_EVENTS.get(event, LegacyEvent(event))
     return {"what": name, **{old_fields.get(field, field): value for field, value in fields.items()}}
 
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -1,7 +1,7 @@
-"""Writes what this gateway observed to its store on disk, in the background, a slice at a time.
+"""Writes this gateway's observations to its store on disk, in the background and in short slices.
 
-While the disk fails, no observations are gathered. Once it works again everything is written, as the changes
-in between were left out.
+While the disk fails, no observations are gathered. Once the disk works again, all observations are written,
+as the changes in between were left out.
 """
 
 import time
@@ -21,15 +21,15 @@
 from gaproute.loop import Loop, Promise
 from gaproute.storage import ObservationStore
 
-MAX_ROWS_PER_WRITE = 256  # in one transaction, which takes about a millisecond
+MAX_ROWS_PER_WRITE = 256  # rows of one transaction, which then takes about a millisecond
 
 
 class ObservationWriter:
-    """Writes changes every WRITE_INTERVAL, and all observations every ROUNDS_PER_FULL_WRITE rounds, so that
-    figures that change slowly are stored too.
+    """Writes changed observations every `WRITE_INTERVAL`, and all observations every `ROUNDS_PER_FULL_WRITE`
+    rounds, so that slowly changing figures are stored too.
 
-    `request_classes`: their names. `spent` and `longest_slice`: the CPU time (ns) of all slices and of the
-    longest one; `cpu_clock` is replaced by tests.
+    `request_classes`: names of the request classes. `spent` and `longest_slice`: CPU time (ns) of all slices
+    and of the longest slice. Tests replace `cpu_clock`.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self.gateway, self.host_history, self.request_classes = gateway, host_history, request_classes
         self.cpu_budget = CpuBudget(loop.now())
         self.rounds = 0
-        # What was observed before this time (ns) is on disk; SINCE_EVER: nothing is
+        # Observations made before this time (ns) are on disk; SINCE_EVER: none are
         self.written_until = SINCE_EVER
         self.round_written = True  # whether all slices of this round were written
         self.spent = self.longest_slice = 0
         self.routine = loop.spawn(self._run())
 
     def write_slice(self, observations: Iterator[OwnObservation]) -> bool:
-        """Writes some of the observations within the CPU budget; returns whether they were the last ones."""
+        """Writes a batch of observations if the CPU budget allows; returns whether none are left to write."""
         now = self.loop.now()
         if not self.cpu_budget.allows_slice(now):
             return False
@@ -65,7 +65,7 @@
         return exhausted
 
     def close(self) -> None:
-        """Stops; changes since the last round are written in one last slice."""
+        """Stops the rounds, writes changes since the last one in a single batch, and closes the store."""
         self.routine.cancel()
         changed = self._observations(self.loop.now(), self.written_until)
         self.store.write(islice(changed, MAX_ROWS_PER_WRITE))
@@ -93,7 +93,7 @@
     def _next_batch(
         self, observations: Iterator[OwnObservation], begun: int
     ) -> tuple[list[OwnObservation], bool]:
-        """The observations of one slice, and whether there are no more. `begun`: CPU time, ns."""
+        """The observations of one slice, and whether none are left. `begun`: CPU time at its start, ns."""
         batch = []
         for observation in observations:
             batch.append(observation)
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -1,4 +1,4 @@
-"""The operators' address of a gateway: its tables over HTTP (`status.py`), and lease requests."""
+"""The operators' address of a gateway: serves tables (`status.py`) and accepts lease commands over HTTP."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -26,11 +26,11 @@
 
 
 class LeasesUnavailableError(GaprouteError, ValueError):
-    """A lease was requested at a gateway that belongs to no Raft group."""
+    """A lease command reached a gateway whose configuration names no Raft group."""
 
 
 class OperatorFront:
-    """Serves what the command line reads. Errors: OSError where the address cannot be listened on."""
+    """Serves the tables and lease requests. Errors: OSError if the address cannot be listened on."""
 
     def __init__(self, loop: Loop, address: Address, appliance: RunningGateway) -> None:
         self.appliance = appliance
@@ -38,7 +38,7 @@
         self.address: str = self.server.address
 
     def handle(self, request: Request) -> None:
-        """Answers one request."""
+        """Answers a request."""
         if request.target == LEASES_PATH and request.method == b"POST":
             self._execute(request)
             return
@@ -49,7 +49,7 @@
             self._answer(request, HTTPStatus.OK, table(self.appliance))
 
     def _execute(self, request: Request) -> None:
-        """Requests, extends or releases a lease for an operator (`docs/leases.md`)."""
+        """Carries out an operator's command to request, extend or release a lease (`docs/leases.md`)."""
         leases = self.appliance.peers.leases
         try:
             if leases is None:
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -1,9 +1,8 @@
-"""One parent with several gateway processes at the same addresses, which it starts, restarts, rolls and
-stops.
+"""A parent process that starts, restarts, reloads and stops several gateway processes at the same addresses.
 
-The parent opens the clients' listening sockets and passes them to each child, so that all accept from one
-queue (`listening_sockets.py`). Each child is a gateway of its own: its own decisions, counts, load order
-limit, operators' address and peers' address.
+The parent opens the listening sockets for clients and passes them to each child, so that all children accept
+from one queue (`listening_sockets.py`). Each child is a separate gateway with its own decisions, counts, load
+order limit, operators' address and peers' address.
 """
 
 import signal
@@ -45,14 +44,14 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether all children were asked to end."""
+        """Whether all children were asked to stop."""
         return self.children.stopping
 
     def start(self) -> None:
-        """Listens and starts all children.
+        """Opens the listening sockets and starts all children.
 
-        Errors: OSError where an address cannot be listened on, or a child cannot be started. Then it may be
-        called again.
+        Errors: OSError if an address cannot be listened on or a child cannot be started. The call may be
+        repeated then.
         """
         self.listeners.open(self.children.configuration)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -66,7 +65,7 @@
         )
 
     def stop(self) -> None:
-        """Asks all children to end; the loop ends after the last one."""
+        """Asks all children to stop; the loop ends after the last child."""
         if self.stopping:
             return
         self.log.info("stopping", processes=len(self.children.by_slot))
--- a/gaproute/appliance/parent_pipes.py
+++ b/gaproute/appliance/parent_pipes.py
@@ -1,4 +1,4 @@
-"""A child's side of the two pipes to its parent (`child_process.py` has the other side)."""
+"""The child's side of the two pipes between a parent and its child; `child_process.py` is the other side."""
 
 import os
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 def watch_parent(loop: Loop, liveness_pipe: int, on_ended: Callable[[], None]) -> None:
-    """Calls `on_ended` when the pipe ends: the parent has ended, or all processes are to end together."""
+    """Calls `on_ended` when the pipe is closed: the parent has ended or stops all its children together."""
 
     def ended(events: int) -> None:
         loop.unwatch(liveness_pipe)
@@ -22,6 +22,6 @@
 
 def report_ready(ready_pipe: int) -> None:
     """Reports to the parent that this process serves, and closes the pipe."""
-    with suppress(OSError):  # the parent has ended, which the liveness pipe shows
+    with suppress(OSError):  # if the parent has ended, the liveness pipe stops this process
         os.write(ready_pipe, READY_MESSAGE)
     os.close(ready_pipe)
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -1,7 +1,7 @@
-"""What one gateway exchanges with other gateways and takes over from its own last run; connects the parts.
+"""The parts with which a gateway communicates with other gateways, and its observations of the last run.
 
-At the address for peers are served: membership, gossip, observations for other gateways, leases and forwarded
-requests. Observations also come from the store that this gateway wrote in its last run.
+The address for peers serves membership, gossip, observations, leases and forwarded requests. Observations
+also come from the store that this gateway wrote in its last run. This module only connects the parts.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import GatewayRecord
 
-LAST_RUN_ORIGIN = "past life"  # the origin of observations from the store, as operators read it
+LAST_RUN_ORIGIN = "past life"  # origin of observations from the store, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
-# Connections of gateways that request leases from a member of the Raft group: batches are long, and every
-# gateway of a large fleet may have a connection to each member.
+# Limits at the address for peers in a fleet with leases: batches of Raft messages are long, and every gateway
+# of a large fleet may have a connection to each member of the Raft group.
 LEASE_PEER_LIMITS = Limits(
     max_body_bytes=MAX_BATCH_BYTES,
     max_pipelined=1,
@@ -50,16 +50,17 @@
 
 
 class PeerListObserver(Protocol):
-    """The part of `CellServices` that is notified of the peers."""
+    """The interface of `CellServices` for changes of the peer list."""
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
-        """Takes over the addresses of all other gateways, by name."""
+        """Replaces the addresses of all other gateways, by name."""
 
 
 class PeerServices:
-    """The parts that communicate with other gateways; those that are not configured are None.
+    """The parts that communicate with other gateways; a part that is not configured is None.
 
-    `gateway`: the decisions, which give and take observations. `cells`: notified of the peers.
+    `gateway`: the decisions, which supply observations and use those of others. `cells` is notified of each
+    change of the peer list.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
         )
 
     def listen(self, address: str) -> PeerServer:
-        """Opens the address for other gateways. Errors: OSError; `close` is to be called then."""
+        """Opens the address for other gateways. Errors: OSError; `close` has to be called then."""
         server = PeerServer(
             self.loop,
             parse_address(address),
@@ -111,7 +112,7 @@
         return server
 
     def start(self) -> None:
-        """Applies the observations of the last run, then requests those of the peers."""
+        """Applies the observations of the last run, then requests observations of the peers."""
         self.open_observation_store()
         if self.configuration.peers or self.configuration.peers_file:
             self.observation_client = ObservationClient(
@@ -135,14 +136,14 @@
             )
 
     def update_hosts(self, states: Mapping[str, tuple[str, int]]) -> None:
-        """Takes over the complete host list: by host its state and its start (ns since 1970)."""
+        """Replaces the host list; `states`: by host, its state and its start time (ns since 1970)."""
         self.host_history.update(self.loop.now(), states)
         if self.gossip is not None:
             history = self.host_history.entries
             self.gossip.set_hosts({name: entry.started for name, entry in history.items() if name in states})
 
     def update_peers(self, peers: Sequence[PeerLine]) -> None:
-        """Takes over the complete list of gateways, which may include this one."""
+        """Replaces the list of peers; `peers` may include this gateway."""
         others = [peer for peer in peers if peer.name != self.configuration.name]
         addresses = {peer.name: peer.where for peer in others}
         if self.membership_transport is not None:
@@ -155,14 +156,14 @@
             self.observation_client.set_peers(others)
 
     def log_rejected_peer_list(self, mistakes: Iterable[Mistake]) -> None:
-        """Logs why the list of peers that was read last is not used."""
+        """Logs why the peer list last read is not used."""
         for mistake in mistakes:
             self.record.event("error", "peer_list_rejected", error=str(mistake))
 
     def open_observation_store(self) -> None:
-        """Opens the store on disk, if there is one, and applies what it has of the last run.
+        """Opens the observation store, if one is configured, and applies the observations of the last run.
 
-        A store that cannot be opened is tried again while the gateway serves, and written to from then on.
+        If the store cannot be opened, the gateway retries while it serves and then writes to it.
         """
         if self.configuration.observation_file is None:
             return
@@ -177,21 +178,21 @@
         )
 
     def apply_observations(self, subjects: Collection[Subject]) -> int:
-        """Passes the observations of these subjects to the decisions as hints; returns how many were used."""
+        """Passes the observations of the subjects to the decisions as hints; returns how many were used."""
         starts = self.host_history.active_start_times()
         return self.hint_selector.apply_hints(self.gateway, self.loop.now(), starts, subjects)
 
     def apply_request_mix(self) -> None:
-        """Notes that one source has sent all its observations: the mix of functions is known now."""
+        """Passes the mix of functions to the decisions, after a source has sent all its observations."""
         self.gateway.hint_function_mix(self.observations.request_mix())
 
     def cpu_spent(self) -> int:
-        """CPU time that sending and storing observations took, ns."""
+        """The CPU time spent on sending and storing observations, ns."""
         parts = (self.peer_server, self.observation_writer)
         return sum(part.spent for part in parts if part is not None)
 
     def stop(self) -> None:
-        """Leaves the membership and releases all leases; other gateways are still answered until `close`."""
+        """Leaves the membership and releases all leases; other gateways get answers until `close`."""
         for part in (self.membership_transport, self.leases):
             if part is not None:
                 part.stop()
@@ -199,7 +200,7 @@
             self.peer_list_watch.close()
 
     def close(self) -> None:
-        """Closes all parts except the front that `listen` opened."""
+        """Closes all parts except the server that `listen` returned."""
         for part in (
             self.peer_list_watch,
             self.observation_client,
@@ -256,7 +257,7 @@
 
 
 def _raise_limits_for_forwarding(limits: Limits, clients: ClientLimitsLine) -> Limits:
-    """Limits where other gateways also forward requests: as large as the limits for clients."""
+    """Returns limits that also admit forwarded requests, which are as large as requests of clients."""
     return limits._replace(
         max_head_bytes=clients.head + FORWARDED_HEADER_BYTES,
         max_body_bytes=max(limits.max_body_bytes, clients.body),
--- a/gaproute/appliance/request_path.py
+++ b/gaproute/appliance/request_path.py
@@ -1,4 +1,4 @@
-"""What a request passes in a gateway process: the decisions, the connections to hosts, the request driver."""
+"""The parts of a gateway process that handle a request: decisions, connections to hosts, request driver."""
 
 import secrets
 from collections.abc import Callable, Sequence
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class RequestPath:
-    """The parts that a request passes. `cells` is None where the fleet is not in cells."""
+    """The parts that handle a request. `cells` is None if the fleet has no cells."""
 
     gateway: Gateway
     hosts: KServeClient
@@ -33,8 +33,10 @@
     seed: int,
     on_hosts_changed: Callable[[Sequence[Endpoint]], None],
 ) -> RequestPath:
-    """`on_hosts_changed` is called with all known hosts after a change in a fleet of cells."""
-    run_name = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids of two runs differ
+    """Makes the parts. In a fleet of cells, `on_hosts_changed` gets all known hosts after a change."""
+    run_name = (
+        f"{configuration.name}-{secrets.token_hex(3)}"  # the random part keeps request ids of two runs apart
+    )
     limits = configuration.host_limits
     settings = ClientSettings(limits.connect, limits.probe, limits.order, limits.connections, limits.answer)
     if configuration.cells is not None:
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -1,6 +1,6 @@
-"""Brings a new configuration to all children of a parent, one after the other, so that no request is lost.
+"""Replaces the children of a parent one by one, to apply a new configuration without losing requests.
 
-An invalid configuration changes nothing. Failures that may pass are retried for a bounded time.
+An invalid configuration changes nothing. Failures that may be transient are retried for a bounded time.
 """
 
 from collections.abc import Generator
@@ -18,13 +18,13 @@
 from gaproute.units import MILLI, SECOND
 
 MIN_BACKOFF, MAX_BACKOFF = 50 * MILLI, SECOND  # between attempts to reload, or to start a child
-MAX_START_ATTEMPTS = 8  # to start a child with the new configuration, about 4 s in all
+MAX_START_ATTEMPTS = 8  # to start a child with the new configuration; they take about 4 s in all
 
 
 class RollingReload:
     """Reads the configuration file again at a reload and replaces the children one by one.
 
-    `rolling`: whether children are being replaced now; `retry_timer`: set after a failure that may pass.
+    `rolling`: whether children are being replaced now. `retry_timer`: set after a transient failure.
     """
 
     def __init__(
@@ -38,13 +38,11 @@
         self.loop, self.log, self.configuration_file = loop, log, configuration_file
         self.children, self.listeners = children, listeners
         self.rolling = False
-        self.reload_requested = False  # a reload was requested during another one
+        self.reload_requested = False  # whether a reload was requested while children are being replaced
         self.retry_timer: Timer | None = None
 
     def reload(self) -> None:
-        """Reads the configuration and begins to replace the children, after the present reload if there is
-        one.
-        """
+        """Begins to apply the configuration file, or does so after the reload that is running now."""
         if self.rolling:
             self.reload_requested = True
             return
@@ -66,7 +64,7 @@
         self.loop.spawn(self._replace_children(configuration))
 
     def _handle_failure(self, error: ConfigurationError | OSError, backoff: Backoff, started_at: int) -> None:
-        """Retries a failure that may pass until its time is over, and logs any other."""
+        """Schedules a retry if the failure may be transient and time is left; otherwise logs the failure."""
         if self.loop.now() + backoff.pause <= started_at + max_retry_time(find_os_error(error)):
             self.retry_timer = self.loop.call_later(
                 backoff.next_pause(), self._try_reload, backoff, started_at
@@ -93,9 +91,9 @@
             self.reload()
 
     def _replace_child(self, slot: int) -> Generator[Promise, object, bool]:
-        """Starts a new child beside that of the slot, which is asked to end only once the new one serves.
+        """Starts a new child, then stops the child in `slot` once the new one serves.
 
-        Returns whether the new child serves.
+        Returns whether the new child serves; if not, the child in `slot` goes on.
         """
         free_slot = self.children.free_slot()
         replacement = yield from self._start_child(free_slot)
@@ -110,7 +108,7 @@
         return True
 
     def _start_child(self, slot: int) -> Generator[Promise, object, ChildProcess | None]:
-        """Starts a new child of the slot, with retries; returns None where all fail."""
+        """Starts a child in `slot`, with retries; returns None if all attempts fail."""
         backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
         for _ in range(MAX_START_ATTEMPTS):
             try:
--- a/gaproute/appliance/running_gateway.py
+++ b/gaproute/appliance/running_gateway.py
@@ -1,4 +1,4 @@
-"""The interface of a gateway process for the operators' address and the shutdown: see `Appliance`."""
+"""The interface of `Appliance` that the operators' address and the shutdown use."""
 
 from collections.abc import Mapping, Sequence
 from typing import Protocol
@@ -17,18 +17,18 @@
 
 
 class Front(Protocol):
-    """What listens at one address."""
+    """A server at one address."""
 
     @property
     def address(self) -> str:
-        """The address as text, with the port that the kernel picked."""
+        """The bound address as text, with the port that the kernel chose."""
 
     def close(self) -> None:
-        """Closes the address and its connections."""
+        """Closes the listening socket and the connections."""
 
 
 class RunningGateway(Protocol):
-    """The parts of a gateway process and its state. `started_at`: ns of the loop's clock."""
+    """The parts and the state of a gateway process. `started_at`: ns of the loop's clock."""
 
     configuration: Configuration
     loop: Loop
@@ -43,19 +43,19 @@
 
     @property
     def fronts(self) -> Sequence[Front]:
-        """All that listens, the fronts for clients among it."""
+        """All open fronts, including `client_fronts`."""
 
     @property
     def client_fronts(self) -> Sequence[RestFront]:
-        """The fronts that take requests, from clients or forwarded by other gateways."""
+        """The fronts for requests from clients or forwarded by other gateways."""
 
     @property
     def decisions(self) -> Sequence[Gateway]:
-        """The decisions for the whole fleet, or for each known cell."""
+        """The decisions for the whole fleet, or those for each known cell."""
 
     @property
     def endpoints(self) -> Mapping[str, Endpoint]:
         """The known hosts, by name."""
 
     def ready(self) -> bool:
-        """Whether this process serves and has a host, or a gateway to which it can forward."""
+        """Whether this process serves and has an active host or a gateway to forward to."""
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -1,7 +1,7 @@
-"""The tables of a running gateway that operators read, as plain data for JSON.
+"""The tables of a running gateway for operators, as plain data for JSON.
 
-The JSON keys are older than the names in the code and do not change; those of counters and events are mapped
-by `legacy_names.py`.
+The JSON keys are older than the names in the code and do not change; `legacy_names.py` maps the keys of
+counters and events.
 """
 
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
 
 def status(appliance: RunningGateway) -> JsonObject:
-    """The gateway as a whole: its state and its counts."""
+    """The state and the counts of the whole gateway."""
     peer_services, hosts = appliance.peers, appliance.hosts
     membership_transport, gossip = peer_services.membership_transport, peer_services.gossip
     return {
@@ -43,7 +43,7 @@
 
 
 def host_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The hosts of the list, by name."""
+    """The known hosts, ordered by name."""
     attempts = legacy_counts(appliance.record.counts).get("relay", {})
     table = []
     for name, endpoint in sorted(appliance.endpoints.items()):
@@ -62,10 +62,10 @@
 
 
 def warm_instances(appliance: RunningGateway) -> list[JsonObject]:
-    """The warm instances that the decisions expect, the last used first.
+    """The warm instances that the decisions expect, the most recently used first.
 
-    `by`: the evidence for each: an answer, a request sent there, or the gateway that reported it; `tried`:
-    whether a reported one was used yet.
+    `by` is the evidence for an instance: an answer, a request sent there, or the gateway that reported it.
+    `tried`: whether this gateway has used the instance.
     """
     rows = [
         row
@@ -77,7 +77,7 @@
 
 
 def peer_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The known gateways: their state by the membership, and what each sent at the start."""
+    """The known gateways: their state in the membership, and the progress of fetching their observations."""
     observation_client = appliance.peers.observation_client
     progress = observation_client.state if observation_client else {}
     membership_transport = appliance.peers.membership_transport
@@ -88,13 +88,13 @@
 
 
 def lease_table(appliance: RunningGateway) -> JsonObject | None:
-    """The leases of this gateway, and its node of the Raft group; None where it has none."""
+    """The leases of this gateway, and its node of the Raft group; None if it has no leases."""
     leases = appliance.peers.leases
     return None if leases is None else leases.table()
 
 
 def event_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The last events of the log."""
+    """The most recent log events."""
     return [legacy_event(event, fields) for event, fields in appliance.record.events]
 
 
@@ -113,7 +113,7 @@
 
 
 def _received_observations(appliance: RunningGateway) -> JsonObject:
-    """Observations taken over from other gateways and from the last run, and how many proved right."""
+    """Counts of observations from other gateways and the last run, and of hints proven right or wrong."""
     observations = appliance.peers.observations
     client = appliance.peers.observation_client
     return {
@@ -127,7 +127,7 @@
 
 
 def _sent_observations(peer_services: PeerServices) -> JsonObject | None:
-    """Observations that other gateways were sent at their request."""
+    """Counts and CPU time of observations sent to other gateways on request."""
     server = peer_services.peer_server
     if server is None:
         return None
@@ -147,7 +147,7 @@
 
 
 def _function_instances(appliance: RunningGateway, name: str, function: Function) -> Iterator[JsonObject]:
-    """The instances of one function: first by own attempts, then those that others reported."""
+    """Yields the instances of a function: first those of own attempts, then those that others reported."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
         for host, used_at in last_used.items():
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -1,6 +1,6 @@
-"""Commands that run experiments: scripted days on loopback, and load against a gateway.
+"""Commands that run experiments: scripted days on the loopback network, and load against a gateway.
 
-Each command imports what it runs, so that other commands start fast.
+Each command imports its modules when it runs, so that other commands start fast.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
     from gaproute.scenarios.result import DayResult
     from gaproute.scenarios.trial import Trial
 
-RESULT_WIDTH = 80  # columns of a verdict
+RESULT_WIDTH = 80  # columns of the console on which a result is printed
 
 
 @click.command()
 @click.argument("script", default="bad-day")
-@click.option("--seed", default=1, help="Seed of the day's chance.")
+@click.option("--seed", default=1, help="Seed of the random numbers of the day.")
 @click.option(
     "--decisions", default="gaproute.decisions.routing:Gateway", help="The gateways' decisions, MODULE:CLASS."
 )
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for taps, logs and result.json.")
 @json_option
 def trial(script: str, seed: int, decisions: str, out: str | None, *, as_json: bool) -> None:
-    """Play the scripted day SCRIPT (a name that comes with the program, or a file) on loopback and judge
-    it. A cluster script (docs/cluster.md) that could not be measured in time is void: exit 3."""
+    """Play the scripted day SCRIPT (a built-in name or a file) on the loopback network and judge the result.
+    A cluster script (docs/cluster.md) that could not be measured in time is void: exit 3."""
     from gaproute.cluster.script import read_script
 
     try:
@@ -52,12 +52,12 @@
         click.echo(json.dumps(result.plain()))
     else:
         _show_result(result)
-        click.echo(f"all of it: {out}")
+        click.echo(f"results: {out}")
     sys.exit(_exit_code(result))
 
 
 def _trial_class(script: ClusterScript) -> type[Trial]:
-    """The class that plays the script: as a cluster, or as a day without links between the processes."""
+    """The class that plays the script: as a cluster with emulated links, or as a day without links."""
     if script.cluster is None:
         from gaproute.scenarios.trial import Trial
 
@@ -93,11 +93,11 @@
 
 @click.command()
 @click.argument("script", type=click.Path(dir_okay=False))
-@click.option("--seed", default=1, help="Seed of the load's chance.")
+@click.option("--seed", default=1, help="Seed of the random numbers of the load.")
 @click.option("--out", type=click.Path(dir_okay=False), help="File for the result.")
 @json_option
 def load(script: str, seed: int, out: str | None, *, as_json: bool) -> None:
-    """Play the load SCRIPT (docs/load.md) against its targets. Exits 1 where a task did not end well."""
+    """Send the load of SCRIPT (docs/load.md) to its targets. Exits 1 if a request did not end well."""
     from gaproute.load import LoadGenerator, read_load_script
     from gaproute.load.results import write_result
     from gaproute.loop import Loop
@@ -125,7 +125,7 @@
 
 
 def _load_rows(generator: LoadGenerator) -> list[JsonObject]:
-    """The figures of each kind of traffic."""
+    """One row of figures for each kind of traffic."""
     return [
         {"traffic": name, **result.summary(), "not well": result.unsuccessful}
         for name, result in generator.results.items()
@@ -136,7 +136,7 @@
 @click.argument("results", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @json_option
 def load_report(results: tuple[str, ...], *, as_json: bool) -> None:
-    """The results of one or more loads side by side."""
+    """Print the results of one or more loads side by side."""
     from gaproute.load import summary_rows
 
     try:
@@ -150,7 +150,7 @@
 
 
 def _show_load(rows: list[JsonObject]) -> None:
-    """Prints a load's rows as a table."""
+    """Prints rows of load figures as a table."""
     columns = list(rows[0]) if rows else []
     show_table(columns, (map(_format_load_figure, row.values()) for row in rows))
 
@@ -165,15 +165,15 @@
 @click.argument("day", type=click.File())
 @click.option("--hosts", default=9)
 @click.option("--gateways", default=3)
-@click.option("--scale", default=1.0, help="Shortens all times.")
+@click.option("--scale", default=1.0, help="Factor by which all times are multiplied.")
 def day_script(day: IO[str], hosts: int, gateways: int, scale: float) -> None:
-    """Print a trial script with the troubles of a bench's DAY file (JSON)."""
+    """Print a trial script with the faults of a benchmark's DAY file (JSON)."""
     from gaproute.scenarios.bench_day import convert_bench_day
 
     try:
         text, left_out = convert_bench_day(json.load(day), hosts, gateways, scale)
     except (ValueError, KeyError, TypeError) as error:
-        exit_with_error(f"{day.name}: no day file: {error!r}")
+        exit_with_error(f"{day.name}: not a day file of the benchmark: {error!r}")
     click.echo(text, nl=False)
     for kind in left_out:
-        click.echo(f"left out: {kind} has no counterpart on sockets", err=True)
+        click.echo(f"left out: {kind}: a trial on sockets has no counterpart of it", err=True)
--- a/gaproute/cli/main.py
+++ b/gaproute/cli/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands; `ExitCode` has their exit codes."""
+"""The command group; `ExitCode` has the exit codes of all commands."""
 
 import click
 
@@ -22,7 +22,7 @@
 @click.group()
 @click.version_option("0.2.0")
 def main() -> None:
-    """A gateway that runs calls on workers which load functions or models on demand."""
+    """A gateway that runs requests on hosts which load functions or models on demand."""
 
 
 for command in COMMANDS:
--- a/gaproute/cli/migration.py
+++ b/gaproute/cli/migration.py
@@ -1,4 +1,4 @@
-"""The command that moves a configuration to another deployment."""
+"""The command that migrates a configuration to another deployment."""
 
 import sys
 
@@ -16,14 +16,14 @@
     "--shape",
     required=True,
     type=click.Path(dir_okay=False),
-    help="What the new deployment states, as lines of a configuration.",
+    help="Configuration lines that describe the new deployment.",
 )
-@click.option("--dry-run", is_flag=True, help="Print the result; write nothing.")
-@click.option("--replace", is_flag=True, help="Write NEW even where such a file stands.")
+@click.option("--dry-run", is_flag=True, help="Print the new configuration and write no file.")
+@click.option("--replace", is_flag=True, help="Overwrite NEW if it exists.")
 def migrate(old: str, new: str, shape: str, *, dry_run: bool, replace: bool) -> None:
-    """Write NEW, the counterpart of the configuration OLD for a deployment of another shape, and tell each
-    line that could not be carried over. Exits 0 with all carried over, 1 with lines left behind, 2 where it
-    is refused."""
+    """Write NEW, the counterpart of the configuration OLD for a deployment of another shape, and print each
+    line that could not be carried over. Exits 0 if all lines were carried over, 1 if lines were left behind,
+    2 if a file is invalid or NEW cannot be written."""
     try:
         text, left_behind = migrate_configuration(old, read_text(old), shape, read_text(shape), new)
     except ConfigurationError as error:
@@ -40,11 +40,13 @@
 
 
 def _write(path: str, text: str, preserved: tuple[str, ...], *, replace: bool) -> None:
-    """Writes the file; if that fails, ends the command with what the operator can do."""
+    """Writes the file; if that fails, ends the command with advice for the operator."""
     try:
         write_whole(path, text, replace=replace, preserved=preserved)
     except FileExistsError:
-        exit_with_error(f"{path}: stands already; name another file or say --replace; nothing is written")
+        exit_with_error(
+            f"{path}: file exists already; name another file or say --replace; nothing is written"
+        )
     except NotDurableError as error:
         exit_with_error(
             f"{path}: written, but a crash of the machine may undo it ({error.strerror}); "
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -14,13 +14,19 @@
 from gaproute.loop.addresses import parse_address
 
 TIMEOUT_SECONDS = 5
-STATUS_COUNTS = ("taken", "delivered", "declined", "scrapped", "left")  # as the gateway names them
+STATUS_COUNTS = (
+    "taken",
+    "delivered",
+    "declined",
+    "scrapped",
+    "left",
+)  # keys of `counts` in the status of the gateway
 
-at_option = click.option("--at", "address", required=True, help="Its `listen operator` address.")
+at_option = click.option("--at", "address", required=True, help="The gateway's `listen operator` address.")
 
 
 def ask(address: str, path: bytes) -> Any:
-    """The answer of a gateway at the path of its operators' address; ends the command if none comes."""
+    """The decoded answer at a path of a gateway's operators' address; ends the command if none comes."""
     try:
         return json.loads(_get(address, path))
     except (OSError, ValueError) as error:
@@ -28,7 +34,7 @@
 
 
 def _get(address: str, path: bytes) -> bytes:
-    """The body of an answer. Errors: OSError."""
+    """The body of the answer to a GET request. Errors: OSError if there is no answer with status 200."""
     family, target = parse_address(address)
     with socket.socket(family, socket.SOCK_STREAM) as sock:
         sock.settimeout(TIMEOUT_SECONDS)
@@ -49,7 +55,7 @@
     *,
     as_json: bool,
 ) -> None:
-    """Prints the objects at the path: as JSON, or as a row of `cells` for each object."""
+    """Prints the objects at the path as JSON, or as a table with the row `make_row(object)` for each."""
     objects = ask(address, path)
     if as_json:
         click.echo(json.dumps(objects))
@@ -61,7 +67,7 @@
 @at_option
 @json_option
 def status(address: str, *, as_json: bool) -> None:
-    """What a running gateway holds and has answered. Exits 1 where it is not ready."""
+    """Show the state and the counts of a running gateway. Exits 1 if it is not ready."""
     answer = ask(address, b"/status")
     if as_json:
         click.echo(json.dumps(answer))
@@ -97,7 +103,7 @@
 @at_option
 @json_option
 def hosts(address: str, *, as_json: bool) -> None:
-    """The hosts that a running gateway knows."""
+    """List the hosts that a running gateway knows."""
     columns = ("host", "address", "state", "capacity", "connections", "relays by outcome")
     list_objects(address, b"/hosts", columns, _host_row, as_json=as_json)
 
@@ -117,7 +123,7 @@
 @at_option
 @json_option
 def knows(address: str, *, as_json: bool) -> None:
-    """The copies that a running gateway believes to stand, the latest use first."""
+    """List the warm instances that a running gateway expects, the most recently used first."""
     columns = ("host", "function", "last use", "known by")
     list_objects(address, b"/knows", columns, _instance_row, as_json=as_json)
 
@@ -135,7 +141,7 @@
 @at_option
 @json_option
 def peers(address: str, *, as_json: bool) -> None:
-    """The other gateways that a running one knows: who is up, and what each told at the start."""
+    """List the other gateways that a running gateway knows: their states, and what each sent at the start."""
     columns = ("gateway", "address", "state", "for", "last heard", "told at the start")
     list_objects(address, b"/peers", columns, _peer_row, as_json=as_json)
 
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -1,4 +1,4 @@
-"""Commands about a configuration file: run a gateway by it, or check it."""
+"""Commands that take a configuration file: run a gateway, or check the file."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     from gaproute.appliance import Appliance
 
 MAX_PROCESSES = 64
-GC_THRESHOLDS = (10_000, 50, 100)  # few collections, as a request leaves no reference cycles
+GC_THRESHOLDS = (10_000, 50, 100)  # high, for few collections, as a request leaves no reference cycles
 
 StepResult = TypeVar("StepResult")
 
 
 def load_configuration(file: str, *, with_cells: bool = False) -> Configuration:
-    """Reads a configuration file; ends the command if it cannot be used.
+    """Reads a configuration file; ends the command if the file cannot be used.
 
-    `with_cells`: the files of its cells are read as well; a gateway starts without them and waits.
+    `with_cells`: whether to read the files of its cells too; a gateway starts without them and waits.
     """
     try:
         configuration: Configuration = StartupRetries().call(lambda: _read_files(file, with_cells=with_cells))
@@ -38,7 +38,7 @@
 
 
 def _read_files(file: str, *, with_cells: bool) -> Configuration:
-    """Errors: `ConfigurationError` for any of the files."""
+    """Errors: `ConfigurationError` if one of the files is invalid."""
     configuration = read_configuration(file)
     if configuration.hosts_file is not None:
         read_hosts(configuration.hosts_file.path)
@@ -52,7 +52,7 @@
 def run_startup_step(
     retries: StartupRetries, step: Callable[[], StepResult], message: str = "cannot start"
 ) -> StepResult:
-    """The result of a step of the start; ends the command with the message if the step raises OSError."""
+    """Runs a step of the start with retries; ends the command with `message` if it still raises OSError."""
     try:
         result: StepResult = retries.call(step)
     except OSError as error:
@@ -62,11 +62,11 @@
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--seed", type=int, help="Seed of the decisions' chance; drawn at start where not given.")
+@click.option("--seed", type=int, help="Seed of the decisions' random numbers; drawn at start if not given.")
 @click.option(
     "--processes",
     type=click.IntRange(1, MAX_PROCESSES),
-    help="So many gateways behind the same addresses.",
+    help="Number of gateway processes behind the same addresses.",
 )
 @click.option("--seat", "process_slot", type=(int, int), hidden=True)
 @click.option("--inherited", multiple=True, hidden=True)
@@ -81,8 +81,8 @@
     liveness_pipe: int | None,
     ready_pipe: int | None,
 ) -> None:
-    """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
-    starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
+    """Run a gateway with the configuration FILE until SIGTERM. With --processes, run several under a parent
+    that restarts a process that ends and, at SIGHUP, replaces all to apply a new configuration."""
     configuration, retries = load_configuration(file), StartupRetries()
     if processes is not None:
         _serve_with_children(retries, file, configuration, processes, seed)
@@ -100,7 +100,7 @@
 def _serve_with_children(
     retries: StartupRetries, file: str, configuration: Configuration, processes: int, seed: int | None
 ) -> None:
-    from gaproute.appliance.parent import Parent  # here, as most commands run no gateway
+    from gaproute.appliance.parent import Parent  # imported here, as most commands run no gateway
 
     parent = Parent(file, configuration, processes, seed, loop=run_startup_step(retries, Loop))
     run_startup_step(retries, parent.start, "cannot listen")
@@ -111,7 +111,7 @@
 def _make_appliance(
     retries: StartupRetries, configuration: Configuration, seed: int | None, inherited: Iterable[str]
 ) -> Appliance:
-    """Makes the gateway with its signal handlers. `inherited`: `DESCRIPTOR=ADDRESS` of listening sockets."""
+    """Makes the gateway with its signal handlers. `inherited`: `DESCRIPTOR=ADDRESS` per listening socket."""
     from gaproute.appliance import Appliance
 
     sockets = {}
@@ -126,14 +126,14 @@
 
 def _tune_garbage_collection() -> None:
     gc.collect()
-    gc.freeze()  # so that no collection examines the objects of the start, which would take 20 ms and more
+    gc.freeze()  # so that no collection examines the objects made at the start, which takes 20 ms and more
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Check the configuration FILE and the files that it names; every mistake in one go."""
+    """Check the configuration FILE and the files that it names, and print all mistakes."""
     configuration = load_configuration(file, with_cells=True)
     click.echo(
         f"{file}: well: {len(configuration.request_classes)} tracks, {len(configuration.models)} models, "
