--- a/tests/appliance/test_cell_processes.py
+++ b/tests/appliance/test_cell_processes.py
@@ -1,34 +1,34 @@
-"""Cells by several processes of the program: calls find their copies through the entry gateways."""
+"""Several gateway processes in a fleet of cells: requests reach warm instances through entry gateways."""
 
 import signal
 
 from cell_fleet import models
 
-TWO = {"a1": ("a1", ("ga", "gb")), "b1": ("b1", ("gc", "gd"))}
+TWO_CELLS = {"a1": ("a1", ("ga", "gb")), "b1": ("b1", ("gc", "gd"))}
 
 
-def test_a_call_homed_in_another_cell_reaches_its_copy_through_the_entry_gateway(cells):
-    fleet = cells(TWO)
+def test_a_request_with_its_home_in_another_cell_reaches_a_host_there_through_an_entry_gateway(cells):
+    fleet = cells(TWO_CELLS)
     fleet.write_table()
     for name, zone in (("ga", "a1"), ("gc", "b1"), ("gd", "b1")):
         fleet.start(name, zone)
     fleet.up("ga", "gc", "gd")
-    near, far = fleet.homed("check", "a1"), fleet.homed("check", "b1")
-    answer = fleet.wait(fleet.ask("ga", near, "t1"))
+    near_model, far_model = fleet.homed("check", "a1"), fleet.homed("check", "b1")
+    answer = fleet.wait(fleet.ask("ga", near_model, "t1"))
     assert answer.status == 200
     assert fleet.came("t1")[0].startswith("a1-")
-    answer = fleet.wait(fleet.ask("ga", far, "t2"))
+    answer = fleet.wait(fleet.ask("ga", far_model, "t2"))
     assert answer.status == 200
     assert [host[:2] for host in fleet.came("t2")] == ["b1"]
     assert answer.headers[b"gaproute-outcome"] == b"delivered"
     assert fleet.cell_status("ga")["forwarded_out"] == 1
     statuses = [fleet.cell_status(name) for name in ("gc", "gd")]
-    assert sum(each["forwarded_in"] for each in statuses) == 1
-    assert all(each["known"] == ["b1"] and each["cells"] == 2 for each in statuses)
+    assert sum(status["forwarded_in"] for status in statuses) == 1
+    assert all(status["known"] == ["b1"] and status["cells"] == 2 for status in statuses)
 
 
-def test_gateways_that_never_heard_of_each_other_find_the_same_copy(cells):
-    fleet = cells(TWO)
+def test_gateways_without_contact_to_each_other_choose_the_same_host(cells):
+    fleet = cells(TWO_CELLS)
     fleet.write_table()
     for name, zone in (("ga", "a1"), ("gb", "a1"), ("gc", "b1"), ("gd", "b1")):
         fleet.start(name, zone)
@@ -41,7 +41,7 @@
         assert hosts.pop().startswith("b1-")
 
 
-def test_processes_of_one_parent_are_entries_each_and_a_wrong_configuration_changes_nothing(cells):
+def test_each_child_of_a_parent_is_an_entry_gateway_and_an_invalid_configuration_changes_nothing(cells):
     fleet = cells({"a1": ("a1", ("ga",)), "b1": ("b1", ("gc-0", "gc-1"))})
     peers = f"unix:{fleet.folder}/gc.peers"
     fleet.entries |= {"gc": peers, "gc-0": f"{peers}.0", "gc-1": f"{peers}.1"}
@@ -51,20 +51,20 @@
     fleet.start("gc", "b1", arguments=("--processes", "2"))
     fleet.up("ga")
     fleet.until(lambda: len(fleet.events("gc", "cell_table_adopted")) == 2)
-    far = [model for model in models("order") if fleet.home(model) == "b1"]
-    for model in far:
+    far_models = [model for model in models("order") if fleet.home(model) == "b1"]
+    for model in far_models:
         assert fleet.wait(fleet.ask("ga", model, model)).status == 200
         assert fleet.came(model)[0].startswith("b1-")
-    file = fleet.folder / "gc.conf"
-    file.write_text(file.read_text().replace("zone b1", "zone"))
+    configuration = fleet.folder / "gc.conf"
+    configuration.write_text(configuration.read_text().replace("zone b1", "zone"))
     fleet.processes["gc"].send_signal(signal.SIGHUP)
     fleet.until(lambda: fleet.events("gc", "configuration_rejected"))
-    assert fleet.wait(fleet.ask("ga", far[0], "t2")).status == 200
+    assert fleet.wait(fleet.ask("ga", far_models[0], "t2")).status == 200
     assert fleet.wait(fleet.ask("gc", fleet.homed("order", "a1"), "t3")).status == 200
     assert fleet.came("t3")[0].startswith("a1-")
 
 
-def test_an_operators_every_question_has_an_answer(cells):
+def test_every_table_at_the_operators_address_has_an_answer(cells):
     fleet = cells({"a1": ("a1", ("ga",)), "b1": ("b1", ())})
     fleet.write_table()
     fleet.start("ga", "a1")
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -1,4 +1,4 @@
-"""A whole path on loopback sockets: clients, a gateway, stand-in hosts. What clients send and get."""
+"""Clients, a gateway and stand-in hosts on loopback sockets: what clients send and receive."""
 
 import json
 import random
@@ -13,7 +13,7 @@
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise, Stream
 
-TRITON = """
+TRITON_CLIENT = """
 import sys, numpy, tritonclient.http as http
 client = http.InferenceServerClient(sys.argv[1])
 assert client.is_server_live() and client.is_server_ready() and client.is_model_ready("lamp")
@@ -34,50 +34,50 @@
 
 
 def test_an_unmodified_kserve_client_reaches_a_host(rig):
-    made = rig()
-    where = made.gate.fronts[0].address
+    testbed = rig()
+    where = testbed.gate.fronts[0].address
     client = subprocess.Popen(
-        [sys.executable, "-c", TRITON, where], stdout=subprocess.PIPE, stderr=subprocess.STDOUT
+        [sys.executable, "-c", TRITON_CLIENT, where], stdout=subprocess.PIPE, stderr=subprocess.STDOUT
     )
-    made.until(lambda: client.poll() is not None, 60)
+    testbed.until(lambda: client.poll() is not None, 60)
     assert client.stdout.read().decode() == "well\n"
     client.stdout.close()
-    assert len(made.seen("task", id="from-triton")) == 1
+    assert len(testbed.seen("task", id="from-triton")) == 1
 
 
-def test_an_answer_passes_as_it_came_and_names_its_outcome(rig):
-    made = rig()
-    answer = made.wait(made.ask(name="x1"))
+def test_an_answer_reaches_the_client_unchanged_and_names_its_outcome(rig):
+    testbed = rig()
+    answer = testbed.wait(testbed.ask(name="x1"))
     assert answer.status == 200
     assert outcome(answer) == "delivered"
     assert json.loads(answer.body)["id"] == "x1"
     assert answer.headers[b"gaproute-relays"] == b"1"
 
 
-def test_binary_bodies_pass_byte_for_byte(rig):
-    made, seen = rig(hosts=1), []
-    host = made.hosts[0]
+def test_binary_bodies_reach_the_host_unchanged(rig):
+    testbed, received = rig(hosts=1), []
+    host = testbed.hosts[0]
     handle = host.server.handle
-    host.server.handle = lambda request: (seen.append(request), handle(request))
+    host.server.handle = lambda request: (received.append(request), handle(request))
     head = b'{"id":"b"}'
     body = head + bytes(range(256)) * 40
-    made.wait(
-        made.ask(
+    testbed.wait(
+        testbed.ask(
             body=body,
             fields=f"Inference-Header-Content-Length: {len(head)}\r\n"
             "Content-Type: application/octet-stream\r\n",
         )
     )
-    infer = [request for request in seen if request.target.endswith(b"/infer")][0]
+    infer = [request for request in received if request.target.endswith(b"/infer")][0]
     assert infer.body == body
     assert infer.headers[b"inference-header-content-length"] == b"10"
     assert infer.headers[b"content-type"] == b"application/octet-stream"
 
 
-def test_health_and_metadata_have_the_published_form(rig):
-    made = rig()
+def test_health_and_metadata_have_the_published_format(rig):
+    testbed = rig()
     answers = {
-        path: made.wait(made.get(path))
+        path: testbed.wait(testbed.get(path))
         for path in (
             "/v2",
             "/v2/health/live",
@@ -88,13 +88,13 @@
     }
     assert all(answer.status == 200 for answer in answers.values())
     assert json.loads(answers["/v2"].body)["extensions"] == ["binary_tensor_data"]
-    made.relist()
-    made.until(lambda: made.wait(made.get("/v2/health/ready")).status == 503)
-    assert made.wait(made.get("/v2/health/live")).status == 200
+    testbed.relist()
+    testbed.until(lambda: testbed.wait(testbed.get("/v2/health/ready")).status == 503)
+    assert testbed.wait(testbed.get("/v2/health/live")).status == 200
 
 
 @pytest.mark.parametrize(
-    ("call", "status"),
+    ("request_fields", "status"),
     [
         ({"path": "/v2/models/none/infer"}, 404),
         ({"path": "/v2/models/lamp/versions/9/infer"}, 404),
@@ -106,88 +106,93 @@
         ({"fields": "Inference-Header-Content-Length: 99999\r\n"}, 400),
     ],
 )
-def test_what_cannot_be_served_is_a_clear_error_object(rig, call, status):
-    made = rig()
-    answer = made.wait(made.ask(**call))
+def test_an_invalid_request_gets_an_error_object_and_reaches_no_host(rig, request_fields, status):
+    testbed = rig()
+    answer = testbed.wait(testbed.ask(**request_fields))
     assert answer.status == status
     assert json.loads(answer.body)["error"]
-    assert not made.seen("task")
+    assert not testbed.seen("task")
 
 
-def test_a_client_shortens_its_limit_and_never_lengthens_it(rig):
-    made = rig(hosts=2)
-    for host in made.hosts:
+def test_a_client_can_shorten_its_time_limit_but_not_extend_it(rig):
+    testbed = rig(hosts=2)
+    for host in testbed.hosts:
         host.command({"trouble": "hang"})
     times = {}
     for limit_ms in (300, 99999):
-        begun = made.loop.now()
-        answer = made.wait(made.ask("crew", f"l{limit_ms}", fields=f"Gaproute-Limit-Ms: {limit_ms}\r\n"))
-        times[limit_ms] = (made.loop.now() - begun) / MILLI
+        started_at = testbed.loop.now()
+        answer = testbed.wait(
+            testbed.ask("crew", f"l{limit_ms}", fields=f"Gaproute-Limit-Ms: {limit_ms}\r\n")
+        )
+        times[limit_ms] = (testbed.loop.now() - started_at) / MILLI
         assert outcome(answer) == "scrapped"
     assert times[300] < 300
     assert 1000 < times[99999] < 1200
 
 
-def test_a_client_that_leaves_ends_its_task_at_once(rig):
-    made = rig(hosts=2)
-    for host in made.hosts:
+def test_a_request_ends_at_once_when_its_client_leaves(rig):
+    testbed = rig(hosts=2)
+    for host in testbed.hosts:
         host.command({"trouble": "hang"})
-    made.ask("lamp", "gone")
-    made.until(lambda: made.seen("task", id="gone"))
-    made.last.cancel()
-    made.until(lambda: not made.gate.core.in_flight)
-    sent = len(made.seen("task", id="gone"))
-    made.rest(300 * MILLI)
-    assert len(made.seen("task", id="gone")) == sent == 1
-    assert made.gate.record.counts["client_left", "check"] == 1
-
-
-def test_stopping_answers_what_is_held_and_takes_nothing_new(rig):
-    made = rig(hosts=1)
-    made.hosts[0].command({"trouble": "slow", "factor": 40})
-    asked = made.ask("lamp", "held")
-    made.until(lambda: made.seen("task", id="held"))
-    made.gate.stop()
-    refused = Promise()
+    testbed.ask("lamp", "gone")
+    testbed.until(lambda: testbed.seen("task", id="gone"))
+    testbed.last.cancel()
+    testbed.until(lambda: not testbed.gate.core.in_flight)
+    attempt_count = len(testbed.seen("task", id="gone"))
+    testbed.rest(300 * MILLI)
+    assert len(testbed.seen("task", id="gone")) == attempt_count == 1
+    assert testbed.gate.record.counts["client_left", "check"] == 1
+
+
+def test_a_stopping_gateway_answers_requests_in_flight_and_accepts_no_new_connection(rig):
+    testbed = rig(hosts=1)
+    testbed.hosts[0].command({"trouble": "slow", "factor": 40})
+    answer_promise = testbed.ask("lamp", "held")
+    testbed.until(lambda: testbed.seen("task", id="held"))
+    testbed.gate.stop()
+    connect_error = Promise()
     Exchange(
-        made.loop, b"GET /v2 HTTP/1.1\r\nHost: g\r\n\r\n", lambda answer, fault: refused.set(fault)
-    ).connect(made.at, SECOND, 65536, 1 << 20)
-    assert not made.wait(refused).connected
-    assert outcome(made.wait(asked)) == "delivered"
-    made.loop.run()  # the loop ends by itself
-    assert not made.gate.core.in_flight
-
-
-def test_floods_of_unknown_models_and_noise_leave_others_unharmed(rig):
-    made, chance = rig(hosts=1), random.Random(4)
-    functions = len(made.gate.core.gateway.functions_by_name)
-    lines = b"".join(
+        testbed.loop, b"GET /v2 HTTP/1.1\r\nHost: g\r\n\r\n", lambda answer, fault: connect_error.set(fault)
+    ).connect(testbed.at, SECOND, 65536, 1 << 20)
+    assert not testbed.wait(connect_error).connected
+    assert outcome(testbed.wait(answer_promise)) == "delivered"
+    testbed.loop.run()  # returns when the shutdown ends the loop
+    assert not testbed.gate.core.in_flight
+
+
+def test_floods_of_unknown_models_and_random_bytes_do_not_affect_other_clients(rig):
+    testbed, random_source = rig(hosts=1), random.Random(4)
+    function_count = len(testbed.gate.core.gateway.functions_by_name)
+    requests = b"".join(
         b"POST /v2/models/x%d/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 0\r\n\r\n" % number
         for number in range(10_000)
     )
-    done, count, tail = Promise(), 0, b""
+    all_answered, count, tail = Promise(), 0, b""
 
-    def came(data):
+    def on_data(data):
         nonlocal count, tail
-        count, tail = count + (tail + data).count(b" 404 "), data[-4:]  # one may lie across two reads
+        count, tail = (
+            count + (tail + data).count(b" 404 "),
+            data[-4:],
+        )  # a status may be split across two reads
         if count == 10_000:
-            done.set()
+            all_answered.set()
 
     flood = Stream(
-        made.loop,
-        socket.create_connection(made.at[1]),
-        came,
-        lambda error: done.fail(AssertionError("the connection ended")),
+        testbed.loop,
+        socket.create_connection(testbed.at[1]),
+        on_data,
+        lambda error: all_answered.fail(AssertionError("the connection ended")),
     )
     flood.sock.setblocking(False)
-    flood.write(lines)
+    flood.write(requests)
     for _ in range(200):
-        noise = socket.create_connection(made.at[1])
-        noise.sendall(bytes(chance.randrange(256) for _ in range(chance.randrange(1, 200))))
+        noise = socket.create_connection(testbed.at[1])
+        noise.sendall(bytes(random_source.randrange(256) for _ in range(random_source.randrange(1, 200))))
         noise.close()
-    assert outcome(made.wait(made.ask())) == "delivered"
-    made.wait(done)
+    assert outcome(testbed.wait(testbed.ask())) == "delivered"
+    testbed.wait(all_answered)
     flood.close()
-    made.until(lambda: made.gate.fronts[0].server.connection_count <= 1)
-    assert len(made.gate.core.gateway.functions_by_name) == functions + 1
-    assert not made.loop.errors
+    testbed.until(lambda: testbed.gate.fronts[0].server.connection_count <= 1)
+    assert len(testbed.gate.core.gateway.functions_by_name) == function_count + 1
+    assert not testbed.loop.errors
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases through whole gateways: the configuration's lines, the operators' address, members that die."""
+"""Leases in whole gateways: configuration lines, the operators' address, and members that fail."""
 
 import json
 import time
@@ -11,13 +11,13 @@
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.operator_requests import OperatorCommand, OperatorRequests
 
-MAX_DURATION = 300  # ms of a lease here, so that the initial wait is short
+MAX_DURATION = 300  # ms, of a lease; short, as gateways first wait for that time
 
 
 def mistakes(*lines):
-    with pytest.raises(ConfigurationError) as wrong:
+    with pytest.raises(ConfigurationError) as raised:
         read_configuration("f", CONFIGURATION + "host h 127.0.0.1:9\n" + "\n".join(lines) + "\n")
-    return [str(mistake) for mistake in wrong.value.mistakes]
+    return [str(mistake) for mistake in raised.value.mistakes]
 
 
 PEERS = ("listen peers 127.0.0.1:0", "peer h 127.0.0.1:1", "peer i 127.0.0.1:2")
@@ -34,15 +34,15 @@
         ((*PEERS, "keepers g,h,i votes /tmp/v longest 2h"), "longest"),
     ],
 )
-def test_lines_that_contradict_each_other_are_named(lines, mistake):
+def test_contradictory_lines_are_reported_as_mistakes(lines, mistake):
     assert any(mistake in text for text in mistakes(*lines)), mistakes(*lines)
 
 
-class Site:
-    def __init__(self, fleet, folder):
-        (self.made, self.start), self.folder, self.gates = fleet, folder, {}
+class LeaseFleet:
+    def __init__(self, steady_fleet, folder):
+        (self.testbed, self.start), self.folder, self.gates = steady_fleet, folder, {}
 
-    def up(self, name):
+    def start_gateway(self, name):
         lines = [
             f"listen peers unix:{self.folder}/{name}",
             "listen operator 127.0.0.1:0",
@@ -52,14 +52,14 @@
         lines += [f"peer {other} unix:{self.folder}/{other}" for other in "abcd" if other != name]
         self.gates[name] = self.start(name, *lines, listen=False)
 
-    def down(self, name):
+    def stop_gateway(self, name):
         self.gates.pop(name).close()
 
-    def ask(self, name, **command):
-        """(status, answer) of one command at that gateway's operators' address."""
+    def command(self, name, **command):
+        """(status, decoded answer) of a command at the operators' address of a gateway."""
         front = next(front for front in self.gates[name].fronts if type(front).__name__ == "OperatorFront")
-        self.made.at = parse_address(front.address)
-        answer = self.made.wait(self.made.ask(path="/permits", body=json.dumps(command).encode()))
+        self.testbed.at = parse_address(front.address)
+        answer = self.testbed.wait(self.testbed.ask(path="/permits", body=json.dumps(command).encode()))
         return answer.status, json.loads(answer.body)
 
     def request(self, name, number):
@@ -71,79 +71,83 @@
         def leaders():
             return [name for name in "abc" if self.gates[name].peers.leases.hosted_node.node.is_leader]
 
-        self.made.until(leaders)
+        self.testbed.until(leaders)
         return leaders()[0]
 
-    def held(self, name, resource, for_ms=20_000):
-        """Acquires it, again where it is rejected, until it is held."""
+    def acquire(self, name, resource, for_ms=20_000):
+        """Requests a lease of the resource until one is held; returns its row in the lease table."""
 
-        def one():
-            number = self.ask(name, take=resource, span_ms=MAX_DURATION, for_ms=for_ms)[1]["errand"]
-            self.made.until(lambda: self.request(name, number)["state"] != "asked")
+        def request_lease():
+            number = self.command(name, take=resource, span_ms=MAX_DURATION, for_ms=for_ms)[1]["errand"]
+            self.testbed.until(lambda: self.request(name, number)["state"] != "asked")
             return self.request(name, number)
 
-        request = one()
+        request = request_lease()
         while request["state"] == "refused":
-            request = one()
+            request = request_lease()
         return request
 
 
 @pytest.fixture
-def site(steady_fleet, tmp_path):
-    made = Site(steady_fleet, tmp_path)
+def lease_fleet(steady_fleet, tmp_path):
+    lease_fleet = LeaseFleet(steady_fleet, tmp_path)
     for name in "abcd":
-        made.up(name)
-    return made
+        lease_fleet.start_gateway(name)
+    return lease_fleet
 
 
-def test_a_crew_acquires_a_lease_that_nobody_else_gets_and_releases_it(site):
-    for after in range(0, MAX_DURATION, 50):  # the machine stalls: to the gateways that is no time
-        site.made.loop.call_later(after * MILLI, time.sleep, 1.2 * MAX_DURATION / 1000)
-    one = site.held("d", "out h0", for_ms=5000)
+def test_a_lease_excludes_other_requesters_until_it_is_released(lease_fleet):
+    # The machine stalls; the clock of the gateways stands still meanwhile
+    for after in range(0, MAX_DURATION, 50):
+        lease_fleet.testbed.loop.call_later(after * MILLI, time.sleep, 1.2 * MAX_DURATION / 1000)
+    lease = lease_fleet.acquire("d", "out h0", for_ms=5000)
     time.sleep(2 * MAX_DURATION / 1000)
-    assert one["state"] == "held"
-    assert one["fence"] > 0
-    number = site.ask("a", take="out h0", span_ms=MAX_DURATION)[1]["errand"]
-    site.made.until(lambda: site.request("a", number)["state"] != "asked")
-    assert (site.request("a", number)["state"], site.request("a", number)["why"]) == ("refused", "taken")
-    assert site.ask("d", give=one["errand"])[1]["state"] == "given"
-    assert site.held("a", "out h0")["fence"] > one["fence"]
-
-
-def test_a_lease_outlives_its_leader_and_ends_when_nobody_extends_it(site):
-    one = site.held("d", "out h1", for_ms=5000)
-    leader = site.leader()
-    site.down(leader)
-    site.ask("d", keep=one["errand"], for_ms=6000)
-    site.made.until(lambda: site.request("d", one["errand"])["state"] != "held")
-    site.up(leader)
+    assert lease["state"] == "held"
+    assert lease["fence"] > 0
+    number = lease_fleet.command("a", take="out h0", span_ms=MAX_DURATION)[1]["errand"]
+    lease_fleet.testbed.until(lambda: lease_fleet.request("a", number)["state"] != "asked")
+    assert (lease_fleet.request("a", number)["state"], lease_fleet.request("a", number)["why"]) == (
+        "refused",
+        "taken",
+    )
+    assert lease_fleet.command("d", give=lease["errand"])[1]["state"] == "given"
+    assert lease_fleet.acquire("a", "out h0")["fence"] > lease["fence"]
+
+
+def test_a_lease_outlives_its_leader_and_expires_without_an_extension(lease_fleet):
+    lease = lease_fleet.acquire("d", "out h1", for_ms=5000)
+    leader = lease_fleet.leader()
+    lease_fleet.stop_gateway(leader)
+    lease_fleet.command("d", keep=lease["errand"], for_ms=6000)
+    lease_fleet.testbed.until(lambda: lease_fleet.request("d", lease["errand"])["state"] != "held")
+    lease_fleet.start_gateway(leader)
     other = next(name for name in "abc" if name != leader)
-    assert site.held(other, "out h1")["fence"] > one["fence"]
-
-
-def test_no_lease_is_granted_without_a_majority_and_requests_are_served_all_the_same(site):
-    site.held("d", "out h2")
-    site.down("a")
-    site.down("b")
-    number = site.ask("d", take="out h3", span_ms=MAX_DURATION)[1]["errand"]
-    site.made.at = parse_address(site.gates["d"].fronts[0].address)
-    assert site.made.wait(site.made.ask("lamp", "w1")).status == 200
-    site.made.rest(2 * MAX_DURATION * MILLI)
-    assert site.request("d", number)["state"] in ("asked", "given")
-    assert not site.request("d", number)["fence"]
-
-
-def test_a_gateway_that_restarts_does_not_give_a_requests_number_again(site):
-    before = site.held("d", "out h4")
-    site.down("d")
-    site.up("d")
-    after = site.ask("d", take="out h5", span_ms=MAX_DURATION)[1]
+    assert lease_fleet.acquire(other, "out h1")["fence"] > lease["fence"]
+
+
+def test_without_a_quorum_no_lease_is_granted_and_client_requests_are_served(lease_fleet):
+    lease_fleet.acquire("d", "out h2")
+    lease_fleet.stop_gateway("a")
+    lease_fleet.stop_gateway("b")
+    number = lease_fleet.command("d", take="out h3", span_ms=MAX_DURATION)[1]["errand"]
+    lease_fleet.testbed.at = parse_address(lease_fleet.gates["d"].fronts[0].address)
+    assert lease_fleet.testbed.wait(lease_fleet.testbed.ask("lamp", "w1")).status == 200
+    lease_fleet.testbed.rest(2 * MAX_DURATION * MILLI)
+    assert lease_fleet.request("d", number)["state"] in ("asked", "given")
+    assert not lease_fleet.request("d", number)["fence"]
+
+
+def test_a_restarted_gateway_does_not_reuse_a_request_number(lease_fleet):
+    before = lease_fleet.acquire("d", "out h4")
+    lease_fleet.stop_gateway("d")
+    lease_fleet.start_gateway("d")
+    after = lease_fleet.command("d", take="out h5", span_ms=MAX_DURATION)[1]
     assert abs(after["errand"] - before["errand"]) > 1
-    assert site.ask("d", keep=before["errand"])[0] == 400
+    assert lease_fleet.command("d", keep=before["errand"])[0] == 400
 
 
 @pytest.mark.parametrize(
-    ("command", "why"),
+    ("command", "error"),
     [
         ({}, "one of take"),
         ({"take": "x", "give": 1}, "one of take"),
@@ -154,18 +158,18 @@
         ({"wish": 1}, "unknown field"),
     ],
 )
-def test_a_command_that_cannot_be_carried_out_is_rejected_by_name(site, command, why):
-    status, answer = site.ask("d", **command)
+def test_an_invalid_command_is_rejected_with_its_error(lease_fleet, command, error):
+    status, answer = lease_fleet.command("d", **command)
     assert status == 400
-    assert why in answer["error"] or "Expected" in answer["error"]
+    assert error in answer["error"] or "Expected" in answer["error"]
 
 
-def test_a_request_that_nobody_extends_is_released_and_then_forgotten():
-    class Once:
-        def below(self, n):
+def test_a_lease_request_without_an_extension_is_released_and_then_forgotten():
+    class FixedRandomSource:
+        def below(self, bound):
             return 0
 
-    requests = OperatorRequests(LeaseClient("g", ["k"], Once(), 0))
+    requests = OperatorRequests(LeaseClient("g", ["k"], FixedRandomSource(), 0))
     number = requests.execute(0, OperatorCommand(acquire="x", span_ms=1000))["errand"]
     requests.execute(900 * MILLI, OperatorCommand(extend=number))
     requests.tick(SECOND)
--- a/tests/appliance/test_legacy_names.py
+++ b/tests/appliance/test_legacy_names.py
@@ -1,4 +1,4 @@
-"""What the operators' address keeps of older names, whatever the code and the log call it."""
+"""The operators' address keeps the first names of counters and events, whatever the code calls them."""
 
 from types import SimpleNamespace
 
@@ -20,8 +20,8 @@
     record.count_request(0)
     record.count_client_left(0)
     record.count_load_order("h")
-    for ending in FinalResult:
-        record.count_final_answer(0, ending)
+    for result in FinalResult:
+        record.count_final_answer(0, result)
     counts = legacy_counts(record.counts)
     assert counts == {
         "taken": {"check": 1},
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -1,4 +1,4 @@
-"""The gateway's process under its own configuration, its parent and its files while system calls fail."""
+"""The gateway process, its parent and its files while system calls fail."""
 
 import errno
 import io
@@ -27,26 +27,26 @@
 from gaproute.telemetry.logs import logger
 
 MILLI = 1_000_000
-SHORT = [errno.EMFILE, errno.ENFILE, errno.ENOMEM]
+SHORT_OF_RESOURCES = [errno.EMFILE, errno.ENFILE, errno.ENOMEM]
 
 
-class Log:
-    """Keeps what is logged."""
+class RecordedLog:
+    """Records level and event of each log line."""
 
     def __init__(self):
         self.lines = []
 
     def __getattr__(self, level):
-        return lambda what, **fields: self.lines.append((level, what))
+        return lambda event, **fields: self.lines.append((level, event))
 
 
 @pytest.fixture
 def loop():
     before = open_descriptors()
-    made = Loop()
-    yield made
-    assert not made.watched
-    made.close()
+    new_loop = Loop()
+    yield new_loop
+    assert not new_loop.watched
+    new_loop.close()
     assert open_descriptors() == before
 
 
@@ -58,12 +58,14 @@
     [(os, "pipe2", 0), (os, "pipe2", 1), (subprocess, "Popen", 0), (os, "pidfd_open", 0)],
     ids=["first pipe", "second pipe", "process", "pidfd"],
 )
-def test_a_child_that_cannot_be_started_leaves_no_descriptor_and_no_process(
+def test_a_failed_start_of_a_child_leaves_no_descriptor_and_no_process(
     loop, monkeypatch, module, name, calls
 ):
-    begun, popen = [], subprocess.Popen
+    started_processes, popen = [], subprocess.Popen
     monkeypatch.setattr(
-        subprocess, "Popen", lambda *args, **options: begun.append(popen(*args, **options)) or begun[-1]
+        subprocess,
+        "Popen",
+        lambda *args, **options: started_processes.append(popen(*args, **options)) or started_processes[-1],
     )
     monkeypatch.setattr(module, name, Failing(getattr(module, name), *[None] * calls, errno.EMFILE))
     before = open_descriptors()
@@ -72,19 +74,19 @@
     assert raised.value.errno == errno.EMFILE
     assert open_descriptors() == before
     assert not loop.watched
-    assert all(process.returncode is not None for process in begun)
+    assert all(process.returncode is not None for process in started_processes)
 
 
 class FakeChild:
-    """Stands for a child that serves at once."""
+    """A stand-in for `ChildProcess` that serves at once; `start_call` is called at each start."""
 
-    failing = None
+    start_call = None
 
     def __init__(self, loop, command, descriptors):
         from gaproute.loop import Promise
 
-        if FakeChild.failing is not None:
-            FakeChild.failing()
+        if FakeChild.start_call is not None:
+            FakeChild.start_call()
         self.started_at, self.ready, self.ended = loop.now(), Promise(), Promise()
         self.ready.set(True)
 
@@ -93,166 +95,166 @@
 
 
 @pytest.fixture
-def family(monkeypatch, tmp_path):
-    """A parent of two stand-in children on a loop that waits for nothing."""
+def parent(monkeypatch, tmp_path):
+    """A parent of two stand-in children, on a stepped clock."""
     monkeypatch.setattr(child_processes, "ChildProcess", FakeChild)
-    monkeypatch.setattr(FakeChild, "failing", None)
+    monkeypatch.setattr(FakeChild, "start_call", None)
     file = tmp_path / "g.conf"
     file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\n")
-    made = Parent(str(file), read_configuration(file), 2, 1, Loop(SteppedClock(now=SECOND)), Log())
-    made.text = file
-    made.start()
-    yield made
+    parent = Parent(str(file), read_configuration(file), 2, 1, Loop(SteppedClock(now=SECOND)), RecordedLog())
+    parent.test_file = file
+    parent.start()
+    yield parent
     signal.set_wakeup_fd(-1)
     for number in (signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.SIG_DFL)
     signal.signal(signal.SIGINT, signal.default_int_handler)
-    for sock in made.listeners.by_address.values():
+    for sock in parent.listeners.by_address.values():
         sock.close()
-    made.loop.close()
+    parent.loop.close()
 
 
-def test_a_child_that_cannot_be_started_again_at_once_is_started_later(family):
-    FakeChild.failing = failing = Failing(lambda: None, *[errno.EAGAIN] * 3)
-    family.children.by_slot[0].ended.set(1)
-    family.loop.run(until=family.loop.sleep(60 * SECOND))
-    assert failing.failed == 3
-    assert sorted(family.children.by_slot) == [0, 1]
-    assert not family.loop.errors
-    assert family.log.lines.count(("warning", "child_start_failed")) == 3
+def test_a_failed_restart_of_a_child_is_retried(parent):
+    FakeChild.start_call = failing_start = Failing(lambda: None, *[errno.EAGAIN] * 3)
+    parent.children.by_slot[0].ended.set(1)
+    parent.loop.run(until=parent.loop.sleep(60 * SECOND))
+    assert failing_start.failed == 3
+    assert sorted(parent.children.by_slot) == [0, 1]
+    assert not parent.loop.errors
+    assert parent.log.lines.count(("warning", "child_start_failed")) == 3
 
 
-def test_a_rolling_reload_goes_on_though_a_child_cannot_be_started_at_once(family):
-    before = set(family.children.by_slot.values())
-    FakeChild.failing = failing = Failing(lambda: None, *[errno.EMFILE] * 3)
-    family.reloads.reload()
-    family.loop.run(until=family.loop.sleep(10 * SECOND))
-    assert failing.failed == 3
-    assert not family.reloads.rolling
-    assert not family.loop.errors
-    assert len(family.children.by_slot) == 2
-    assert not before & set(family.children.by_slot.values())
+def test_a_rolling_reload_retries_the_failed_start_of_a_child(parent):
+    before = set(parent.children.by_slot.values())
+    FakeChild.start_call = failing_start = Failing(lambda: None, *[errno.EMFILE] * 3)
+    parent.reloads.reload()
+    parent.loop.run(until=parent.loop.sleep(10 * SECOND))
+    assert failing_start.failed == 3
+    assert not parent.reloads.rolling
+    assert not parent.loop.errors
+    assert len(parent.children.by_slot) == 2
+    assert not before & set(parent.children.by_slot.values())
 
 
-def test_a_rolling_reload_whose_children_cannot_be_started_is_given_up_and_the_next_one_goes_on(
-    family,
+def test_a_rolling_reload_is_abandoned_after_all_start_attempts_and_the_next_one_succeeds(
+    parent,
 ):
-    before = set(family.children.by_slot.values())
-    FakeChild.failing = Failing(lambda: None, *[errno.EMFILE] * MAX_START_ATTEMPTS)
-    family.reloads.reload()
-    family.loop.run(until=family.loop.sleep(20 * SECOND))
-    assert set(family.children.by_slot.values()) == before
-    assert not family.reloads.rolling
-    assert not family.loop.errors
-    family.reloads.reload()
-    family.loop.run(until=family.loop.sleep(20 * SECOND))
-    assert not before & set(family.children.by_slot.values())
-
-
-@pytest.mark.parametrize("code", [*SHORT, errno.EINTR, errno.EIO])
-def test_a_new_configuration_that_cannot_be_read_at_once_is_read_later(family, monkeypatch, code):
-    before = set(family.children.by_slot.values())
-    failing = Failing(pathlib.Path.read_text, code, code)
-    monkeypatch.setattr(pathlib.Path, "read_text", lambda path: failing(path))
-    family.reloads.reload()
-    family.loop.run(until=family.loop.sleep(SECOND))
-    assert failing.failed == 2
-    assert not before & set(family.children.by_slot.values())
-    assert ("error", "configuration_rejected") not in family.log.lines
-    assert family.reloads.retry_timer is None
-
-
-def test_a_new_configuration_that_is_wrong_is_refused_at_once(family):
-    family.text.write_text("nonsense\n")
-    family.reloads.reload()
-    assert ("error", "configuration_rejected") in family.log.lines
-    assert family.reloads.retry_timer is None
-
-
-@pytest.mark.parametrize("code", [*SHORT, errno.ENOBUFS, errno.EADDRINUSE])
-def test_a_new_address_that_cannot_be_had_at_once_is_had_later(family, monkeypatch, code):
-    before = dict(family.listeners.by_address)
+    before = set(parent.children.by_slot.values())
+    FakeChild.start_call = Failing(lambda: None, *[errno.EMFILE] * MAX_START_ATTEMPTS)
+    parent.reloads.reload()
+    parent.loop.run(until=parent.loop.sleep(20 * SECOND))
+    assert set(parent.children.by_slot.values()) == before
+    assert not parent.reloads.rolling
+    assert not parent.loop.errors
+    parent.reloads.reload()
+    parent.loop.run(until=parent.loop.sleep(20 * SECOND))
+    assert not before & set(parent.children.by_slot.values())
+
+
+@pytest.mark.parametrize("code", [*SHORT_OF_RESOURCES, errno.EINTR, errno.EIO])
+def test_a_failed_read_of_a_new_configuration_is_retried(parent, monkeypatch, code):
+    before = set(parent.children.by_slot.values())
+    failing_read = Failing(pathlib.Path.read_text, code, code)
+    monkeypatch.setattr(pathlib.Path, "read_text", lambda path: failing_read(path))
+    parent.reloads.reload()
+    parent.loop.run(until=parent.loop.sleep(SECOND))
+    assert failing_read.failed == 2
+    assert not before & set(parent.children.by_slot.values())
+    assert ("error", "configuration_rejected") not in parent.log.lines
+    assert parent.reloads.retry_timer is None
+
+
+def test_an_invalid_new_configuration_is_rejected_at_once(parent):
+    parent.test_file.write_text("nonsense\n")
+    parent.reloads.reload()
+    assert ("error", "configuration_rejected") in parent.log.lines
+    assert parent.reloads.retry_timer is None
+
+
+@pytest.mark.parametrize("code", [*SHORT_OF_RESOURCES, errno.ENOBUFS, errno.EADDRINUSE])
+def test_a_transient_failure_to_listen_on_a_new_address_is_retried(parent, monkeypatch, code):
+    before = dict(parent.listeners.by_address)
     monkeypatch.setattr(
         listening_sockets, "open_listening_socket", Failing(listening.open_listening_socket, code, code)
     )
-    family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 127.0.0.2:0\n")
-    family.reloads.reload()
-    assert family.listeners.by_address == before
-    family.loop.run(until=family.loop.sleep(SECOND))
-    assert len(family.listeners.by_address) == 2
-    assert not family.reloads.rolling
-
-
-def test_a_new_address_that_cannot_be_had_at_all_is_refused_soon_and_nothing_changes(family):
-    before, children = dict(family.listeners.by_address), dict(family.children.by_slot)
-    family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 192.0.2.1:80\n")
-    family.reloads.reload()
-    family.loop.run(until=family.loop.sleep(3 * SECOND))
-    assert family.log.lines.count(("error", "configuration_rejected")) == 1
-    assert family.listeners.by_address == before
-    assert family.children.by_slot == children
-
-
-def test_the_start_of_a_parent_may_be_called_again(monkeypatch, family):
-    del family.children.by_slot[1]
-    FakeChild.failing = Failing(lambda: None, errno.EAGAIN, None)
-    first = family.children.by_slot[0]
+    parent.test_file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 127.0.0.2:0\n")
+    parent.reloads.reload()
+    assert parent.listeners.by_address == before
+    parent.loop.run(until=parent.loop.sleep(SECOND))
+    assert len(parent.listeners.by_address) == 2
+    assert not parent.reloads.rolling
+
+
+def test_a_configuration_with_an_unavailable_address_is_rejected_soon_and_changes_nothing(parent):
+    before, children = dict(parent.listeners.by_address), dict(parent.children.by_slot)
+    parent.test_file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 192.0.2.1:80\n")
+    parent.reloads.reload()
+    parent.loop.run(until=parent.loop.sleep(3 * SECOND))
+    assert parent.log.lines.count(("error", "configuration_rejected")) == 1
+    assert parent.listeners.by_address == before
+    assert parent.children.by_slot == children
+
+
+def test_the_start_of_a_parent_can_be_repeated_after_a_failure(monkeypatch, parent):
+    del parent.children.by_slot[1]
+    FakeChild.start_call = Failing(lambda: None, errno.EAGAIN, None)
+    first = parent.children.by_slot[0]
     with pytest.raises(OSError, match=os.strerror(errno.EAGAIN)):
-        family.start()
-    family.start()
-    assert sorted(family.children.by_slot) == [0, 1]
-    assert family.children.by_slot[0] is first
+        parent.start()
+    parent.start()
+    assert sorted(parent.children.by_slot) == [0, 1]
+    assert parent.children.by_slot[0] is first
 
 
 # One gateway
 
 
 @pytest.mark.parametrize("place", range(6))
-def test_a_gateway_whose_listeners_cannot_be_had_starts_at_the_next_try(tmp_path, monkeypatch, place):
+def test_a_gateway_starts_at_the_second_call_after_a_listener_failed(tmp_path, monkeypatch, place):
     before = open_descriptors()
     text = (
         f"{CONFIGURATION}host a 127.0.0.1:1\nlisten peers 127.0.0.1:0\nlisten operator unix:{tmp_path}/op\n"
         "listen kserve 127.0.0.1:0\n"
     )
-    made = Appliance(read_configuration("g", text), Loop(), 5, logger(io.StringIO()))
+    appliance = Appliance(read_configuration("g", text), Loop(), 5, logger(io.StringIO()))
     failing = Failing(socket.socket, *[None] * place, errno.ENFILE)
     with monkeypatch.context() as patched:
         patched.setattr(socket, "socket", failing)
-        failed = None  # where a start makes fewer sockets than `place`
+        failed = None  # stays None if the start makes no more than `place` sockets
         try:
-            made.start()
+            appliance.start()
         except OSError as error:
             failed = error
         if failed is not None:
             assert failed.errno == errno.ENFILE
-            assert not made.fronts
-            assert not made.loop.watched
-            made.start()
-    assert len(made.fronts) == 4
-    assert len(made.client_fronts) == 2
-    made.close()
-    assert not made.loop.watched
-    made.loop.close()
+            assert not appliance.fronts
+            assert not appliance.loop.watched
+            appliance.start()
+    assert len(appliance.fronts) == 4
+    assert len(appliance.client_fronts) == 2
+    appliance.close()
+    assert not appliance.loop.watched
+    appliance.loop.close()
     assert open_descriptors() == before
 
 
 @pytest.fixture
 def serve(monkeypatch, tmp_path):
-    """Runs `gaproute serve` up to the loop, with waits that take no time."""
+    """Returns a function that runs `gaproute serve` up to the loop and records delays in place of waits."""
     file, waits = tmp_path / "g.conf", []
     file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\n")
-    made = []
+    appliances = []
 
-    def patience():
+    def make_retries():
         return StartupRetries(sleep=waits.append)
 
     def run(*options):
         result = CliRunner().invoke(serving.serve, [str(file), *options])
-        result.waits, result.made = waits, made
+        result.waits, result.appliances = waits, appliances
         return result
 
-    monkeypatch.setattr(serving, "StartupRetries", patience)
-    monkeypatch.setattr(Appliance, "run", lambda runs: made.append(runs))
+    monkeypatch.setattr(serving, "StartupRetries", make_retries)
+    monkeypatch.setattr(Appliance, "run", lambda appliance: appliances.append(appliance))
     monkeypatch.setattr(serving.gc, "freeze", lambda: None)
     monkeypatch.setattr(serving.gc, "set_threshold", lambda *_: None)
     yield run
@@ -260,13 +262,13 @@
     for number in (signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.SIG_DFL)
     signal.signal(signal.SIGINT, signal.default_int_handler)
-    for each in made:
-        each.close()
-        each.loop.close()
+    for appliance in appliances:
+        appliance.close()
+        appliance.loop.close()
 
 
-@pytest.mark.parametrize("code", SHORT)
-def test_a_gateway_starts_though_each_step_fails_at_first(serve, monkeypatch, code):
+@pytest.mark.parametrize("code", SHORT_OF_RESOURCES)
+def test_a_gateway_starts_although_each_step_fails_at_first(serve, monkeypatch, code):
     read = Failing(pathlib.Path.read_text, code)
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: read(path))
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, code, code))
@@ -276,82 +278,88 @@
     )
     result = serve()
     assert result.exit_code == 0, result.output
-    assert len(result.made) == 1, result.output
+    assert len(result.appliances) == 1, result.output
     assert len(result.waits) == 6, result.output
 
 
-def test_a_gateway_that_gets_no_epoll_says_so(serve, monkeypatch):
+def test_a_gateway_that_cannot_create_an_epoll_exits_with_an_error(serve, monkeypatch):
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, *[errno.EPERM] * 99))
     result = serve()
     assert result.exit_code == 3
     assert "cannot start" in result.output
 
 
-def test_a_readiness_message_that_nobody_reads_does_not_end_the_gateway(monkeypatch):
-    made = Appliance(
+def test_a_readiness_message_without_a_reader_does_not_end_the_gateway(monkeypatch):
+    appliance = Appliance(
         read_configuration("g", f"{CONFIGURATION}host a 127.0.0.1:1\n"), Loop(), 5, logger(io.StringIO())
     )
-    life, ends = os.pipe()
-    reads, ready = os.pipe()
-    os.close(reads)
-    made.attach_to_parent(life, ready)
+    liveness_pipe, parent_end = os.pipe()
+    ready_pipe, ready_end = os.pipe()
+    os.close(ready_pipe)
+    appliance.attach_to_parent(liveness_pipe, ready_end)
     with pytest.raises(OSError, match=os.strerror(errno.EBADF)):
-        os.fstat(ready)
-    os.close(ends)
-    made.loop.unwatch(life)
-    os.close(life)
-    made.close()
-    made.loop.close()
+        os.fstat(ready_end)
+    os.close(parent_end)
+    appliance.loop.unwatch(liveness_pipe)
+    os.close(liveness_pipe)
+    appliance.close()
+    appliance.loop.close()
 
 
-# Files that are watched
+# Watched files
 
 
 @pytest.fixture
-def watched(tmp_path):
+def file_watch(tmp_path):
     file, loop = tmp_path / "hosts", Loop(SteppedClock(now=SECOND))
     file.write_text("host a 127.0.0.1:1\n")
-    lists, refused = [], []
-    made = FileWatch(
-        loop, str(file), 5 * MILLI, lambda lines: lists.append([line.name for line in lines]), refused.append
+    lists, rejections = [], []
+    watch = FileWatch(
+        loop,
+        str(file),
+        5 * MILLI,
+        lambda lines: lists.append([line.name for line in lines]),
+        rejections.append,
     )
-    made.file, made.heard, made.wrong = file, lists, refused
-    yield made
-    made.close()
+    watch.file, watch.lists, watch.rejections = file, lists, rejections
+    yield watch
+    watch.close()
     loop.close()
 
 
-@pytest.mark.parametrize("code", [*SHORT, errno.EINTR, errno.EIO])
-def test_a_changed_list_that_cannot_be_read_for_a_moment_is_read_at_the_next_look(watched, monkeypatch, code):
+@pytest.mark.parametrize("code", [*SHORT_OF_RESOURCES, errno.EINTR, errno.EIO])
+def test_a_transient_failure_to_read_a_changed_list_is_retried_at_the_next_check(
+    file_watch, monkeypatch, code
+):
     failing = Failing(pathlib.Path.read_text, code)
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: failing(path))
-    watched.file.write_text("host b 127.0.0.1:1\nhost c 127.0.0.1:2\n")
-    watched.loop.run(until=watched.loop.sleep(20 * MILLI))
+    file_watch.file.write_text("host b 127.0.0.1:1\nhost c 127.0.0.1:2\n")
+    file_watch.loop.run(until=file_watch.loop.sleep(20 * MILLI))
     assert failing.failed == 1
-    assert watched.heard == [["a"], ["b", "c"]]
-    assert not watched.wrong
+    assert file_watch.lists == [["a"], ["b", "c"]]
+    assert not file_watch.rejections
 
 
-def test_a_list_that_cannot_be_read_for_long_is_reported_once_and_read_in_the_end(watched, monkeypatch):
+def test_a_lasting_failure_to_read_a_list_is_reported_once_and_retried_until_it_ends(file_watch, monkeypatch):
     failing = Failing(pathlib.Path.read_text, *[errno.EMFILE] * 20)
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: failing(path))
-    watched.file.write_text("host b 127.0.0.1:1\n")
-    watched.loop.run(until=watched.loop.sleep(500 * MILLI))
+    file_watch.file.write_text("host b 127.0.0.1:1\n")
+    file_watch.loop.run(until=file_watch.loop.sleep(500 * MILLI))
     assert failing.failed == 20 > FAILURES_BEFORE_REPORT
-    assert len(watched.wrong) == 1
-    assert watched.heard == [["a"], ["b"]]
+    assert len(file_watch.rejections) == 1
+    assert file_watch.lists == [["a"], ["b"]]
 
 
 @pytest.mark.parametrize("code", [errno.ENOMEM, errno.EIO])
-def test_a_look_that_fails_for_a_moment_changes_nothing(watched, monkeypatch, code):
+def test_a_transient_failure_to_check_a_file_changes_nothing(file_watch, monkeypatch, code):
     monkeypatch.setattr(os, "stat", Failing(os.stat, code, code))
-    watched.loop.run(until=watched.loop.sleep(50 * MILLI))
-    assert watched.heard == [["a"]]
-    assert not watched.wrong
+    file_watch.loop.run(until=file_watch.loop.sleep(50 * MILLI))
+    assert file_watch.lists == [["a"]]
+    assert not file_watch.rejections
 
 
-def test_a_file_that_cannot_be_read_says_why_in_what_it_is_raised_from(monkeypatch):
+def test_the_error_of_an_unreadable_file_has_the_os_error_as_its_cause(monkeypatch):
     monkeypatch.setattr(pathlib.Path, "read_text", Failing(pathlib.Path.read_text, errno.EMFILE))
-    with pytest.raises(ConfigurationError) as wrong:
+    with pytest.raises(ConfigurationError) as raised:
         read_hosts("x")
-    assert wrong.value.__cause__.errno == fault(errno.EMFILE).errno
+    assert raised.value.__cause__.errno == fault(errno.EMFILE).errno
--- a/tests/cli/test_queries.py
+++ b/tests/cli/test_queries.py
@@ -1,4 +1,4 @@
-"""Commands that ask a running gateway: what they print of its answers, and how they end."""
+"""Commands that query a running gateway: what they print, and their exit codes."""
 
 import json
 
@@ -9,7 +9,7 @@
 from gaproute.cli.common import ExitCode
 from gaproute.cli.main import main
 
-AT = ["--at", "unix:/gateway"]
+AT_OPTION = ["--at", "unix:/gateway"]
 STATUS = {
     "name": "g",
     "stopping": False,
@@ -39,7 +39,7 @@
         {"name": "q", "state": None, "learnt": "told 3"},
     ],
 }
-ROWS = {  # by command: the cells of each row
+PRINTED_ROWS = {  # by command: the cells of each row
     "status": [["a", "5", "4", "0", "0", "0"], ["b", "2", "0", "1", "0", "0"]],
     "hosts": [["h", "1:2", "active", "4", "2", "ok 4, full 1"]],
     "knows": [["h", "f", "1.5 s ago", "an answer"], ["h", "g", "0.1 s ago", "p, not yet tried"]],
@@ -49,49 +49,49 @@
 
 @pytest.fixture
 def run(monkeypatch):
-    """Runs a command against the answers."""
+    """Returns a function that runs a command against `ANSWERS`, with changes of the status."""
 
-    def run(*arguments, **changes):
+    def run_command(*arguments, **changes):
         answers = ANSWERS | {b"/status": STATUS | changes}
-        monkeypatch.setattr(queries, "ask", lambda where, path: answers[path])
-        return CliRunner().invoke(main, [*arguments, *AT])
+        monkeypatch.setattr(queries, "ask", lambda address, path: answers[path])
+        return CliRunner().invoke(main, [*arguments, *AT_OPTION])
 
-    return run
+    return run_command
 
 
-def cells(output):
-    """The cells of a printed table's rows."""
+def printed_rows(output):
+    """The cells of each row of a printed table."""
     lines = [line for line in output.splitlines() if line.startswith("│")]
     return [[cell.strip() for cell in line.split("│")[1:-1]] for line in lines]
 
 
-@pytest.mark.parametrize("command", ROWS)
+@pytest.mark.parametrize("command", PRINTED_ROWS)
 def test_a_command_prints_a_row_for_each_object(run, command):
     result = run(command)
     assert result.exit_code == ExitCode.OK
-    assert cells(result.output) == ROWS[command]
+    assert printed_rows(result.output) == PRINTED_ROWS[command]
 
 
-@pytest.mark.parametrize("command", ROWS)
-def test_json_is_printed_as_the_gateway_sent_it(run, command):
+@pytest.mark.parametrize("command", PRINTED_ROWS)
+def test_the_json_option_prints_the_objects_of_the_gateway(run, command):
     assert json.loads(run(command, "--json").output) == ANSWERS[f"/{command}".encode()]
 
 
 @pytest.mark.parametrize(
-    ("changes", "first", "code"),
+    ("changes", "first_line", "exit_code"),
     [
         ({}, "g: ready, up 12 s, 3 tasks held", ExitCode.OK),
         ({"ready": False}, "g: not ready: no active host, up 12 s, 3 tasks held", ExitCode.PROBLEM_FOUND),
         ({"ready": False, "stopping": True}, "g: stopping, up 12 s, 3 tasks held", ExitCode.PROBLEM_FOUND),
     ],
 )
-def test_status_shows_whether_the_gateway_is_ready(run, changes, first, code):
+def test_status_shows_whether_the_gateway_is_ready(run, changes, first_line, exit_code):
     result = run("status", **changes)
-    assert result.output.splitlines()[0] == first
-    assert result.exit_code == code
+    assert result.output.splitlines()[0] == first_line
+    assert result.exit_code == exit_code
 
 
-def test_a_gateway_that_does_not_answer_ends_the_command(tmp_path):
+def test_a_command_fails_if_no_gateway_answers(tmp_path):
     result = CliRunner().invoke(main, ["hosts", "--at", f"unix:{tmp_path}/none"])
     assert result.exit_code == ExitCode.COMMAND_FAILED
     assert "no gateway answers at unix:" in result.output
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -12,7 +12,7 @@
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
 from gaproute.loop.addresses import parse_address
-from tests.appliance.test_departed_forwarded import CALL, Way
+from tests.appliance.test_departed_forwarded import CALL, ForwardingSetup
 from tests.http1.test_http1 import HEAD
 
 SLACK_MS = 150  # by which a time limit may be too long, by the operators' terms
@@ -20,13 +20,13 @@
 
 @pytest.fixture
 def forwarding():
-    forwarding = Way()
+    forwarding = ForwardingSetup()
     yield forwarding
     forwarding.close()
 
 
 def last_time_limit_ms(forwarding):
-    return int(forwarding.came[-1].headers[b"gaproute-limit-ms"])
+    return int(forwarding.received[-1].headers[b"gaproute-limit-ms"])
 
 
 def test_forwarded_request_has_the_time_left_after_connecting(forwarding, monkeypatch):
@@ -35,20 +35,20 @@
     time.sleep(0.6)
     loop, host_address, timeout, on_connected, _ = dials.held[0]
     connect(loop, host_address, timeout, on_connected)
-    forwarding.until(lambda: forwarding.came)
+    forwarding.until(lambda: forwarding.received)
     assert 1000 <= last_time_limit_ms(forwarding) <= 1400
 
 
 def test_request_forwarded_again_has_the_time_left_then(forwarding):
     call, start = CALL, forwarding.loop.now()
     forwarding.forward(call, within=2 * SECOND)
-    forwarding.until(lambda: forwarding.came)
+    forwarding.until(lambda: forwarding.received)
     first_limit = last_time_limit_ms(forwarding)
-    forwarding.server.answer(forwarding.came[0], 429, (), b"")
-    forwarding.until(lambda: forwarding.heard)
+    forwarding.server.answer(forwarding.received[0], 429, (), b"")
+    forwarding.until(lambda: forwarding.outcomes)
     time.sleep(0.3)
     forwarding.forward(call, within=start + 2 * SECOND - forwarding.loop.now())
-    forwarding.until(lambda: len(forwarding.came) == 2)
+    forwarding.until(lambda: len(forwarding.received) == 2)
     assert 1900 <= first_limit <= 2000
     assert last_time_limit_ms(forwarding) <= 1700
 
@@ -56,17 +56,17 @@
 def test_forwarded_request_does_not_wait_in_the_buffer_of_a_full_connection(forwarding, monkeypatch):
     """An idle connection that takes no byte is not used; a repeat of the request has the time left then."""
     forwarding.forward()
-    forwarding.until(lambda: forwarding.came)
-    forwarding.server.answer(forwarding.came[0], 200, (), b"")
-    forwarding.until(lambda: forwarding.heard)
-    ((connection,),) = [host.idle_connections for host in forwarding.entries.client.hosts.values()]
+    forwarding.until(lambda: forwarding.received)
+    forwarding.server.answer(forwarding.received[0], 200, (), b"")
+    forwarding.until(lambda: forwarding.outcomes)
+    ((connection,),) = [host.idle_connections for host in forwarding.entry_gateways.client.hosts.values()]
     full_socket = fill_after(connection, 0)
     handle = forwarding.forward()
-    forwarding.until(lambda: len(forwarding.heard) == 2)
+    forwarding.until(lambda: len(forwarding.outcomes) == 2)
     full_socket.emptied()
     forwarding.loop.run(until=forwarding.loop.sleep(20 * MILLI))
-    assert forwarding.heard[1].result is Result.CONNECT_FAILED
-    assert len(forwarding.came) == 1
+    assert forwarding.outcomes[1].result is Result.CONNECT_FAILED
+    assert len(forwarding.received) == 1
     assert not connection.open
     assert not handle.exchange.any_byte_sent
 
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -6,16 +6,26 @@
 from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.http1.connection import ServerConnection
-from tests.appliance.test_stopping import ASK, asked_and_answered, clients, closes, rest_of, run_out, statuses
+from tests.appliance.test_stopping import (
+    INFER_REQUEST,
+    close_flags,
+    connect_client,
+    read_to_end,
+    run_to_end,
+    send_and_check_answer,
+    statuses,
+)
 
-__all__ = ["clients"]
+__all__ = ["connect_client"]
 
 
-def test_a_request_that_arrives_while_parked_connections_are_closed_at_a_stop_is_answered(rig, clients):
+def test_a_request_that_arrives_while_parked_connections_are_closed_at_a_stop_is_answered(
+    rig, connect_client
+):
     testbed = rig(hosts=1)
-    idle_clients = [clients(testbed) for _ in range(3)]
+    idle_clients = [connect_client(testbed) for _ in range(3)]
     for client in idle_clients:
-        asked_and_answered(testbed, client)
+        send_and_check_answer(testbed, client)
     testbed.until(lambda: testbed.gate.fronts[0].server.parked_count == 3)
     connections, sent = testbed.gate.connections, []
     close_parked = connections._close_parked
@@ -23,43 +33,45 @@
     def slow_close(fd):
         if not sent:
             sent.append(True)
-            idle_clients[-1].sendall(ASK)
+            idle_clients[-1].sendall(INFER_REQUEST)
         close_parked(fd)
 
     connections._close_parked = slow_close
     testbed.gate.stop()
-    run_out(testbed)
-    assert [rest_of(client) for client in idle_clients[:2]] == [b"", b""]
-    received = rest_of(idle_clients[-1])
+    run_to_end(testbed)
+    assert [read_to_end(client) for client in idle_clients[:2]] == [b"", b""]
+    received = read_to_end(idle_clients[-1])
     assert statuses(received) == [200]
-    assert closes(received) == [True]
+    assert close_flags(received) == [True]
 
 
 @pytest.mark.parametrize("stops", [True, False])
-def test_a_request_that_arrives_as_a_quiet_connection_is_closed_is_answered(rig, clients, monkeypatch, stops):
+def test_a_request_that_arrives_as_a_quiet_connection_is_closed_is_answered(
+    rig, connect_client, monkeypatch, stops
+):
     """At a stop, or when its idle time is over."""
     monkeypatch.setattr("gaproute.http1.deadlines.QUIET_TIME", 10 * SECOND)  # it is not parked in between
     testbed = rig(hosts=1)
-    client = clients(testbed)
-    asked_and_answered(testbed, client)
+    client = connect_client(testbed)
+    send_and_check_answer(testbed, client)
     (connection,) = testbed.gate.fronts[0].server.active_connections
     if stops:
         testbed.gate.stop()
     connection.idle_deadline = testbed.loop.now()
-    client.sendall(ASK)  # received by the kernel, not read yet
+    client.sendall(INFER_REQUEST)  # received by the kernel, not read yet
     connection.park()
     testbed.until(lambda: not testbed.gate.core.in_flight)
     testbed.rest(10 * MILLI)
     assert statuses(client.recv(65536)) == [200]
 
 
-def test_a_request_whose_rest_has_just_arrived_is_not_rejected_as_slow(rig, clients, monkeypatch):
+def test_a_request_whose_rest_has_just_arrived_is_not_rejected_as_slow(rig, connect_client, monkeypatch):
     testbed = rig(hosts=1)
-    client = clients(testbed)
-    client.sendall(ASK[:40])
+    client = connect_client(testbed)
+    client.sendall(INFER_REQUEST[:40])
     testbed.until(lambda: testbed.gate.fronts[0].server.active_connections)
     (connection,) = testbed.gate.fronts[0].server.active_connections
-    client.sendall(ASK[40:])
+    client.sendall(INFER_REQUEST[40:])
     connection.deadline = testbed.loop.now() - 1
     ServerConnection._on_deadline(connection)
     testbed.until(lambda: testbed.seen("task"))
@@ -70,17 +82,17 @@
 
 @pytest.mark.parametrize("asks_first", [True, False])
 def test_a_client_rejected_at_the_connection_limit_is_answered_with_or_without_a_request(
-    rig, clients, asks_first
+    rig, connect_client, asks_first
 ):
     testbed = rig(hosts=1, configuration=CONFIGURATION + "clients connections 1\n")
-    clients(testbed)
+    connect_client(testbed)
     late = socket.create_connection(testbed.at[1])
     late.settimeout(5)
     if asks_first:
-        late.sendall(ASK)  # received by the kernel before the connection is accepted
+        late.sendall(INFER_REQUEST)  # received by the kernel before the connection is accepted
     testbed.until(lambda: testbed.gate.fronts[0].server.rejected_connections)
-    received = rest_of(late)
+    received = read_to_end(late)
     late.close()
     assert statuses(received) == [503]
-    assert closes(received) == [True]
+    assert close_flags(received) == [True]
     assert not testbed.seen("task")
--- a/tests/support/gateway_answers.py
+++ b/tests/support/gateway_answers.py
@@ -1,4 +1,4 @@
-"""What a test reads of a gateway's answers to clients."""
+"""Accessors for the answers of a gateway to clients."""
 
 
 def outcome(answer):
