--- a/gaproute/appliance/cell_endpoints.py
+++ b/gaproute/appliance/cell_endpoints.py
@@ -25,8 +25,11 @@
     endpoints: list[Endpoint]
 
 
-class CellEndpoints:
-    """The endpoints of the host lists in force. `use_capacities`: whether to use the lines' capacities."""
+class CellEndpointConverter:
+    """Converts the host lists of cells, and keeps those of the last call to convert only changed lines.
+
+    `use_capacities`: whether endpoints get the capacities in the lines.
+    """
 
     def __init__(self, loop: Loop, *, use_capacities: bool) -> None:
         self.converter = HostLineConverter(loop, use_capacities=use_capacities)
@@ -54,19 +57,20 @@
     def _convert_list(
         self, cell: str, lines: list[HostLine], zone: str, current_at: int | None
     ) -> ConvertedList:
-        before = self.lists.get(cell)
-        absent_at = current_at if before is not None else None  # None for the first list of a cell
-        if before is not None and before.zone == zone and before.lines is lines:
-            return before
-        known = before.by_host if before is not None and before.zone == zone else {}
+        previous = self.lists.get(cell)
+        absent_at = current_at if previous is not None else None  # None for the first list of a cell
+        if previous is not None and previous.zone == zone and previous.lines is lines:
+            return previous
+        previous_lines = previous.by_host if previous is not None and previous.zone == zone else {}
         by_host = {
-            line.name: self._convert_line(line, zone, known.get(line.name), absent_at) for line in lines
+            line.name: self._convert_line(line, zone, previous_lines.get(line.name), absent_at)
+            for line in lines
         }
         return ConvertedList(zone, lines, by_host, [converted.endpoint for converted in by_host.values()])
 
     def _convert_line(
-        self, line: HostLine, zone: str, known: ConvertedLine | None, absent_at: int | None
+        self, line: HostLine, zone: str, previous: ConvertedLine | None, absent_at: int | None
     ) -> ConvertedLine:
-        if known is not None and (known.line is line or known.line == line):
-            return known
+        if previous is not None and (previous.line is line or previous.line == line):
+            return previous
         return ConvertedLine(line, self.converter.endpoint(line, zone, absent_at))
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from gaproute.appliance.cell_endpoints import CellEndpoints
+from gaproute.appliance.cell_endpoints import CellEndpointConverter
 from gaproute.appliance.cell_lists import CellLists, ListsByCell
 from gaproute.appliance.cell_table import CellTableSource
 from gaproute.appliance.followed_lists import FollowedLists
@@ -75,7 +75,7 @@
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entry_gateways
         )
-        self.endpoint_converter = CellEndpoints(loop, use_capacities=configuration.capacities_reported)
+        self.converter = CellEndpointConverter(loop, use_capacities=configuration.capacities_reported)
         self.host_lists = self._make_host_lists()
         self.applied_lists: ListsByCell = {}  # the lists that were passed to the decisions last
         self.rejected_lists = self.rejected_members = 0
@@ -83,7 +83,10 @@
         self.poll_timer: Timer | None = None
 
     def listen(self, peer_services: PeerServices, ready: Callable[[], bool]) -> EntryFront:
-        """Opens the front for forwarded requests and receives cell tables. Errors: ValueError if no peers."""
+        """Opens the front for requests that other gateways forward, and begins to receive their cell tables.
+
+        Errors: ValueError if `peer_services` has not opened the address for peers.
+        """
         server = peer_services.peer_server
         membership_transport = peer_services.membership_transport
         if server is None or membership_transport is None:
@@ -113,7 +116,7 @@
     def update_peers(self, addresses: Mapping[str, str]) -> None:
         """Replaces the addresses of all other gateways, by name."""
         if self.table_source is not None:
-            peers = tuple(Peer(name, where) for name, where in addresses.items())
+            peers = tuple(Peer(name, address) for name, address in addresses.items())
             self.table_source.transport.set_peers(peers)
 
     def reload(self) -> None:
@@ -197,14 +200,12 @@
 
     def _apply_lists(self, lists: ListsByCell) -> None:
         """Applies all lists in force, first to the connections, as decisions may use new hosts at once."""
-        endpoints = self.endpoint_converter.convert(
-            lists, self.host_lists.zones, self.host_lists.current_at()
-        )
-        self.on_hosts_changed([endpoint for of_cell in endpoints.values() for endpoint in of_cell])
-        before, self.applied_lists = self.applied_lists, dict(lists)
-        for cell, of_cell in endpoints.items():
-            if before.get(cell) != lists[cell]:
-                self.core.update_cell_hosts(cell, [endpoint.listed for endpoint in of_cell])
+        endpoints = self.converter.convert(lists, self.host_lists.zones, self.host_lists.current_at())
+        self.on_hosts_changed([endpoint for hosts in endpoints.values() for endpoint in hosts])
+        previous_lists, self.applied_lists = self.applied_lists, dict(lists)
+        for cell, hosts in endpoints.items():
+            if previous_lists.get(cell) != lists[cell]:
+                self.core.update_cell_hosts(cell, [endpoint.listed for endpoint in hosts])
 
     def _make_host_lists(self) -> CellLists | FollowedLists:
         """Makes the host lists, which are read from files or from change logs."""
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -110,12 +110,12 @@
 
     def status(self) -> JsonObject:
         """The status for operators: followed cells, cells whose sources fail, and counts of connections."""
-        followed = self.followed.values()
+        followed_cells = self.followed.values()
         return {
             "followed": len(self.followed),
-            "failing": sorted(cell for cell, each in self.followed.items() if each.sources_failing),
-            "asked": sum(each.watcher.connection_count for each in followed),
-            "begun_anew": sum(each.watcher.restart_count for each in followed),
+            "failing": sorted(cell for cell, followed in self.followed.items() if followed.sources_failing),
+            "asked": sum(followed.watcher.connection_count for followed in followed_cells),
+            "begun_anew": sum(followed.watcher.restart_count for followed in followed_cells),
         }
 
     def close(self) -> None:
@@ -144,7 +144,7 @@
         if followed is None:
             return  # an earlier event in the same read made the decisions release the cell
         hosts_of_others = sum(
-            len(each.members.reported_lines) for name, each in self.followed.items() if name != cell
+            len(other.members.reported_lines) for name, other in self.followed.items() if name != cell
         )
         rejected = followed.members.apply(event.fleet, MAX_FOLLOWED_HOSTS - hosts_of_others)
         if rejected:
@@ -183,11 +183,11 @@
             for cell, followed in self.followed.items()
             if followed.members.reported_lines or cell in self.reconciler.lines_in_force
         }
-        before = self.reconciler.lines_in_force
+        previous_lines = self.reconciler.lines_in_force
         self.reconciler.reconcile(offered, self.zones)
         self._report_conflicts()
         in_force = {
-            cell: self._reuse_unchanged_list(cell, lines, unchanged=before.get(cell) is lines)
+            cell: self._reuse_unchanged_list(cell, lines, unchanged=previous_lines.get(cell) is lines)
             for cell, lines in self.reconciler.lines_in_force.items()
             if lines or cell in self.in_force
         }
@@ -205,8 +205,12 @@
 
     def _report_conflicts(self) -> None:
         for cell, followed in self.followed.items():
-            before, followed.conflicts = followed.conflicts, self.reconciler.rejection_reasons.get(cell, {})
-            new = [RejectedMember(*each) for each in followed.conflicts.items() if each not in before.items()]
+            previous, followed.conflicts = followed.conflicts, self.reconciler.rejection_reasons.get(cell, {})
+            new = [
+                RejectedMember(*conflict)
+                for conflict in followed.conflicts.items()
+                if conflict not in previous.items()
+            ]
             if new:
                 self.on_rejected(cell, len(new), followed.limit_for_log(new))
 
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -42,9 +42,9 @@
 
     def replace_endpoints(self, endpoints: Iterable[Endpoint]) -> None:
         """Replaces all known hosts, and logs each host that changed or is gone."""
-        before, self.endpoints = self.endpoints, {endpoint.listed.host: endpoint for endpoint in endpoints}
-        changed = [name for name, endpoint in self.endpoints.items() if before.get(name) != endpoint]
-        gone = [name for name in before if name not in self.endpoints]
+        previous, self.endpoints = self.endpoints, {endpoint.listed.host: endpoint for endpoint in endpoints}
+        changed = [name for name, endpoint in self.endpoints.items() if previous.get(name) != endpoint]
+        gone = [name for name in previous if name not in self.endpoints]
         for name in sorted(changed + gone):
             endpoint = self.endpoints.get(name)
             self.record.event(
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -56,10 +56,10 @@
         now = self.loop.now()
         if not self.cpu_budget.allows_slice(now):
             return False
-        begun = self.cpu_clock()
-        batch, exhausted = self._next_batch(observations, begun)
+        started_at = self.cpu_clock()
+        batch, exhausted = self._next_batch(observations, started_at)
         self.round_written &= self.store.write(batch)
-        spent = self.cpu_clock() - begun
+        spent = self.cpu_clock() - started_at
         self.spent, self.longest_slice = self.spent + spent, max(self.longest_slice, spent)
         self.cpu_budget.deduct(now, spent)
         return exhausted
@@ -81,23 +81,23 @@
 
     def _write_round(self) -> Generator[Promise, object, None]:
         full = self.rounds % ROUNDS_PER_FULL_WRITE == 0
-        begun, self.round_written = self.loop.now(), True
-        observations = self._observations(begun, SINCE_EVER if full else self.written_until)
+        started_at, self.round_written = self.loop.now(), True
+        observations = self._observations(started_at, SINCE_EVER if full else self.written_until)
         while not self.write_slice(observations):
             yield self.loop.sleep(self.cpu_budget.retry_delay(self.loop.now()))
         if full:
             self.store.forget(MAX_OBSERVATION_AGE)
-        self.written_until = begun if self.round_written else SINCE_EVER
+        self.written_until = started_at if self.round_written else SINCE_EVER
         self.rounds += 1
 
     def _next_batch(
-        self, observations: Iterator[OwnObservation], begun: int
+        self, observations: Iterator[OwnObservation], started_at: int
     ) -> tuple[list[OwnObservation], bool]:
-        """The observations of one slice, and whether none are left. `begun`: CPU time at its start, ns."""
+        """The observations of one slice, and whether none are left. `started_at`: CPU time, ns."""
         batch = []
         for observation in observations:
             batch.append(observation)
-            if len(batch) >= MAX_ROWS_PER_WRITE or self.cpu_clock() - begun > SLICE_CPU_TIME / 2:
+            if len(batch) >= MAX_ROWS_PER_WRITE or self.cpu_clock() - started_at > SLICE_CPU_TIME / 2:
                 return batch, False
         return batch, True
 
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gaproute.appliance.cell_endpoints import CellEndpoints
+from gaproute.appliance.cell_endpoints import CellEndpointConverter
 from gaproute.config.directives.fleet import HostLine
 from gaproute.discovery.cell_members import CellMembers
 from gaproute.discovery.cell_reconciler import CellReconciler
@@ -106,7 +106,7 @@
 
 
 def test_only_changed_lines_are_converted_again():
-    endpoints = CellEndpoints(Loop(), use_capacities=True)
+    endpoints = CellEndpointConverter(Loop(), use_capacities=True)
     lists = {"a1": [line("u", 1), line("v", 2)], "b1": [line("w", 3)]}
     before = endpoints.convert(lists, ZONES)
     lists = {"a1": [line("u", 1), line("v", 2, state="draining")], "b1": lists["b1"]}
--- a/tests/discovery/test_stepped_clock_lists.py
+++ b/tests/discovery/test_stepped_clock_lists.py
@@ -8,7 +8,7 @@
 from scripted import MILLI, SECOND
 from stepped_wall_clock import HOUR, WALL_CLOCK_START
 
-from gaproute.appliance.cell_endpoints import CellEndpoints
+from gaproute.appliance.cell_endpoints import CellEndpointConverter
 from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.cells import CellServices
 from gaproute.config import read_hosts
@@ -120,7 +120,7 @@
 
 
 def test_starts_in_a_cell_are_bounded_by_the_previous_list_of_that_cell(clock, wall_clock):
-    endpoints = CellEndpoints(Loop(clock), use_capacities=True)
+    endpoints = CellEndpointConverter(Loop(clock), use_capacities=True)
     endpoints.converter = HostLineConverter(endpoints.converter.start_times.loop, wall_clock)
     wall_clock.offset = HOUR
     endpoints.converter.start_times.clock_offset = WALL_CLOCK_START + HOUR
@@ -147,9 +147,7 @@
     endpoints = SimpleNamespace(convert=lambda *arguments: calls.append(arguments) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
     CellServices._apply_lists(
-        SimpleNamespace(
-            endpoint_converter=endpoints, host_lists=lists, on_hosts_changed=list, applied_lists={}
-        ),
+        SimpleNamespace(converter=endpoints, host_lists=lists, on_hosts_changed=list, applied_lists={}),
         {},
     )
     assert calls == [({}, {"a1": "a"}, {"a1": 5})]
