--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -55,21 +55,21 @@
     def __init__(self, name: str, members: Iterable[str], random: RandomSource, now: int) -> None:
         self.name, self.random = name, random
         self.session = self.nonce = 0  # session 0: none is open
-        self.urgent_commands: deque[QueuedCommand] = deque()  # renewals and releases, which are sent first
-        self.ordinary_commands: deque[QueuedCommand] = deque()  # requests for leases, and new sizes of pools
-        self.outstanding_command: OutstandingCommand | None = None
+        self.urgent_queue: deque[QueuedCommand] = deque()  # renewals and releases, which are sent first
+        self.normal_queue: deque[QueuedCommand] = deque()  # requests for leases, and new sizes of pools
+        self.outstanding: OutstandingCommand | None = None
         self.resend_at, self.redirect_count = now, 0
         self.requests: list[LeaseRequest] = []
         self.rejected_messages: Counter[str] = Counter()  # by reason: rejected messages
         self.members: tuple[str, ...] = ()
-        self.target_member = ""  # the member to which commands are sent
+        self.receiver = ""  # the member to which commands are sent
         self.set_configured_members(now, members)
 
     def set_configured_members(self, now: int, members: Iterable[str]) -> None:
         """Takes over the names of the group's members in the configuration."""
         self.members = tuple(sorted(set(members)))
-        if self.target_member not in self.members:
-            self.target_member = self.members[self.random.below(len(self.members))]
+        if self.receiver not in self.members:
+            self.receiver = self.members[self.random.below(len(self.members))]
 
     def acquire(self, now: int, resource: str, duration: int, amount: int = 1) -> LeaseRequest:
         """Requests a lease of `duration` ns. Errors: `LeaseRequestError`."""
@@ -79,18 +79,14 @@
             raise LeaseRequestError(f"{MAX_LEASES_PER_CLIENT} lease requests at once")
         request = LeaseRequest(resource, amount, duration)
         self.requests.append(request)
-        self.ordinary_commands.append(
-            QueuedCommand(AcquireLease(resource, self.name, amount, duration), request)
-        )
+        self.normal_queue.append(QueuedCommand(AcquireLease(resource, self.name, amount, duration), request))
         return request
 
     def release(self, now: int, request: LeaseRequest) -> None:
         """Ends the validity of the lease now; the group is sent a release, or lets the lease expire."""
         if request.state == LeaseState.HELD:
             self._queue_release(request.fencing_token)
-        self.ordinary_commands = deque(
-            queued for queued in self.ordinary_commands if queued.request is not request
-        )
+        self.normal_queue = deque(queued for queued in self.normal_queue if queued.request is not request)
         if request.is_open:
             self._end_request(request, LeaseState.RELEASED)
 
@@ -101,9 +97,9 @@
 
     def resize_pool(self, now: int, resource: str, amount: int) -> None:
         """Sets how much of the resource may be held. Errors: `LeaseRequestError` for too many commands."""
-        if len(self.ordinary_commands) >= 2 * MAX_LEASES_PER_CLIENT:
-            raise LeaseRequestError(f"{len(self.ordinary_commands)} commands wait")
-        self.ordinary_commands.append(QueuedCommand(ResizePool(resource, self.name, amount)))
+        if len(self.normal_queue) >= 2 * MAX_LEASES_PER_CLIENT:
+            raise LeaseRequestError(f"{len(self.normal_queue)} commands wait")
+        self.normal_queue.append(QueuedCommand(ResizePool(resource, self.name, amount)))
 
     @property
     def due(self) -> int | None:
@@ -115,7 +111,7 @@
             for time in (request.expires_at, request.renew_at)
             if time is not None
         ]
-        if self.outstanding_command is not None or self.urgent_commands or self.ordinary_commands:
+        if self.outstanding is not None or self.urgent_queue or self.normal_queue:
             times.append(self.resend_at)
         return min(times, default=None)
 
@@ -125,30 +121,28 @@
         self._queue_renewals(now)
         if now < self.resend_at:
             return []
-        if self.outstanding_command is None:
+        if self.outstanding is None:
             return self._send_next_command(now)
-        next_position = (
-            self.members.index(self.target_member) + 1 if self.target_member in self.members else 0
-        )
-        self.target_member = self.members[next_position % len(self.members)]
-        return self._send_command(now, self.outstanding_command)
+        next_position = self.members.index(self.receiver) + 1 if self.receiver in self.members else 0
+        self.receiver = self.members[next_position % len(self.members)]
+        return self._send_command(now, self.outstanding)
 
     def hear(self, now: int, sender: str, message: object) -> ClientOutbox:
         """Handles a member's reply; returns the messages to send."""
         if sender not in self.members or not isinstance(message, Reply):
             self.rejected_messages["stranger"] += 1
             return []
-        command = self.outstanding_command
+        command = self.outstanding
         if command is None or (message.session, message.nonce) != (command.session, command.nonce):
             self.rejected_messages["late"] += 1
             return []
         if message.state == ReplyStatus.NOT_LEADER:
-            return self._handle_redirect(now, sender, message.leader, command)
+            return self._redirect(now, sender, message.leader, command)
         opens_session = message.state == ReplyStatus.DONE and not command.session
         if message.state == ReplyStatus.BUSY or (opens_session and not message.opened):
             self._schedule_retry(now, sender)
             return []
-        self.target_member, self.outstanding_command, self.resend_at = sender, None, now
+        self.receiver, self.outstanding, self.resend_at = sender, None, now
         if message.state == ReplyStatus.UNKNOWN_SESSION:
             self._handle_lost_session(command)
         elif opens_session:
@@ -158,7 +152,7 @@
         return self.tick(now)
 
     def _queue_release(self, fencing_token: int) -> None:
-        self.urgent_commands.append(QueuedCommand(ReleaseLease(fencing_token, self.name)))
+        self.urgent_queue.append(QueuedCommand(ReleaseLease(fencing_token, self.name)))
 
     def _end_request(self, request: LeaseRequest, state: LeaseState, reason: str = "") -> None:
         request.state, request.reason, request.renew_at = state, reason, None
@@ -175,23 +169,23 @@
             if request.renew_at is not None and now >= request.renew_at:
                 request.renew_at = None
                 command = RenewLease(request.fencing_token, self.name, request.duration)
-                self.urgent_commands.append(QueuedCommand(command, request))
+                self.urgent_queue.append(QueuedCommand(command, request))
 
     def _send_next_command(self, now: int) -> ClientOutbox:
         """Sends the next command, if there is one."""
         self.redirect_count = 0
-        self.outstanding_command = self._next_command(now)
-        return [] if self.outstanding_command is None else self._send_command(now, self.outstanding_command)
+        self.outstanding = self._next_command(now)
+        return [] if self.outstanding is None else self._send_command(now, self.outstanding)
 
     def _next_command(self, now: int) -> OutstandingCommand | None:
         """The next command that is still needed, or the one that opens a session for it."""
-        while self.urgent_commands or self.ordinary_commands:
+        while self.urgent_queue or self.normal_queue:
             if not self.session:
                 nonce = 1 + self.random.below(MAX_COUNT)
                 return OutstandingCommand(
                     command=None, request=None, session=0, nonce=nonce, body=b"", first_sent_at=now
                 )
-            queued = (self.urgent_commands or self.ordinary_commands).popleft()
+            queued = (self.urgent_queue or self.normal_queue).popleft()
             if queued.is_outdated:
                 continue
             self.nonce += 1
@@ -201,19 +195,17 @@
 
     def _send_command(self, now: int, command: OutstandingCommand) -> ClientOutbox:
         self.resend_at = now + COMMAND_RESEND_TIMEOUT
-        return [(self.target_member, Request(command.session, command.nonce, command.body))]
+        return [(self.receiver, Request(command.session, command.nonce, command.body))]
 
     def _schedule_retry(self, now: int, sender: str) -> None:
         """Has the command sent to the same member again after a pause."""
         self.resend_at = now + COMMAND_RETRY_DELAY + self.random.below(COMMAND_RETRY_DELAY)
         # `tick` sends it to the member after the target, which then is the sender
-        self.target_member = self.members[self.members.index(sender) - 1]
+        self.receiver = self.members[self.members.index(sender) - 1]
 
-    def _handle_redirect(
-        self, now: int, sender: str, leader: str, command: OutstandingCommand
-    ) -> ClientOutbox:
+    def _redirect(self, now: int, sender: str, leader: str, command: OutstandingCommand) -> ClientOutbox:
         if leader in self.members and leader != sender and self.redirect_count < MAX_IMMEDIATE_REDIRECTS:
-            self.redirect_count, self.target_member = self.redirect_count + 1, leader
+            self.redirect_count, self.receiver = self.redirect_count + 1, leader
             return self._send_command(now, command)
         self.resend_at = min(self.resend_at, now + COMMAND_RETRY_DELAY)
         return []
@@ -227,21 +219,21 @@
             if lost.request is not None and lost.request.state == LeaseState.REQUESTED:
                 self._end_request(lost.request, LeaseState.REJECTED, "outcome unknown")
         elif lost.command is not None:  # a repeated command is harmless
-            self.urgent_commands.append(QueuedCommand(lost.command, lost.request))
+            self.urgent_queue.append(QueuedCommand(lost.command, lost.request))
 
     def _handle_result(self, now: int, command: OutstandingCommand, result: CommandResult) -> None:
         request = command.request
         if request is None:
             return
         if isinstance(command.command, AcquireLease):
-            self._handle_acquire_result(now, request, command.first_sent_at, result)
+            self._handle_grant(now, request, command.first_sent_at, result)
         elif request.state == LeaseState.HELD:
             if result.error:
                 self._end_request(request, LeaseState.EXPIRED, result.error)
             else:
                 request.extend(command.first_sent_at)
 
-    def _handle_acquire_result(
+    def _handle_grant(
         self, now: int, request: LeaseRequest, first_sent_at: int, result: CommandResult
     ) -> None:
         still_wanted = request.state == LeaseState.REQUESTED
--- a/gaproute/shared/leases/invariants.py
+++ b/gaproute/shared/leases/invariants.py
@@ -30,7 +30,7 @@
 def check_client(client: LeaseClient) -> list[str]:
     """Checks one client by itself; cheap."""
     violations: list[str] = []
-    queued = max(len(client.ordinary_commands), len(client.urgent_commands))
+    queued = max(len(client.normal_queue), len(client.urgent_queue))
     if len(client.requests) > MAX_LEASES_PER_CLIENT or queued > MAX_QUEUED_COMMANDS:
         violations.append(f"maps are bounded: {client.name}")
     if not all(request.is_open for request in client.requests):
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -168,10 +168,10 @@
         if command.resource not in self.pools and command.amount != 1 and len(self.pools) >= MAX_POOLS:
             return CommandResult(result_errors.TOO_MANY_POOLS)
         self.pools[command.resource] = Pool(command.amount, 0)
-        self._update_excess(command.resource)
+        self._update_pool(command.resource)
         return CommandResult()
 
-    def _update_excess(self, resource: str) -> None:
+    def _update_pool(self, resource: str) -> None:
         """Updates the pool after its size or the amount that is held of it has changed."""
         held = self.amounts_held.get(resource, 0)
         size = self.pool_size(resource)
@@ -199,7 +199,7 @@
             self.amounts_held[lease.resource] = remaining
         else:
             del self.amounts_held[lease.resource]
-        self._update_excess(lease.resource)
+        self._update_pool(lease.resource)
 
     def pop_change(self) -> DeadlineChange | None:
         """The last change by the entries since the last call, if any; each change is returned once."""
--- a/gaproute/simulation/raft_group/planted_lease_faults.py
+++ b/gaproute/simulation/raft_group/planted_lease_faults.py
@@ -45,7 +45,7 @@
         seed=13,
         kind=RunKind.TIGHT,
         edits=(
-            Edit(LeaseClient._handle_acquire_result, "request.extend(first_sent_at)", "request.extend(now)"),
+            Edit(LeaseClient._handle_grant, "request.extend(first_sent_at)", "request.extend(now)"),
             Edit(
                 LeaseClient._handle_result,
                 "request.extend(command.first_sent_at)",
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -221,7 +221,7 @@
     other, request, (to, message) = opened()
     other.hear(0, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
     other.tick(5 * SECOND)
-    ((to, opening),) = other.hear(5 * SECOND, other.target_member, Reply(5, 2, "forgotten"))
+    ((to, opening),) = other.hear(5 * SECOND, other.receiver, Reply(5, 2, "forgotten"))
     assert opening.session == 0
     assert request.is_valid_at(9 * SECOND)
     ((_, again),) = other.hear(5 * SECOND, to, Reply(0, opening.nonce, "done", opened=9))
