--- a/gaproute/shared/leases/__init__.py
+++ b/gaproute/shared/leases/__init__.py
@@ -1,8 +1,8 @@
-"""Leases: what a Raft group agrees on, and the side that holds them, without I/O.
+"""Leases that a Raft group grants, and the client that holds them; without I/O.
 
-`LeaseTable` is the state machine that every member of the group applies its log to. `LeaseClient` acquires
-leases for a gateway, renews them until they are released, and knows by its own clock which are valid. What is
-done under a lease carries its fencing token.
+`LeaseTable` is the state machine to which every member of the group applies its log. `LeaseClient` acquires
+leases for a gateway, renews them until they are released, and decides by its own clock which leases are
+valid. Every action under a lease carries the fencing token of the lease.
 """
 
 from gaproute.shared.leases.client import LeaseClient
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -1,9 +1,9 @@
-"""The lease client: one command at a time, sent again until the leader answers.
+"""The lease client: sends one command at a time, again and again until the leader answers it.
 
-A lease is valid, by the client's own clock, from when its command was FIRST sent, as it was granted later. If
-nobody answers, it expires here before the group lets it expire (`commands.expiry_wait`). Every action under a
-lease carries its fencing token, as a process may be stopped between checking `is_valid_at` and acting. Times
-are ns of the client's clock.
+The client counts a lease's duration by its own clock from when the command was FIRST sent, before the group
+grants the lease. So a lease that is not renewed expires at the client before it expires at the group
+(`commands.expiry_wait`). Every action under a lease carries its fencing token, as a process may be stopped
+between checking `is_valid_at` and acting. Times are ns of the client's clock.
 """
 
 from collections import Counter, deque
@@ -34,39 +34,37 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI
 
-# After which a command without an answer is sent to the next member; above a sync and a round trip, below an
-# election
+# Until the next member is tried; longer than a disk sync and a round trip, shorter than an election
 COMMAND_RESEND_TIMEOUT = 500 * MILLI
-COMMAND_RETRY_DELAY = 100 * MILLI  # before the next member is tried after one that knows no leader
-# Redirects that are followed without a pause: members that name one another must not cause a flood
-MAX_IMMEDIATE_REDIRECTS = 2
+COMMAND_RETRY_DELAY = 100 * MILLI  # until the next attempt, after a member that knew no leader or was busy
+MAX_IMMEDIATE_REDIRECTS = 2  # members that redirect to each other must not cause a flood of messages
 
-
-ClientOutbox: TypeAlias = list[tuple[str, Request]]  # (member's name, message)
+ClientOutbox: TypeAlias = list[tuple[str, Request]]  # (name of the receiving member, message)
 
 
 class LeaseClient:
-    """Acquires leases for the holder `name` from the group `members`, and renews them until they are
-    released.
+    """Acquires leases for the holder `name` from the group `members`, and renews them until their release.
 
-    `requests` has those that are requested or held. `due`, `tick` and `hear` are as of `RaftNode`.
+    `requests` contains the leases that are requested or held. `due`, `tick` and `hear` work as in `RaftNode`.
     """
 
     def __init__(self, name: str, members: Iterable[str], random: RandomSource, now: int) -> None:
         self.name, self.random = name, random
-        self.session = self.nonce = 0  # session 0: none is open
-        self.urgent_queue: deque[QueuedCommand] = deque()  # renewals and releases, which are sent first
-        self.normal_queue: deque[QueuedCommand] = deque()  # requests for leases, and new sizes of pools
+        self.session = self.nonce = 0  # session 0: no session is open
+        self.urgent_queue: deque[QueuedCommand] = (
+            deque()
+        )  # sent first: renewals, releases and repeated commands
+        self.normal_queue: deque[QueuedCommand] = deque()  # acquisitions and pool resizes
         self.outstanding: OutstandingCommand | None = None
         self.resend_at, self.redirect_count = now, 0
         self.requests: list[LeaseRequest] = []
-        self.rejected_messages: Counter[str] = Counter()  # by reason: rejected messages
+        self.rejected_messages: Counter[str] = Counter()  # how many, by reason
         self.members: tuple[str, ...] = ()
-        self.receiver = ""  # the member to which commands are sent
+        self.receiver = ""  # the name of the member to which commands are sent
         self.set_configured_members(now, members)
 
     def set_configured_members(self, now: int, members: Iterable[str]) -> None:
-        """Takes over the names of the group's members in the configuration."""
+        """Replaces the names of the group's members by those in the configuration."""
         self.members = tuple(sorted(set(members)))
         if self.receiver not in self.members:
             self.receiver = self.members[self.random.below(len(self.members))]
@@ -74,16 +72,19 @@
     def acquire(self, now: int, resource: str, duration: int, amount: int = 1) -> LeaseRequest:
         """Requests a lease of `duration` ns. Errors: `LeaseRequestError`."""
         if not MIN_LEASE_DURATION <= duration <= MAX_LEASE_DURATION or not 1 <= amount <= MAX_COUNT:
-            raise LeaseRequestError(f"a lease of {amount} of {resource} for {duration} ns")
+            raise LeaseRequestError(
+                f"cannot request a lease of {amount} of {resource} for {duration} ns: expected an amount of "
+                f"1 to {MAX_COUNT} and a duration of {MIN_LEASE_DURATION} to {MAX_LEASE_DURATION} ns"
+            )
         if len(self.requests) >= MAX_LEASES_PER_CLIENT:
-            raise LeaseRequestError(f"{MAX_LEASES_PER_CLIENT} lease requests at once")
+            raise LeaseRequestError(f"the limit of {MAX_LEASES_PER_CLIENT} open lease requests is reached")
         request = LeaseRequest(resource, amount, duration)
         self.requests.append(request)
         self.normal_queue.append(QueuedCommand(AcquireLease(resource, self.name, amount, duration), request))
         return request
 
     def release(self, now: int, request: LeaseRequest) -> None:
-        """Ends the validity of the lease now; the group is sent a release, or lets the lease expire."""
+        """Ends the lease at this client at once; the group ends it when the release arrives, or by expiry."""
         if request.state == LeaseState.HELD:
             self._queue_release(request.fencing_token)
         self.normal_queue = deque(queued for queued in self.normal_queue if queued.request is not request)
@@ -91,19 +92,19 @@
             self._end_request(request, LeaseState.RELEASED)
 
     def release_all(self, now: int) -> None:
-        """Releases every lease, as the gateway stops; those whose release does not arrive expire."""
+        """Releases all leases when the gateway stops; a lease whose release is lost expires at the group."""
         for request in list(self.requests):
             self.release(now, request)
 
     def resize_pool(self, now: int, resource: str, amount: int) -> None:
-        """Sets how much of the resource may be held. Errors: `LeaseRequestError` for too many commands."""
+        """Sets how much of the resource may be held. Errors: `LeaseRequestError` if the queue is full."""
         if len(self.normal_queue) >= 2 * MAX_LEASES_PER_CLIENT:
-            raise LeaseRequestError(f"{len(self.normal_queue)} commands wait")
+            raise LeaseRequestError(f"cannot resize {resource}: {len(self.normal_queue)} commands are queued")
         self.normal_queue.append(QueuedCommand(ResizePool(resource, self.name, amount)))
 
     @property
     def due(self) -> int | None:
-        """When `tick` is to be called next; None while nothing is to be done."""
+        """The time of the next call of `tick`; None while there is nothing to do."""
         times = [
             time
             for request in self.requests
@@ -116,7 +117,7 @@
         return min(times, default=None)
 
     def tick(self, now: int) -> ClientOutbox:
-        """Expires and renews leases and sends what is due; returns the messages to send."""
+        """Expires leases, queues renewals and sends the command that is due; returns the messages to send."""
         self._release_expired(now)
         self._queue_renewals(now)
         if now < self.resend_at:
@@ -128,7 +129,7 @@
         return self._send_command(now, self.outstanding)
 
     def hear(self, now: int, sender: str, message: object) -> ClientOutbox:
-        """Handles a member's reply; returns the messages to send."""
+        """Handles a reply of a member; returns the messages to send."""
         if sender not in self.members or not isinstance(message, Reply):
             self.rejected_messages["stranger"] += 1
             return []
@@ -172,13 +173,12 @@
                 self.urgent_queue.append(QueuedCommand(command, request))
 
     def _send_next_command(self, now: int) -> ClientOutbox:
-        """Sends the next command, if there is one."""
         self.redirect_count = 0
         self.outstanding = self._next_command(now)
         return [] if self.outstanding is None else self._send_command(now, self.outstanding)
 
     def _next_command(self, now: int) -> OutstandingCommand | None:
-        """The next command that is still needed, or the one that opens a session for it."""
+        """The next queued command that is not outdated, or the command that opens a session for it."""
         while self.urgent_queue or self.normal_queue:
             if not self.session:
                 nonce = 1 + self.random.below(MAX_COUNT)
@@ -198,9 +198,9 @@
         return [(self.receiver, Request(command.session, command.nonce, command.body))]
 
     def _schedule_retry(self, now: int, sender: str) -> None:
-        """Has the command sent to the same member again after a pause."""
+        """Schedules the command to be sent to the same member again after a delay."""
         self.resend_at = now + COMMAND_RETRY_DELAY + self.random.below(COMMAND_RETRY_DELAY)
-        # `tick` sends it to the member after the target, which then is the sender
+        # `tick` sends the command to the member after `receiver`, which is `sender`
         self.receiver = self.members[self.members.index(sender) - 1]
 
     def _redirect(self, now: int, sender: str, leader: str, command: OutstandingCommand) -> ClientOutbox:
@@ -211,14 +211,12 @@
         return []
 
     def _handle_lost_session(self, lost: OutstandingCommand) -> None:
-        """Handles a session that the group has forgotten: it is unknown whether the command was carried
-        out.
-        """
+        """Handles a session that the group has forgotten: the command may have been carried out or not."""
         self.session = 0
         if isinstance(lost.command, AcquireLease):
             if lost.request is not None and lost.request.state == LeaseState.REQUESTED:
                 self._end_request(lost.request, LeaseState.REJECTED, "outcome unknown")
-        elif lost.command is not None:  # a repeated command is harmless
+        elif lost.command is not None:  # repeating a renewal, release or resize is harmless
             self.urgent_queue.append(QueuedCommand(lost.command, lost.request))
 
     def _handle_result(self, now: int, command: OutstandingCommand, result: CommandResult) -> None:
@@ -246,6 +244,6 @@
             request.state = LeaseState.HELD
             request.extend(first_sent_at)
             return
-        self._queue_release(result.fencing_token)  # granted too late, or not wanted any more
+        self._queue_release(result.fencing_token)  # the lease is no longer valid or wanted
         if still_wanted:
             self._end_request(request, LeaseState.EXPIRED, "answered too late")
--- a/gaproute/shared/leases/expiry.py
+++ b/gaproute/shared/leases/expiry.py
@@ -1,7 +1,7 @@
-"""Expires leases by the leader's own clock.
+"""The timers by which the leader expires leases, counted by its own clock.
 
-Only a leader has these timers. A new leader starts them again, so that no time is carried from one clock to
-another.
+Only a leader has these timers. A new leader starts all of them again, so that no time is transferred from the
+clock of one member to that of another.
 """
 
 import heapq
@@ -9,11 +9,11 @@
 
 from gaproute.shared.raft.state_machine import DeadlineChange, MachineDeadline
 
-SPARE_HEAP_ENTRIES = 64  # outdated entries that the heap may have even if there are few leases
+SPARE_HEAP_ENTRIES = 64  # outdated entries that the heap may contain even if there are few leases
 
 
 class ExpiryTimers:
-    """One timer for each lease, in ns of the clock of `now`. A lease's token is its fencing token."""
+    """One timer for each lease. Times are ns of the leader's clock."""
 
     def __init__(self, now: int, updates: Iterable[DeadlineChange]) -> None:
         self.deadlines: dict[int, tuple[int, int]] = {}  # by fencing token: (log index, expiry time)
@@ -22,7 +22,7 @@
             self.update(now, fencing_token, log_index, wait)
 
     def update(self, now: int, fencing_token: int, log_index: int, wait: int | None) -> None:
-        """Sets the timer after the entry at `log_index` granted, renewed or ended (`wait` None) the lease."""
+        """Sets the timer of a lease that the entry at `log_index` granted, renewed or (`wait` None) ended."""
         self.deadlines.pop(fencing_token, None)
         if wait is None:
             return
@@ -32,7 +32,7 @@
             self._rebuild_heap()
 
     def _rebuild_heap(self) -> None:
-        """Rebuilds the heap without former expiry times, which renewals leave in it."""
+        """Rebuilds the heap without the outdated expiry times that renewals leave in it."""
         self.expiry_heap = [
             (expires_at, fencing_token, log_index)
             for fencing_token, (log_index, expires_at) in self.deadlines.items()
@@ -41,11 +41,11 @@
 
     @property
     def due(self) -> int | None:
-        """When `pop_expired` is to be called next; None while there is no lease."""
+        """The time of the next call of `pop_expired`; None while there is no lease."""
         return self.expiry_heap[0][0] if self.expiry_heap else None
 
     def pop_expired(self, now: int, limit: int) -> list[MachineDeadline]:
-        """The leases that have expired, at most `limit`; the rest is returned by the next call."""
+        """Removes and returns at most `limit` expired leases; the next call returns the rest."""
         expired: list[MachineDeadline] = []
         while self.expiry_heap and self.expiry_heap[0][0] <= now and len(expired) < limit:
             expires_at, fencing_token, log_index = heapq.heappop(self.expiry_heap)
--- a/gaproute/shared/leases/group_invariants.py
+++ b/gaproute/shared/leases/group_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a whole Raft group with `LeaseTable` as its state machine, and of its clients."""
+"""The invariants of a Raft group whose state machine is `LeaseTable`, and of its clients."""
 
 from collections.abc import Iterable, Sequence
 
@@ -10,7 +10,7 @@
 
 
 class GroupHistory(History):
-    """The state of earlier checks, which the caller stores for a whole run."""
+    """What earlier checks saw. The caller passes the same object to all checks of a run."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -18,16 +18,18 @@
 
 
 def lease_table_of(node: RaftNode) -> LeaseTable:
-    """The node's state machine. Errors: TypeError if it is no `LeaseTable`."""
+    """The node's state machine. Errors: TypeError if it is not a `LeaseTable`."""
     if not isinstance(node.machine, LeaseTable):
-        raise TypeError(f"the machine of {node.name} is a {type(node.machine).__name__}, not a LeaseTable")
+        raise TypeError(
+            f"the state machine of {node.name} is a {type(node.machine).__name__}, not a LeaseTable"
+        )
     return node.machine
 
 
 def check_group(
     nodes: Sequence[RaftNode], clients: Iterable[tuple[LeaseClient, int]], history: GroupHistory
 ) -> list[str]:
-    """The violations at the nodes that are up. `clients`: each with the time of its own clock."""
+    """The violations at the running `nodes` and `clients`; each client comes with the time of its clock."""
     violations = check_all(nodes, history)
     for node in nodes:
         table = lease_table_of(node)
@@ -42,8 +44,8 @@
 def _check_fencing_tokens(table: LeaseTable, history: GroupHistory) -> list[str]:
     violations: list[str] = []
     for token, lease in table.leases.items():
-        given = lease.resource, lease.holder
-        first = history.granted_leases.setdefault(token, given)
-        if first != given:
-            violations.append(f"a fencing token is given once: {token} to {first} and {given}")
+        granted = lease.resource, lease.holder
+        first_granted = history.granted_leases.setdefault(token, granted)
+        if first_granted != granted:
+            violations.append(f"a fencing token is given once: {token} to {first_granted} and {granted}")
     return violations
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -1,13 +1,13 @@
-"""Leases that this gateway holds for a requester at the operators' address, such as a maintenance crew.
+"""Leases that this gateway holds for requesters at the operators' address, such as a maintenance crew.
 
-A requester may die without a release, and the gateway would renew its lease for ever. So each request has a
-deadline of its own, counted by this gateway's clock from when it got the request; a requester that still
-needs the lease extends it in time. The requester counts from when it sent the request, which was earlier, so
-its deadline is never later than the gateway's. A crew that forgets to extend works on without a lease, as if
-the gateway had died.
+A requester may die without releasing its lease, and the gateway would renew the lease for ever. So each
+request has a deadline, which the gateway counts by its clock from when it received the request. A requester
+that still needs the lease extends the deadline in time. It counts its own deadline from when it sent the
+request, which is earlier, so its deadline is never later than the gateway's. A requester that does not extend
+the deadline, but goes on working, works without a lease, as if the gateway had died.
 
-The JSON keys at that address are older than the names here: `take` acquires, `keep` extends, `give` releases,
-`size` resizes a pool; a request's number is its `errand`.
+The JSON keys at the operators' address differ from the names in the code: `take` acquires, `keep` extends,
+`give` releases, `size` resizes a pool, and `errand` is the number of a request.
 """
 
 from collections.abc import Callable
@@ -23,8 +23,8 @@
 from gaproute.shared.messages import MAX_COUNT, MAX_NAME_LENGTH
 from gaproute.units import MILLI, SECOND
 
-MAX_OPERATOR_REQUESTS = 1024  # at a time: as many as the client takes
-# How long a request that has ended is still shown, so that the reason can be read
+MAX_OPERATOR_REQUESTS = 1024  # at the same time: as many as the lease client accepts
+# How long the operators' address shows a request that has ended, so that the requester can read the reason
 ENDED_REQUEST_RETENTION = 60 * SECOND
 
 Resource = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
@@ -33,10 +33,11 @@
 
 
 class OperatorCommand(msgspec.Struct, forbid_unknown_fields=True, rename=JSON_KEYS):
-    """One of `acquire` (a resource), `extend` or `release` (a request's number), `resize` (a resource).
+    """A command with one action: `acquire` or `resize` (a resource), `extend` or `release` (a number).
 
-    `span_ms`: the lease's duration, which is how long the resource stays taken at most if this gateway dies.
-    `for_ms`: the time after which the gateway releases it without a command; 0: the duration.
+    `span_ms`: the duration of the lease, which is the longest time for which the resource stays taken if this
+    gateway dies. `for_ms`: the time after which the gateway releases a lease that is not extended; 0 means
+    the duration.
     """
 
     acquire: Resource = ""
@@ -52,8 +53,9 @@
 
 
 class RequestStatus(TypedDict):
-    """A request as JSON at the operators' address. `ms_left`: how long the requester may act, from its
-    request on.
+    """A request as JSON at the operators' address.
+
+    `ms_left`: how long the requester may act under the lease, counted from when it asked for this status.
     """
 
     errand: int
@@ -66,7 +68,7 @@
 
 
 class PoolStatus(TypedDict):
-    """The answer to a resize, as JSON."""
+    """The answer to a resize of a pool, as JSON."""
 
     size: str
     amount: int
@@ -74,8 +76,10 @@
 
 @dataclass
 class OperatorRequest:
-    """A lease request with a deadline of its own. `ended_at`: when it was found to be neither requested nor
-    held.
+    """A lease request of a requester.
+
+    `deadline`: when the gateway releases the lease, ns. `ended_at`: when `tick` found that the lease is no
+    longer requested or held, ns.
     """
 
     request: LeaseRequest
@@ -84,25 +88,25 @@
 
 
 class OperatorRequests:
-    """The requests by number.
+    """The lease requests of all requesters at the operators' address.
 
-    `max_duration`: of a lease by the configuration, ns. `last_request_number`: the numbers in this run of the
-    gateway are above it. It is drawn at each start, so that a requester from an earlier run does not take
-    another's request for its own. `due` and `tick` are as of the client.
+    `max_duration`: the longest duration of a lease by the configuration, ns. `last_request_number`: all
+    request numbers of this run of the gateway are greater. It is drawn at each start, so that a requester of
+    an earlier run does not mistake another's request for its own. `due` and `tick` work as in `LeaseClient`.
     """
 
     def __init__(
         self, client: LeaseClient, max_duration: int = MAX_LEASE_DURATION, last_request_number: int = 0
     ) -> None:
         self.client, self.max_duration = client, max_duration
-        self.requests: dict[int, OperatorRequest] = {}
+        self.requests: dict[int, OperatorRequest] = {}  # by number
         self.last_request_number = last_request_number
 
     def execute(self, now: int, command: OperatorCommand) -> RequestStatus | PoolStatus:
-        """Carries out the command. Errors: `LeaseRequestError`, whose text says what is wrong."""
+        """Carries out the command. Errors: `LeaseRequestError`, with a text for the requester."""
         actions = [name for name in JSON_KEYS if getattr(command, name)]
         if len(actions) != 1:
-            raise LeaseRequestError("one of take, keep, give and size is asked for at a time")
+            raise LeaseRequestError("expected exactly one of take, keep, give and size")
         if command.resize:
             self.client.resize_pool(now, command.resize, command.amount)
             return {"size": command.resize, "amount": command.amount}
@@ -111,7 +115,7 @@
         number = command.extend or command.release
         operator_request = self.requests.get(number)
         if operator_request is None:
-            raise LeaseRequestError(f"no errand {number}")
+            raise LeaseRequestError(f"no errand {number}: this gateway has no lease request of that number")
         if command.release:
             self.client.release(now, operator_request.request)
         elif operator_request.ended_at is None:
@@ -124,14 +128,14 @@
         time_to_deadline = _time_to_deadline(command, duration)
         self.tick(now)
         if len(self.requests) >= MAX_OPERATOR_REQUESTS:
-            raise LeaseRequestError(f"{MAX_OPERATOR_REQUESTS} errands at once")
+            raise LeaseRequestError(f"the limit of {MAX_OPERATOR_REQUESTS} errands is reached")
         self.last_request_number += 1
         request = self.client.acquire(now, command.acquire, duration, command.amount)
         self.requests[self.last_request_number] = OperatorRequest(request, now + time_to_deadline)
         return self.status(now, self.last_request_number)
 
     def status(self, now: int, number: int) -> RequestStatus:
-        """The status of one request at the operators' address."""
+        """The status of one request, for the operators' address."""
         operator_request = self.requests[number]
         request, time_left = operator_request.request, 0
         if request.is_valid_at(now) and request.expires_at is not None:
@@ -150,16 +154,16 @@
         }
 
     def all_statuses(self, now: int) -> list[RequestStatus]:
-        """All requests by number, including those that ended lately."""
+        """The statuses of all requests by number, including those that ended recently."""
         return [self.status(now, number) for number in sorted(self.requests)]
 
     @property
     def due(self) -> int | None:
-        """When `tick` is to be called next; None while there is no request."""
+        """The time of the next call of `tick`; None while there is no request."""
         return min(map(_due_time, self.requests.values()), default=None)
 
     def tick(self, now: int) -> None:
-        """Releases leases that were not extended, and forgets requests that ended long ago."""
+        """Releases leases whose deadline has passed, and removes requests that ended long ago."""
         for number, operator_request in list(self.requests.items()):
             if operator_request.ended_at is None and now >= operator_request.deadline:
                 self.client.release(now, operator_request.request)
@@ -181,14 +185,15 @@
 
 
 def _time_to_deadline(command: OperatorCommand, duration: int) -> int:
-    """The time after which the gateway releases the lease, ns. Errors: `LeaseRequestError`."""
+    """The time from a command to the deadline that it sets, ns. Errors: `LeaseRequestError`."""
     return _duration_from_ms(command.for_ms, MAX_LEASE_DURATION) if command.for_ms else duration
 
 
 def _duration_from_ms(milliseconds: int, longest: int) -> int:
-    """The duration in ns. Errors: `LeaseRequestError` if it is out of bounds."""
+    """The duration in ns. Errors: `LeaseRequestError` if it is shorter or longer than allowed."""
     if not MIN_LEASE_DURATION <= milliseconds * MILLI <= longest:
         raise LeaseRequestError(
-            f"{milliseconds} ms: {MIN_LEASE_DURATION // MILLI} to {longest // MILLI} are possible"
+            f"a duration of {milliseconds} ms is out of bounds: "
+            f"{MIN_LEASE_DURATION // MILLI} to {longest // MILLI} ms are possible"
         )
     return milliseconds * MILLI
--- a/gaproute/shared/leases/requests.py
+++ b/gaproute/shared/leases/requests.py
@@ -1,4 +1,4 @@
-"""A client's lease requests and the commands that are sent for them."""
+"""The lease requests of a client and the commands that the client sends for them."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,15 +7,15 @@
 from gaproute.shared.leases.commands import AcquireLease, ClientCommand, CommandResult, decode_result
 from gaproute.shared.raft.messages import Reply, ReplyStatus
 
-MAX_REASON_LENGTH = 64  # characters of a rejection's reason that are stored
+MAX_REASON_LENGTH = 64  # characters that are stored of the reason for a rejection
 
 
 class LeaseRequestError(GaprouteError, ValueError):
-    """A request that no member of the group would grant, or for which the client has no capacity."""
+    """A request that no member of the group would grant, or that exceeds a limit of the client."""
 
 
 class LeaseState(StrEnum):
-    """The states of a lease request. The values are shown at the operators' address."""
+    """The state of a lease request. The operators' address shows the values."""
 
     REQUESTED = "asked"
     HELD = "held"
@@ -29,7 +29,7 @@
 
 @dataclass(eq=False)
 class LeaseRequest:
-    """A lease that is requested or held, or was. `reason`: why it was rejected or expired."""
+    """A lease that is or was requested or held. `reason`: why it was rejected or has expired."""
 
     resource: str
     amount: int
@@ -38,10 +38,10 @@
     reason: str = ""
     fencing_token: int = 0
     expires_at: int | None = None
-    renew_at: int | None = None  # None while a renewal is in progress
+    renew_at: int | None = None  # None while there is nothing to renew, or a renewal is in progress
 
     def is_valid_at(self, now: int) -> bool:
-        """Whether the lease is held and has not expired by the client's clock."""
+        """Whether the lease is held and has not expired at `now`, ns of the client's clock."""
         return self.state == LeaseState.HELD and self.expires_at is not None and now < self.expires_at
 
     @property
@@ -57,14 +57,14 @@
 
 @dataclass
 class QueuedCommand:
-    """A command that waits to be sent, and its lease request."""
+    """A command that is not sent yet, and its lease request, if any."""
 
     command: ClientCommand
     request: LeaseRequest | None = None
 
     @property
     def is_outdated(self) -> bool:
-        """Whether the lease request has changed its state, so that the command is not needed any more."""
+        """Whether the command is no longer needed, as the state of the lease request has changed."""
         if self.request is None:
             return False
         expected = LeaseState.REQUESTED if isinstance(self.command, AcquireLease) else LeaseState.HELD
@@ -73,7 +73,7 @@
 
 @dataclass
 class OutstandingCommand:
-    """A command that is sent until it is answered. `command` None opens the session."""
+    """The command that waits for its answer. `command`: None for the request that opens a session."""
 
     command: ClientCommand | None
     request: LeaseRequest | None
@@ -84,7 +84,7 @@
 
 
 def decode_command_result(reply: Reply) -> CommandResult:
-    """The result of the command in a final reply; a reply without a result is an error."""
+    """The command result in a final reply; a reply without a valid result gives a result with an error."""
     if reply.state == ReplyStatus.DONE:
         try:
             return decode_result(reply.body)
--- a/gaproute/shared/leases/result_errors.py
+++ b/gaproute/shared/leases/result_errors.py
@@ -1,7 +1,7 @@
-"""The error texts of the results of lease commands.
+"""The error texts in the results of lease commands.
 
-They are stored in the replicated table of sessions, and members of two versions must give the same ones, so
-they never change.
+The replicated session table stores these texts, and members of different versions must store the same texts.
+So the texts never change.
 """
 
 INVALID_COMMAND = "not understood"
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -1,8 +1,8 @@
 """The lease table: the state machine to which the members of the Raft group apply their log.
 
-It has no clock and no randomness, so the state is the same at all members. A lease ends here only by an
-entry: its holder releases it, or the leader expires it. The leader's command names the entry that last
-granted or renewed the lease, so that a renewal that is earlier in the log wins.
+The table has no clock and no randomness, so its state is the same at all members. A lease ends only by an
+entry of the log: its holder releases it, or the leader expires it. The leader's command names the entry that
+granted the lease or last renewed it, so the command has no effect if a renewal precedes it in the log.
 """
 
 from typing import NamedTuple
@@ -28,14 +28,15 @@
 from gaproute.shared.messages import Message
 from gaproute.shared.raft.state_machine import DeadlineChange
 
-# At a time: the maintenance of hosts and the lent capacity of a large fleet; 200 bytes each
+# Held at the same time: enough for the maintenance of hosts and the lent capacity of a large fleet; 200 bytes
+# each
 MAX_LEASES = 4096
-MAX_POOLS = 4096  # resources with a size of their own: hosts whose capacity is lent
-INITIAL_WAIT_TOKEN = 0  # the token with which `ExpireLease` ends the initial wait; no lease has it
+MAX_POOLS = 4096  # resources with a size other than 1, such as hosts whose capacity is lent
+INITIAL_WAIT_TOKEN = 0  # `ExpireLease` with this token ends the initial wait; no lease has the token
 
 
 class Lease(Message, frozen=True):
-    """A lease that is held. `log_index`: of the entry that granted or last renewed it."""
+    """A lease that is held. `log_index`: of the entry that granted the lease or last renewed it."""
 
     fencing_token: int
     resource: str
@@ -46,20 +47,20 @@
 
 
 class Pool(NamedTuple):
-    """A resource of which `size` may be held.
+    """A resource of which `size` may be held in total.
 
-    `excess`: the amount that is held if that is more than `size`, as the pool shrank; else 0.
+    `held_above_size`: the total amount held, if it is above `size` because the pool was resized; otherwise 0.
     """
 
     size: int
     held_above_size: int
 
 
-DEFAULT_POOL = Pool(1, 0)  # a resource that was never resized
+DEFAULT_POOL = Pool(1, 0)  # of a resource that was never resized
 
 
 class LeaseTableState(Message, frozen=True):
-    """The table as it is stored in a snapshot."""
+    """The state of the lease table as a snapshot stores it."""
 
     last_token: int
     initial_wait: bool
@@ -71,26 +72,28 @@
 
 
 class LeaseTable:
-    """`initial_wait`: no lease is granted until the leader has waited for the longest duration.
+    """The leases and pools of a group.
 
-    A log is begun again only if all disks were lost; leases from before may still be held then. Only the
-    first start pays for the wait. `max_duration`: of a lease, ns. Both must be the same at all members.
+    `initial_wait`: no lease is granted until the leader has waited for the longest duration. A log starts
+    anew only at the first start of a group, which pays for the wait, or if all disks were lost; in that case
+    clients may still hold leases of the old log. `max_duration`: the longest duration of a lease, ns. Both
+    must be the same at all members.
     """
 
     def __init__(self, *, initial_wait: bool = True, max_duration: int = MAX_LEASE_DURATION) -> None:
         self.initial_wait, self.max_duration = initial_wait, max_duration
-        self.last_token = 0  # the last fencing token that was given
+        self.last_token = 0  # the last fencing token that was granted
         self.leases: dict[int, Lease] = {}  # by fencing token
-        self.amounts_held: dict[str, int] = {}  # by resource
+        self.amounts_held: dict[str, int] = {}  # total by resource
         self.pools: dict[str, Pool] = {}  # by resource
-        self.last_change: DeadlineChange | None = None  # the change to a lease by the last entry
+        self.last_change: DeadlineChange | None = None  # how the last entry changed a lease
 
     def pool_size(self, resource: str) -> int:
-        """How much of the resource may be held in total."""
+        """The total amount of the resource that may be held."""
         return self.pools.get(resource, DEFAULT_POOL).size
 
     def check(self, sender: str, body: bytes) -> str:
-        """Why the leader rejects this command of `sender` before logging it; '' if it does not."""
+        """Why the leader rejects this command of `sender` instead of logging it; empty if it accepts it."""
         try:
             command = decode_client_command(body)
         except ValueError:
@@ -102,13 +105,13 @@
         return ""
 
     def raise_last_token(self, lowest: int) -> None:
-        """Has later fencing tokens be above `lowest`."""
+        """Makes all later fencing tokens greater than `lowest`."""
         self.last_token = max(self.last_token, lowest)
 
     def apply(self, index: int, body: bytes, owner: str = "") -> bytes:
         """Applies the entry at `index`; returns the encoded `CommandResult`.
 
-        `owner`: the owner of the session by which the command came; empty for the leader's own commands.
+        `owner`: the owner of the session in which the command was sent; empty for a command of the leader.
         """
         self.last_change = None
         try:
@@ -160,7 +163,7 @@
         return CommandResult("", self.last_token)
 
     def _store_lease(self, lease: Lease) -> None:
-        """Stores a lease that was granted or renewed."""
+        """Stores a lease that is granted or renewed."""
         self.leases[lease.fencing_token] = lease
         self.last_change = DeadlineChange(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
 
@@ -172,16 +175,16 @@
         return CommandResult()
 
     def _update_pool(self, resource: str) -> None:
-        """Updates the pool after its size or the amount that is held of it has changed."""
+        """Updates the pool after a change of its size or of the amount that is held."""
         held = self.amounts_held.get(resource, 0)
         size = self.pool_size(resource)
         if size == 1 and held <= 1:
-            self.pools.pop(resource, None)  # as a resource that was never resized
+            self.pools.pop(resource, None)  # `pool_size` gives the default
         elif resource in self.pools:
             self.pools[resource] = Pool(size, held if held > size else 0)
 
     def _expire_lease(self, command: ExpireLease) -> bool:
-        """Expires a lease; returns False if it was renewed earlier in the log, or is gone."""
+        """Expires a lease; returns False if an earlier entry renewed or ended it."""
         if command.fencing_token == INITIAL_WAIT_TOKEN:
             expired, self.initial_wait = self.initial_wait, False
             return expired
@@ -202,16 +205,16 @@
         self._update_pool(lease.resource)
 
     def pop_change(self) -> DeadlineChange | None:
-        """The last change by the entries since the last call, if any; each change is returned once."""
+        """Removes and returns the change to a lease by the last entry, if any."""
         change, self.last_change = self.last_change, None
         return change
 
     def start_timers(self, now: int) -> ExpiryTimers:
-        """Makes the timers of a new leader for all leases, counted from now."""
+        """The expiry timers of a new leader for all leases, counted from `now`."""
         return ExpiryTimers(now, self.expiry_waits())
 
     def expiry_waits(self) -> list[DeadlineChange]:
-        """For each lease, how long a new leader waits before it lets the lease expire."""
+        """For each lease, how long a new leader waits before it expires the lease."""
         waits = [
             DeadlineChange(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
             for lease in self.leases.values()
@@ -222,7 +225,7 @@
 
     @staticmethod
     def expire_command(fencing_token: int, log_index: int) -> bytes:
-        """The entry by which a leader expires a lease."""
+        """The encoded command by which the leader expires a lease."""
         return encode(ExpireLease(fencing_token, log_index))
 
     def pack(self) -> bytes:
@@ -231,7 +234,7 @@
         return encode(LeaseTableState(self.last_token, self.initial_wait, list(self.leases.values()), pools))
 
     def unpack(self, data: bytes) -> None:
-        """Takes over the state of a snapshot. Errors: ValueError if `data` is none."""
+        """Replaces the state by that of a snapshot. Errors: ValueError if `data` is no encoded state."""
         state = _decode_state(data)
         self.last_token, self.initial_wait = state.last_token, state.initial_wait
         self.leases = {lease.fencing_token: lease for lease in state.leases}
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: what each entry does, whose lease is valid by whose clock, and what is sent again to whom."""
+"""Leases: the effect of each log entry, validity by different clocks, and resending by the client."""
 
 import pytest
 from raft_net import MILLI, SECOND, Chance, Net
@@ -23,67 +23,67 @@
 from gaproute.shared.raft.sessions import MAX_SESSIONS_PER_CLIENT, Sessions
 
 
-class Log:
-    """A lease table and the entries that it is given."""
+class TableLog:
+    """A lease table, and the index of the last log entry that was applied to it."""
 
     def __init__(self, **options):
-        self.machine, self.index = LeaseTable(**{"initial_wait": False, **options}), 0
+        self.table, self.index = LeaseTable(**{"initial_wait": False, **options}), 0
 
-    def __call__(self, command, owner=None):
+    def apply(self, command, owner=None):
         self.index += 1
         owner = getattr(command, "holder", "") if owner is None else owner
-        answer = decode_result(self.machine.apply(self.index, encode(command), owner))
-        assert check_table(self.machine) == []
-        return answer
+        result = decode_result(self.table.apply(self.index, encode(command), owner))
+        assert check_table(self.table) == []
+        return result
 
 
 def test_a_resource_has_one_holder_and_fencing_tokens_grow():
-    log = Log()
-    assert log(AcquireLease("host", "a", 1, SECOND)) == CommandResult("", 1)
-    assert log(AcquireLease("host", "b", 1, SECOND)).error == "taken"
-    assert log(AcquireLease("host", "a", 1, SECOND)).error == "taken"
-    assert log(ReleaseLease(1, "b")).error == "gone"
-    assert log(RenewLease(1, "b", SECOND)).error == "gone"
-    assert log(ReleaseLease(1, "a")) == CommandResult("", 1)
-    assert log(ReleaseLease(1, "a")).error == "gone"
-    assert log(AcquireLease("host", "b", 1, SECOND)) == CommandResult("", 2)
-    log.machine.raise_last_token(1000)
-    assert log(AcquireLease("other", "b", 1, SECOND)) == CommandResult("", 1001)
-
-
-def test_a_pool_is_never_overspent_also_when_it_shrinks():
-    log = Log()
-    log(ResizePool("room", "a", 5))
-    assert log(AcquireLease("room", "a", 3, SECOND)).fencing_token == 1
-    assert log(AcquireLease("room", "b", 2, SECOND)).fencing_token == 2
-    assert log(AcquireLease("room", "c", 1, SECOND)).error == "taken"
-    log(ResizePool("room", "a", 2))
-    log(ReleaseLease(2, "b"))
-    assert log(AcquireLease("room", "c", 1, SECOND)).error == "taken"
-    log(ReleaseLease(1, "a"))
-    assert log(AcquireLease("room", "c", 2, SECOND)).fencing_token == 3
-    log(ResizePool("room", "a", 1))
-    log(ReleaseLease(3, "c"))
-    assert not log.machine.pools
-    assert not log.machine.amounts_held
-
-
-def test_an_expiry_of_before_a_renewal_ends_nothing_and_only_the_leader_appends_it():
-    log = Log()
-    log(AcquireLease("host", "a", 1, SECOND))
-    assert log(RenewLease(1, "a", SECOND)).error == ""
-    assert log(ExpireLease(1, 1)).error == "not over"
-    assert log(ExpireLease(1, 2), "a").error == "not over"  # as the holder says
-    assert log(ExpireLease(1, 2)).error == ""
-    assert not log.machine.leases
-
-
-def test_a_new_log_grants_nothing_for_the_longest_duration():
-    log = Log(initial_wait=True)
-    assert log(AcquireLease("host", "a", 1, SECOND)).error == "quiet after founding"
-    assert log.machine.expiry_waits() == [(0, 0, expiry_wait(MAX_LEASE_DURATION))]
-    log(ExpireLease(0, 0))
-    assert log(AcquireLease("host", "a", 1, SECOND)).fencing_token == 1
+    log = TableLog()
+    assert log.apply(AcquireLease("host", "a", 1, SECOND)) == CommandResult("", 1)
+    assert log.apply(AcquireLease("host", "b", 1, SECOND)).error == "taken"
+    assert log.apply(AcquireLease("host", "a", 1, SECOND)).error == "taken"
+    assert log.apply(ReleaseLease(1, "b")).error == "gone"
+    assert log.apply(RenewLease(1, "b", SECOND)).error == "gone"
+    assert log.apply(ReleaseLease(1, "a")) == CommandResult("", 1)
+    assert log.apply(ReleaseLease(1, "a")).error == "gone"
+    assert log.apply(AcquireLease("host", "b", 1, SECOND)) == CommandResult("", 2)
+    log.table.raise_last_token(1000)
+    assert log.apply(AcquireLease("other", "b", 1, SECOND)) == CommandResult("", 1001)
+
+
+def test_a_pool_never_grants_more_than_its_size_even_after_it_shrinks():
+    log = TableLog()
+    log.apply(ResizePool("room", "a", 5))
+    assert log.apply(AcquireLease("room", "a", 3, SECOND)).fencing_token == 1
+    assert log.apply(AcquireLease("room", "b", 2, SECOND)).fencing_token == 2
+    assert log.apply(AcquireLease("room", "c", 1, SECOND)).error == "taken"
+    log.apply(ResizePool("room", "a", 2))
+    log.apply(ReleaseLease(2, "b"))
+    assert log.apply(AcquireLease("room", "c", 1, SECOND)).error == "taken"
+    log.apply(ReleaseLease(1, "a"))
+    assert log.apply(AcquireLease("room", "c", 2, SECOND)).fencing_token == 3
+    log.apply(ResizePool("room", "a", 1))
+    log.apply(ReleaseLease(3, "c"))
+    assert not log.table.pools
+    assert not log.table.amounts_held
+
+
+def test_an_expiry_that_names_an_entry_before_a_renewal_has_no_effect_and_only_the_leader_may_append_it():
+    log = TableLog()
+    log.apply(AcquireLease("host", "a", 1, SECOND))
+    assert log.apply(RenewLease(1, "a", SECOND)).error == ""
+    assert log.apply(ExpireLease(1, 1)).error == "not over"
+    assert log.apply(ExpireLease(1, 2), "a").error == "not over"  # a client may not expire a lease
+    assert log.apply(ExpireLease(1, 2)).error == ""
+    assert not log.table.leases
+
+
+def test_a_new_log_grants_no_lease_until_the_longest_duration_has_passed():
+    log = TableLog(initial_wait=True)
+    assert log.apply(AcquireLease("host", "a", 1, SECOND)).error == "quiet after founding"
+    assert log.table.expiry_waits() == [(0, 0, expiry_wait(MAX_LEASE_DURATION))]
+    log.apply(ExpireLease(0, 0))
+    assert log.apply(AcquireLease("host", "a", 1, SECOND)).fencing_token == 1
 
 
 @pytest.mark.parametrize(
@@ -99,23 +99,23 @@
         encode(AcquireLease("h" * 200, "a", 1, SECOND)),
     ],
 )
-def test_what_no_holder_may_request_is_rejected_by_the_leader_and_by_the_log(body):
-    machine = LeaseTable(initial_wait=False)
-    assert machine.check("a", body)
-    assert decode_result(machine.apply(1, body, "a")).error
-    assert not machine.leases
+def test_a_command_that_no_client_may_send_is_rejected_by_the_leader_and_by_the_table(body):
+    table = LeaseTable(initial_wait=False)
+    assert table.check("a", body)
+    assert decode_result(table.apply(1, body, "a")).error
+    assert not table.leases
 
 
-def test_the_groups_expiry_comes_after_the_holders_with_both_clocks_wrong():
+def test_a_lease_expires_at_its_holder_before_the_group_with_the_largest_error_of_both_clocks():
     for duration in (100 * MILLI, SECOND + 1, MAX_LEASE_DURATION):
         slow, fast = 1000 - CLOCK_ERROR_PER_MILLE, 1000 + CLOCK_ERROR_PER_MILLE
         assert expiry_wait(duration) * 1000 * slow >= duration * 1000 * fast
         assert (
             duration * (1000 + 2 * CLOCK_ERROR_PER_MILLE) * slow < duration * 1000 * fast
-        )  # why it is not 1 + 2b
+        )  # 1 + 2b is too short
 
 
-def test_the_leaders_timer_counts_from_the_last_renewal():
+def test_the_leaders_timer_counts_from_the_last_renewal_and_outdated_heap_entries_are_bounded():
     timers = ExpiryTimers(0, [(7, 1, 10)])
     timers.update(5, 7, 2, 10)
     assert timers.pop_expired(10, 9) == []
@@ -129,113 +129,117 @@
     assert len(timers.expiry_heap) < 200
 
 
-def test_a_command_is_done_once_and_a_forgotten_session_does_nothing():
-    one = Sessions(LeaseTable(initial_wait=False))
-    one.apply(1, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
-    take = Entry(1, EntryKind.COMMAND, 1, 1, encode(AcquireLease("room", "a", 1, SECOND)))
-    first = one.apply(2, take)
-    assert one.apply(3, take) == first
-    assert one.machine.last_token == 1
-    assert one.apply(4, Entry(1, EntryKind.COMMAND, 1, 2, encode(ReleaseLease(1, "a"))))[0] == "done"
-    assert one.apply(5, take)[0] == "refused"
-    assert not one.machine.leases
-    other = Sessions(LeaseTable())
-    other.unpack(one.pack())
-    assert other.pack() == one.pack()
-    assert other.table == one.table
+def test_a_repeated_command_is_applied_once_and_a_command_of_a_forgotten_session_is_not_applied():
+    sessions = Sessions(LeaseTable(initial_wait=False))
+    sessions.apply(1, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
+    acquisition = Entry(1, EntryKind.COMMAND, 1, 1, encode(AcquireLease("room", "a", 1, SECOND)))
+    first_result = sessions.apply(2, acquisition)
+    assert sessions.apply(3, acquisition) == first_result
+    assert sessions.machine.last_token == 1
+    assert sessions.apply(4, Entry(1, EntryKind.COMMAND, 1, 2, encode(ReleaseLease(1, "a"))))[0] == "done"
+    assert sessions.apply(5, acquisition)[0] == "refused"
+    assert not sessions.machine.leases
+    restored = Sessions(LeaseTable())
+    restored.unpack(sessions.pack())
+    assert restored.pack() == sessions.pack()
+    assert restored.table == sessions.table
     for index in range(6, 6 + MAX_SESSIONS_PER_CLIENT):
-        one.apply(index, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
-    assert one.apply(99, take)[0] == "forgotten"
-    assert len(one.table) == MAX_SESSIONS_PER_CLIENT
+        sessions.apply(index, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
+    assert sessions.apply(99, acquisition)[0] == "forgotten"
+    assert len(sessions.table) == MAX_SESSIONS_PER_CLIENT
 
 
-def client(now=0):
+def make_client(now=0):
     return LeaseClient("h", ("a", "b", "c"), Chance(1), now)
 
 
-def opened(now=0):
-    one = client(now)
-    request = one.acquire(now, "host", 10 * SECOND)
-    ((to, message),) = one.tick(now)
+def client_with_sent_acquisition(now=0):
+    client = make_client(now)
+    request = client.acquire(now, "host", 10 * SECOND)
+    ((receiver, message),) = client.tick(now)
     assert (message.session, message.body) == (0, b"")
-    sent = one.hear(now, to, Reply(0, message.nonce, "done", opened=5))
+    sent = client.hear(now, receiver, Reply(0, message.nonce, "done", opened=5))
     assert sent[0][1].session == 5
-    return one, request, sent[0]
+    return client, request, sent[0]
 
 
-def test_a_lease_counts_from_when_it_was_first_requested():
-    one, request, (to, message) = opened()
+def test_a_lease_is_valid_from_when_its_acquisition_was_first_sent():
+    client, request, (receiver, message) = client_with_sent_acquisition()
     assert not request.is_valid_at(0)
-    ((other, again),) = one.tick(one.due)
-    assert again == message
-    assert other != to
+    ((next_receiver, repeated),) = client.tick(client.due)
+    assert repeated == message
+    assert next_receiver != receiver
     granted = Reply(5, 1, "done", encode(CommandResult("", 3)))
-    assert one.hear(4 * SECOND, "z", granted) == []
+    assert client.hear(4 * SECOND, "z", granted) == []
     assert not request.is_valid_at(4 * SECOND)
-    one.hear(4 * SECOND, other, granted)
+    client.hear(4 * SECOND, next_receiver, granted)
     assert request.is_valid_at(4 * SECOND)
     assert request.fencing_token == 3
     assert request.expires_at == 10 * SECOND
-    ((_, renewal),) = one.tick(5 * SECOND)
+    ((_, renewal),) = client.tick(5 * SECOND)
     assert renewal.body == encode(RenewLease(3, "h", 10 * SECOND))
     assert request.is_valid_at(9 * SECOND)
-    assert not request.is_valid_at(10 * SECOND)  # nobody heard
-    one.tick(10 * SECOND)
+    assert not request.is_valid_at(10 * SECOND)  # the renewal was not answered
+    client.tick(10 * SECOND)
     assert request.state == "over"
-    assert not one.requests
+    assert not client.requests
 
 
 def test_a_lease_that_is_granted_too_late_is_released():
-    one, request, (to, message) = opened()
-    ((_, back),) = one.hear(10 * SECOND, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
+    client, request, (receiver, message) = client_with_sent_acquisition()
+    ((_, release),) = client.hear(10 * SECOND, receiver, Reply(5, 1, "done", encode(CommandResult("", 3))))
     assert request.state == "over"
-    assert back.body == encode(ReleaseLease(3, "h"))
+    assert release.body == encode(ReleaseLease(3, "h"))
 
 
-def test_a_request_released_before_its_answer_releases_the_lease():
-    one, request, (to, message) = opened()
-    one.release(0, request)
-    ((_, back),) = one.hear(SECOND, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
-    assert back.body == encode(ReleaseLease(3, "h"))
+def test_a_lease_whose_request_was_released_before_the_answer_is_released():
+    client, request, (receiver, message) = client_with_sent_acquisition()
+    client.release(0, request)
+    ((_, release),) = client.hear(SECOND, receiver, Reply(5, 1, "done", encode(CommandResult("", 3))))
+    assert release.body == encode(ReleaseLease(3, "h"))
     assert not request.is_valid_at(SECOND)
 
 
-def test_redirects_are_followed_but_not_in_circles():
-    one, request, (to, message) = opened()
-    first, second = [name for name in "abc" if name != to]
-    assert one.hear(0, to, Reply(5, 1, "elsewhere", leader=first)) == [(first, message)]
-    assert one.hear(0, first, Reply(5, 1, "elsewhere", leader=second)) == [(second, message)]
-    assert one.hear(0, second, Reply(5, 1, "elsewhere", leader=first)) == []
-    assert one.hear(0, second, Reply(5, 1, "elsewhere", leader="nobody")) == []
-    assert one.due == 100 * MILLI
-    assert one.hear(0, second, Reply(5, 1, "busy")) == []
-    assert one.tick(one.due) == [(second, message)]
+def test_a_client_follows_redirects_but_not_in_circles():
+    client, request, (receiver, message) = client_with_sent_acquisition()
+    first, second = [name for name in "abc" if name != receiver]
+    assert client.hear(0, receiver, Reply(5, 1, "elsewhere", leader=first)) == [(first, message)]
+    assert client.hear(0, first, Reply(5, 1, "elsewhere", leader=second)) == [(second, message)]
+    assert client.hear(0, second, Reply(5, 1, "elsewhere", leader=first)) == []
+    assert client.hear(0, second, Reply(5, 1, "elsewhere", leader="nobody")) == []
+    assert client.due == 100 * MILLI
+    assert client.hear(0, second, Reply(5, 1, "busy")) == []
+    assert client.tick(client.due) == [(second, message)]
 
 
-def test_a_forgotten_session_leaves_an_acquisition_unknown_and_repeats_other_commands():
-    one, request, (to, message) = opened()
-    assert one.hear(0, to, Reply(5, 1, "forgotten")) == []
+def test_after_a_forgotten_session_an_acquisition_has_an_unknown_outcome_and_a_renewal_is_repeated():
+    client, request, (receiver, message) = client_with_sent_acquisition()
+    assert client.hear(0, receiver, Reply(5, 1, "forgotten")) == []
     assert request.state == "refused"
     assert request.reason == "outcome unknown"
-    assert one.due is None
-    other, request, (to, message) = opened()
-    other.hear(0, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
-    other.tick(5 * SECOND)
-    ((to, opening),) = other.hear(5 * SECOND, other.receiver, Reply(5, 2, "forgotten"))
-    assert opening.session == 0
+    assert client.due is None
+    renewing_client, request, (receiver, message) = client_with_sent_acquisition()
+    renewing_client.hear(0, receiver, Reply(5, 1, "done", encode(CommandResult("", 3))))
+    renewing_client.tick(5 * SECOND)
+    ((receiver, session_request),) = renewing_client.hear(
+        5 * SECOND, renewing_client.receiver, Reply(5, 2, "forgotten")
+    )
+    assert session_request.session == 0
     assert request.is_valid_at(9 * SECOND)
-    ((_, again),) = other.hear(5 * SECOND, to, Reply(0, opening.nonce, "done", opened=9))
-    assert again == Request(9, 1, encode(RenewLease(3, "h", 10 * SECOND)))
+    ((_, repeated),) = renewing_client.hear(
+        5 * SECOND, receiver, Reply(0, session_request.nonce, "done", opened=9)
+    )
+    assert repeated == Request(9, 1, encode(RenewLease(3, "h", 10 * SECOND)))
 
 
-def settled(clients=2):
+def group_with_leader(clients=2):
     net = Net(3, 3, clients)
     net.run(5 * SECOND)
     return net
 
 
-def test_a_holder_that_stops_releases_all():
-    net = settled()
+def test_release_all_releases_every_lease_of_a_client():
+    net = group_with_leader()
     for name in ("host-1", "host-2"):
         net.clients["h0"].acquire(net.now, name, 4 * SECOND)
     net.run(SECOND)
@@ -246,8 +250,8 @@
     assert net.clients["h0"].due is None
 
 
-def test_a_dead_holders_lease_is_granted_again_only_after_it_expired():
-    net = settled()
+def test_the_lease_of_a_dead_holder_is_granted_again_only_after_it_expired():
+    net = group_with_leader()
     request = net.clients["h0"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
     assert request.is_valid_at(net.now)
@@ -264,8 +268,8 @@
     assert other.fencing_token == 2
 
 
-def test_a_new_leader_counts_anew():
-    net = settled(1)
+def test_a_new_leader_counts_the_whole_duration_of_a_lease_again():
+    net = group_with_leader(1)
     net.clients["h0"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
     del net.clients["h0"]
@@ -279,8 +283,8 @@
     assert net.now - since >= expiry_wait(4 * SECOND)
 
 
-def test_a_leader_bounds_what_one_holder_and_all_holders_leave_waiting():
-    net = settled(0)
+def test_a_leader_limits_the_pending_commands_of_one_client_and_of_all_clients():
+    net = group_with_leader(0)
     leader = net.leader
     answers = [leader.hear(net.now, "h", Request(0, nonce, b"")) for nonce in range(1, 10)]
     states = [message.state for each in answers for _, message in each if isinstance(message, Reply)]
