--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,7 +28,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import MembershipMessage, MemberState
-from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.invariants import check_membership
 from gaproute.standins.membership_network import MembershipNetwork
 
 SECOND = 1_000_000_000
@@ -83,7 +83,9 @@
     net.run(10 * SECOND)
     figures = _calm(net, size) | _death(net)
     figures |= _newcomer(net, size, seed)
-    assert not [violation for node in net.nodes.values() for violation in check(node, thorough=True)]
+    assert not [
+        violation for node in net.nodes.values() for violation in check_membership(node, thorough=True)
+    ]
     return figures
 
 
@@ -99,7 +101,7 @@
         "bytes/s": sum(net.sizes) / CALM / size,
         "largest": max(net.sizes),
         "CPU, %": 100 * spent / CALM / size,
-        "suspicions": sum(node.suspicions for node in nodes),
+        "suspicions": sum(node.suspicion_count for node in nodes),
         "wrongly dead": sum(
             member.state in (MemberState.DEAD, MemberState.LEFT)
             for node in nodes
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -63,12 +63,12 @@
     def start(self, name: str, seed: int) -> Membership:
         """Make a member that is configured with all others."""
         made = Membership(name, self.peers[name], Chance(seed), 0, SINCE_1970)
-        made.configure(0, self.peers)
+        made.set_configured_members(0, self.peers)
         return made
 
     def message_of(self, name: str, kind: MessageKind, number: int) -> bytes:
         """Encode a message of another member, with as many updates as this gateway's own."""
-        message = self.mirror.builder.message(kind, number)
+        message = self.mirror.message_builder.message(kind, number)
         return encode(
             message._replace(sender=MemberUpdate(name, self.peers[name], MemberState.ALIVE, SINCE_1970))
         )
@@ -103,7 +103,7 @@
         self.out, self.spent = 0, 0.0
         for _ in range(PLAYED):
             self.second()
-        assert self.member.suspicions == 0
+        assert self.member.suspicion_count == 0
         return self
 
 
@@ -158,7 +158,9 @@
     net = EncodingNetwork(size, seed)
     for node in net.nodes.values():
         for other in net.nodes.values():
-            node.apply(0, MemberUpdate(other.name, other.address, MemberState.ALIVE, other.incarnation))
+            node.apply_update(
+                0, MemberUpdate(other.name, other.address, MemberState.ALIVE, other.incarnation)
+            )
     net.run(SETTLED * SECOND)
     return net
 
--- a/benchmarks/scale/membership_faults.py
+++ b/benchmarks/scale/membership_faults.py
@@ -14,7 +14,7 @@
     MemberUpdate,
     MessageKind,
 )
-from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.invariants import check_membership
 from gaproute.shared.membership.table import MAX_MEMBERS
 
 SECOND = 1_000_000_000
@@ -37,14 +37,17 @@
         "bound": MAX_MEMBERS,
         "answered": sum(_is_ack(answer) for answer in answers),
         "members_held": len(membership.members),
-        "refused": membership.rejected,
+        "refused": membership.rejected_count,
     }
     row = GatewayRow(f"gateway-{strangers + 1}", fleet.address(strangers + 1))
     late = _membership_of(fleet.start(row, fleet.rows))
     fleet.run(30)
     figures["newcomer_is_held"] = row.name in membership.members
     figures["newcomer_counts_up"] = late.live_count()
-    figures["breaches"] = [*check(membership, thorough=True), *check(late, thorough=True)]
+    figures["breaches"] = [
+        *check_membership(membership, thorough=True),
+        *check_membership(late, thorough=True),
+    ]
     fleet.close()
     return figures
 
--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -10,7 +10,7 @@
 from gaproute.hollow.simulation import SimulatedFleet
 from gaproute.hollow.simulation.host_lists import GONE
 from gaproute.shared.membership import Membership, MemberState
-from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.invariants import check_membership
 
 SECOND = 1_000_000_000
 # For long plays: gossip of demand is nine tenths of all events.
@@ -162,7 +162,7 @@
         figures["breaches"] = [
             violation
             for membership in self.memberships().values()
-            for violation in check(membership, thorough=True)
+            for violation in check_membership(membership, thorough=True)
         ]
         figures["simulated_s"] = round(self.now, 1)
         self.fleet.close()
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -57,9 +57,9 @@
             "bytes": transport.bytes - self._payload_bytes + messages * DATAGRAM_HEADERS,
             "entries": len(membership.members),
             "news": len(membership.table.pending_updates),
-            "refused": membership.rejected,
+            "refused": membership.rejected_count,
             "flood": transport.rate_limited,
-            "suspicions": membership.suspicions,
+            "suspicions": membership.suspicion_count,
         }
 
     def close(self) -> None:
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -78,7 +78,7 @@
     def _update_peers(self, now: int) -> None:
         membership = self.transport.membership
         self.node.raise_incarnation(membership.incarnation)
-        self.node.set_peers(now, [*membership.table.alive.names, *membership.table.suspects])
+        self.node.set_peers(now, [*membership.table.alive.names, *membership.table.suspected_since])
 
     def _observe_in_flight(self) -> None:
         hosts = self.gateway.hosts_by_id
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -56,7 +56,7 @@
 
     def configure(self, peers: Iterable[Peer]) -> None:
         """Takes over the configured gateways, which are never forgotten."""
-        self.membership.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
+        self.membership.set_configured_members(self.loop.now(), {peer.name: peer.where for peer in peers})
         self._log_changes()
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
@@ -127,7 +127,7 @@
         self.datagrams.send(data, datagram_address(address))
 
     def _log_changes(self) -> None:
-        for name in self.membership.table.changed:
+        for name in self.membership.table.changed_names:
             member = self.membership.members.get(name)
             if member is not None:
                 self.record.event(
@@ -137,7 +137,7 @@
                     state=member.state.label,
                     incarnation=member.incarnation,
                 )
-        self.membership.table.changed.clear()
+        self.membership.table.changed_names.clear()
 
     def _row(self, member: Member) -> dict[str, object]:
         now = self.loop.now()
--- a/gaproute/shared/membership/identity.py
+++ b/gaproute/shared/membership/identity.py
@@ -8,9 +8,9 @@
 
     def __init__(self, name: str, address: str, incarnation: int) -> None:
         self.name, self.address, self.incarnation = name, address, incarnation
-        self.refutations = 0
+        self.refutation_count = 0
 
-    def update(self, state: MemberState = MemberState.ALIVE) -> MemberUpdate:
+    def own_update(self, state: MemberState = MemberState.ALIVE) -> MemberUpdate:
         """The update in which this gateway announces itself."""
         return MemberUpdate(self.name, self.address, state, self.incarnation)
 
@@ -20,5 +20,5 @@
         """
         if (update.incarnation, update.state) > (self.incarnation, MemberState.ALIVE):
             if update.state != MemberState.ALIVE:
-                self.refutations += 1
+                self.refutation_count += 1
             self.incarnation = update.incarnation + 1
--- a/gaproute/shared/membership/invariants.py
+++ b/gaproute/shared/membership/invariants.py
@@ -17,9 +17,9 @@
         yield f"{count} members are known, over {MAX_MEMBERS} and those configured"
     bounds = (
         Bound("indirect probes", len(prober.indirect_probes), MAX_INDIRECT_PROBES),
-        Bound("names of the round", len(prober.order.remaining), len(prober.order.remaining_names)),
+        Bound("names of the round", len(prober.probe_order.remaining), len(prober.probe_order.remaining_set)),
         Bound("pending updates", len(table.pending_updates), count),
-        Bound("suspects and departed", len(table.suspects) + len(table.departed), count),
+        Bound("suspects and departed", len(table.suspected_since) + len(table.departed_since), count),
     )
     yield from exceeded(bounds)
 
@@ -28,7 +28,12 @@
     """Each member is in the lists of its state and in no other. Expensive, as it reads all members."""
     table = membership.table
     for name, member in membership.members.items():
-        listed = (name in table.alive, name in table.suspects, name in table.dead, name in table.all_names)
+        listed = (
+            name in table.alive,
+            name in table.suspected_since,
+            name in table.departed,
+            name in table.all_names,
+        )
         state = member.state
         expected = (state == MemberState.ALIVE, state == MemberState.SUSPECT, state >= MemberState.DEAD, True)
         if listed != expected:
@@ -42,7 +47,7 @@
         yield "a list holds one that is no member"
 
 
-def check(membership: Membership, *, thorough: bool = False) -> list[str]:
+def check_membership(membership: Membership, *, thorough: bool = False) -> list[str]:
     """The violations as text; empty if there are none. `thorough`: the expensive checks as well."""
     violations = list(sizes_are_bounded(membership))
     if thorough:
--- a/gaproute/shared/membership/membership.py
+++ b/gaproute/shared/membership/membership.py
@@ -26,17 +26,17 @@
     MemberState,
     MemberUpdate,
     MessageKind,
-    is_valid,
+    is_valid_update,
 )
-from gaproute.shared.membership.prober import HELPERS, PERIOD, Prober
+from gaproute.shared.membership.prober import PROBE_HELPERS, PROBE_PERIOD, Prober
 from gaproute.shared.membership.state_transfer import StateTransfer
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
 # A suspect counts as dead after so many periods for every power of two of the number of members
-SUSPICION_PERIODS = 3
-DEAD_RETENTION = 600 * SECOND  # after which a dead member that is not configured is forgotten
+SUSPICION_PERIODS_PER_DOUBLING = 3
+DEAD_MEMBER_RETENTION = 600 * SECOND  # after which a dead member that is not configured is forgotten
 
 
 class Membership:
@@ -53,11 +53,11 @@
         self._random = random
         self.table = MemberTable()
         self.members = self.table.members
-        self.builder = MessageBuilder(self.identity, self.table)
-        self.prober = Prober(self.table, self.builder, random, now)
+        self.message_builder = MessageBuilder(self.identity, self.table)
+        self.prober = Prober(self.table, self.message_builder, random, now)
         self.state_transfer = StateTransfer()
         self.stalled_time = 0  # ns in which this gateway did not run, which count for no suspicion
-        self.suspicions = 0
+        self.suspicion_count = 0
 
     @property
     def incarnation(self) -> int:
@@ -65,14 +65,14 @@
         return self.identity.incarnation
 
     @property
-    def refutations(self) -> int:
+    def refutation_count(self) -> int:
         """How often this gateway refuted an update that it is not alive."""
-        return self.identity.refutations
+        return self.identity.refutation_count
 
     @property
-    def rejected(self) -> int:
+    def rejected_count(self) -> int:
         """Messages and updates that were invalid, and unknown members for which the table had no room."""
-        return self.table.rejected
+        return self.table.rejected_count
 
     @property
     def due(self) -> int:
@@ -80,9 +80,9 @@
         transfer_due = self.state_transfer.due
         return self.prober.due if transfer_due is None else min(self.prober.due, transfer_due)
 
-    def configure(self, now: int, addresses: Mapping[str, str]) -> None:
+    def set_configured_members(self, now: int, addresses: Mapping[str, str]) -> None:
         """Takes over the addresses of the configured gateways by name."""
-        self.table.configure(now - self.stalled_time, self.name, addresses)
+        self.table.set_configured_members(now - self.stalled_time, self.name, addresses)
 
     def live_count(self) -> int:
         """The number of gateways that are up, including this one and suspects, as most suspicions are
@@ -94,128 +94,128 @@
 
     def receive(self, now: int, message: MembershipMessage) -> list[Outgoing]:
         """Handles a message; returns the answers to it."""
-        if not self._is_acceptable(message.sender):
-            self.table.rejected += 1
+        if not self._is_acceptable_sender(message.sender):
+            self.table.rejected_count += 1
             return []
-        member = self._take_updates(now, message)
+        member = self._apply_updates(now, message)
         if member is None:  # not added: the table is full, or an unknown gateway leaves
             return []
         match message.kind:
             case MessageKind.PING:
-                return [self._ack(member, message)]
+                return [self._build_ack(member, message)]
             case MessageKind.PING_REQUEST:
-                return self.prober.probe_for(member, message)
+                return self.prober.send_indirect_probe(member, message)
             case MessageKind.PULL:
-                return self._send_chunk(member, message)
+                return self._answer_pull(member, message)
             case MessageKind.CHUNK:
-                return self._chunk_received(now, member, message)
+                return self._handle_chunk(now, member, message)
             case MessageKind.ACK:
-                return self._start_transfer(now, member) + self.prober.ack_received(member, message)
+                return self._start_transfer(now, member) + self.prober.handle_ack(member, message)
 
-    def apply(self, now: int, update: MemberUpdate) -> None:
+    def apply_update(self, now: int, update: MemberUpdate) -> None:
         """Handles an update: about another member it goes into the table, a wrong one about this gateway is
         refuted.
         """
-        if update.name == self.name and is_valid(update):
+        if update.name == self.name and is_valid_update(update):
             self.identity.refute(update)
         else:
-            self.table.apply(now - self.stalled_time, update)
+            self.table.apply_update(now - self.stalled_time, update)
 
-    def _is_acceptable(self, sender: MemberUpdate) -> bool:
+    def _is_acceptable_sender(self, sender: MemberUpdate) -> bool:
         return (
             sender.name != self.name
-            and is_valid(sender)
+            and is_valid_update(sender)
             and sender.state in (MemberState.ALIVE, MemberState.LEFT)
         )
 
-    def _take_updates(self, now: int, message: MembershipMessage) -> Member | None:
+    def _apply_updates(self, now: int, message: MembershipMessage) -> Member | None:
         """Takes the updates of the message; returns the entry of its sender."""
         known = self.members.get(message.sender.name)
         was_dead = known is not None and known.state >= MemberState.DEAD
         for update in (message.sender, *message.updates):
-            self.apply(now, update)
+            self.apply_update(now, update)
         member = self.members.get(message.sender.name)
         if member is not None:
             member.last_heard = now
             if was_dead and member.state is MemberState.ALIVE:
-                self.state_transfer.wanted = True
+                self.state_transfer.is_wanted = True
         return member
 
-    def _ack(self, member: Member, message: MembershipMessage) -> Outgoing:
+    def _build_ack(self, member: Member, message: MembershipMessage) -> Outgoing:
         stale = _is_stale(member, message.sender)
-        answer = self.builder.ack(member, message.sequence, message.target, stale=stale)
+        answer = self.message_builder.ack(member, message.sequence, message.target, stale=stale)
         return answer._replace(address=_reply_address(member, message.sender))
 
-    def _send_chunk(self, member: Member, message: MembershipMessage) -> list[Outgoing]:
-        if not self.state_transfer.may_send_chunk():
+    def _answer_pull(self, member: Member, message: MembershipMessage) -> list[Outgoing]:
+        if not self.state_transfer.admit_chunk_request():
             return []
-        chunk = self.builder.chunk(message.sequence)
+        chunk = self.message_builder.chunk(message.sequence)
         return [Outgoing(_reply_address(member, message.sender), chunk)]
 
-    def _chunk_received(self, now: int, member: Member, message: MembershipMessage) -> list[Outgoing]:
-        if not self.state_transfer.chunk_received(now, member.name, message.sequence):
+    def _handle_chunk(self, now: int, member: Member, message: MembershipMessage) -> list[Outgoing]:
+        if not self.state_transfer.record_chunk(now, member.name, message.sequence):
             return []
-        return [self.builder.pull(member, self.state_transfer.position)]
+        return [self.message_builder.pull(member, self.state_transfer.position)]
 
     def _start_transfer(self, now: int, member: Member) -> list[Outgoing]:
         if member.state is not MemberState.ALIVE or not self.state_transfer.should_start(now):
             return []
         self.state_transfer.start(now, member.name)
-        return [self.builder.pull(member, self.state_transfer.position)]
+        return [self.message_builder.pull(member, self.state_transfer.position)]
 
     # Time
 
     def tick(self, now: int) -> list[Outgoing]:
         """Called at `due` or later."""
-        if now - self.due > PERIOD:
+        if now - self.due > PROBE_PERIOD:
             self._resume_after_stall(now)
             return []
         if now < self.due:
             return []
         outgoing = self._retry_pull(now)
-        if now >= self.prober.next_period:
+        if now >= self.prober.next_period_at:
             return outgoing + self._start_period(now)
-        return outgoing + self.prober.retry(now)
+        return outgoing + self.prober.retry_probe(now)
 
     def leave(self) -> list[Outgoing]:
         """The messages that announce to a few members that this gateway shuts down."""
-        names = self.table.alive.sample(self._random, HELPERS)
-        return [self.builder.leave(self.members[name]) for name in names]
+        names = self.table.alive.sample(self._random, PROBE_HELPERS)
+        return [self.message_builder.leave(self.members[name]) for name in names]
 
     def _resume_after_stall(self, now: int) -> None:
         """Ends the present probe after a stall: answers may lie unread, and no suspect could refute in that
         time.
         """
         self.stalled_time += now - self.due
-        self.prober.abandon(now)
+        self.prober.abandon_probe(now)
         self.state_transfer.restart_timeout(now)
 
     def _retry_pull(self, now: int) -> list[Outgoing]:
-        if not self.state_transfer.should_retry(now):
+        if not self.state_transfer.begin_retry(now):
             return []
-        source = self.members.get(self.state_transfer.source or "")
-        return [] if source is None else [self.builder.pull(source, self.state_transfer.position)]
+        source = self.members.get(self.state_transfer.source_name or "")
+        return [] if source is None else [self.message_builder.pull(source, self.state_transfer.position)]
 
     def _start_period(self, now: int) -> list[Outgoing]:
-        self._suspect(now, self.prober.unanswered)
-        self._expire(now)
+        self._mark_suspect(now, self.prober.awaited_member)
+        self._expire_members(now)
         self.state_transfer.start_period()
         return self.prober.start_period(now)
 
-    def _suspect(self, now: int, member: Member | None) -> None:
+    def _mark_suspect(self, now: int, member: Member | None) -> None:
         if member is not None and member.state is MemberState.ALIVE:
-            self.suspicions += 1
-            self.apply(now, member.update._replace(state=MemberState.SUSPECT))
+            self.suspicion_count += 1
+            self.apply_update(now, member.update._replace(state=MemberState.SUSPECT))
 
-    def _expire(self, now: int) -> None:
+    def _expire_members(self, now: int) -> None:
         """Marks suspects as dead that did not refute in time, and forgets those that have been dead for
         long.
         """
         running_time = now - self.stalled_time
-        timeout = self.table.scaled(SUSPICION_PERIODS) * PERIOD
+        timeout = self.table.scale_by_doublings(SUSPICION_PERIODS_PER_DOUBLING) * PROBE_PERIOD
         for member in self.table.expired_suspects(running_time, timeout):
-            self.apply(now, member.update._replace(state=MemberState.DEAD))
-        self.table.remove_departed(running_time, DEAD_RETENTION)
+            self.apply_update(now, member.update._replace(state=MemberState.DEAD))
+        self.table.remove_departed(running_time, DEAD_MEMBER_RETENTION)
 
 
 def _is_stale(member: Member, sender: MemberUpdate) -> bool:
--- a/gaproute/shared/membership/messages.py
+++ b/gaproute/shared/membership/messages.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 MAX_INCARNATION = 1 << 48  # higher ones are rejected: correct ones start at ms since 1970
-MAX_NAME = 256  # characters of a name or an address
-ENTRY_BYTES = 20  # of one update in a message, beside its name and address; upper bound
+MAX_NAME_LENGTH = 256  # characters of a name or an address
+UPDATE_OVERHEAD_BYTES = 20  # of one update in a message, beside its name and address; upper bound
 
 
 class MemberState(IntEnum):
@@ -38,7 +38,7 @@
 class MemberUpdate(NamedTuple):
     """What one gateway says about a member.
 
-    `state`: a `MemberState`, or any number from the wire before `is_valid` has checked it.
+    `state`: a `MemberState`, or any number from the wire before `is_valid_update` has checked it.
     """
 
     name: str
@@ -77,16 +77,16 @@
         return MemberUpdate(self.name, self.address, self.state, self.incarnation)
 
 
-def is_valid(update: MemberUpdate) -> bool:
+def is_valid_update(update: MemberUpdate) -> bool:
     """Whether all fields are within their bounds."""
     return (
-        0 < len(update.name) <= MAX_NAME
-        and 0 < len(update.address) <= MAX_NAME
+        0 < len(update.name) <= MAX_NAME_LENGTH
+        and 0 < len(update.address) <= MAX_NAME_LENGTH
         and 0 <= update.state <= MemberState.LEFT
         and 0 <= update.incarnation <= MAX_INCARNATION
     )
 
 
-def encoded_size(update: MemberUpdate | Member) -> int:
+def max_encoded_size(update: MemberUpdate | Member) -> int:
     """The largest size of the update in a message, bytes."""
-    return ENTRY_BYTES + len(update.name.encode()) + len(update.address.encode())
+    return UPDATE_OVERHEAD_BYTES + len(update.name.encode()) + len(update.address.encode())
--- a/gaproute/shared/membership/state_transfer.py
+++ b/gaproute/shared/membership/state_transfer.py
@@ -7,10 +7,11 @@
 from gaproute.units import MILLI, SECOND
 
 CHUNK_TIMEOUT = 300 * MILLI  # after which the chunk is requested again
-MAX_ATTEMPTS = 6  # for one chunk, after which another member is asked
-INTERVAL = 300 * SECOND  # between two transfers without a reason, which repair what updates missed
-MIN_INTERVAL = 20 * SECOND  # between two starts, as one healed partition brings back hundreds of members
-CHUNKS_PER_PERIOD = 64  # sent at most in a period, 80 kB per second; further requests must wait
+MAX_CHUNK_ATTEMPTS = 6  # for one chunk, after which another member is asked
+TRANSFER_INTERVAL = 300 * SECOND  # between two transfers without a reason, which repair what updates missed
+# Between two starts, as one healed partition brings back hundreds of members
+MIN_TRANSFER_INTERVAL = 20 * SECOND
+MAX_CHUNKS_PER_PERIOD = 64  # sent at most in a period, 80 kB per second; further requests must wait
 NEVER = -(1 << 62)
 
 
@@ -18,50 +19,50 @@
     """The transfer in progress, if any, and the chunks that this gateway sends to others."""
 
     def __init__(self) -> None:
-        self.source: str | None = None  # the member that is asked
+        self.source_name: str | None = None  # the member that is asked
         self.position = 0  # of the chunk that is requested
         self.requested_at, self.attempts = 0, 0
         self.started_at = self.finished_at = NEVER
-        self.wanted = True
-        self.completed = 0
-        self.chunks_sent = 0  # in this period
+        self.is_wanted = True
+        self.completed_count = 0
+        self.chunk_request_count = 0  # in this period
 
     @property
     def due(self) -> int | None:
         """When a chunk is late, ns; None if none is awaited."""
-        return None if self.source is None else self.requested_at + CHUNK_TIMEOUT
+        return None if self.source_name is None else self.requested_at + CHUNK_TIMEOUT
 
     def should_start(self, now: int) -> bool:
         """Whether a transfer should start now; False while one is in progress."""
-        if self.source is not None or now - self.started_at < MIN_INTERVAL:
+        if self.source_name is not None or now - self.started_at < MIN_TRANSFER_INTERVAL:
             return False
-        return self.wanted or now - self.finished_at >= INTERVAL
+        return self.is_wanted or now - self.finished_at >= TRANSFER_INTERVAL
 
-    def start(self, now: int, source: str) -> None:
+    def start(self, now: int, source_name: str) -> None:
         """Starts a transfer; its first chunk is requested."""
-        self.source, self.position = source, 0
+        self.source_name, self.position = source_name, 0
         self.started_at = self.requested_at = now
         self.attempts = 0
 
-    def chunk_received(self, now: int, sender: str, next_position: int) -> bool:
+    def record_chunk(self, now: int, sender: str, next_position: int) -> bool:
         """Notes a chunk; `next_position`: 0 in the last one. Returns whether to request the next chunk."""
-        if sender != self.source or 0 < next_position <= self.position:
+        if sender != self.source_name or 0 < next_position <= self.position:
             return False
         if next_position == 0:
-            self.source, self.wanted, self.finished_at = None, False, now
-            self.completed += 1
+            self.source_name, self.is_wanted, self.finished_at = None, False, now
+            self.completed_count += 1
             return False
         self.position, self.requested_at, self.attempts = next_position, now, 0
         return True
 
-    def should_retry(self, now: int) -> bool:
+    def begin_retry(self, now: int) -> bool:
         """Whether to request the same chunk again; after the last attempt the transfer ends."""
-        if self.source is None or now < self.requested_at + CHUNK_TIMEOUT:
+        if self.source_name is None or now < self.requested_at + CHUNK_TIMEOUT:
             return False
         self.attempts, self.requested_at = self.attempts + 1, now
-        if self.attempts >= MAX_ATTEMPTS:
-            self.source, self.wanted, self.started_at = None, True, NEVER
-        return self.source is not None
+        if self.attempts >= MAX_CHUNK_ATTEMPTS:
+            self.source_name, self.is_wanted, self.started_at = None, True, NEVER
+        return self.source_name is not None
 
     def restart_timeout(self, now: int) -> None:
         """Restarts the timeout of the awaited chunk, as this gateway was stalled and may not have read it."""
@@ -69,11 +70,11 @@
 
     def start_period(self) -> None:
         """Begins a period, in which chunks may be sent again."""
-        self.chunks_sent = 0
+        self.chunk_request_count = 0
 
-    def may_send_chunk(self) -> bool:
+    def admit_chunk_request(self) -> bool:
         """Counts a chunk that another member requests; returns whether it is within the limit of this
         period.
         """
-        self.chunks_sent += 1
-        return self.chunks_sent <= CHUNKS_PER_PERIOD
+        self.chunk_request_count += 1
+        return self.chunk_request_count <= MAX_CHUNKS_PER_PERIOD
--- a/gaproute/shared/membership/table.py
+++ b/gaproute/shared/membership/table.py
@@ -9,13 +9,19 @@
 from itertools import islice
 from math import ceil, log2
 
-from gaproute.shared.membership.messages import MEMBER_STATES, Member, MemberState, MemberUpdate, is_valid
+from gaproute.shared.membership.messages import (
+    MEMBER_STATES,
+    Member,
+    MemberState,
+    MemberUpdate,
+    is_valid_update,
+)
 from gaproute.shared.membership.name_set import NameSet
 from gaproute.shared.membership.update_queue import UpdateQueue
 
 # Unknown members above it are rejected; 8 MB with the longest names. Configured members are not limited
 MAX_MEMBERS = 4096
-REMOVALS = 8  # departed members checked in one call of `remove_departed`
+MAX_REMOVAL_CHECKS = 8  # departed members checked in one call of `remove_departed`
 
 
 class MemberTable:
@@ -25,23 +31,23 @@
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
-        self.all_names, self.alive, self.dead = NameSet(), NameSet(), NameSet()  # dead: or left
-        self.suspects: dict[str, int] = {}  # by name: since when, the longest first
-        self.departed: dict[str, int] = {}  # by name: since when dead or left, the longest first
+        self.all_names, self.alive, self.departed = NameSet(), NameSet(), NameSet()  # dead: or left
+        self.suspected_since: dict[str, int] = {}  # by name: since when, the longest first
+        self.departed_since: dict[str, int] = {}  # by name: since when dead or left, the longest first
         self.pending_updates = UpdateQueue()
-        self.changed: dict[str, None] = {}  # names whose state changed since the reader last cleared this
-        self.joined: dict[str, None] = {}  # names that became alive since the last order of probes
-        self.rejected = 0  # messages and updates that were invalid
+        self.changed_names: dict[str, None] = {}  # of state changes since the reader last cleared this
+        self.joined_names: dict[str, None] = {}  # names that became alive since the last order of probes
+        self.rejected_count = 0  # messages and updates that were invalid
 
-    def scaled(self, count: int) -> int:
+    def scale_by_doublings(self, count: int) -> int:
         """The count times the power of two of the number of members."""
         return count * max(1, ceil(log2(len(self.members) + 1)))
 
     def live_count(self) -> int:
         """The number of members that are alive or suspected."""
-        return len(self.alive) + len(self.suspects)
+        return len(self.alive) + len(self.suspected_since)
 
-    def configure(self, now: int, own_name: str, addresses: Mapping[str, str]) -> None:
+    def set_configured_members(self, now: int, own_name: str, addresses: Mapping[str, str]) -> None:
         """`addresses`: of the configured gateways by name, which are the only members that are never
         forgotten.
         """
@@ -49,33 +55,33 @@
             if name == own_name:
                 continue
             if name not in self.members:
-                self._add(now, MemberUpdate(name, address, MemberState.ALIVE, 0), configured=True)
+                self._add_member(now, MemberUpdate(name, address, MemberState.ALIVE, 0), configured=True)
             member = self.members[name]
             member.address, member.configured = address, True
         for name, member in self.members.items():
             if member.configured and name not in addresses:
                 member.configured = False
                 if member.state >= MemberState.DEAD:
-                    self.departed[name] = now
+                    self.departed_since[name] = now
 
-    def apply(self, now: int, update: MemberUpdate) -> None:
+    def apply_update(self, now: int, update: MemberUpdate) -> None:
         """Stores an update if it overrides the stored one."""
-        if not is_valid(update):
-            self.rejected += 1
+        if not is_valid_update(update):
+            self.rejected_count += 1
             return
         member = self.members.get(update.name)
         if member is None:
-            self._add_unknown(now, update)
+            self._add_unknown_member(now, update)
             return
         address = member.address if member.configured else update.address
         known = member.incarnation, member.state, member.address
         if (update.incarnation, update.state, address) > known:
-            self._override(now, member, update, address)
+            self._update_member(now, member, update, address)
 
     def expired_suspects(self, now: int, timeout: int) -> list[Member]:
         """The members that have been suspected for at least `timeout` ns."""
         found = []
-        for name, since in self.suspects.items():
+        for name, since in self.suspected_since.items():
             if now - since < timeout:
                 break
             found.append(self.members[name])
@@ -83,21 +89,21 @@
 
     def remove_departed(self, now: int, retention: int) -> None:
         """Forgets members that were dead for more than `retention` ns and are not configured."""
-        for name, since in list(islice(self.departed.items(), REMOVALS)):
+        for name, since in list(islice(self.departed_since.items(), MAX_REMOVAL_CHECKS)):
             if now - since <= retention:
                 break
-            del self.departed[name]
+            del self.departed_since[name]
             if not self.members[name].configured:
-                self._remove(name)
+                self._remove_member(name)
 
-    def _add_unknown(self, now: int, update: MemberUpdate) -> None:
+    def _add_unknown_member(self, now: int, update: MemberUpdate) -> None:
         if len(self.members) >= MAX_MEMBERS:
-            self.rejected += 1
+            self.rejected_count += 1
         elif update.state < MemberState.DEAD:
-            self._add(now, update, configured=False)
+            self._add_member(now, update, configured=False)
             self.pending_updates.put(update.name)
 
-    def _override(self, now: int, member: Member, update: MemberUpdate, address: str) -> None:
+    def _update_member(self, now: int, member: Member, update: MemberUpdate, address: str) -> None:
         state_changed = update.state != member.state
         # The first incarnation of a configured member is no change that others need to learn.
         if state_changed or member.incarnation:
@@ -106,35 +112,35 @@
         member.address = address
         if state_changed:
             member.state_since = now
-            self._index(now, member)
+            self._update_state_lists(now, member)
 
-    def _add(self, now: int, update: MemberUpdate, *, configured: bool) -> None:
+    def _add_member(self, now: int, update: MemberUpdate, *, configured: bool) -> None:
         member = Member(update, now, configured=configured)
         self.members[update.name] = member
         self.all_names.add(update.name)
-        self._index(now, member)
+        self._update_state_lists(now, member)
 
-    def _index(self, now: int, member: Member) -> None:
+    def _update_state_lists(self, now: int, member: Member) -> None:
         """Puts the member into the lists of its state, and removes it from all others."""
         name = member.name
-        self.suspects.pop(name, None)
-        self.departed.pop(name, None)
+        self.suspected_since.pop(name, None)
+        self.departed_since.pop(name, None)
         if member.state is MemberState.ALIVE:
             self.alive.add(name)
-            self.joined[name] = None
+            self.joined_names[name] = None
         else:
             self.alive.discard(name)
         if member.state is MemberState.SUSPECT:
-            self.suspects[name] = now
+            self.suspected_since[name] = now
         if member.state >= MemberState.DEAD:
-            self.dead.add(name)
-            self.departed[name] = now
+            self.departed.add(name)
+            self.departed_since[name] = now
         else:
-            self.dead.discard(name)
-        self.changed[name] = None
+            self.departed.discard(name)
+        self.changed_names[name] = None
 
-    def _remove(self, name: str) -> None:
+    def _remove_member(self, name: str) -> None:
         del self.members[name]
-        for names in (self.all_names, self.alive, self.dead, self.pending_updates):
+        for names in (self.all_names, self.alive, self.departed, self.pending_updates):
             names.discard(name)
-        self.changed[name] = None
+        self.changed_names[name] = None
--- a/gaproute/shared/membership/update_queue.py
+++ b/gaproute/shared/membership/update_queue.py
@@ -29,7 +29,7 @@
         if sends is not None:
             del self._by_sends[sends][name]
 
-    def sent(self, name: str, max_sends: int) -> None:
+    def record_sent(self, name: str, max_sends: int) -> None:
         """Notes that the update was sent once more; after `max_sends` times the name is removed."""
         sends = self._sends.get(name)
         if sends is None:
--- a/gaproute/standins/membership_network.py
+++ b/gaproute/standins/membership_network.py
@@ -62,7 +62,7 @@
     def start_member(self, member: Membership, peers: dict[str, str]) -> None:
         """Starts a gateway that was made already, in the place of one of the same name."""
         self.nodes[member.name] = member
-        member.configure(self.now, peers)
+        member.set_configured_members(self.now, peers)
         self.down.discard(member.name)
         self._plan(member.due, member.name, Tick(member))
 
--- a/tests/hollow/test_hollow.py
+++ b/tests/hollow/test_hollow.py
@@ -6,7 +6,7 @@
 from gaproute.hollow import PARTS, ControlPart
 from gaproute.hollow.simulation import SimulatedFleet
 from gaproute.shared.membership import MemberState, table
-from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.invariants import check_membership
 
 MEMBERSHIP = {"membership": PARTS["membership"]}
 SECOND = 1_000_000_000
@@ -24,8 +24,10 @@
     known = fleet.run_until(lambda: all(member.state >= MemberState.DEAD for member in tables), 60)
     assert known is not None
     assert known < 40
-    assert sum(held.suspicions for held in members(fleet).values()) < 20
-    assert not [violation for held in members(fleet).values() for violation in check(held, thorough=True)]
+    assert sum(held.suspicion_count for held in members(fleet).values()) < 20
+    assert not [
+        violation for held in members(fleet).values() for violation in check_membership(held, thorough=True)
+    ]
     fleet.close()
 
 
@@ -46,7 +48,7 @@
     fleet.run(30)
     tables = members(fleet)
     assert max(len(held.members) for held in tables.values()) == 30
-    assert sum(held.rejected for held in tables.values()) > 30 * 60
+    assert sum(held.rejected_count for held in tables.values()) > 30 * 60
     seeds = [tables[row.name] for row in fleet.rows[:4]]
     alone = [name for name, held in tables.items() if held.live_count() == 1]
     assert len(alone) == 1  # whom no seed has room for gets no answer, and holds all that it knows dead
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -7,9 +7,9 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
-from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.invariants import check_membership
 from gaproute.shared.membership.message_builder import MAX_MESSAGE_BYTES
-from gaproute.shared.membership.messages import ENTRY_BYTES, MAX_INCARNATION
+from gaproute.shared.membership.messages import MAX_INCARNATION, UPDATE_OVERHEAD_BYTES
 from gaproute.shared.membership.prober import MAX_INDIRECT_PROBES
 from gaproute.shared.membership.table import MAX_MEMBERS
 
@@ -18,7 +18,7 @@
 
 def membership(*names, now=0):
     made = Membership("me", "me", Chance(1), now)
-    made.configure(now, {name: name for name in names})
+    made.set_configured_members(now, {name: name for name in names})
     return made
 
 
@@ -34,9 +34,9 @@
     ordered, other = orders
     one, two = membership("a", "b"), membership("a", "b")
     for update in ordered:
-        one.apply(1, update)
+        one.apply_update(1, update)
     for update in [*other, *ordered]:
-        two.apply(2, update)
+        two.apply_update(2, update)
     assert {name: member.update[2:] for name, member in one.members.items()} == {
         name: member.update[2:] for name, member in two.members.items()
     }
@@ -45,8 +45,8 @@
 def test_a_dead_member_that_nobody_configured_is_forgotten_and_a_configured_one_stays():
     made = membership("configured")
     for name in ("configured", "unconfigured"):
-        made.apply(0, MemberUpdate(name, "w", MemberState.ALIVE, 1))
-        made.apply(0, MemberUpdate(name, "w", MemberState.DEAD, 1))
+        made.apply_update(0, MemberUpdate(name, "w", MemberState.ALIVE, 1))
+        made.apply_update(0, MemberUpdate(name, "w", MemberState.DEAD, 1))
     now = 0
     while now < 700 * SECOND:
         now = max(made.due, now + 1)
@@ -56,12 +56,12 @@
 
 def test_an_unknown_dead_member_is_not_added_and_unknown_members_are_bounded():
     made = membership("a")
-    made.apply(0, MemberUpdate("ghost", "w", MemberState.DEAD, 5))
+    made.apply_update(0, MemberUpdate("ghost", "w", MemberState.DEAD, 5))
     assert "ghost" not in made.members
     for number in range(2 * MAX_MEMBERS):
-        made.apply(0, MemberUpdate(f"n{number}", "w", MemberState.ALIVE, 1))
+        made.apply_update(0, MemberUpdate(f"n{number}", "w", MemberState.ALIVE, 1))
     assert len(made.members) == MAX_MEMBERS
-    assert made.rejected == MAX_MEMBERS + 1
+    assert made.rejected_count == MAX_MEMBERS + 1
 
 
 @pytest.mark.parametrize(
@@ -79,17 +79,17 @@
 def test_a_message_with_an_invalid_sender_is_rejected(sender):
     made = membership("a")
     assert made.receive(1, MembershipMessage(MessageKind.PING, 1, sender)) == []
-    assert made.rejected == 1
+    assert made.rejected_count == 1
     assert made.members["a"].last_heard is None
 
 
 def test_a_false_update_about_this_gateway_is_refuted_and_an_invalid_one_rejected():
     made = membership("a")
-    made.apply(0, MemberUpdate("me", "me", MemberState.DEAD, 7))
+    made.apply_update(0, MemberUpdate("me", "me", MemberState.DEAD, 7))
     assert made.incarnation == 8
-    made.apply(0, MemberUpdate("me", "me", MemberState.DEAD, MAX_INCARNATION + 1))
+    made.apply_update(0, MemberUpdate("me", "me", MemberState.DEAD, MAX_INCARNATION + 1))
     assert made.incarnation == 8
-    assert made.rejected == 1
+    assert made.rejected_count == 1
 
 
 def test_indirect_probes_are_bounded():
@@ -107,14 +107,16 @@
 def test_a_message_holds_what_its_receiver_must_refute_and_no_more_than_fits():
     made = membership("a")
     for number in range(200):
-        made.apply(0, MemberUpdate(f"gateway-with-a-long-name-{number}", "w" * 60, MemberState.ALIVE, 1))
-    made.apply(0, MemberUpdate("a", "a", MemberState.SUSPECT, 3))
+        made.apply_update(
+            0, MemberUpdate(f"gateway-with-a-long-name-{number}", "w" * 60, MemberState.ALIVE, 1)
+        )
+    made.apply_update(0, MemberUpdate("a", "a", MemberState.SUSPECT, 3))
     ((_, message),) = made.receive(
         1, MembershipMessage(MessageKind.PING, 4, MemberUpdate("a", "a", MemberState.ALIVE, 1))
     )
     assert message.updates[0] == MemberUpdate("a", "a", MemberState.SUSPECT, 3)
     assert message.sequence == 4
-    assert 3 < len(message.updates) < MAX_MESSAGE_BYTES / ENTRY_BYTES
+    assert 3 < len(message.updates) < MAX_MESSAGE_BYTES / UPDATE_OVERHEAD_BYTES
     assert len(encode(message)) <= MAX_MESSAGE_BYTES
 
 
@@ -147,11 +149,11 @@
     alive = [MemberUpdate(name, "u", MemberState.ALIVE, 0) for name in "ab"]  # nobody dead is learnt of
     for updates, made in zip(orders, (one, two), strict=True):
         for update in [*alive, *updates]:
-            made.apply(1, update)
+            made.apply_update(1, update)
     assert {name: member.update for name, member in one.members.items()} == {
         name: member.update for name, member in two.members.items()
     }
-    assert check(one, thorough=True) == check(two, thorough=True) == []
+    assert check_membership(one, thorough=True) == check_membership(two, thorough=True) == []
 
 
 def test_only_the_next_chunk_from_the_source_leads_to_another_request():
@@ -163,7 +165,7 @@
     assert (address, message.kind, message.sequence) == ("a", MessageKind.PULL, 5)
     assert made.receive(3, MembershipMessage(MessageKind.CHUNK, 5, a)) == []
     assert made.receive(4, MembershipMessage(MessageKind.CHUNK, 0, a)) == []
-    assert made.state_transfer.completed == 1
+    assert made.state_transfer.completed_count == 1
 
 
 def test_chunks_are_sent_at_a_bounded_rate():
@@ -177,9 +179,9 @@
 
 def test_a_member_back_at_another_address_with_an_older_incarnation_is_answered_there_and_outbids():
     made = Membership("me", "me", Chance(1), 0)
-    made.apply(0, MemberUpdate("a", "old", MemberState.ALIVE, 9))
+    made.apply_update(0, MemberUpdate("a", "old", MemberState.ALIVE, 9))
     back = Membership("a", "new", Chance(2), 0)
-    back.configure(0, {"me": "me"})
+    back.set_configured_members(0, {"me": "me"})
     ((address, message),) = made.receive(1, back.tick(SECOND)[0][1])
     assert address == "new"
     assert made.members["a"].address == "old"
@@ -226,14 +228,14 @@
         if kind == "tick":
             made.tick(now)
         elif kind == "list":
-            made.configure(now, {name: name for name in names})
+            made.set_configured_members(now, {name: name for name in names})
         else:
             made.receive(now, MembershipMessage(kind, number, sender, "".join(names[:1]), (sender,)))
-        assert check(made, thorough=True) == []
+        assert check_membership(made, thorough=True) == []
 
 
 def test_a_violation_is_reported():
     made = membership("a")
     made.members["a"].state = MemberState.DEAD
     made.prober.indirect_probes = {number: ("a", 1, "a") for number in range(MAX_INDIRECT_PROBES + 1)}
-    assert len(check(made, thorough=True)) == 2
+    assert len(check_membership(made, thorough=True)) == 2
--- a/tests/membership/test_membership_fleets.py
+++ b/tests/membership/test_membership_fleets.py
@@ -4,7 +4,7 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.shared.membership import MemberState
-from gaproute.shared.membership.invariants import check
+from gaproute.shared.membership.invariants import check_membership
 from gaproute.shared.membership.message_builder import MAX_MESSAGE_BYTES
 from gaproute.standins.membership_network import MembershipNetwork
 
@@ -28,8 +28,8 @@
     chance = Chance(5)
     net.is_lost = lambda sender, to: chance.below(100) < 25
     net.run(120 * SECOND)
-    assert sum(node.suspicions for node in net.nodes.values()) > 0
-    assert sum(node.refutations for node in net.nodes.values()) > 0
+    assert sum(node.suspicion_count for node in net.nodes.values()) > 0
+    assert sum(node.refutation_count for node in net.nodes.values()) > 0
     net.is_lost = lambda sender, to: False
     net.run(20 * SECOND)
     assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
@@ -39,16 +39,16 @@
     net = MembershipNetwork(5)
     net.is_lost = lambda sender, to: {sender, to} == {"g0", "g1"}
     net.run(60 * SECOND)
-    assert sum(node.suspicions for node in net.nodes.values()) == 0
+    assert sum(node.suspicion_count for node in net.nodes.values()) == 0
 
 
 def test_without_indirect_probes_that_path_makes_suspects():
     net = MembershipNetwork(5)
     net.is_lost = lambda sender, to: {sender, to} == {"g0", "g1"}
     for node in net.nodes.values():
-        node.prober.retry = lambda now: []
+        node.prober.retry_probe = lambda now: []
     net.run(60 * SECOND)
-    assert sum(node.suspicions for node in net.nodes.values()) > 0
+    assert sum(node.suspicion_count for node in net.nodes.values()) > 0
 
 
 def test_a_partition_is_seen_on_both_sides_and_heals():
@@ -84,7 +84,7 @@
     assert net.states_of("g0") == {MemberState.DEAD}
     net.stopped.clear()
     net.run(20 * SECOND)
-    assert net.nodes["g0"].suspicions == 0
+    assert net.nodes["g0"].suspicion_count == 0
     assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
@@ -116,7 +116,7 @@
     net.start("new", 77, {"g4": "g4"})
     net.run(4 * SECOND)
     assert len(net.nodes["new"].members) == 300
-    assert net.nodes["new"].state_transfer.completed == 1
+    assert net.nodes["new"].state_transfer.completed_count == 1
     assert max(net.sizes) <= MAX_MESSAGE_BYTES
 
 
@@ -137,7 +137,8 @@
     net.is_lost = lambda sender, to: False
     net.run(40 * SECOND)
     assert all(
-        len(node.table.alive) == 59 and check(node, thorough=True) == [] for node in net.nodes.values()
+        len(node.table.alive) == 59 and check_membership(node, thorough=True) == []
+        for node in net.nodes.values()
     )
 
 
