--- a/gaproute/shared/membership/__init__.py
+++ b/gaproute/shared/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Failure detection among gateways, after SWIM: `Membership` takes messages and the time, and returns
-messages.
+"""Failure detection among gateways, based on SWIM.
+
+`Membership` has no I/O: it receives messages and the time, and returns the messages to send.
 """
 
 from gaproute.shared.membership.membership import Membership
--- a/gaproute/shared/membership/membership.py
+++ b/gaproute/shared/membership/membership.py
@@ -1,19 +1,19 @@
-"""Decides which gateways are up. No I/O; time and random numbers are handed in.
-
-After SWIM (Das, Gupta, Motivala 2002): in each period one other member is probed, directly and then through
-others; one that does not answer is suspected, and counts as dead once the suspicion has lasted for some time.
-A suspect that lives refutes with a higher incarnation. Updates are piggybacked on the probes. Differences
-from the paper:
-
-- a probe is retried, directly and through others, twice within its period: at a loss of a fifth of the
-  messages a thousand members would otherwise make more suspects than updates can carry;
-- a message with few updates carries some entries of the table in turn;
-- a gateway that joins requests the complete state from one member, as does one that finds a dead member alive
-  again (`state_transfer`);
-- the time in which a gateway was itself stalled counts for none of its suspicions.
-
-Only the start of a round of probes and a new configuration read all members, so the cost of a period does not
-depend on their number. No rule on requests depends on membership.
+"""Decides which gateways are up. There is no I/O: time and random numbers are arguments.
+
+The failure detector is SWIM (Das, Gupta, Motivala 2002). In each period a gateway probes one other member,
+directly and then through other members. A member that does not answer becomes suspect, and counts as dead
+when the suspicion has lasted for some time. A suspect that is alive refutes the suspicion with a higher
+incarnation. Updates are piggybacked on probes. The differences from the paper are:
+
+- A probe is retried twice within its period, directly and through other members. Otherwise, when a fifth of
+  the messages are lost, a thousand members would make more suspects than the updates can carry.
+- A message with few updates also carries some entries of the member table, each entry in turn.
+- A gateway that joins, or finds that a dead member is alive again, requests the complete state from one
+  member (`state_transfer`).
+- The time in which a gateway itself was stalled does not count for its suspicions.
+
+Only the start of a round of probes and a new configuration read all members. So the cost of a period does not
+depend on the number of members. No decision about requests depends on membership.
 """
 
 from collections.abc import Mapping
@@ -34,17 +34,17 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-# A suspect counts as dead after so many periods for every power of two of the number of members
+# How long a suspect may refute before it counts as dead, for every doubling of the number of members
 SUSPICION_PERIODS_PER_DOUBLING = 3
-DEAD_MEMBER_RETENTION = 600 * SECOND  # after which a dead member that is not configured is forgotten
+DEAD_MEMBER_RETENTION = 600 * SECOND  # until a dead member that is not configured is removed
 
 
 class Membership:
-    """The failure detector of one gateway: `tick` at the time `due` and `receive` return the messages to
-    send.
+    """The failure detector of one gateway.
 
-    `incarnation` should be above that of any earlier start, such as the time in ms since 1970; if it is not,
-    the first answers raise it.
+    The caller calls `tick` at the time `due`, and `receive` for each message; both return the messages to
+    send. `incarnation` should be above that of any earlier start, such as the time in ms since 1970. If it is
+    not, the first answers of other members raise it.
     """
 
     def __init__(self, name: str, address: str, random: RandomSource, now: int, incarnation: int = 1) -> None:
@@ -56,37 +56,38 @@
         self.message_builder = MessageBuilder(self.identity, self.table)
         self.prober = Prober(self.table, self.message_builder, random, now)
         self.state_transfer = StateTransfer()
-        self.stalled_time = 0  # ns in which this gateway did not run, which count for no suspicion
+        self.stalled_time = 0  # ns in which this gateway did not run; they do not count for suspicions
         self.suspicion_count = 0
 
     @property
     def incarnation(self) -> int:
-        """The present incarnation of this gateway."""
+        """The current incarnation of this gateway."""
         return self.identity.incarnation
 
     @property
     def refutation_count(self) -> int:
-        """How often this gateway refuted an update that it is not alive."""
+        """How often this gateway refuted an update which said that it is not alive."""
         return self.identity.refutation_count
 
     @property
     def rejected_count(self) -> int:
-        """Messages and updates that were invalid, and unknown members for which the table had no room."""
+        """The number of invalid messages and updates, and of unknown members beyond the table's limit."""
         return self.table.rejected_count
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called, ns."""
+        """The time of the next call of `tick`, ns."""
         transfer_due = self.state_transfer.due
         return self.prober.due if transfer_due is None else min(self.prober.due, transfer_due)
 
     def set_configured_members(self, now: int, addresses: Mapping[str, str]) -> None:
-        """Takes over the addresses of the configured gateways by name."""
+        """Replaces the configured gateways. `addresses`: by name."""
         self.table.set_configured_members(now - self.stalled_time, self.name, addresses)
 
     def live_count(self) -> int:
-        """The number of gateways that are up, including this one and suspects, as most suspicions are
-        wrong.
+        """The number of gateways that are up, with this gateway.
+
+        Suspects count as up, as most suspicions are wrong.
         """
         return 1 + self.table.live_count()
 
@@ -98,7 +99,7 @@
             self.table.rejected_count += 1
             return []
         member = self._apply_updates(now, message)
-        if member is None:  # not added: the table is full, or an unknown gateway leaves
+        if member is None:  # the sender is unknown, and the table is full or the sender leaves
             return []
         match message.kind:
             case MessageKind.PING:
@@ -113,9 +114,7 @@
                 return self._start_transfer(now, member) + self.prober.handle_ack(member, message)
 
     def apply_update(self, now: int, update: MemberUpdate) -> None:
-        """Handles an update: about another member it goes into the table, a wrong one about this gateway is
-        refuted.
-        """
+        """Handles an update: stores one about another member, and refutes a false one about this gateway."""
         if update.name == self.name and is_valid_update(update):
             self.identity.refute(update)
         else:
@@ -129,7 +128,7 @@
         )
 
     def _apply_updates(self, now: int, message: MembershipMessage) -> Member | None:
-        """Takes the updates of the message; returns the entry of its sender."""
+        """Applies the updates of the message; returns the table entry of its sender."""
         known = self.members.get(message.sender.name)
         was_dead = known is not None and known.state >= MemberState.DEAD
         for update in (message.sender, *message.updates):
@@ -166,7 +165,7 @@
     # Time
 
     def tick(self, now: int) -> list[Outgoing]:
-        """Called at `due` or later."""
+        """Does what is due at `now`; returns the messages to send."""
         if now - self.due > PROBE_PERIOD:
             self._resume_after_stall(now)
             return []
@@ -183,8 +182,9 @@
         return [self.message_builder.leave(self.members[name]) for name in names]
 
     def _resume_after_stall(self, now: int) -> None:
-        """Ends the present probe after a stall: answers may lie unread, and no suspect could refute in that
-        time.
+        """Ends the current probe after a stall, as its answer may be unread.
+
+        The time of the stall does not count for suspicions, as no suspect could refute during it.
         """
         self.stalled_time += now - self.due
         self.prober.abandon_probe(now)
@@ -208,9 +208,7 @@
             self.apply_update(now, member.update._replace(state=MemberState.SUSPECT))
 
     def _expire_members(self, now: int) -> None:
-        """Marks suspects as dead that did not refute in time, and forgets those that have been dead for
-        long.
-        """
+        """Marks suspects that did not refute in time as dead, and removes members that departed long ago."""
         running_time = now - self.stalled_time
         timeout = self.table.scale_by_doublings(SUSPICION_PERIODS_PER_DOUBLING) * PROBE_PERIOD
         for member in self.table.expired_suspects(running_time, timeout):
@@ -219,12 +217,12 @@
 
 
 def _is_stale(member: Member, sender: MemberUpdate) -> bool:
-    """Whether the sender is back with a lower incarnation than the stored one, and must learn that."""
+    """Whether the sender has restarted with a lower incarnation than the stored one, and must raise it."""
     return sender.incarnation < member.incarnation
 
 
 def _reply_address(member: Member, sender: MemberUpdate) -> str:
-    """The address for an answer: a stale sender may be back at another address than the stored one."""
+    """The address for an answer. A stale sender may have restarted at another address than the stored one."""
     if _is_stale(member, sender) and not member.configured:
         return sender.address
     return member.address
--- a/gaproute/shared/membership/message_builder.py
+++ b/gaproute/shared/membership/message_builder.py
@@ -1,4 +1,4 @@
-"""Makes messages with piggybacked updates: first those that were sent least often, then table entries."""
+"""Builds messages with piggybacked updates: first those sent least often, then member table entries."""
 
 from typing import NamedTuple
 
@@ -14,13 +14,13 @@
 )
 from gaproute.shared.membership.table import MemberTable
 
-UPDATE_SENDS_PER_DOUBLING = 3  # of each update, for every doubling of the number of members
-MAX_MESSAGE_BYTES = 1200  # fits in a datagram that is not fragmented on any network
-MAX_HEADER_BYTES = 32  # upper bound for a message beside the sender, the target and the updates
-# A message with few updates is filled up to this size with entries of the table, each in turn. That repairs
-# what was lost or delayed; a greater size would only cost bytes.
+UPDATE_SENDS_PER_DOUBLING = 3  # how often an update is sent, for every doubling of the number of members
+MAX_MESSAGE_BYTES = 1200  # fits into a datagram that no network fragments
+MAX_HEADER_BYTES = 32  # of a message without its sender, target and updates
+# A message with few updates is filled up to this size with entries of the member table, each entry in turn.
+# These entries replace updates that were lost or delayed; a larger size would only cost bytes
 FILLED_MESSAGE_BYTES = 320
-MAX_PING_REQUEST_BYTES = 400  # at most, as three are sent at a time if a path loses messages
+MAX_PING_REQUEST_BYTES = 400  # small, as three are sent at the same time if a path loses messages
 
 
 class Outgoing(NamedTuple):
@@ -31,39 +31,41 @@
 
 
 class MessageBuilder:
-    """Makes the messages of one gateway from its table, and counts there what was sent."""
+    """Builds the messages of one gateway from its member table, which counts how often updates are sent."""
 
     def __init__(self, identity: Identity, table: MemberTable) -> None:
         self._identity, self._table = identity, table
-        self._next_entry_position = 0  # in the table: of the entry with which the next message is filled
+        self._next_entry_position = 0  # of the table entry with which the next message is filled first
 
     def ping(self, receiver: Member, sequence: int) -> Outgoing:
-        """Probes the receiver."""
+        """The message that probes the receiver."""
         return self._build_message(receiver, MessageKind.PING, sequence)
 
     def ping_request(self, receiver: Member, sequence: int, target: str) -> Outgoing:
-        """Asks the receiver to probe the target."""
+        """The message that requests the receiver to probe the target."""
         return self._build_message(receiver, MessageKind.PING_REQUEST, sequence, target=target)
 
     def ack(self, receiver: Member, sequence: int, target: str, *, stale: bool = False) -> Outgoing:
-        """Answers a probe. `stale`: the receiver must learn what this gateway has stored about it, even if
-        that is alive.
+        """The answer to a probe.
+
+        `stale`: the receiver must learn what this gateway has stored about it, even if its stored state is
+        alive.
         """
         return self._build_message(receiver, MessageKind.ACK, sequence, target=target, stale=stale)
 
     def leave(self, receiver: Member) -> Outgoing:
-        """Announces to the receiver that this gateway shuts down."""
+        """The message which announces that this gateway shuts down."""
         address, message = self._build_message(receiver, MessageKind.ACK, 0)
         return Outgoing(address, message._replace(sender=self._identity.own_update(MemberState.LEFT)))
 
     def pull(self, receiver: Member, position: int) -> Outgoing:
-        """Requests the part of the receiver's table that begins at the position."""
+        """The message that requests the part of the receiver's member table from the position on."""
         return Outgoing(
             receiver.address, MembershipMessage(MessageKind.PULL, position, self._identity.own_update())
         )
 
     def chunk(self, position: int) -> MembershipMessage:
-        """The part of the complete table that begins at the position."""
+        """The message with the part of the member table from the position on."""
         sender = self._identity.own_update()
         bytes_left = MAX_MESSAGE_BYTES - MAX_HEADER_BYTES - max_encoded_size(sender)
         updates: list[MemberUpdate] = []
@@ -81,7 +83,7 @@
     def message(
         self, kind: MessageKind, sequence: int, *, target: str = "", first_member: Member | None = None
     ) -> MembershipMessage:
-        """A message with as many updates as fit. `first`: the update that its receiver must refute."""
+        """A message with as many updates as fit. `first_member`: its update is always in the message."""
         sender = self._identity.own_update()
         limit = MAX_PING_REQUEST_BYTES if kind is MessageKind.PING_REQUEST else MAX_MESSAGE_BYTES
         bytes_left = limit - MAX_HEADER_BYTES - max_encoded_size(sender) - len(target.encode())
@@ -90,7 +92,7 @@
             chosen[first_member.name] = first_member.update
             bytes_left -= max_encoded_size(first_member)
         bytes_left = self._add_pending_updates(chosen, bytes_left)
-        # A PING_REQUEST is never filled, as its limit leaves it fewer bytes than are subtracted here
+        # A PING_REQUEST gets no table entries: its limit leaves fewer bytes than are subtracted here
         self._add_table_entries(chosen, bytes_left - (MAX_MESSAGE_BYTES - FILLED_MESSAGE_BYTES))
         return MembershipMessage(kind, sequence, sender, target, tuple(chosen.values()))
 
@@ -106,7 +108,7 @@
     def _add_pending_updates(self, chosen: dict[str, MemberUpdate], bytes_left: int) -> int:
         """Adds pending updates, those sent least often first.
 
-        Returns the bytes that are left; a negative number if one more update was too long.
+        Returns the number of bytes that are left, which is negative if the next update did not fit.
         """
         pending = self._table.pending_updates
         for name in pending:
@@ -121,7 +123,7 @@
         return bytes_left
 
     def _add_table_entries(self, chosen: dict[str, MemberUpdate], bytes_left: int) -> None:
-        """Adds entries of the table in turn, beginning after the last one that an earlier message had."""
+        """Adds entries of the member table, starting after the last entry that a message contained."""
         names = self._table.all_names.names
         for _ in range(min(len(names), FILLED_MESSAGE_BYTES // UPDATE_OVERHEAD_BYTES)):
             member = self._table.members[names[self._next_entry_position % len(names)]]
--- a/gaproute/shared/membership/name_set.py
+++ b/gaproute/shared/membership/name_set.py
@@ -1,10 +1,10 @@
-"""A set of names from which random ones are drawn."""
+"""A set of names that supports random choices."""
 
 from gaproute.shared.randomness import RandomSource
 
 
 class NameSet:
-    """Adds, discards and draws in constant time, whatever the number of names. The order has no meaning."""
+    """Adds, discards and chooses names in constant time. The order of the names has no meaning."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
@@ -17,13 +17,13 @@
         return name in self._positions
 
     def add(self, name: str) -> None:
-        """Adds the name; no effect if it is in the set."""
+        """Adds the name, if it is not in the set."""
         if name not in self._positions:
             self._positions[name] = len(self.names)
             self.names.append(name)
 
     def discard(self, name: str) -> None:
-        """Removes the name, if it is in the set, by moving the last one to its position."""
+        """Removes the name, if it is in the set, by moving the last name to its position."""
         position = self._positions.pop(name, None)
         if position is None:
             return
@@ -37,9 +37,9 @@
         return self.names[random.below(len(self.names))]
 
     def sample(self, random: RandomSource, count: int, *, excluding: str | None = None) -> list[str]:
-        """Up to `count` different random names; sometimes fewer than there are."""
+        """Up to `count` different random names; sometimes fewer, even if the set has enough names."""
         found: dict[str, None] = {}
-        for _ in range(3 * count):  # a draw may repeat a name; some unneeded draws cost nothing
+        for _ in range(3 * count):  # more draws than names, as a draw may repeat a name
             if len(found) >= min(count, len(self.names)):
                 break
             name = self.choose(random)
--- a/gaproute/shared/membership/probe_order.py
+++ b/gaproute/shared/membership/probe_order.py
@@ -1,24 +1,24 @@
-"""Chooses the member to probe next."""
+"""The order in which members are probed."""
 
 from gaproute.shared.membership.messages import Member
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource, shuffle
 
-# In one of so many periods a dead member is probed instead, to find a partition that has healed
+# In one of this number of periods a dead member is probed, to detect that a partition has healed
 DEAD_PROBE_INTERVAL_PERIODS = 5
 
 
 class ProbeOrder:
-    """Live members in rounds, each round in another random order; at intervals a dead member."""
+    """Chooses live members in rounds, each in a new random order, and a dead member at intervals."""
 
     def __init__(self, table: MemberTable, random: RandomSource) -> None:
         self._table, self._random = table, random
-        self.remaining: list[str] = []  # names to probe in this round, the next one last
-        self.remaining_set: set[str] = set()  # the same names, for look-ups
+        self.remaining: list[str] = []  # names still to probe in this round; the next one is last
+        self.remaining_set: set[str] = set()  # the names in `remaining`, for look-ups
         self._period_count = 0
 
     def next_member(self) -> Member | None:
-        """The member to probe in a new period; None if there is none."""
+        """The member to probe in a new period; None if no member can be probed."""
         self._period_count += 1
         self._add_joined_members()
         table = self._table
@@ -33,7 +33,7 @@
         return member
 
     def _add_joined_members(self) -> None:
-        """Puts new live members at random positions of this round."""
+        """Adds new live members at random positions of this round."""
         for name in self._table.joined_names:
             if name not in self.remaining_set:
                 self.remaining_set.add(name)
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -1,4 +1,4 @@
-"""The probes of one gateway: its own one in each period, and those that it sends for others."""
+"""The probes of one gateway: one of its own in each period, and those that it sends for other members."""
 
 from typing import NamedTuple
 
@@ -9,23 +9,23 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI, SECOND
 
-# Between probes; each gateway costs 2 small messages in a period, whatever the number of gateways
+# Between two probes; in a period each gateway causes 2 small messages, whatever the number of gateways
 PROBE_PERIOD = SECOND
-PROBE_TIMEOUT = 300 * MILLI  # for the answer to a probe: many round trips, and some late turns
-MAX_PROBE_RETRIES = 2  # of a probe, each PROBE_TIMEOUT after the last
-PROBE_HELPERS = 3  # members asked to probe for this one, so that one lossy path does not make a suspect
-MAX_INDIRECT_PROBES = 64  # in progress for others at a time
+PROBE_TIMEOUT = 300 * MILLI  # for an answer; enough for many round trips and some late loop turns
+MAX_PROBE_RETRIES = 2  # one every PROBE_TIMEOUT
+PROBE_HELPERS = 3  # members requested to probe for this one, so that one lossy path makes no suspect
+MAX_INDIRECT_PROBES = 64  # in progress for other members at the same time
 
 
 class Probe(NamedTuple):
-    """An own probe that is not answered yet."""
+    """A probe of this gateway that is not answered yet."""
 
     sequence: int
     target: str
 
 
 class IndirectProbe(NamedTuple):
-    """A probe that is sent for another member; `sequence`: of that member's own probe."""
+    """A probe that is sent for another member. `sequence`: of the probe of that member."""
 
     requester: str
     sequence: int
@@ -33,20 +33,22 @@
 
 
 class Prober:
-    """Decides when which member is probed, and which answers are awaited."""
+    """Sends and retries probes, and matches answers to probes."""
 
-    def __init__(self, table: MemberTable, builder: MessageBuilder, random: RandomSource, now: int) -> None:
-        self._table, self._message_builder, self._random = table, builder, random
+    def __init__(
+        self, table: MemberTable, message_builder: MessageBuilder, random: RandomSource, now: int
+    ) -> None:
+        self._table, self._message_builder, self._random = table, message_builder, random
         self.probe_order = ProbeOrder(table, random)
-        self.indirect_probes: dict[int, IndirectProbe] = {}  # by the sequence number of this gateway's ping
+        self.indirect_probes: dict[int, IndirectProbe] = {}  # by sequence number of the ping
         self.next_period_at = now + PROBE_PERIOD
         self._last_sequence = 0
         self._current_probe: Probe | None = None
-        self._retry_count = 0  # retries of the present probe so far
+        self._retry_count = 0  # of the current probe
 
     @property
     def due(self) -> int:
-        """When a period begins or the probe is retried, ns."""
+        """The time when the next period begins or the probe is retried, ns."""
         return (
             self._retry_at
             if self._current_probe and self._retry_count < MAX_PROBE_RETRIES
@@ -55,11 +57,11 @@
 
     @property
     def awaited_member(self) -> Member | None:
-        """The member whose answer is awaited, if any."""
+        """The member that has not answered the current probe, if any."""
         return None if self._current_probe is None else self._table.members.get(self._current_probe.target)
 
     def start_period(self, now: int) -> list[Outgoing]:
-        """Probes the next member; an earlier probe ends."""
+        """Ends the current probe and probes the next member; returns the messages to send."""
         self.next_period_at, self._retry_count, self._current_probe = now + PROBE_PERIOD, 0, None
         target = self.probe_order.next_member()
         if target is None:
@@ -70,7 +72,7 @@
         return [self._message_builder.ping(target, self._last_sequence)]
 
     def retry_probe(self, now: int) -> list[Outgoing]:
-        """Retries the probe, directly and through others, if its answer is late."""
+        """Retries the probe, directly and through other members, if the answer is late."""
         if self._current_probe is None or self._retry_count >= MAX_PROBE_RETRIES or now < self._retry_at:
             return []
         self._retry_count += 1
@@ -84,11 +86,11 @@
         ]
 
     def abandon_probe(self, now: int) -> None:
-        """Ends the probe without a result and begins a new period."""
+        """Ends the current probe without a result and delays the next one by a period."""
         self._current_probe, self.next_period_at = None, now + PROBE_PERIOD
 
     def send_indirect_probe(self, requester: Member, message: MembershipMessage) -> list[Outgoing]:
-        """Probes the target of another member's request."""
+        """Probes a target for another member that requested it."""
         target = self._table.members.get(message.target)
         if target is None:
             return []
@@ -101,9 +103,9 @@
         return [self._message_builder.ping(target, self._last_sequence)]
 
     def handle_ack(self, member: Member, message: MembershipMessage) -> list[Outgoing]:
-        """Handles an answer; it is forwarded if the probe was for another member."""
+        """Handles an answer; forwards it if the probe was sent for another member."""
         probe = self._current_probe
-        # The answer comes from the target itself, or from a member that probed the target for this gateway
+        # The sender is the target itself, or a member that probed the target for this gateway
         answered_targets = (member.name, message.target)
         if probe is not None and probe.sequence == message.sequence and probe.target in answered_targets:
             self._current_probe = None
--- a/gaproute/shared/membership/table.py
+++ b/gaproute/shared/membership/table.py
@@ -1,8 +1,8 @@
 """The stored state of all members, and the rule by which updates are merged.
 
-Two updates about a member are ordered by (incarnation, state, address), and merging takes the greater one. So
-updates may come in any order, twice, or late. Each state has a list of its own, so that no call reads all
-members.
+Updates about a member are ordered by (incarnation, state, address), and the greatest update is stored. So
+updates may be received in any order, twice, or late. Each state has a list of its members, so that a call
+does not have to read all members.
 """
 
 from collections.abc import Mapping
@@ -19,28 +19,30 @@
 from gaproute.shared.membership.name_set import NameSet
 from gaproute.shared.membership.update_queue import UpdateQueue
 
-# Unknown members above it are rejected; 8 MB with the longest names. Configured members are not limited
+# Beyond this number, unknown members are rejected; 8 MB with the longest names. Configured members are not
+# limited
 MAX_MEMBERS = 4096
-MAX_REMOVAL_CHECKS = 8  # departed members checked in one call of `remove_departed`
+MAX_REMOVAL_CHECKS = 8  # of departed members in one call of `remove_departed`
 
 
 class MemberTable:
-    """The members, except this gateway. Times are ns of a clock that stands still while the gateway is
-    stalled.
+    """All members except this gateway. Departed members are dead or have left.
+
+    Times are ns of a clock that stops while this gateway is stalled.
     """
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
-        self.all_names, self.alive, self.departed = NameSet(), NameSet(), NameSet()  # dead: or left
-        self.suspected_since: dict[str, int] = {}  # by name: since when, the longest first
-        self.departed_since: dict[str, int] = {}  # by name: since when dead or left, the longest first
+        self.all_names, self.alive, self.departed = NameSet(), NameSet(), NameSet()
+        self.suspected_since: dict[str, int] = {}  # time by name, the earliest first
+        self.departed_since: dict[str, int] = {}  # time by name, the earliest first
         self.pending_updates = UpdateQueue()
-        self.changed_names: dict[str, None] = {}  # of state changes since the reader last cleared this
-        self.joined_names: dict[str, None] = {}  # names that became alive since the last order of probes
-        self.rejected_count = 0  # messages and updates that were invalid
+        self.changed_names: dict[str, None] = {}  # members changed since the reader cleared it
+        self.joined_names: dict[str, None] = {}  # members that became alive since `ProbeOrder` cleared it
+        self.rejected_count = 0  # invalid messages and updates, and members beyond MAX_MEMBERS
 
     def scale_by_doublings(self, count: int) -> int:
-        """The count times the power of two of the number of members."""
+        """`count` for every doubling of the number of members, rounded up; at least `count`."""
         return count * max(1, ceil(log2(len(self.members) + 1)))
 
     def live_count(self) -> int:
@@ -48,9 +50,7 @@
         return len(self.alive) + len(self.suspected_since)
 
     def set_configured_members(self, now: int, own_name: str, addresses: Mapping[str, str]) -> None:
-        """`addresses`: of the configured gateways by name, which are the only members that are never
-        forgotten.
-        """
+        """Replaces the configured members, which are never removed. `addresses`: by name."""
         for name, address in addresses.items():
             if name == own_name:
                 continue
@@ -65,7 +65,7 @@
                     self.departed_since[name] = now
 
     def apply_update(self, now: int, update: MemberUpdate) -> None:
-        """Stores an update if it overrides the stored one."""
+        """Stores a valid update if it is greater than the stored one."""
         if not is_valid_update(update):
             self.rejected_count += 1
             return
@@ -88,7 +88,7 @@
         return found
 
     def remove_departed(self, now: int, retention: int) -> None:
-        """Forgets members that were dead for more than `retention` ns and are not configured."""
+        """Removes unconfigured members that departed more than `retention` ns ago."""
         for name, since in list(islice(self.departed_since.items(), MAX_REMOVAL_CHECKS)):
             if now - since <= retention:
                 break
@@ -105,7 +105,7 @@
 
     def _update_member(self, now: int, member: Member, update: MemberUpdate, address: str) -> None:
         state_changed = update.state != member.state
-        # The first incarnation of a configured member is no change that others need to learn.
+        # Other members do not need the first incarnation of a configured member.
         if state_changed or member.incarnation:
             self.pending_updates.put(update.name)
         member.state, member.incarnation = MEMBER_STATES[update.state], update.incarnation
@@ -121,7 +121,7 @@
         self._update_state_lists(now, member)
 
     def _update_state_lists(self, now: int, member: Member) -> None:
-        """Puts the member into the lists of its state, and removes it from all others."""
+        """Adds the member to the lists of its state, and removes it from all other lists."""
         name = member.name
         self.suspected_since.pop(name, None)
         self.departed_since.pop(name, None)
--- a/gaproute/shared/membership/update_queue.py
+++ b/gaproute/shared/membership/update_queue.py
@@ -1,10 +1,10 @@
-"""The names of members whose updates are still to be sent."""
+"""The queue of members whose updates are still to be sent."""
 
 from collections.abc import Iterator
 
 
 class UpdateQueue:
-    """Names by how often their update was sent. Iterates over the least often sent first, then the oldest."""
+    """Names of members, ordered by how often their update was sent, then by age, the oldest first."""
 
     def __init__(self) -> None:
         # At index n: the names whose update was sent n times, the oldest first
@@ -19,18 +19,18 @@
             yield from names
 
     def put(self, name: str) -> None:
-        """Adds a name with a new update, which was never sent."""
+        """Adds a name whose update is new, so it was never sent."""
         self.discard(name)
         self._insert(name, 0)
 
     def discard(self, name: str) -> None:
-        """Removes the name; no effect if it is not in the queue."""
+        """Removes the name, if it is in the queue."""
         sends = self._sends.pop(name, None)
         if sends is not None:
             del self._by_sends[sends][name]
 
     def record_sent(self, name: str, max_sends: int) -> None:
-        """Notes that the update was sent once more; after `max_sends` times the name is removed."""
+        """Counts that the update was sent; removes the name after `max_sends` times."""
         sends = self._sends.get(name)
         if sends is None:
             return
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership at one gateway: updates as a lattice, messages and their encoding, bounds, state transfer."""
+"""Membership at one gateway: merging of updates, messages and their encoding, bounds, state transfer."""
 
 import pytest
 from hypothesis import given
@@ -16,10 +16,10 @@
 SECOND = 1_000_000_000
 
 
-def membership(*names, now=0):
-    made = Membership("me", "me", Chance(1), now)
-    made.set_configured_members(now, {name: name for name in names})
-    return made
+def make_membership(*names, now=0):
+    membership = Membership("me", "me", Chance(1), now)
+    membership.set_configured_members(now, {name: name for name in names})
+    return membership
 
 
 updates = st.builds(MemberUpdate, st.sampled_from("ab"), st.just("w"), st.integers(0, 3), st.integers(0, 3))
@@ -30,38 +30,38 @@
         lambda ordered: st.tuples(st.just(ordered), st.permutations(ordered))
     )
 )
-def test_updates_may_come_in_any_order_and_twice(orders):
-    ordered, other = orders
-    one, two = membership("a", "b"), membership("a", "b")
+def test_updates_have_the_same_result_in_any_order_and_when_repeated(orders):
+    ordered, permuted = orders
+    first, second = make_membership("a", "b"), make_membership("a", "b")
     for update in ordered:
-        one.apply_update(1, update)
-    for update in [*other, *ordered]:
-        two.apply_update(2, update)
-    assert {name: member.update[2:] for name, member in one.members.items()} == {
-        name: member.update[2:] for name, member in two.members.items()
+        first.apply_update(1, update)
+    for update in [*permuted, *ordered]:
+        second.apply_update(2, update)
+    assert {name: member.update[2:] for name, member in first.members.items()} == {
+        name: member.update[2:] for name, member in second.members.items()
     }
 
 
-def test_a_dead_member_that_nobody_configured_is_forgotten_and_a_configured_one_stays():
-    made = membership("configured")
+def test_a_dead_member_is_removed_unless_it_is_configured():
+    membership = make_membership("configured")
     for name in ("configured", "unconfigured"):
-        made.apply_update(0, MemberUpdate(name, "w", MemberState.ALIVE, 1))
-        made.apply_update(0, MemberUpdate(name, "w", MemberState.DEAD, 1))
+        membership.apply_update(0, MemberUpdate(name, "w", MemberState.ALIVE, 1))
+        membership.apply_update(0, MemberUpdate(name, "w", MemberState.DEAD, 1))
     now = 0
     while now < 700 * SECOND:
-        now = max(made.due, now + 1)
-        made.tick(now)
-    assert set(made.members) == {"configured"}
+        now = max(membership.due, now + 1)
+        membership.tick(now)
+    assert set(membership.members) == {"configured"}
 
 
-def test_an_unknown_dead_member_is_not_added_and_unknown_members_are_bounded():
-    made = membership("a")
-    made.apply_update(0, MemberUpdate("ghost", "w", MemberState.DEAD, 5))
-    assert "ghost" not in made.members
+def test_an_unknown_dead_member_is_not_added_and_the_number_of_unknown_members_is_limited():
+    membership = make_membership("a")
+    membership.apply_update(0, MemberUpdate("ghost", "w", MemberState.DEAD, 5))
+    assert "ghost" not in membership.members
     for number in range(2 * MAX_MEMBERS):
-        made.apply_update(0, MemberUpdate(f"n{number}", "w", MemberState.ALIVE, 1))
-    assert len(made.members) == MAX_MEMBERS
-    assert made.rejected_count == MAX_MEMBERS + 1
+        membership.apply_update(0, MemberUpdate(f"n{number}", "w", MemberState.ALIVE, 1))
+    assert len(membership.members) == MAX_MEMBERS
+    assert membership.rejected_count == MAX_MEMBERS + 1
 
 
 @pytest.mark.parametrize(
@@ -77,41 +77,41 @@
     ],
 )
 def test_a_message_with_an_invalid_sender_is_rejected(sender):
-    made = membership("a")
-    assert made.receive(1, MembershipMessage(MessageKind.PING, 1, sender)) == []
-    assert made.rejected_count == 1
-    assert made.members["a"].last_heard is None
+    membership = make_membership("a")
+    assert membership.receive(1, MembershipMessage(MessageKind.PING, 1, sender)) == []
+    assert membership.rejected_count == 1
+    assert membership.members["a"].last_heard is None
 
 
 def test_a_false_update_about_this_gateway_is_refuted_and_an_invalid_one_rejected():
-    made = membership("a")
-    made.apply_update(0, MemberUpdate("me", "me", MemberState.DEAD, 7))
-    assert made.incarnation == 8
-    made.apply_update(0, MemberUpdate("me", "me", MemberState.DEAD, MAX_INCARNATION + 1))
-    assert made.incarnation == 8
-    assert made.rejected_count == 1
+    membership = make_membership("a")
+    membership.apply_update(0, MemberUpdate("me", "me", MemberState.DEAD, 7))
+    assert membership.incarnation == 8
+    membership.apply_update(0, MemberUpdate("me", "me", MemberState.DEAD, MAX_INCARNATION + 1))
+    assert membership.incarnation == 8
+    assert membership.rejected_count == 1
 
 
 def test_indirect_probes_are_bounded():
-    made = membership("a", "b")
+    membership = make_membership("a", "b")
     for number in range(2 * MAX_INDIRECT_PROBES):
-        made.receive(
+        membership.receive(
             0,
             MembershipMessage(
                 MessageKind.PING_REQUEST, number, MemberUpdate("a", "a", MemberState.ALIVE, 1), "b"
             ),
         )
-    assert len(made.prober.indirect_probes) == MAX_INDIRECT_PROBES
+    assert len(membership.prober.indirect_probes) == MAX_INDIRECT_PROBES
 
 
-def test_a_message_holds_what_its_receiver_must_refute_and_no_more_than_fits():
-    made = membership("a")
+def test_a_message_contains_the_update_that_its_receiver_must_refute_and_fits_the_size_limit():
+    membership = make_membership("a")
     for number in range(200):
-        made.apply_update(
+        membership.apply_update(
             0, MemberUpdate(f"gateway-with-a-long-name-{number}", "w" * 60, MemberState.ALIVE, 1)
         )
-    made.apply_update(0, MemberUpdate("a", "a", MemberState.SUSPECT, 3))
-    ((_, message),) = made.receive(
+    membership.apply_update(0, MemberUpdate("a", "a", MemberState.SUSPECT, 3))
+    ((_, message),) = membership.receive(
         1, MembershipMessage(MessageKind.PING, 4, MemberUpdate("a", "a", MemberState.ALIVE, 1))
     )
     assert message.updates[0] == MemberUpdate("a", "a", MemberState.SUSPECT, 3)
@@ -132,7 +132,7 @@
     assert decode(b"\xff\xff") is None
     assert decode(b"") is None
     future = bytearray(encode(message))
-    future[1] = 9  # its version
+    future[1] = 9  # the version
     assert decode(bytes(future)) is None
 
 
@@ -144,54 +144,59 @@
         max_size=8,
     ).flatmap(lambda ordered: st.tuples(st.just(ordered), st.permutations(ordered)))
 )
-def test_updates_of_members_nobody_configured_end_in_one_address_in_any_order(orders):
-    one, two = membership(), membership()
-    alive = [MemberUpdate(name, "u", MemberState.ALIVE, 0) for name in "ab"]  # nobody dead is learnt of
-    for updates, made in zip(orders, (one, two), strict=True):
+def test_updates_about_unconfigured_members_give_the_same_address_in_any_order(orders):
+    first, second = make_membership(), make_membership()
+    # Makes both members known, as an unknown member that is dead is not added
+    alive = [MemberUpdate(name, "u", MemberState.ALIVE, 0) for name in "ab"]
+    for updates, membership in zip(orders, (first, second), strict=True):
         for update in [*alive, *updates]:
-            made.apply_update(1, update)
-    assert {name: member.update for name, member in one.members.items()} == {
-        name: member.update for name, member in two.members.items()
+            membership.apply_update(1, update)
+    assert {name: member.update for name, member in first.members.items()} == {
+        name: member.update for name, member in second.members.items()
     }
-    assert check_membership(one, thorough=True) == check_membership(two, thorough=True) == []
+    assert check_membership(first, thorough=True) == check_membership(second, thorough=True) == []
 
 
-def test_only_the_next_chunk_from_the_source_leads_to_another_request():
-    made = membership("a", "b")
-    made.state_transfer.start(0, "a")
+def test_only_the_next_chunk_from_the_source_causes_another_request():
+    membership = make_membership("a", "b")
+    membership.state_transfer.start(0, "a")
     a, b = (MemberUpdate(name, name, MemberState.ALIVE, 1) for name in "ab")
-    assert made.receive(1, MembershipMessage(MessageKind.CHUNK, 5, b)) == []
-    ((address, message),) = made.receive(2, MembershipMessage(MessageKind.CHUNK, 5, a))
+    assert membership.receive(1, MembershipMessage(MessageKind.CHUNK, 5, b)) == []
+    ((address, message),) = membership.receive(2, MembershipMessage(MessageKind.CHUNK, 5, a))
     assert (address, message.kind, message.sequence) == ("a", MessageKind.PULL, 5)
-    assert made.receive(3, MembershipMessage(MessageKind.CHUNK, 5, a)) == []
-    assert made.receive(4, MembershipMessage(MessageKind.CHUNK, 0, a)) == []
-    assert made.state_transfer.completed_count == 1
+    assert membership.receive(3, MembershipMessage(MessageKind.CHUNK, 5, a)) == []
+    assert membership.receive(4, MembershipMessage(MessageKind.CHUNK, 0, a)) == []
+    assert membership.state_transfer.completed_count == 1
 
 
 def test_chunks_are_sent_at_a_bounded_rate():
-    made = membership("a")
-    asked = [
-        made.receive(1, MembershipMessage(MessageKind.PULL, 0, MemberUpdate("a", "a", MemberState.ALIVE, 1)))
+    membership = make_membership("a")
+    answers = [
+        membership.receive(
+            1, MembershipMessage(MessageKind.PULL, 0, MemberUpdate("a", "a", MemberState.ALIVE, 1))
+        )
         for _ in range(200)
     ]
-    assert sum(map(len, asked)) == 64
+    assert sum(map(len, answers)) == 64
 
 
-def test_a_member_back_at_another_address_with_an_older_incarnation_is_answered_there_and_outbids():
-    made = Membership("me", "me", Chance(1), 0)
-    made.apply_update(0, MemberUpdate("a", "old", MemberState.ALIVE, 9))
-    back = Membership("a", "new", Chance(2), 0)
-    back.set_configured_members(0, {"me": "me"})
-    ((address, message),) = made.receive(1, back.tick(SECOND)[0][1])
+def test_a_member_restarted_at_another_address_is_answered_there_and_raises_its_incarnation():
+    membership = Membership("me", "me", Chance(1), 0)
+    membership.apply_update(0, MemberUpdate("a", "old", MemberState.ALIVE, 9))
+    restarted = Membership("a", "new", Chance(2), 0)
+    restarted.set_configured_members(0, {"me": "me"})
+    ((address, message),) = membership.receive(1, restarted.tick(SECOND)[0][1])
     assert address == "new"
-    assert made.members["a"].address == "old"
-    back.receive(2, message)
-    assert back.incarnation == 10
-    made.receive(
+    assert membership.members["a"].address == "old"
+    restarted.receive(2, message)
+    assert restarted.incarnation == 10
+    membership.receive(
         3,
-        MembershipMessage(MessageKind.PING, 5, MemberUpdate("a", "new", MemberState.ALIVE, back.incarnation)),
+        MembershipMessage(
+            MessageKind.PING, 5, MemberUpdate("a", "new", MemberState.ALIVE, restarted.incarnation)
+        ),
     )
-    assert made.members["a"].address == "new"
+    assert membership.members["a"].address == "new"
 
 
 @given(
@@ -221,21 +226,21 @@
         max_size=40,
     )
 )
-def test_the_lists_match_the_states_after_any_messages(steps):
-    made, now = membership("a"), 0
+def test_the_lists_match_the_states_after_any_sequence_of_messages(steps):
+    membership, now = make_membership("a"), 0
     for kind, sender, number, names in steps:
         now += SECOND // 3
         if kind == "tick":
-            made.tick(now)
+            membership.tick(now)
         elif kind == "list":
-            made.set_configured_members(now, {name: name for name in names})
+            membership.set_configured_members(now, {name: name for name in names})
         else:
-            made.receive(now, MembershipMessage(kind, number, sender, "".join(names[:1]), (sender,)))
-        assert check_membership(made, thorough=True) == []
+            membership.receive(now, MembershipMessage(kind, number, sender, "".join(names[:1]), (sender,)))
+        assert check_membership(membership, thorough=True) == []
 
 
-def test_a_violation_is_reported():
-    made = membership("a")
-    made.members["a"].state = MemberState.DEAD
-    made.prober.indirect_probes = {number: ("a", 1, "a") for number in range(MAX_INDIRECT_PROBES + 1)}
-    assert len(check_membership(made, thorough=True)) == 2
+def test_each_violation_is_reported():
+    membership = make_membership("a")
+    membership.members["a"].state = MemberState.DEAD
+    membership.prober.indirect_probes = {number: ("a", 1, "a") for number in range(MAX_INDIRECT_PROBES + 1)}
+    assert len(check_membership(membership, thorough=True)) == 2
--- a/tests/membership/test_membership_fleets.py
+++ b/tests/membership/test_membership_fleets.py
@@ -1,4 +1,4 @@
-"""Membership of fleets of gateways on a simulated clock and network: faults, restarts, partitions."""
+"""Membership in fleets of gateways with a simulated clock and network: faults, restarts, partitions."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("size", [2, 3, 8, 40])
-def test_a_gateway_that_dies_is_dead_to_all_and_no_other_is(size):
+def test_all_gateways_consider_a_gateway_that_dies_dead_and_no_other(size):
     net = MembershipNetwork(size)
     net.run(3 * SECOND)
     net.down.add("g1")
@@ -23,48 +23,48 @@
     assert max(net.sizes) <= MAX_MESSAGE_BYTES
 
 
-def test_lost_messages_make_suspects_that_refute_and_none_dead():
+def test_lost_messages_cause_suspicions_that_are_refuted_and_no_dead_member():
     net = MembershipNetwork(8, seed=3)
     chance = Chance(5)
-    net.is_lost = lambda sender, to: chance.below(100) < 25
+    net.is_lost = lambda sender, receiver: chance.below(100) < 25
     net.run(120 * SECOND)
     assert sum(node.suspicion_count for node in net.nodes.values()) > 0
     assert sum(node.refutation_count for node in net.nodes.values()) > 0
-    net.is_lost = lambda sender, to: False
+    net.is_lost = lambda sender, receiver: False
     net.run(20 * SECOND)
     assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
-def test_one_bad_path_between_two_makes_no_suspect_thanks_to_indirect_probes():
+def test_indirect_probes_prevent_suspicions_when_one_path_loses_all_messages():
     net = MembershipNetwork(5)
-    net.is_lost = lambda sender, to: {sender, to} == {"g0", "g1"}
+    net.is_lost = lambda sender, receiver: {sender, receiver} == {"g0", "g1"}
     net.run(60 * SECOND)
     assert sum(node.suspicion_count for node in net.nodes.values()) == 0
 
 
-def test_without_indirect_probes_that_path_makes_suspects():
+def test_a_path_that_loses_all_messages_causes_suspicions_without_indirect_probes():
     net = MembershipNetwork(5)
-    net.is_lost = lambda sender, to: {sender, to} == {"g0", "g1"}
+    net.is_lost = lambda sender, receiver: {sender, receiver} == {"g0", "g1"}
     for node in net.nodes.values():
         node.prober.retry_probe = lambda now: []
     net.run(60 * SECOND)
     assert sum(node.suspicion_count for node in net.nodes.values()) > 0
 
 
-def test_a_partition_is_seen_on_both_sides_and_heals():
+def test_both_sides_detect_a_partition_and_its_end():
     net = MembershipNetwork(6)
     half = {"g0", "g1", "g2"}
-    net.is_lost = lambda sender, to: (sender in half) != (to in half)
+    net.is_lost = lambda sender, receiver: (sender in half) != (receiver in half)
     net.run(60 * SECOND)
     assert {net.nodes["g0"].members[name].state for name in ("g3", "g4", "g5")} == {MemberState.DEAD}
     assert net.nodes["g0"].live_count() == net.nodes["g5"].live_count() == 3
-    net.is_lost = lambda sender, to: False
+    net.is_lost = lambda sender, receiver: False
     net.run(40 * SECOND)
     assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
     assert net.nodes["g0"].live_count() == 6
 
 
-def test_a_restarted_gateway_refutes_what_is_held_of_its_earlier_incarnation():
+def test_a_restarted_gateway_refutes_updates_about_its_earlier_incarnation():
     net = MembershipNetwork(4)
     net.run(3 * SECOND)
     net.down.add("g2")
@@ -76,7 +76,7 @@
     assert net.nodes["g2"].incarnation > 1
 
 
-def test_a_stalled_gateway_suspects_nobody_for_that_time():
+def test_a_stalled_gateway_suspects_no_member_for_the_time_of_its_stall():
     net = MembershipNetwork(5)
     net.run(5 * SECOND)
     net.stopped.add("g0")
@@ -88,7 +88,7 @@
     assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
-def test_a_newcomer_that_knows_one_gateway_is_known_to_all_and_knows_all():
+def test_a_new_gateway_that_knows_one_other_learns_of_all_and_becomes_known_to_all():
     net = MembershipNetwork(10)
     net.run(5 * SECOND)
     net.start("new", 77, {"g4": "g4"})
@@ -97,7 +97,7 @@
     assert net.nodes["new"].live_count() == 11
 
 
-def test_a_member_that_leaves_is_held_as_left_at_once_and_can_come_back():
+def test_a_member_that_leaves_is_in_state_left_at_once_and_can_return():
     net = MembershipNetwork(4)
     net.run(3 * SECOND)
     net.send("g3", net.nodes["g3"].leave())
@@ -110,7 +110,7 @@
     assert net.states_of("g3") == {MemberState.ALIVE}
 
 
-def test_a_newcomer_that_knows_one_of_three_hundred_knows_all_within_seconds():
+def test_a_new_gateway_that_knows_one_of_three_hundred_learns_of_all_within_seconds():
     net = MembershipNetwork(300)
     net.run(SECOND)
     net.start("new", 77, {"g4": "g4"})
@@ -122,19 +122,19 @@
 
 def test_lost_chunks_are_requested_again():
     net, chance = MembershipNetwork(150), Chance(3)
-    net.is_lost = lambda sender, to: "new" in (sender, to) and chance.below(10) < 3
+    net.is_lost = lambda sender, receiver: "new" in (sender, receiver) and chance.below(10) < 3
     net.start("new", 77, {"g4": "g4"})
     net.run(25 * SECOND)
     assert len(net.nodes["new"].members) == 150
 
 
-def test_halves_that_held_each_other_dead_hold_all_alive_soon_after_healing():
+def test_two_halves_consider_all_members_alive_soon_after_a_long_partition():
     net = MembershipNetwork(60)
     half = {f"g{number}" for number in range(30)}
-    net.is_lost = lambda sender, to: (sender in half) != (to in half)
+    net.is_lost = lambda sender, receiver: (sender in half) != (receiver in half)
     net.run(90 * SECOND)
     assert all(node.live_count() == 30 for node in net.nodes.values())
-    net.is_lost = lambda sender, to: False
+    net.is_lost = lambda sender, receiver: False
     net.run(40 * SECOND)
     assert all(
         len(node.table.alive) == 59 and check_membership(node, thorough=True) == []
@@ -142,7 +142,7 @@
     )
 
 
-def test_seven_tenths_back_with_an_empty_memory_are_alive_to_all():
+def test_seven_tenths_of_the_gateways_are_alive_to_all_after_a_restart_without_memory():
     net = MembershipNetwork(40)
     net.run(5 * SECOND)
     killed = [f"g{number}" for number in range(28)]
