--- a/gaproute/shared/leases/commands.py
+++ b/gaproute/shared/leases/commands.py
@@ -14,7 +14,7 @@
 from gaproute.units import MILLI, SECOND
 
 MAX_LEASE_DURATION = 600 * SECOND  # bounds how long a dead holder blocks a resource
-MIN_LEASE_DURATION = 100 * MILLI  # shorter leases would be renewed too often
+MIN_LEASE_DURATION = 100 * MILLI  # with shorter leases the renewals would cost too much
 CLOCK_ERROR_PER_MILLE = 10  # by which the rate of any clock may differ from true time (1%)
 # The number of hosts in a large fleet; limits the state that one client can cause at the group
 MAX_LEASES_PER_CLIENT = 1024
--- a/gaproute/shared/leases/requests.py
+++ b/gaproute/shared/leases/requests.py
@@ -50,7 +50,7 @@
         return self.state in OPEN_STATES
 
     def extend(self, first_sent_at: int) -> None:
-        """Extends the lease, by a command that was first sent at `first_sent_at`, ns."""
+        """Extends the lease, counted from when the command that granted or renewed it was first sent, ns."""
         self.expires_at = first_sent_at + self.duration
         self.renew_at = first_sent_at + self.duration // 2
 
