--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -31,7 +31,7 @@
 from gaproute.peers.membership import MAX_DATAGRAMS, MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.messages import LIMITS, DemandEntry, HostEntry, WarmInstanceEntry
+from gaproute.shared.gossip.messages import KIND_LIMITS, DemandEntry, HostEntry, WarmInstanceEntry
 
 SECOND = 1_000_000_000
 ROUNDS, CALLS = 21, 200  # rounds, and calls in each
@@ -67,13 +67,13 @@
 
 def demand_set() -> EntrySet:
     """Demand for as many functions as a set may have."""
-    entries = tuple(DemandEntry(key, 0, 1.5, 0.5) for key in keys(LIMITS[EntryKind.DEMAND].max_entries))
+    entries = tuple(DemandEntry(key, 0, 1.5, 0.5) for key in keys(KIND_LIMITS[EntryKind.DEMAND].max_entries))
     return EntrySet(EntryKind.DEMAND, 0, 1, 0, 3.0, entries)
 
 
 def warm_instance_set() -> EntrySet:
     """As many warm instances as a set may have."""
-    functions = keys(LIMITS[EntryKind.WARM_INSTANCES].max_entries)
+    functions = keys(KIND_LIMITS[EntryKind.WARM_INSTANCES].max_entries)
     entries = tuple(WarmInstanceEntry(key, 8, SECOND) for key in functions)
     return EntrySet(EntryKind.WARM_INSTANCES, 0, 1, 0, 0.0, entries)
 
@@ -81,7 +81,7 @@
 def messages() -> dict[str, GossipMessage]:
     """The messages that are measured, by the name of their row."""
     few = in_flight_set(FEW_HOSTS)
-    many = in_flight_set(LIMITS[EntryKind.IN_FLIGHT].max_entries)
+    many = in_flight_set(KIND_LIMITS[EntryKind.IN_FLIGHT].max_entries)
     return {
         "5 tasks in hand": GossipMessage(1, (few,)),
         "5 tasks in hand, demand": GossipMessage(1, (few, demand_set())),
--- a/benchmarks/gossip_fleet.py
+++ b/benchmarks/gossip_fleet.py
@@ -13,7 +13,7 @@
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.invariants import check, own_observations_alone
+from gaproute.shared.gossip.invariants import check, message_has_only_local_observations
 from gaproute.shared.gossip.messages import HostEntry
 
 LINK_DELAY = 5_000_000  # ns that a message takes
@@ -115,7 +115,7 @@
         self.cpu_time += time.process_time() - began
         if self._scheduled % CHECKED_EACH == 0 and name not in self.liars:
             for _, message in outgoing:
-                self._violations += own_observations_alone(node, message)
+                self._violations += message_has_only_local_observations(node, message)
         for to, datagram in datagrams:
             self._send(name, to, datagram)
         self._schedule(max(node.due, self.now + MIN_TICK_INTERVAL), name)
--- a/gaproute/hollow/demand_gossip.py
+++ b/gaproute/hollow/demand_gossip.py
@@ -13,7 +13,7 @@
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.ports import GossipSource
 from gaproute.shared.gossip import GossipNode
-from gaproute.shared.gossip.scheduler import RATE, RATE_IN_CELLS
+from gaproute.shared.gossip.scheduler import BYTES_PER_SECOND_IN_CELLS, DEFAULT_BYTES_PER_SECOND
 from gaproute.units import SECOND
 
 FEED_INTERVAL = SECOND
@@ -44,7 +44,7 @@
 class DemandGossipPart(ControlPart):
     """Needs the parts `membership` and `hosts`. It draws the arrivals, as there are no clients."""
 
-    RATE: ClassVar[int] = RATE  # bytes a second that may be sent
+    RATE: ClassVar[int] = DEFAULT_BYTES_PER_SECOND  # bytes a second that may be sent
 
     def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
         loop = environment.loop
@@ -86,7 +86,7 @@
 
     def counters(self) -> dict[str, int]:
         """`entries`: entries of all sets received; `tellers`: gateways from which any set is held."""
-        received = self.node.table.received
+        received = self.node.table.received_sets
         held_sets = [entry_set for sets in received.values() for entry_set in sets.values()]
         return {
             "messages": self._counting_transport.messages,
@@ -107,4 +107,4 @@
 class CellDemandGossipPart(DemandGossipPart):
     """Leaves the dissemination of the cell table its share of the bytes that a gateway may send."""
 
-    RATE: ClassVar[int] = RATE_IN_CELLS
+    RATE: ClassVar[int] = BYTES_PER_SECOND_IN_CELLS
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -11,7 +11,7 @@
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.ports import GossipSource, PayloadTransport, TimerLoop
 from gaproute.shared.gossip import GossipNode
-from gaproute.shared.gossip.scheduler import RATE
+from gaproute.shared.gossip.scheduler import DEFAULT_BYTES_PER_SECOND
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
@@ -35,7 +35,7 @@
         transport: PayloadTransport,
         gateway: GossipSource,
         random: RandomSource,
-        rate: int = RATE,
+        rate: int = DEFAULT_BYTES_PER_SECOND,
     ) -> None:
         now = loop.now()
         self.loop, self.transport, self.gateway = loop, transport, gateway
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -21,8 +21,8 @@
 from gaproute.errors import GaprouteError
 from gaproute.shared.gossip.messages import (
     AMOUNT_SCALE,
-    LIMITS,
-    MAX_SETS,
+    KIND_LIMITS,
+    MAX_SETS_PER_GATEWAY,
     DemandEntry,
     Entries,
     EntryKind,
@@ -37,7 +37,7 @@
 MAX_AGE_UNITS = 65_535
 RATE_UNITS = 100  # rates are sent in hundredths of a request a second
 MAX_RELATIVE_DEVIATION = 655.0  # of the rate
-MAX_WARM_AGE = LIMITS[EntryKind.WARM_INSTANCES].max_age
+MAX_WARM_AGE = KIND_LIMITS[EntryKind.WARM_INSTANCES].max_age
 MAX_BYTES = 1200  # fits in one unfragmented datagram on every usual network
 
 MESSAGE_HEADER, SET_HEADER = Struct("<BQB"), Struct("<BBIHBH")
@@ -115,7 +115,7 @@
     if len(data) > MAX_BYTES:
         raise UndecodableError("too long")
     version, incarnation, count = MESSAGE_HEADER.unpack_from(data)
-    if version != VERSION or count > MAX_SETS:
+    if version != VERSION or count > MAX_SETS_PER_GATEWAY:
         raise UndecodableError("another version, or too many sets")
     sets: list[EntrySet] = []
     position = MESSAGE_HEADER.size
@@ -130,7 +130,7 @@
 def _decode_set(data: bytes, position: int) -> tuple[EntrySet, int]:
     """The set that begins at the position, and where it ends."""
     kind, partition, sequence, age, remainder, count = SET_HEADER.unpack_from(data, position)
-    if kind >= len(LIMITS) or count > LIMITS[kind].max_entries:
+    if kind >= len(KIND_LIMITS) or count > KIND_LIMITS[kind].max_entries:
         raise UndecodableError("another kind, or too many entries")
     begin = position + SET_HEADER.size
     end = begin + count * ENTRY_STRUCTS[kind].size
--- a/gaproute/shared/gossip/arrivals.py
+++ b/gaproute/shared/gossip/arrivals.py
@@ -6,32 +6,32 @@
 from math import sqrt
 from typing import NamedTuple
 
-from gaproute.shared.gossip.messages import LIMITS, DemandEntry, EntryKind
+from gaproute.shared.gossip.messages import KIND_LIMITS, DemandEntry, EntryKind
 from gaproute.units import SECOND
 
-BUCKET = 2 * SECOND  # length of a bucket; the deviation over shorter ones would be mostly chance
-BUCKETS = 10  # number of buckets that are stored: 20 s, so that a burst shows within some seconds
-MAX_FUNCTIONS = 4096  # counted separately in a bucket; arrivals of others are summed as unnamed
-MAX_NAMED = LIMITS[EntryKind.DEMAND].max_entries
+BUCKET_LENGTH = 2 * SECOND  # length of a bucket; the deviation over shorter ones would be mostly chance
+MAX_BUCKETS = 10  # number of buckets that are stored: 20 s, so that a burst shows within some seconds
+MAX_COUNTED_SUBJECTS = 4096  # counted separately in a bucket; arrivals of others are summed as unnamed
+MAX_ENTRIES = KIND_LIMITS[EntryKind.DEMAND].max_entries
 
-FunctionClass = tuple[int, int]  # the function's key, and the number of its request class
+DemandSubject = tuple[int, int]  # the function's key, and the number of its request class
 
 
 class Bucket(NamedTuple):
-    """Arrivals of one bucket of time. `unnamed`: of functions beyond the bound."""
+    """Arrivals of one bucket of time. `other_count`: of functions beyond the bound."""
 
-    counts: dict[FunctionClass, int]
-    unnamed: int
+    counts: dict[DemandSubject, int]
+    other_count: int
 
 
-class Rate(NamedTuple):
+class ArrivalRate(NamedTuple):
     """Arrivals per second, and the standard deviation of the rates of the buckets."""
 
     mean: float
     deviation: float
 
 
-class MostWanted(NamedTuple):
+class TopDemand(NamedTuple):
     """The functions with the most arrivals; `remainder`: arrivals per second of all other functions."""
 
     remainder: float
@@ -44,70 +44,76 @@
     """
 
     def __init__(self, now: int) -> None:
-        self.counted_until = now  # ns: when the present bucket began
-        self.counts: dict[FunctionClass, int] = {}  # of the present bucket
-        self.unnamed = 0  # of the present bucket: arrivals of functions beyond the bound
-        self.past: deque[Bucket] = deque()  # buckets that have ended, the oldest first
-        self.sums: dict[FunctionClass, int] = {}  # of the counts in `past`
-        self._squares: dict[FunctionClass, int] = {}  # sums of the squares of those counts
-        self._unnamed_sum = 0
+        self.bucket_start = now  # ns: when the present bucket began
+        self.current_counts: dict[DemandSubject, int] = {}  # of the present bucket
+        self.current_other_count = 0  # of the present bucket: arrivals of functions beyond the bound
+        self.buckets: deque[Bucket] = deque()  # buckets that have ended, the oldest first
+        self.totals: dict[DemandSubject, int] = {}  # of the counts in `buckets`
+        self._square_totals: dict[DemandSubject, int] = {}  # sums of the squares of those counts
+        self._other_sum = 0
 
     def record(self, now: int, function: int, request_class: int, count: int = 1) -> None:
         """Counts arrivals."""
-        if now - self.counted_until >= BUCKET:
-            self.advance(now)
+        if now - self.bucket_start >= BUCKET_LENGTH:
+            self.end_elapsed_buckets(now)
         subject = function, request_class
-        if subject in self.counts or len(self.counts) < MAX_FUNCTIONS:
-            self.counts[subject] = self.counts.get(subject, 0) + count
+        if subject in self.current_counts or len(self.current_counts) < MAX_COUNTED_SUBJECTS:
+            self.current_counts[subject] = self.current_counts.get(subject, 0) + count
         else:
-            self.unnamed += count
+            self.current_other_count += count
 
-    def advance(self, now: int) -> None:
+    def end_elapsed_buckets(self, now: int) -> None:
         """Ends the buckets whose time has passed."""
-        ended = (now - self.counted_until) // BUCKET
-        for _ in range(min(BUCKETS + 1, ended)):
+        ended = (now - self.bucket_start) // BUCKET_LENGTH
+        for _ in range(min(MAX_BUCKETS + 1, ended)):
             self._end_bucket()
-            if len(self.past) > BUCKETS:
+            if len(self.buckets) > MAX_BUCKETS:
                 self._drop_oldest()
-        self.counted_until += ended * BUCKET
+        self.bucket_start += ended * BUCKET_LENGTH
 
-    def rate(self, subject: FunctionClass) -> Rate:
+    def rate(self, subject: DemandSubject) -> ArrivalRate:
         """The rate of one function in one request class."""
-        buckets, seconds = len(self.past), BUCKET / SECOND
-        total = self.sums.get(subject, 0)
+        buckets, seconds = len(self.buckets), BUCKET_LENGTH / SECOND
+        total = self.totals.get(subject, 0)
         if not buckets or not total:
-            return Rate(0.0, 0.0)
+            return ArrivalRate(0.0, 0.0)
         mean = total / buckets
-        variance = max(0.0, self._squares[subject] / buckets - mean * mean) * buckets / max(1, buckets - 1)
-        return Rate(mean / seconds, sqrt(variance) / seconds)
+        variance = (
+            max(0.0, self._square_totals[subject] / buckets - mean * mean) * buckets / max(1, buckets - 1)
+        )
+        return ArrivalRate(mean / seconds, sqrt(variance) / seconds)
 
-    def total(self) -> float:
+    def total_rate(self) -> float:
         """Arrivals per second of all functions."""
-        return (sum(self.sums.values()) + self._unnamed_sum) * SECOND / BUCKET / max(1, len(self.past))
+        return (
+            (sum(self.totals.values()) + self._other_sum) * SECOND / BUCKET_LENGTH / max(1, len(self.buckets))
+        )
 
-    def most_wanted(self, now: int) -> MostWanted:
+    def top_demand(self, now: int) -> TopDemand:
         """The functions with the most arrivals; ends the buckets whose time has passed first."""
-        self.advance(now)
-        if not self.past:
-            return MostWanted(0.0, ())
-        subjects = sorted(self.sums, key=lambda subject: (-self.sums[subject], subject))[:MAX_NAMED]
-        named_rate = sum(self.sums[subject] for subject in subjects) * SECOND / BUCKET / len(self.past)
+        self.end_elapsed_buckets(now)
+        if not self.buckets:
+            return TopDemand(0.0, ())
+        subjects = sorted(self.totals, key=lambda subject: (-self.totals[subject], subject))[:MAX_ENTRIES]
+        named_rate = (
+            sum(self.totals[subject] for subject in subjects) * SECOND / BUCKET_LENGTH / len(self.buckets)
+        )
         entries = [DemandEntry(*subject, *self.rate(subject)) for subject in subjects]
-        return MostWanted(max(0.0, self.total() - named_rate), tuple(entries))
+        return TopDemand(max(0.0, self.total_rate() - named_rate), tuple(entries))
 
     def _end_bucket(self) -> None:
-        for subject, count in self.counts.items():
-            self.sums[subject] = self.sums.get(subject, 0) + count
-            self._squares[subject] = self._squares.get(subject, 0) + count * count
-        self._unnamed_sum += self.unnamed
-        self.past.append(Bucket(self.counts, self.unnamed))
-        self.counts, self.unnamed = {}, 0
+        for subject, count in self.current_counts.items():
+            self.totals[subject] = self.totals.get(subject, 0) + count
+            self._square_totals[subject] = self._square_totals.get(subject, 0) + count * count
+        self._other_sum += self.current_other_count
+        self.buckets.append(Bucket(self.current_counts, self.current_other_count))
+        self.current_counts, self.current_other_count = {}, 0
 
     def _drop_oldest(self) -> None:
-        oldest = self.past.popleft()
-        self._unnamed_sum -= oldest.unnamed
+        oldest = self.buckets.popleft()
+        self._other_sum -= oldest.other_count
         for subject, count in oldest.counts.items():
-            self.sums[subject] -= count
-            self._squares[subject] -= count * count
-            if not self.sums[subject]:
-                del self.sums[subject], self._squares[subject]
+            self.totals[subject] -= count
+            self._square_totals[subject] -= count * count
+            if not self.totals[subject]:
+                del self.totals[subject], self._square_totals[subject]
--- a/gaproute/shared/gossip/entry_sets.py
+++ b/gaproute/shared/gossip/entry_sets.py
@@ -4,7 +4,7 @@
 
 from gaproute.shared.gossip.local_observations import LocalObservations
 from gaproute.shared.gossip.messages import (
-    LIMITS,
+    KIND_LIMITS,
     MAX_AMOUNT,
     Entries,
     EntryKind,
@@ -16,7 +16,7 @@
 
 # By kind: how long a set is sent again with only its age changed, ns. If each of 25 messages per second had a
 # new set, a thousand hosts would be sorted 25 times.
-REUSE_TIME = (
+ENTRY_SET_REUSE_TIMES = (
     SECOND // 10,  # IN_FLIGHT
     SECOND // 2,  # AVAILABLE_CAPACITY
     SECOND,  # DEMAND
@@ -24,7 +24,7 @@
 )
 
 
-class CachedSet(NamedTuple):
+class CachedEntrySet(NamedTuple):
     """A set that is sent for a while."""
 
     made_at: int
@@ -35,45 +35,47 @@
     """Makes the sets of local observations and numbers them."""
 
     def __init__(self, observations: LocalObservations) -> None:
-        self.cached: dict[int, CachedSet] = {}  # by kind
+        self.cached_sets: dict[int, CachedEntrySet] = {}  # by kind
         self._observations = observations
         # By kind and partition: the sequence number of the last set
         self._sequences: dict[tuple[int, int], int] = {}
 
-    def clear(self) -> None:
+    def clear_cache(self) -> None:
         """Drops the cached sets."""
-        self.cached.clear()
+        self.cached_sets.clear()
 
     def get(self, now: int, kind: EntryKind, partition: int = 0) -> EntrySet:
         """The set to send: a new one, or a cached one with its present age."""
-        cached = self.cached.get(kind)
-        if cached is None or now - cached.made_at >= REUSE_TIME[kind]:
-            cached = self.cached[kind] = CachedSet(now, self._make(now, kind, partition))
+        cached = self.cached_sets.get(kind)
+        if cached is None or now - cached.made_at >= ENTRY_SET_REUSE_TIMES[kind]:
+            cached = self.cached_sets[kind] = CachedEntrySet(now, self._make_entry_set(now, kind, partition))
         return cached.entry_set._replace(age=now - cached.made_at)
 
-    def _make(self, now: int, kind: EntryKind, partition: int) -> EntrySet:
-        remainder, entries = self._entries(now, kind, partition)
+    def _make_entry_set(self, now: int, kind: EntryKind, partition: int) -> EntrySet:
+        remainder, entries = self._remainder_and_entries(now, kind, partition)
         sequence = self._sequences[kind, partition] = self._sequences.get((kind, partition), 0) + 1
         return EntrySet(kind, partition, sequence, 0, min(remainder, MAX_AMOUNT), entries)
 
-    def _entries(self, now: int, kind: EntryKind, partition: int) -> tuple[float, Entries]:
+    def _remainder_and_entries(self, now: int, kind: EntryKind, partition: int) -> tuple[float, Entries]:
         """The remainder and the entries of a new set."""
         observations = self._observations
         match kind:
             case EntryKind.IN_FLIGHT:
-                entries = _greatest(observations.in_flight, LIMITS[kind].max_entries)
+                entries = _hosts_with_greatest_amounts(observations.in_flight, KIND_LIMITS[kind].max_entries)
                 named_amount = sum([entry.amount for entry in entries])
                 return max(0.0, sum(observations.in_flight.values()) - named_amount), entries
             case EntryKind.AVAILABLE_CAPACITY:
-                return 0.0, _greatest(observations.available_capacity, LIMITS[kind].max_entries)
+                return 0.0, _hosts_with_greatest_amounts(
+                    observations.available_capacity, KIND_LIMITS[kind].max_entries
+                )
             case EntryKind.DEMAND:
-                return observations.arrivals.most_wanted(now)
+                return observations.arrivals.top_demand(now)
             case EntryKind.WARM_INSTANCES:
-                return 0.0, self._seen_last(now, partition)
+                return 0.0, self._latest_warm_instances(now, partition)
 
-    def _seen_last(self, now: int, partition: int) -> tuple[WarmInstanceEntry, ...]:
+    def _latest_warm_instances(self, now: int, partition: int) -> tuple[WarmInstanceEntry, ...]:
         """The warm instances that were seen last, the latest first."""
-        limits = LIMITS[EntryKind.WARM_INSTANCES]
+        limits = KIND_LIMITS[EntryKind.WARM_INSTANCES]
         entries: list[WarmInstanceEntry] = []
         for (host, function), seen in reversed(self._observations.warm_instances[partition].items()):
             if len(entries) >= limits.max_entries or now - seen > limits.max_age:
@@ -82,7 +84,7 @@
         return tuple(entries)
 
 
-def _greatest(amounts: dict[int, float], count: int) -> tuple[HostEntry, ...]:
+def _hosts_with_greatest_amounts(amounts: dict[int, float], count: int) -> tuple[HostEntry, ...]:
     """The hosts with the greatest amounts; of equal ones those with the lower keys."""
     hosts = sorted(amounts, key=lambda host: (-amounts[host], host))[:count]
     return tuple([HostEntry(host, amounts[host]) for host in hosts])
--- a/gaproute/shared/gossip/estimates.py
+++ b/gaproute/shared/gossip/estimates.py
@@ -1,19 +1,19 @@
 """Estimates for the whole fleet from the sets of other gateways, scaled by the number of known origins.
 
-The influence of one origin is bounded: its set may sum to at most `MEDIAN_MULTIPLE` times the lower median of
-all sets, including this gateway's own, and one subject of it to a part of that; larger figures are scaled
-down. If one gateway really has more than that, the estimate is too small.
+The influence of one origin is bounded: its set may sum to at most `MAX_MEDIAN_MULTIPLE` times the lower
+median of all sets, including this gateway's own, and one subject of it to a part of that; larger values are
+scaled down. If one gateway really has more than that, the estimate is too small.
 """
 
 from collections.abc import Callable, Sequence
 from typing import Generic, NamedTuple, TypeVar, cast
 
-from gaproute.shared.gossip.arrivals import FunctionClass
+from gaproute.shared.gossip.arrivals import DemandSubject
 from gaproute.shared.gossip.messages import DemandEntry, HostEntry
 from gaproute.shared.gossip.table import ReceivedSet
 
-MEDIAN_MULTIPLE = 16  # on a real day one gateway was measured at ten times the mean
-SUBJECT_DIVISOR = 4  # one subject may have this fraction (a fourth) of an origin's bound
+MAX_MEDIAN_MULTIPLE = 16  # on a real day one gateway was measured at ten times the mean
+SUBJECT_BOUND_DIVISOR = 4  # one subject may have this fraction (a fourth) of an origin's bound
 MIN_IN_FLIGHT_BOUND = 32.0  # requests in flight that are never scaled down, as most gateways may be idle
 MIN_DEMAND_BOUND = 50.0  # arrivals per second that are never scaled down
 
@@ -21,18 +21,18 @@
 
 
 class FleetEstimate(NamedTuple):
-    """An estimate for the whole fleet. Without other origins `total` is the local figure."""
+    """An estimate for the whole fleet. Without other origins `total` is the local value."""
 
     local: float  # observed by this gateway
-    received: float  # sum of the figures that others sent
-    origins: int  # number of others that sent a figure
+    received: float  # sum of the values that others sent
+    origins: int  # number of others that sent a value
     peers: int  # number of others that are up
-    age: int  # mean age of the received figures, ns
+    age: int  # mean age of the received values, ns
     deviation: float = 0.0  # standard deviation of the total, including the local part
 
     @property
     def total(self) -> float:
-        """The local figure plus the received ones, scaled to all peers."""
+        """The local value plus the received ones, scaled to all peers."""
         return self.local + (self.received * self.peers / self.origins if self.origins else 0.0)
 
 
@@ -43,29 +43,29 @@
         self.origins = len(received)
         self.age = sum(now - each.observed_at for each in received) // max(1, self.origins)
         self.remainder = 0.0
-        self.clipped = 0  # number of sets that were scaled down
+        self.clipped_sets = 0  # number of sets that were scaled down
         self._sums: dict[Subject, float] = {}
         self._variances: dict[Subject, float] = {}
 
-    def start_origin(self, remainder: float, total: float, bound: float) -> float:
-        """Adds the remainder of an origin, whose figures sum to `total`; returns the factor that scales them
+    def add_origin_remainder(self, remainder: float, total: float, bound: float) -> float:
+        """Adds the remainder of an origin, whose values sum to `total`; returns the factor that scales them
         down to the bound.
         """
         scale = min(1.0, bound / total) if total else 1.0
-        self.clipped += scale < 1
+        self.clipped_sets += scale < 1
         self.remainder += remainder * scale
         return scale
 
-    def add(self, subject: Subject, figure: float, deviation: float = 0.0) -> None:
-        """Adds an origin's figure for one subject."""
-        self._sums[subject] = self._sums.get(subject, 0.0) + figure
+    def add_value(self, subject: Subject, value: float, deviation: float = 0.0) -> None:
+        """Adds an origin's value for one subject."""
+        self._sums[subject] = self._sums.get(subject, 0.0) + value
         if deviation:
             self._variances[subject] = self._variances.get(subject, 0.0) + deviation**2
 
     def estimate(
         self, subject: Subject, local: float, peers: int, local_deviation: float = 0.0
     ) -> FleetEstimate:
-        """The estimate for one subject; the deviation assumes that the figures of gateways are
+        """The estimate for one subject; the deviation assumes that the values of gateways are
         independent.
         """
         scale = peers / self.origins if self.origins else 0.0
@@ -83,54 +83,55 @@
     """Sums requests in flight by host. `is_current(host, observed_at)`: whether an entry counts."""
     sums: FleetSums[int] = FleetSums(now, received)
     sets = [cast(tuple[HostEntry, ...], each.entries) for each in received]
-    figures = [[entry.amount for entry in entries] for entries in sets]
-    bound, scales = _start_origins(sums, received, figures, local_total, MIN_IN_FLIGHT_BOUND)
+    values = [[entry.amount for entry in entries] for entries in sets]
+    bound, scales = _add_origin_remainders(sums, received, values, local_total, MIN_IN_FLIGHT_BOUND)
     for each, entries, scale in zip(received, sets, scales, strict=True):
         for host, amount in entries:
             if is_current(host, each.observed_at):
-                sums.add(host, min(amount * scale, bound / SUBJECT_DIVISOR))
+                sums.add_value(host, min(amount * scale, bound / SUBJECT_BOUND_DIVISOR))
     return sums
 
 
-def sum_demand(now: int, received: Sequence[ReceivedSet], local_total: float) -> FleetSums[FunctionClass]:
+def sum_demand(now: int, received: Sequence[ReceivedSet], local_total: float) -> FleetSums[DemandSubject]:
     """Sums arrivals per second by function and request class."""
-    sums: FleetSums[FunctionClass] = FleetSums(now, received)
+    sums: FleetSums[DemandSubject] = FleetSums(now, received)
     sets = [cast(tuple[DemandEntry, ...], each.entries) for each in received]
-    figures = [[entry.rate for entry in entries] for entries in sets]
-    bound, scales = _start_origins(sums, received, figures, local_total, MIN_DEMAND_BOUND)
+    values = [[entry.rate for entry in entries] for entries in sets]
+    bound, scales = _add_origin_remainders(sums, received, values, local_total, MIN_DEMAND_BOUND)
     for entries, scale in zip(sets, scales, strict=True):
         for function, request_class, rate, deviation in entries:
             # A deviation is limited to that of arrivals in a few large bursts.
-            sums.add(
+            sums.add_value(
                 (function, request_class),
-                min(rate * scale, bound / SUBJECT_DIVISOR),
-                min(deviation * scale, bound / SUBJECT_DIVISOR),
+                min(rate * scale, bound / SUBJECT_BOUND_DIVISOR),
+                min(deviation * scale, bound / SUBJECT_BOUND_DIVISOR),
             )
     return sums
 
 
-def _start_origins(
+def _add_origin_remainders(
     sums: FleetSums[Subject],
     received: Sequence[ReceivedSet],
-    figures: Sequence[Sequence[float]],
+    values: Sequence[Sequence[float]],
     local_total: float,
-    floor: float,
+    min_bound: float,
 ) -> tuple[float, list[float]]:
-    """Adds the remainder of each origin. `figures`: for each origin, those of its subjects.
+    """Adds the remainder of each origin. `values`: for each origin, those of its subjects.
 
-    Returns the bound of the sum of one origin, and for each origin the factor that scales its figures down to
+    Returns the bound of the sum of one origin, and for each origin the factor that scales its values down to
     that bound.
     """
-    totals = [each.remainder + sum(amounts) for each, amounts in zip(received, figures, strict=True)]
-    bound = _bound(totals, local_total, floor)
+    totals = [each.remainder + sum(amounts) for each, amounts in zip(received, values, strict=True)]
+    bound = _origin_bound(totals, local_total, min_bound)
     scales = [
-        sums.start_origin(each.remainder, total, bound) for each, total in zip(received, totals, strict=True)
+        sums.add_origin_remainder(each.remainder, total, bound)
+        for each, total in zip(received, totals, strict=True)
     ]
     return bound, scales
 
 
-def _bound(totals: list[float], local_total: float, floor: float) -> float:
+def _origin_bound(totals: list[float], local_total: float, min_bound: float) -> float:
     """The bound of the sum of one origin's set."""
     ordered = sorted([*totals, local_total])
     lower_median = ordered[(len(ordered) - 1) // 2]
-    return max(floor, MEDIAN_MULTIPLE * lower_median)
+    return max(min_bound, MAX_MEDIAN_MULTIPLE * lower_median)
--- a/gaproute/shared/gossip/fleet_view.py
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -3,12 +3,12 @@
 from statistics import median
 from typing import Generic, NamedTuple, cast
 
-from gaproute.shared.gossip.arrivals import FunctionClass
+from gaproute.shared.gossip.arrivals import DemandSubject
 from gaproute.shared.gossip.estimates import FleetEstimate, FleetSums, Subject, sum_demand, sum_in_flight
 from gaproute.shared.gossip.hosts import ListedHosts
 from gaproute.shared.gossip.local_observations import LocalObservations
 from gaproute.shared.gossip.messages import (
-    LIMITS,
+    KIND_LIMITS,
     WARM_PARTITIONS,
     EntryKind,
     HostEntry,
@@ -19,8 +19,8 @@
 from gaproute.shared.gossip.table import GossipTable
 from gaproute.units import SECOND
 
-REUSE_TIME = SECOND // 2  # ns for which sums are cached; their figures are seconds old anyway
-MAX_WITNESSES = 8  # gateways that are named for one instance
+SUMS_REUSE_TIME = SECOND // 2  # ns for which sums are cached; their figures are seconds old anyway
+MAX_NAMED_ORIGINS = 8  # gateways that are named for one instance
 
 
 class CapacityEstimate(NamedTuple):
@@ -63,15 +63,15 @@
         self._keys, self._local, self._table = keys, local, table
         self._hosts, self._peers = hosts, peers
         self._in_flight_sums: CachedSums[int] | None = None
-        self._demand_sums: CachedSums[FunctionClass] | None = None
+        self._demand_sums: CachedSums[DemandSubject] | None = None
 
     @property
-    def clipped(self) -> int:
+    def clipped_sets(self) -> int:
         """Sets that the present sums scale down."""
         cached = (self._in_flight_sums, self._demand_sums)
-        return sum([each.sums.clipped for each in cached if each is not None])
+        return sum([each.sums.clipped_sets for each in cached if each is not None])
 
-    def clear(self) -> None:
+    def clear_cache(self) -> None:
         """Drops the cached sums."""
         self._in_flight_sums = self._demand_sums = None
 
@@ -79,7 +79,7 @@
         """Requests in flight at the host, of the whole fleet."""
         key = self._keys.key(host)
         local = self._local.in_flight.get(key, 0.0)
-        return self._in_flight(now).estimate(key, local, len(self._peers))
+        return self._current_in_flight_sums(now).estimate(key, local, len(self._peers))
 
     def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
         """Arrivals per second in the whole fleet; the deviation assumes that the gateways' arrivals are
@@ -89,20 +89,20 @@
         `unnamed_demand`.
         """
         subject = self._keys.key(function), request_class
-        self._local.arrivals.advance(now)
+        self._local.arrivals.end_elapsed_buckets(now)
         local, deviation = self._local.arrivals.rate(subject)
-        return self._demand(now).estimate(subject, local, len(self._peers), deviation)
+        return self._current_demand_sums(now).estimate(subject, local, len(self._peers), deviation)
 
     def unnamed_demand(self, now: int, local: float) -> FleetEstimate:
         """Arrivals per second of functions that their origins do not name. `local`: those of this gateway."""
-        sums = self._demand(now)
+        sums = self._current_demand_sums(now)
         return FleetEstimate(local, sums.remainder, sums.origins, len(self._peers), sums.age)
 
     def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
         """The estimated available capacity of the host; None if no gateway has an estimate."""
         key = self._keys.key(host)
         estimates: list[tuple[float, int]] = []  # (capacity, age)
-        for _, received in self._table.current(now, EntryKind.AVAILABLE_CAPACITY):
+        for _, received in self._table.current_sets(now, EntryKind.AVAILABLE_CAPACITY):
             if self._hosts.is_current(key, received.observed_at):
                 entries = cast(tuple[HostEntry, ...], received.entries)
                 age = now - received.observed_at
@@ -119,40 +119,40 @@
         key = self._keys.key(function)
         sightings: dict[str, list[tuple[int, str]]] = {}  # by host: (age, origin)
         partition = key % WARM_PARTITIONS
-        for origin, received in self._table.current(now, EntryKind.WARM_INSTANCES, partition):
+        for origin, received in self._table.current_sets(now, EntryKind.WARM_INSTANCES, partition):
             for entry in cast(tuple[WarmInstanceEntry, ...], received.entries):
                 if entry.function == key:
                     self._add_sighting(sightings, now, entry.host, received.observed_at - entry.age, origin)
         for (host, other), seen in self._local.warm_instances[partition].items():
             if other == key:
                 self._add_sighting(sightings, now, host, seen, self._name)
-        return {host: _sighting(seen) for host, seen in sightings.items()}
+        return {host: _merge_sightings(seen) for host, seen in sightings.items()}
 
     def _add_sighting(
         self, sightings: dict[str, list[tuple[int, str]]], now: int, host: int, seen: int, origin: str
     ) -> None:
-        max_age = LIMITS[EntryKind.WARM_INSTANCES].max_age
+        max_age = KIND_LIMITS[EntryKind.WARM_INSTANCES].max_age
         if now - seen <= max_age and self._hosts.is_current(host, seen):
-            sightings.setdefault(self._hosts.names[host], []).append((now - seen, origin))
+            sightings.setdefault(self._hosts.names_by_key[host], []).append((now - seen, origin))
 
-    def _in_flight(self, now: int) -> FleetSums[int]:
+    def _current_in_flight_sums(self, now: int) -> FleetSums[int]:
         cached = self._in_flight_sums
-        if cached is None or now - cached.made_at >= REUSE_TIME:
-            received = [each for _, each in self._table.current(now, EntryKind.IN_FLIGHT)]
+        if cached is None or now - cached.made_at >= SUMS_REUSE_TIME:
+            received = [each for _, each in self._table.current_sets(now, EntryKind.IN_FLIGHT)]
             local_total = sum(self._local.in_flight.values())
             sums = sum_in_flight(now, received, local_total, self._hosts.is_current)
             cached = self._in_flight_sums = CachedSums(now, sums)
         return cached.sums
 
-    def _demand(self, now: int) -> FleetSums[FunctionClass]:
+    def _current_demand_sums(self, now: int) -> FleetSums[DemandSubject]:
         cached = self._demand_sums
-        if cached is None or now - cached.made_at >= REUSE_TIME:
-            received = [each for _, each in self._table.current(now, EntryKind.DEMAND)]
-            sums = sum_demand(now, received, self._local.arrivals.total())
+        if cached is None or now - cached.made_at >= SUMS_REUSE_TIME:
+            received = [each for _, each in self._table.current_sets(now, EntryKind.DEMAND)]
+            sums = sum_demand(now, received, self._local.arrivals.total_rate())
             cached = self._demand_sums = CachedSums(now, sums)
         return cached.sums
 
 
-def _sighting(seen: list[tuple[int, str]]) -> WarmSighting:
+def _merge_sightings(seen: list[tuple[int, str]]) -> WarmSighting:
     ordered = sorted(seen)
-    return WarmSighting(ordered[0][0], tuple([origin for _, origin in ordered[:MAX_WITNESSES]]))
+    return WarmSighting(ordered[0][0], tuple([origin for _, origin in ordered[:MAX_NAMED_ORIGINS]]))
--- a/gaproute/shared/gossip/hosts.py
+++ b/gaproute/shared/gossip/hosts.py
@@ -3,19 +3,19 @@
 from collections.abc import Callable, Mapping
 
 # Hosts that are gone or have restarted, stored until all earlier observations have expired
-MAX_TOMBSTONES = 8192
+MAX_HOST_TOMBSTONES = 8192
 
 
 class ListedHosts:
     """The keys that gossip may name. Times are ns of this gateway's clock."""
 
     def __init__(self) -> None:
-        self.names: dict[int, str] = {}  # by key
-        self._starts: dict[int, object] = {}  # by key: the host's start as listed
+        self.names_by_key: dict[int, str] = {}  # by key
+        self._start_markers: dict[int, object] = {}  # by key: the host's start as listed
         self.tombstones: dict[int, int] = {}  # by key: observations until then are invalid; the oldest first
         self.key_collisions = 0  # names that were left out because another has the same key
 
-    def update(self, now: int, hosts: Mapping[str, object], key: Callable[[str], int]) -> list[int]:
+    def update(self, now: int, hosts: Mapping[str, object], key_of: Callable[[str], int]) -> list[int]:
         """Takes over the host list; returns the keys of hosts that are gone or have restarted.
 
         `hosts`: by name, the start, as any value that changes at a restart.
@@ -24,29 +24,31 @@
         starts: dict[int, object] = {}
         self.key_collisions = 0
         for name, start in hosts.items():
-            host = key(name)
+            host = key_of(name)
             if names.setdefault(host, name) == name:
                 starts[host] = start
             else:
                 self.key_collisions += 1
-        gone = [host for host, start in self._starts.items() if host not in starts or starts[host] != start]
+        gone = [
+            host for host, start in self._start_markers.items() if host not in starts or starts[host] != start
+        ]
         self._add_tombstones(now, gone)
-        self.names, self._starts = names, starts
+        self.names_by_key, self._start_markers = names, starts
         return gone
 
-    def expire(self, now: int, retention: int) -> None:
+    def expire_oldest_tombstone(self, now: int, retention: int) -> None:
         """Drops the oldest tombstone if it is older than `retention` ns."""
         oldest = next(iter(self.tombstones), None)
         if oldest is not None and now - self.tombstones[oldest] > retention:
             del self.tombstones[oldest]
 
-    def is_current(self, host: int, seen: int) -> bool:
-        """Whether the host is listed and has not restarted since the time `seen`."""
-        return host in self.names and seen > self.tombstones.get(host, seen - 1)
+    def is_current(self, host: int, seen_at: int) -> bool:
+        """Whether the host is listed and has not restarted since the time `seen_at`."""
+        return host in self.names_by_key and seen_at > self.tombstones.get(host, seen_at - 1)
 
     def _add_tombstones(self, now: int, hosts: list[int]) -> None:
         for host in hosts:
             self.tombstones.pop(host, None)
             self.tombstones[host] = now
-        while len(self.tombstones) > MAX_TOMBSTONES:
+        while len(self.tombstones) > MAX_HOST_TOMBSTONES:
             del self.tombstones[next(iter(self.tombstones))]
--- a/gaproute/shared/gossip/local_observations.py
+++ b/gaproute/shared/gossip/local_observations.py
@@ -5,10 +5,10 @@
 from gaproute.shared.gossip.arrivals import ArrivalRates
 from gaproute.shared.gossip.messages import MAX_AMOUNT, WARM_PARTITIONS
 
-MAX_HOSTS = 8192  # hosts of which requests in flight or available capacity are stored
-MAX_INSTANCES = 512  # warm instances stored of each partition, those that were seen last
+MAX_OBSERVED_HOSTS = 8192  # hosts of which requests in flight or available capacity are stored
+MAX_INSTANCES_PER_PARTITION = 512  # warm instances stored of each partition, those that were seen last
 
-Instance = tuple[int, int]  # keys of host and function
+InstanceKey = tuple[int, int]  # keys of host and function
 
 
 class LocalObservations:
@@ -19,25 +19,25 @@
         self.in_flight: dict[int, float] = {}  # by host: requests of this gateway, for hosts that have any
         self.available_capacity: dict[int, float] = {}  # by host: estimated available capacity
         # By partition: when each instance was seen last, the latest at the end
-        self.warm_instances: list[dict[Instance, int]] = [{} for _ in range(WARM_PARTITIONS)]
+        self.warm_instances: list[dict[InstanceKey, int]] = [{} for _ in range(WARM_PARTITIONS)]
 
     def record_in_flight(self, host: int, requests: float) -> None:
         """Records the requests of this gateway that are in flight at the host now."""
         if requests <= 0:
             self.in_flight.pop(host, None)
         else:
-            _put_bounded(self.in_flight, host, requests)
+            _store_amount(self.in_flight, host, requests)
 
     def record_available_capacity(self, host: int, capacity: float) -> None:
         """Records the estimated available capacity of the host."""
-        _put_bounded(self.available_capacity, host, capacity)
+        _store_amount(self.available_capacity, host, capacity)
 
     def record_warm_instance(self, now: int, host: int, function: int) -> None:
         """Records that the instance was seen now."""
         instances, instance = self.warm_instances[function % WARM_PARTITIONS], (host, function)
         instances.pop(instance, None)
         instances[instance] = now
-        if len(instances) > MAX_INSTANCES:
+        if len(instances) > MAX_INSTANCES_PER_PARTITION:
             del instances[next(iter(instances))]
 
     def record_unloaded_instance(self, host: int, function: int) -> None:
@@ -54,6 +54,6 @@
                 del instances[instance]
 
 
-def _put_bounded(amounts: dict[int, float], host: int, amount: float) -> None:
-    if host in amounts or len(amounts) < MAX_HOSTS:
+def _store_amount(amounts: dict[int, float], host: int, amount: float) -> None:
+    if host in amounts or len(amounts) < MAX_OBSERVED_HOSTS:
         amounts[host] = min(max(0.0, amount), MAX_AMOUNT)
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -13,18 +13,18 @@
 from gaproute.shared.messages import MAX_COUNT
 from gaproute.units import MILLI, SECOND
 
-HEADER_BYTES = 10  # of a message
+MESSAGE_HEADER_BYTES = 10  # of a message
 SET_HEADER_BYTES = 11  # of each set in it
 # Around a message: IP and UDP headers, the sender's name, the tags of the envelope's fields
 ENVELOPE_BYTES = 60
-TRAVEL_TIME = 5 * MILLI  # assumed for every message, as clocks of gateways are not compared
+ASSUMED_TRAVEL_TIME = 5 * MILLI  # assumed for every message, as clocks of gateways are not compared
 
 MAX_INCARNATION = MAX_COUNT
 MAX_SEQUENCE = (1 << 32) - 1
-REQUEST_CLASSES = 256  # number of request classes that an entry can name
+MAX_REQUEST_CLASSES = 256  # number of request classes that an entry can name
 
-SCALE_STEPS = 12  # steps per octave: an amount is exact within 3%
-AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS) - 1 for code in range(256))  # by byte: the amount
+SCALE_STEPS_PER_OCTAVE = 12  # steps per octave: an amount is exact within 3%
+AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS_PER_OCTAVE) - 1 for code in range(256))  # by byte: the amount
 MAX_AMOUNT = AMOUNT_SCALE[-1]  # 2.4 million
 
 
@@ -47,15 +47,15 @@
     max_age: int  # age after which a set does not count, ns
 
 
-LIMITS = (  # by kind: requests end within seconds; demand lasts for minutes, as do idle instances
+KIND_LIMITS = (  # by kind: requests end within seconds; demand lasts for minutes, as do idle instances
     KindLimits("hands", 1, 64, 5, 15 * SECOND),  # IN_FLIGHT
     KindLimits("room", 1, 64, 5, 20 * SECOND),  # AVAILABLE_CAPACITY
     KindLimits("demand", 1, 24, 8, 120 * SECOND),  # DEMAND
     KindLimits("warm", 8, 32, 10, 300 * SECOND),  # WARM_INSTANCES
 )
-MAX_SETS = sum(limits.partitions for limits in LIMITS)  # of one gateway
-MAX_AGE = max(limits.max_age for limits in LIMITS)
-WARM_PARTITIONS = LIMITS[EntryKind.WARM_INSTANCES].partitions
+MAX_SETS_PER_GATEWAY = sum(limits.partitions for limits in KIND_LIMITS)  # of one gateway
+MAX_SET_AGE = max(limits.max_age for limits in KIND_LIMITS)
+WARM_PARTITIONS = KIND_LIMITS[EntryKind.WARM_INSTANCES].partitions
 
 
 class HostEntry(NamedTuple):
@@ -122,36 +122,38 @@
 
 def wire_size(message: GossipMessage) -> int:
     """Bytes on the wire, with the headers below the message."""
-    sets = sum(SET_HEADER_BYTES + LIMITS[each.kind].entry_bytes * len(each.entries) for each in message.sets)
-    return ENVELOPE_BYTES + HEADER_BYTES + sets
+    sets = sum(
+        SET_HEADER_BYTES + KIND_LIMITS[each.kind].entry_bytes * len(each.entries) for each in message.sets
+    )
+    return ENVELOPE_BYTES + MESSAGE_HEADER_BYTES + sets
 
 
 def rejection_reason(entry_set: EntrySet) -> RejectionReason | None:
     """Why a set is invalid; None if it is valid."""
-    if not 0 <= entry_set.kind < len(LIMITS):
+    if not 0 <= entry_set.kind < len(KIND_LIMITS):
         return RejectionReason.INVALID
-    limits = LIMITS[entry_set.kind]
+    limits = KIND_LIMITS[entry_set.kind]
     if not 0 <= entry_set.partition < limits.partitions or not 0 <= entry_set.sequence <= MAX_SEQUENCE:
         return RejectionReason.INVALID
     if len(entry_set.entries) > limits.max_entries:
         return RejectionReason.TOO_LARGE
     if entry_set.age > limits.max_age:
         return RejectionReason.EXPIRED
-    if entry_set.age < 0 or not _is_amount(entry_set.remainder):
+    if entry_set.age < 0 or not _is_valid_amount(entry_set.remainder):
         return RejectionReason.INVALID
-    if not all(map(_is_plausible, entry_set.entries)):
+    if not all(map(_is_valid_entry, entry_set.entries)):
         return RejectionReason.INVALID
     return None
 
 
-def _is_plausible(entry: HostEntry | DemandEntry | WarmInstanceEntry) -> bool:
+def _is_valid_entry(entry: HostEntry | DemandEntry | WarmInstanceEntry) -> bool:
     if isinstance(entry, HostEntry):
-        return _is_amount(entry.amount)
+        return _is_valid_amount(entry.amount)
     if isinstance(entry, DemandEntry):
-        return _is_amount(entry.rate) and _is_amount(entry.deviation)
-    return 0 <= entry.age <= LIMITS[EntryKind.WARM_INSTANCES].max_age
+        return _is_valid_amount(entry.rate) and _is_valid_amount(entry.deviation)
+    return 0 <= entry.age <= KIND_LIMITS[EntryKind.WARM_INSTANCES].max_age
 
 
-def _is_amount(amount: float) -> bool:
+def _is_valid_amount(amount: float) -> bool:
     """Whether the amount is valid; NaN is not, as it fails every comparison."""
     return 0 <= amount <= MAX_AMOUNT
--- a/gaproute/shared/gossip/name_keys.py
+++ b/gaproute/shared/gossip/name_keys.py
@@ -2,7 +2,7 @@
 
 from gaproute.shared.gossip.messages import name_key
 
-MAX_NAMES = 65_536  # names whose keys are cached
+MAX_CACHED_NAMES = 65_536  # names whose keys are cached
 
 
 class NameKeys:
@@ -15,7 +15,7 @@
         """The key of a host or function."""
         found = self.keys.get(name)
         if found is None:
-            if len(self.keys) >= MAX_NAMES:
+            if len(self.keys) >= MAX_CACHED_NAMES:
                 self.keys.clear()
             found = self.keys[name] = name_key(name)
         return found
--- a/gaproute/shared/gossip/node.py
+++ b/gaproute/shared/gossip/node.py
@@ -12,67 +12,78 @@
 from gaproute.shared.gossip.hosts import ListedHosts
 from gaproute.shared.gossip.local_observations import LocalObservations
 from gaproute.shared.gossip.messages import (
-    LIMITS,
-    MAX_SETS,
-    REQUEST_CLASSES,
+    KIND_LIMITS,
+    MAX_REQUEST_CLASSES,
+    MAX_SETS_PER_GATEWAY,
     EntryKind,
     GossipMessage,
     RejectionReason,
 )
 from gaproute.shared.gossip.name_keys import NameKeys
 from gaproute.shared.gossip.peer_rounds import PeerRounds
-from gaproute.shared.gossip.scheduler import RATE, MessageScheduler, Outgoing
-from gaproute.shared.gossip.table import TOMBSTONE_TIME, GossipTable
+from gaproute.shared.gossip.scheduler import DEFAULT_BYTES_PER_SECOND, MessageScheduler, OutgoingMessage
+from gaproute.shared.gossip.table import TOMBSTONE_RETENTION, GossipTable
 from gaproute.shared.randomness import RandomSource
 from gaproute.shared.token_bucket import TokenBucket
 
-SENDER_RATE = 8  # messages per second of one sender: four times what a correct one sends
-SENDER_BURST = 16
-EXPIRY_TURNS = 64  # turns between two removals of expired sets, which is every few seconds
+SENDER_MESSAGES_PER_SECOND = 8  # messages per second of one sender: four times what a correct one sends
+SENDER_BURST_MESSAGES = 16
+TICKS_PER_EXPIRY = 64  # turns between two removals of expired sets, which is every few seconds
 STATUS_KINDS = (EntryKind.IN_FLIGHT, EntryKind.AVAILABLE_CAPACITY, EntryKind.DEMAND)
 
 
 class GossipNode:
     """`tick`, at the time `due`, returns the messages to send; `receive` takes each message of a peer.
 
-    `rate`: bytes per second that may be sent.
+    `bytes_per_second`: limit of the bytes that this gateway sends.
     """
 
-    def __init__(self, name: str, incarnation: int, random: RandomSource, now: int, rate: int = RATE) -> None:
+    def __init__(
+        self,
+        name: str,
+        incarnation: int,
+        random: RandomSource,
+        now: int,
+        bytes_per_second: int = DEFAULT_BYTES_PER_SECOND,
+    ) -> None:
         self.name, self.incarnation = name, incarnation
         self.keys = NameKeys()
         self.hosts = ListedHosts()
         self.peers = PeerRounds(random)
-        self.local = LocalObservations(now)
-        self.local_sets = LocalEntrySets(self.local)
-        self.scheduler = MessageScheduler(self.peers, now, rate)
+        self.local_observations = LocalObservations(now)
+        self.local_entry_sets = LocalEntrySets(self.local_observations)
+        self.scheduler = MessageScheduler(self.peers, now, bytes_per_second)
         self.table = GossipTable()
-        self.view = FleetView(name, self.keys, self.local, self.table, self.hosts, self.peers)
+        self.fleet_view = FleetView(
+            name, self.keys, self.local_observations, self.table, self.hosts, self.peers
+        )
         self.sender_limits: dict[str, TokenBucket] = {}
-        self.received = 0  # messages
-        self._turns = 0
+        self.received_messages = 0  # messages
+        self._tick_count = 0
 
     # Own observations
 
     def record_arrival(self, now: int, function: str, request_class: int, count: int = 1) -> None:
         """Records requests that arrived. `request_class`: its number, 0 to 255."""
-        self.local.arrivals.record(now, self.keys.key(function), request_class % REQUEST_CLASSES, count)
+        self.local_observations.arrivals.record(
+            now, self.keys.key(function), request_class % MAX_REQUEST_CLASSES, count
+        )
 
     def record_in_flight(self, host: str, requests: float) -> None:
         """Records the requests of this gateway that are in flight at the host now."""
-        self.local.record_in_flight(self.keys.key(host), requests)
+        self.local_observations.record_in_flight(self.keys.key(host), requests)
 
     def record_available_capacity(self, host: str, capacity: float) -> None:
         """Records the estimated available capacity of the host."""
-        self.local.record_available_capacity(self.keys.key(host), capacity)
+        self.local_observations.record_available_capacity(self.keys.key(host), capacity)
 
     def record_warm_instance(self, now: int, host: str, function: str) -> None:
         """Records an instance that an answer or a health check has just shown."""
-        self.local.record_warm_instance(now, self.keys.key(host), self.keys.key(function))
+        self.local_observations.record_warm_instance(now, self.keys.key(host), self.keys.key(function))
 
     def record_unloaded_instance(self, host: str, function: str) -> None:
         """Records that the host has no instance of the function."""
-        self.local.record_unloaded_instance(self.keys.key(host), self.keys.key(function))
+        self.local_observations.record_unloaded_instance(self.keys.key(host), self.keys.key(function))
 
     # Peers and hosts
 
@@ -93,9 +104,9 @@
         """Takes over the listed hosts: by name, their start. Observations before the start are invalid."""
         gone = self.hosts.update(now, hosts, self.keys.key)
         if gone:
-            self.local.forget_hosts(frozenset(gone))
-            self.local_sets.clear()
-            self.view.clear()
+            self.local_observations.forget_hosts(frozenset(gone))
+            self.local_entry_sets.clear_cache()
+            self.fleet_view.clear_cache()
 
     def raise_incarnation(self, incarnation: int) -> None:
         """Goes on with another incarnation, as other gateways took this one for dead."""
@@ -108,13 +119,13 @@
         """When `tick` is to be called, ns."""
         return self.scheduler.due
 
-    def tick(self, now: int) -> list[Outgoing]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """The messages to send now."""
-        if self._turns % EXPIRY_TURNS == 0:
+        if self._tick_count % TICKS_PER_EXPIRY == 0:
             self.table.expire(now)
-        self._turns += 1
-        self.hosts.expire(now, TOMBSTONE_TIME)
-        return self.scheduler.tick(now, self.incarnation, self.local_sets)
+        self._tick_count += 1
+        self.hosts.expire_oldest_tombstone(now, TOMBSTONE_RETENTION)
+        return self.scheduler.tick(now, self.incarnation, self.local_entry_sets)
 
     def receive(self, now: int, sender: str, message: GossipMessage) -> int:
         """Takes a peer's message; returns how many of its sets were new."""
@@ -130,45 +141,45 @@
             self.table.rejections[reason] += 1
             return 0
         message = decode()
-        if message is None or len(message.sets) > MAX_SETS:
+        if message is None or len(message.sets) > MAX_SETS_PER_GATEWAY:
             self.table.rejections[RejectionReason.UNDECODABLE] += 1
             return 0
-        self.received += 1
+        self.received_messages += 1
         return sum([self.table.merge(now, sender, message.incarnation, each) for each in message.sets])
 
     # Estimates for the fleet
 
     def in_flight(self, now: int, host: str) -> FleetEstimate:
         """Requests in flight at the host, of the whole fleet."""
-        return self.view.in_flight(now, host)
+        return self.fleet_view.in_flight(now, host)
 
     def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
         """Arrivals per second in the whole fleet, see `FleetView.demand`."""
-        return self.view.demand(now, function, request_class)
+        return self.fleet_view.demand(now, function, request_class)
 
     def unnamed_demand(self, now: int) -> FleetEstimate:
         """Arrivals per second of functions that their origins do not name."""
-        return self.view.unnamed_demand(now, self.local_sets.get(now, EntryKind.DEMAND).remainder)
+        return self.fleet_view.unnamed_demand(now, self.local_entry_sets.get(now, EntryKind.DEMAND).remainder)
 
     def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
         """The estimated available capacity of the host; None if no gateway has an estimate."""
-        return self.view.available_capacity(now, host)
+        return self.fleet_view.available_capacity(now, host)
 
     def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
         """By host: the instances of a function that were seen; a lower bound."""
-        return self.view.warm_instances(now, function)
+        return self.fleet_view.warm_instances(now, function)
 
     def status(self, now: int) -> dict[str, object]:
         """The status for operators: what is sent and received, and how many origins each kind has."""
-        origins = {LIMITS[kind].label: len(self.table.current(now, kind)) for kind in STATUS_KINDS}
+        origins = {KIND_LIMITS[kind].label: len(self.table.current_sets(now, kind)) for kind in STATUS_KINDS}
         return {
             "peers": len(self.peers),
-            "sent": self.scheduler.sent,
-            "bytes": self.scheduler.bytes,
-            "heard": self.received,
+            "sent": self.scheduler.sent_messages,
+            "bytes": self.scheduler.sent_bytes,
+            "heard": self.received_messages,
             "refused": {reason.value: count for reason, count in self.table.rejections.items()},
             "tellers": origins,
-            "clipped": self.view.clipped,
+            "clipped": self.fleet_view.clipped_sets,
             "alike": self.hosts.key_collisions,
         }
 
@@ -183,5 +194,7 @@
             return RejectionReason.UNKNOWN_SENDER
         limit = self.sender_limits.get(sender)
         if limit is None:
-            limit = self.sender_limits[sender] = TokenBucket(SENDER_RATE, SENDER_BURST, now)
+            limit = self.sender_limits[sender] = TokenBucket(
+                SENDER_MESSAGES_PER_SECOND, SENDER_BURST_MESSAGES, now
+            )
         return None if limit.take(now, 1) else RejectionReason.RATE_LIMITED
--- a/gaproute/shared/gossip/peer_rounds.py
+++ b/gaproute/shared/gossip/peer_rounds.py
@@ -26,16 +26,16 @@
         self.names = list(names)
         self._members = dict.fromkeys(self.names)
 
-    def next(self) -> str | None:
+    def next_peer(self) -> str | None:
         """The next peer; None if there is none."""
         for _ in range(2):
             while self.remaining:
                 name = self.remaining.pop()
                 if name in self._members:
                     return name
-            self._begin()
+            self._begin_round()
         return None
 
-    def _begin(self) -> None:
+    def _begin_round(self) -> None:
         self.remaining, self.round_length = list(self.names), len(self.names)
         shuffle(self.remaining, self._random)
--- a/gaproute/shared/gossip/scheduler.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -17,13 +17,15 @@
 from gaproute.shared.gossip.peer_rounds import PeerRounds
 from gaproute.units import SECOND
 
-RATE = 3_000  # bytes per second with headers: under 4 kB with bursts and with membership's messages
+DEFAULT_BYTES_PER_SECOND = (
+    3_000  # bytes per second with headers: under 4 kB with bursts and with membership's messages
+)
 # In a fleet of cells, where the cell table uses a share of the 4 kB: 0.9 kB at 46,000 changes a day
-RATE_IN_CELLS = 2_200
+BYTES_PER_SECOND_IN_CELLS = 2_200
 # Shortest time between two messages to one peer, so that small fleets need not use the whole rate
-PEER_INTERVAL = SECOND // 2
-SLOW_INTERVAL = SECOND // 4  # between two sets other than the requests in flight
-SLOW_KINDS = (
+MIN_PEER_INTERVAL = SECOND // 2
+SLOW_SET_INTERVAL = SECOND // 4  # between two sets other than the requests in flight
+SLOW_KIND_SEQUENCE = (
     EntryKind.DEMAND,
     EntryKind.WARM_INSTANCES,
     EntryKind.DEMAND,
@@ -35,7 +37,7 @@
 )
 
 
-class Outgoing(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message and the peer to which it is sent."""
 
     peer: str
@@ -43,45 +45,45 @@
 
 
 class MessageScheduler:
-    """Composes the messages. `rate`: bytes per second. Times are ns."""
+    """Composes the messages and schedules them by their bytes per second. Times are ns."""
 
-    def __init__(self, peers: PeerRounds, now: int, rate: int = RATE) -> None:
+    def __init__(self, peers: PeerRounds, now: int, bytes_per_second: int = DEFAULT_BYTES_PER_SECOND) -> None:
         self.due = now  # when the next message may be sent
-        self.sent = 0  # messages
-        self.bytes = 0
-        self._peers, self._rate = peers, rate
-        self._slow_due = now
-        self._slow_turn = 0
+        self.sent_messages = 0  # messages
+        self.sent_bytes = 0
+        self._peers, self._bytes_per_second = peers, bytes_per_second
+        self._slow_set_due = now
+        self._slow_kind_index = 0
         self._warm_partition = 0
 
-    def tick(self, now: int, incarnation: int, sets: LocalEntrySets) -> list[Outgoing]:
+    def tick(self, now: int, incarnation: int, sets: LocalEntrySets) -> list[OutgoingMessage]:
         """The message that is due, if any; sets `due` for the next one."""
         if now < self.due:
             return []
-        peer = self._peers.next()
+        peer = self._peers.next_peer()
         if peer is None:
-            self.due = now + PEER_INTERVAL
+            self.due = now + MIN_PEER_INTERVAL
             return []
-        message = GossipMessage(incarnation, self._sets(now, sets))
+        message = GossipMessage(incarnation, self._choose_sets(now, sets))
         size = wire_size(message)
-        self.sent += 1
-        self.bytes += size
-        self.due = now + max(PEER_INTERVAL // len(self._peers), size * SECOND // self._rate)
-        return [Outgoing(peer, message)]
+        self.sent_messages += 1
+        self.sent_bytes += size
+        self.due = now + max(MIN_PEER_INTERVAL // len(self._peers), size * SECOND // self._bytes_per_second)
+        return [OutgoingMessage(peer, message)]
 
-    def _sets(self, now: int, sets: LocalEntrySets) -> tuple[EntrySet, ...]:
+    def _choose_sets(self, now: int, sets: LocalEntrySets) -> tuple[EntrySet, ...]:
         in_flight = sets.get(now, EntryKind.IN_FLIGHT)
-        if now < self._slow_due:
+        if now < self._slow_set_due:
             return (in_flight,)
-        self._slow_due = now + SLOW_INTERVAL
+        self._slow_set_due = now + SLOW_SET_INTERVAL
         slow = self._next_slow_set(now, sets)
         if slow.entries or slow.remainder:
             return in_flight, slow
         return (in_flight,)
 
     def _next_slow_set(self, now: int, sets: LocalEntrySets) -> EntrySet:
-        kind = SLOW_KINDS[self._slow_turn % len(SLOW_KINDS)]
-        self._slow_turn += 1
+        kind = SLOW_KIND_SEQUENCE[self._slow_kind_index % len(SLOW_KIND_SEQUENCE)]
+        self._slow_kind_index += 1
         if kind != EntryKind.WARM_INSTANCES:
             return sets.get(now, kind)
         self._warm_partition = (self._warm_partition + 1) % WARM_PARTITIONS
--- a/gaproute/shared/gossip/table.py
+++ b/gaproute/shared/gossip/table.py
@@ -10,23 +10,23 @@
 from typing import NamedTuple
 
 from gaproute.shared.gossip.messages import (
-    LIMITS,
-    MAX_AGE,
+    ASSUMED_TRAVEL_TIME,
+    KIND_LIMITS,
     MAX_INCARNATION,
-    TRAVEL_TIME,
+    MAX_SET_AGE,
     Entries,
     EntrySet,
     RejectionReason,
     rejection_reason,
 )
 
-MAX_TOMBSTONES = 8192
-TOMBSTONE_TIME = 2 * MAX_AGE  # a tombstone is stored for longer than any set of its origin can count
+MAX_ORIGIN_TOMBSTONES = 8192
+TOMBSTONE_RETENTION = 2 * MAX_SET_AGE  # a tombstone is stored for longer than any set of its origin can count
 
-SetName = tuple[int, int]  # kind and partition
+SetKey = tuple[int, int]  # kind and partition
 
 
-class Version(NamedTuple):
+class SetVersion(NamedTuple):
     """The version of a set; the newer one is the greater."""
 
     incarnation: int
@@ -45,7 +45,7 @@
 
     __slots__ = ("version", "observed_at", "remainder", "entries")
 
-    def __init__(self, version: Version, observed_at: int, remainder: float, entries: Entries) -> None:
+    def __init__(self, version: SetVersion, observed_at: int, remainder: float, entries: Entries) -> None:
         self.version = version
         self.observed_at = observed_at
         self.remainder = remainder
@@ -56,7 +56,7 @@
     """Owns the sets of all other gateways, their tombstones, and the counts of rejections."""
 
     def __init__(self) -> None:
-        self.received: dict[str, dict[SetName, ReceivedSet]] = {}  # by origin
+        self.received_sets: dict[str, dict[SetKey, ReceivedSet]] = {}  # by origin
         self.tombstones: dict[str, Tombstone] = {}  # by origin, the oldest first
         self.rejections: Counter[RejectionReason] = Counter()
 
@@ -66,9 +66,9 @@
         if reason is not None:
             self.rejections[reason] += 1
             return False
-        version = Version(incarnation, entry_set.sequence)
-        observed_at = now - entry_set.age - TRAVEL_TIME
-        sets = self.received.setdefault(origin, {})
+        version = SetVersion(incarnation, entry_set.sequence)
+        observed_at = now - entry_set.age - ASSUMED_TRAVEL_TIME
+        sets = self.received_sets.setdefault(origin, {})
         name = entry_set.kind, entry_set.partition
         stored = sets.get(name)
         if stored is None or version > stored.version:
@@ -84,31 +84,31 @@
         if earlier is not None:
             incarnation = max(incarnation, earlier.incarnation)
         self.tombstones[origin] = Tombstone(incarnation, now)
-        sets = self.received.get(origin, {})
+        sets = self.received_sets.get(origin, {})
         for name in [name for name, stored in sets.items() if stored.version.incarnation <= incarnation]:
             del sets[name]
         if not sets:
-            self.received.pop(origin, None)
-        while len(self.tombstones) > MAX_TOMBSTONES:
+            self.received_sets.pop(origin, None)
+        while len(self.tombstones) > MAX_ORIGIN_TOMBSTONES:
             del self.tombstones[next(iter(self.tombstones))]
 
     def latest_incarnation(self, origin: str) -> int:
         """The latest incarnation of which a set is stored; 0 if there is none."""
-        sets = self.received.get(origin, {})
+        sets = self.received_sets.get(origin, {})
         return max([stored.version.incarnation for stored in sets.values()], default=0)
 
     def expire(self, now: int) -> None:
         """Drops expired sets, and for each origin at most one tombstone that has expired."""
-        for origin in list(self.received):
+        for origin in list(self.received_sets):
             self._expire_sets(now, origin)
             self._expire_oldest_tombstone(now)
 
-    def current(self, now: int, kind: int, partition: int = 0) -> list[tuple[str, ReceivedSet]]:
+    def current_sets(self, now: int, kind: int, partition: int = 0) -> list[tuple[str, ReceivedSet]]:
         """(origin, set) for the sets of a kind that count now, in the order in which origins became known."""
-        name, max_age = (kind, partition), LIMITS[kind].max_age
+        name, max_age = (kind, partition), KIND_LIMITS[kind].max_age
         return [
             (origin, stored)
-            for origin, sets in self.received.items()
+            for origin, sets in self.received_sets.items()
             if (stored := sets.get(name)) is not None and now - stored.observed_at <= max_age
         ]
 
@@ -124,15 +124,15 @@
         return None
 
     def _expire_sets(self, now: int, origin: str) -> None:
-        sets = self.received[origin]
+        sets = self.received_sets[origin]
         for name, stored in list(sets.items()):
             kind, _ = name
-            if now - stored.observed_at > LIMITS[kind].max_age:
+            if now - stored.observed_at > KIND_LIMITS[kind].max_age:
                 del sets[name]
         if not sets:
-            del self.received[origin]
+            del self.received_sets[origin]
 
     def _expire_oldest_tombstone(self, now: int) -> None:
         oldest = next(iter(self.tombstones), None)
-        if oldest is not None and now - self.tombstones[oldest].created_at > TOMBSTONE_TIME:
+        if oldest is not None and now - self.tombstones[oldest].created_at > TOMBSTONE_RETENTION:
             del self.tombstones[oldest]
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership import MembershipTransport
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.messages import LIMITS, HostEntry, name_key
+from gaproute.shared.gossip.messages import KIND_LIMITS, HostEntry, name_key
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.membership import Membership, MemberState
 from gaproute.shared.raft import RaftNode
@@ -70,7 +70,7 @@
     assert made.receive(SECOND, "a", in_flight(BEGUN_MS - HOUR_MS, 1, 2.0)) == 0
     assert made.in_flight(SECOND, "h1").received == pytest.approx(4.0, rel=0.03)
     assert (
-        made.in_flight(LIMITS[EntryKind.IN_FLIGHT].max_age + 2 * SECOND, "h1").origins == 0
+        made.in_flight(KIND_LIMITS[EntryKind.IN_FLIGHT].max_age + 2 * SECOND, "h1").origins == 0
     )  # what it said before fades as ever
     assert made.receive(2 * SECOND, "a", in_flight(BEGUN_MS + 1, 1, 2.0)) == 1
 
@@ -87,7 +87,7 @@
     at = second.peers.peer_server.address
     third = start("third", f"peer second {at}\nweak-word yes")
     node = third.peers.gossip.node
-    made.until(lambda: "second" in node.table.received)
+    made.until(lambda: "second" in node.table.received_sets)
     before = second.peers.membership_transport.membership.incarnation
     second.close()
     ahead[0] = -HOUR_MS
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -6,9 +6,9 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.invariants import AgesOnlyGrow, check, own_observations_alone
+from gaproute.shared.gossip.invariants import AgesOnlyGrow, check, message_has_only_local_observations
 from gaproute.shared.gossip.messages import (
-    LIMITS,
+    KIND_LIMITS,
     MAX_INCARNATION,
     WARM_PARTITIONS,
     DemandEntry,
@@ -16,8 +16,8 @@
     WarmInstanceEntry,
     name_key,
 )
-from gaproute.shared.gossip.node import SENDER_BURST
-from gaproute.shared.gossip.scheduler import RATE
+from gaproute.shared.gossip.node import SENDER_BURST_MESSAGES
+from gaproute.shared.gossip.scheduler import DEFAULT_BYTES_PER_SECOND
 from gaproute.shared.gossip.table import Tombstone
 from gaproute.shared.token_bucket import TokenBucket
 from gaproute.units import SECOND
@@ -45,7 +45,7 @@
             if now % (SECOND // 10) == 0:
                 node.record_arrival(now, "f", 1)
             for to, message in node.tick(now) if now >= node.due else ():
-                assert not list(own_observations_alone(node, message))
+                assert not list(message_has_only_local_observations(node, message))
                 messages.append((name, to, message))
                 if to in nodes and not lost(name, to):
                     nodes[to].receive(now, name, message)
@@ -95,8 +95,8 @@
 def test_what_was_received_expires():
     made = make_node()
     made.receive(0, "a", in_flight(1, (name_key("h1"), 4.0)))
-    assert made.in_flight(LIMITS[IN_FLIGHT].max_age - SECOND, "h1").received == 4
-    assert made.in_flight(LIMITS[IN_FLIGHT].max_age + SECOND, "h1").origins == 0
+    assert made.in_flight(KIND_LIMITS[IN_FLIGHT].max_age - SECOND, "h1").received == 4
+    assert made.in_flight(KIND_LIMITS[IN_FLIGHT].max_age + SECOND, "h1").origins == 0
 
 
 def test_an_age_received_counts_against_the_maximum_and_is_read():
@@ -177,7 +177,7 @@
     made = make_node()
     assert made.receive(0, "a", GossipMessage(1, (entries,))) == 0
     assert made.table.rejections == {reason: 1}
-    assert made.table.received.get("a", {}) == {}
+    assert made.table.received_sets.get("a", {}) == {}
 
 
 @pytest.mark.parametrize("incarnation", [0, -3, MAX_INCARNATION + 1])
@@ -193,8 +193,8 @@
         made.receive_encoded(
             0, "a", lambda number=number: decoded.append(number) or in_flight(number + 1, (1, 1.0))
         )
-    assert len(decoded) == SENDER_BURST
-    assert made.table.rejections["flood"] == 1000 - SENDER_BURST
+    assert len(decoded) == SENDER_BURST_MESSAGES
+    assert made.table.rejections["flood"] == 1000 - SENDER_BURST_MESSAGES
     assert made.receive(0, "b", in_flight(1, (1, 1.0))) == 1
     made.receive_encoded(0, "stranger", lambda: decoded.append("stranger"))
     assert "stranger" not in decoded
@@ -210,14 +210,14 @@
         made.record_in_flight(f"x{number}", 1)
         made.record_warm_instance(0, "h1", f"f{number}")
     assert check(made) == []
-    assert made.local.arrivals.total() == pytest.approx(4000, rel=0.2)
-    assert [len(bucket.counts) for bucket in made.local.arrivals.past] == [4096, 4096]
-    demand = made.local_sets.get(6 * SECOND, DEMAND)
-    assert made.local_sets.get(6 * SECOND + 7, DEMAND) == demand._replace(age=7)
-    assert len(demand.entries) == LIMITS[DEMAND].max_entries
+    assert made.local_observations.arrivals.total_rate() == pytest.approx(4000, rel=0.2)
+    assert [len(bucket.counts) for bucket in made.local_observations.arrivals.buckets] == [4096, 4096]
+    demand = made.local_entry_sets.get(6 * SECOND, DEMAND)
+    assert made.local_entry_sets.get(6 * SECOND + 7, DEMAND) == demand._replace(age=7)
+    assert len(demand.entries) == KIND_LIMITS[DEMAND].max_entries
     assert demand.remainder > 1000
-    requests = made.local_sets.get(0, IN_FLIGHT)
-    assert len(requests.entries) == LIMITS[IN_FLIGHT].max_entries
+    requests = made.local_entry_sets.get(0, IN_FLIGHT)
+    assert len(requests.entries) == KIND_LIMITS[IN_FLIGHT].max_entries
     assert requests.remainder > 1000
 
 
@@ -231,7 +231,7 @@
         while now < 30 * SECOND:
             now = made.due
             reached.update(to for to, _ in made.tick(now))
-        assert made.scheduler.bytes / 30 <= RATE * 1.05
+        assert made.scheduler.sent_bytes / 30 <= DEFAULT_BYTES_PER_SECOND * 1.05
         assert len(reached) == min(size, len(reached))
         assert len(reached) == 50 if size == 50 else len(reached) > 150
 
@@ -256,14 +256,16 @@
     for number, message in enumerate(of_a):
         late.receive(number * SECOND, "a", message)
     newest = max(each.sequence for message in of_a for each in message.sets if each.kind == IN_FLIGHT)
-    assert late.table.received["a"][IN_FLIGHT, 0].version == (1, newest)
+    assert late.table.received_sets["a"][IN_FLIGHT, 0].version == (1, newest)
 
 
 def test_a_violation_is_reported():
     made = make_node()
     made.receive(0, "a", in_flight(3, (name_key("h1"), 1.0)))
     made.table.tombstones["a"] = Tombstone(1, 0)
-    made.table.received["me"] = {(EntryKind.AVAILABLE_CAPACITY, 3): made.table.received["a"][IN_FLIGHT, 0]}
+    made.table.received_sets["me"] = {
+        (EntryKind.AVAILABLE_CAPACITY, 3): made.table.received_sets["a"][IN_FLIGHT, 0]
+    }
     made.sender_limits.update({f"x{number}": TokenBucket(1, 1, 0) for number in range(9)})
     assert len(check(made, thorough=True)) == 5
-    assert list(own_observations_alone(made, in_flight(1, (name_key("h1"), 1.0))))
+    assert list(message_has_only_local_observations(made, in_flight(1, (name_key("h1"), 1.0))))
--- a/tests/gossip/test_table.py
+++ b/tests/gossip/test_table.py
@@ -32,7 +32,7 @@
             table.add_tombstone(0, origin, incarnation)
     return {
         (origin, name): (held.version, held.observed_at)
-        for origin, sets in table.received.items()
+        for origin, sets in table.received_sets.items()
         for name, held in sets.items()
     }
 
@@ -64,5 +64,5 @@
         table.merge(10, "a", 1, EntrySet(IN_FLIGHT, 0, 1, age, 0.0, ()))
     once = GossipTable()
     once.merge(10, "a", 1, EntrySet(IN_FLIGHT, 0, 1, 5, 0.0, ()))
-    held, held_once = (each.received["a"][IN_FLIGHT, 0] for each in (table, once))
+    held, held_once = (each.received_sets["a"][IN_FLIGHT, 0] for each in (table, once))
     assert held.observed_at == held_once.observed_at
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -19,7 +19,7 @@
     for number in range(4):
         assert made.wait(made.ask("lamp", f"w{number}")).status == 200
     node = second.peers.gossip.node
-    made.until(lambda: "third" in node.table.received and node.warm_instances(made.loop.now(), "lamp"))
+    made.until(lambda: "third" in node.table.received_sets and node.warm_instances(made.loop.now(), "lamp"))
     ((host, (age, by)),) = node.warm_instances(made.loop.now(), "lamp").items()
     assert host in third.rows
     assert by == ("third",)
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -11,7 +11,7 @@
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage
 from gaproute.shared.gossip.messages import (
     AMOUNT_SCALE,
-    LIMITS,
+    KIND_LIMITS,
     WARM_PARTITIONS,
     DemandEntry,
     HostEntry,
@@ -20,7 +20,7 @@
 
 IN_FLIGHT, DEMAND, WARM = EntryKind.IN_FLIGHT, EntryKind.DEMAND, EntryKind.WARM_INSTANCES
 HOST_KINDS = (EntryKind.IN_FLIGHT, EntryKind.AVAILABLE_CAPACITY)
-HOST_LIMITS, DEMAND_LIMITS, WARM_LIMITS = LIMITS[IN_FLIGHT], LIMITS[DEMAND], LIMITS[WARM]
+HOST_LIMITS, DEMAND_LIMITS, WARM_LIMITS = KIND_LIMITS[IN_FLIGHT], KIND_LIMITS[DEMAND], KIND_LIMITS[WARM]
 
 figure = st.floats(0, 1e6)
 number = st.integers(0, 2**32 - 1)
