--- a/gaproute/shared/gossip/__init__.py
+++ b/gaproute/shared/gossip/__init__.py
@@ -1,7 +1,7 @@
-"""Gossip: observations of demand and hosts that each gateway sends to all others; see `GossipNode`.
+"""Gossip: each gateway sends its own observations of demand and hosts to all others; see `GossipNode`.
 
-Demand, requests in flight, available capacity and warm instances are observed by one gateway and sent to all.
-What is received expires, and is only a hint.
+The observations are arrivals of requests, requests in flight, available capacity and warm instances. Received
+observations expire and are only hints.
 """
 
 from gaproute.shared.gossip.estimates import FleetEstimate
--- a/gaproute/shared/gossip/arrivals.py
+++ b/gaproute/shared/gossip/arrivals.py
@@ -1,5 +1,5 @@
-"""Own arrivals by function and request class: their rate over the last buckets, and its standard
-deviation.
+"""Rates of the requests that arrive at this gateway, by function and request class, with their standard
+deviations over the last time buckets.
 """
 
 from collections import deque
@@ -9,16 +9,16 @@
 from gaproute.shared.gossip.messages import KIND_LIMITS, DemandEntry, EntryKind
 from gaproute.units import SECOND
 
-BUCKET_LENGTH = 2 * SECOND  # length of a bucket; the deviation over shorter ones would be mostly chance
-MAX_BUCKETS = 10  # number of buckets that are stored: 20 s, so that a burst shows within some seconds
-MAX_COUNTED_SUBJECTS = 4096  # counted separately in a bucket; arrivals of others are summed as unnamed
-MAX_ENTRIES = KIND_LIMITS[EntryKind.DEMAND].max_entries
+BUCKET_LENGTH = 2 * SECOND  # the deviation over shorter buckets would be mostly chance
+MAX_BUCKETS = 10  # ended buckets that are stored: 20 s, so that a burst shows within some seconds
+MAX_COUNTED_SUBJECTS = 4096  # counted separately in one bucket; arrivals of all others are summed
+MAX_ENTRIES = KIND_LIMITS[EntryKind.DEMAND].max_entries  # subjects that `TopDemand` names
 
 DemandSubject = tuple[int, int]  # the function's key, and the number of its request class
 
 
 class Bucket(NamedTuple):
-    """Arrivals of one bucket of time. `other_count`: of functions beyond the bound."""
+    """Arrivals within one bucket of time. `other_count`: arrivals beyond `MAX_COUNTED_SUBJECTS`."""
 
     counts: dict[DemandSubject, int]
     other_count: int
@@ -32,28 +32,26 @@
 
 
 class TopDemand(NamedTuple):
-    """The functions with the most arrivals; `remainder`: arrivals per second of all other functions."""
+    """The demand for the subjects with the most arrivals; `remainder`: arrivals per second of all others."""
 
     remainder: float
     entries: tuple[DemandEntry, ...]
 
 
 class ArrivalRates:
-    """Counts arrivals in buckets, with sums over the buckets that ended, so that no call reads all of
-    them.
-    """
+    """Counts arrivals in buckets; keeps sums over the ended buckets, so that no call reads them all."""
 
     def __init__(self, now: int) -> None:
-        self.bucket_start = now  # ns: when the present bucket began
-        self.current_counts: dict[DemandSubject, int] = {}  # of the present bucket
-        self.current_other_count = 0  # of the present bucket: arrivals of functions beyond the bound
-        self.buckets: deque[Bucket] = deque()  # buckets that have ended, the oldest first
-        self.totals: dict[DemandSubject, int] = {}  # of the counts in `buckets`
-        self._square_totals: dict[DemandSubject, int] = {}  # sums of the squares of those counts
+        self.bucket_start = now  # when the current bucket began, ns
+        self.current_counts: dict[DemandSubject, int] = {}  # of the current bucket
+        self.current_other_count = 0  # arrivals in the current bucket that are not counted by subject
+        self.buckets: deque[Bucket] = deque()  # the ended buckets, the oldest first
+        self.totals: dict[DemandSubject, int] = {}  # sums of the counts in `buckets`
+        self._square_totals: dict[DemandSubject, int] = {}  # sums of the squared counts
         self._other_sum = 0
 
     def record(self, now: int, function: int, request_class: int, count: int = 1) -> None:
-        """Counts arrivals."""
+        """Counts requests that arrive now."""
         if now - self.bucket_start >= BUCKET_LENGTH:
             self.end_elapsed_buckets(now)
         subject = function, request_class
@@ -63,7 +61,7 @@
             self.current_other_count += count
 
     def end_elapsed_buckets(self, now: int) -> None:
-        """Ends the buckets whose time has passed."""
+        """Ends the current bucket, and empty ones after it, until the current bucket contains `now`."""
         ended = (now - self.bucket_start) // BUCKET_LENGTH
         for _ in range(min(MAX_BUCKETS + 1, ended)):
             self._end_bucket()
@@ -72,7 +70,7 @@
         self.bucket_start += ended * BUCKET_LENGTH
 
     def rate(self, subject: DemandSubject) -> ArrivalRate:
-        """The rate of one function in one request class."""
+        """The arrival rate of one function in one request class over the ended buckets."""
         buckets, seconds = len(self.buckets), BUCKET_LENGTH / SECOND
         total = self.totals.get(subject, 0)
         if not buckets or not total:
@@ -84,13 +82,13 @@
         return ArrivalRate(mean / seconds, sqrt(variance) / seconds)
 
     def total_rate(self) -> float:
-        """Arrivals per second of all functions."""
+        """Arrivals per second of all functions over the ended buckets."""
         return (
             (sum(self.totals.values()) + self._other_sum) * SECOND / BUCKET_LENGTH / max(1, len(self.buckets))
         )
 
     def top_demand(self, now: int) -> TopDemand:
-        """The functions with the most arrivals; ends the buckets whose time has passed first."""
+        """The demand for the subjects with the most arrivals, after elapsed buckets are ended."""
         self.end_elapsed_buckets(now)
         if not self.buckets:
             return TopDemand(0.0, ())
--- a/gaproute/shared/gossip/entry_sets.py
+++ b/gaproute/shared/gossip/entry_sets.py
@@ -1,4 +1,4 @@
-"""The sets of entries that this gateway sends, made from its own observations."""
+"""Makes the entry sets that this gateway sends from its own observations."""
 
 from typing import NamedTuple
 
@@ -14,8 +14,8 @@
 )
 from gaproute.units import SECOND
 
-# By kind: how long a set is sent again with only its age changed, ns. If each of 25 messages per second had a
-# new set, a thousand hosts would be sorted 25 times.
+# By kind: how long a set is sent again with only its age changed, ns. With a new set in each of 25 messages
+# per second, a thousand hosts would be sorted 25 times per second.
 ENTRY_SET_REUSE_TIMES = (
     SECOND // 10,  # IN_FLIGHT
     SECOND // 2,  # AVAILABLE_CAPACITY
@@ -25,27 +25,27 @@
 
 
 class CachedEntrySet(NamedTuple):
-    """A set that is sent for a while."""
+    """A set that is sent again until its reuse time has passed. `made_at`: ns."""
 
     made_at: int
     entry_set: EntrySet
 
 
 class LocalEntrySets:
-    """Makes the sets of local observations and numbers them."""
+    """Makes, numbers and caches the sets of this gateway's observations."""
 
     def __init__(self, observations: LocalObservations) -> None:
         self.cached_sets: dict[int, CachedEntrySet] = {}  # by kind
         self._observations = observations
-        # By kind and partition: the sequence number of the last set
+        # By kind and partition: the sequence number of the latest set
         self._sequences: dict[tuple[int, int], int] = {}
 
     def clear_cache(self) -> None:
-        """Drops the cached sets."""
+        """Drops all cached sets."""
         self.cached_sets.clear()
 
     def get(self, now: int, kind: EntryKind, partition: int = 0) -> EntrySet:
-        """The set to send: a new one, or a cached one with its present age."""
+        """The set to send: the cached one with its current age, or a new one if the cached one is too old."""
         cached = self.cached_sets.get(kind)
         if cached is None or now - cached.made_at >= ENTRY_SET_REUSE_TIMES[kind]:
             cached = self.cached_sets[kind] = CachedEntrySet(now, self._make_entry_set(now, kind, partition))
@@ -57,7 +57,7 @@
         return EntrySet(kind, partition, sequence, 0, min(remainder, MAX_AMOUNT), entries)
 
     def _remainder_and_entries(self, now: int, kind: EntryKind, partition: int) -> tuple[float, Entries]:
-        """The remainder and the entries of a new set."""
+        """The remainder and the entries of a new set, see `EntrySet`."""
         observations = self._observations
         match kind:
             case EntryKind.IN_FLIGHT:
@@ -74,17 +74,17 @@
                 return 0.0, self._latest_warm_instances(now, partition)
 
     def _latest_warm_instances(self, now: int, partition: int) -> tuple[WarmInstanceEntry, ...]:
-        """The warm instances that were seen last, the latest first."""
+        """The most recently seen warm instances of a partition, the latest first."""
         limits = KIND_LIMITS[EntryKind.WARM_INSTANCES]
         entries: list[WarmInstanceEntry] = []
-        for (host, function), seen in reversed(self._observations.warm_instances[partition].items()):
-            if len(entries) >= limits.max_entries or now - seen > limits.max_age:
+        for (host, function), seen_at in reversed(self._observations.warm_instances[partition].items()):
+            if len(entries) >= limits.max_entries or now - seen_at > limits.max_age:
                 break
-            entries.append(WarmInstanceEntry(host, function, now - seen))
+            entries.append(WarmInstanceEntry(host, function, now - seen_at))
         return tuple(entries)
 
 
 def _hosts_with_greatest_amounts(amounts: dict[int, float], count: int) -> tuple[HostEntry, ...]:
-    """The hosts with the greatest amounts; of equal ones those with the lower keys."""
+    """The `count` hosts with the greatest amounts; of hosts with equal amounts, those with the lower keys."""
     hosts = sorted(amounts, key=lambda host: (-amounts[host], host))[:count]
     return tuple([HostEntry(host, amounts[host]) for host in hosts])
--- a/gaproute/shared/gossip/estimates.py
+++ b/gaproute/shared/gossip/estimates.py
@@ -1,8 +1,10 @@
-"""Estimates for the whole fleet from the sets of other gateways, scaled by the number of known origins.
+"""Estimates for the whole fleet: the sum of the sets of the known origins, scaled up to all gateways.
 
-The influence of one origin is bounded: its set may sum to at most `MAX_MEDIAN_MULTIPLE` times the lower
-median of all sets, including this gateway's own, and one subject of it to a part of that; larger values are
-scaled down. If one gateway really has more than that, the estimate is too small.
+An origin is the gateway whose observations a set contains; a subject is a host, or a function with a request
+class. The influence of one origin is bounded: the values of its set may sum to at most `MAX_MEDIAN_MULTIPLE`
+times the lower median of such sums over all gateways including this one, and the value of one subject may be
+at most that bound divided by `SUBJECT_BOUND_DIVISOR`. Larger values are scaled down. If a gateway really has
+more than its bound, the estimate is too small.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,32 +14,33 @@
 from gaproute.shared.gossip.messages import DemandEntry, HostEntry
 from gaproute.shared.gossip.table import ReceivedSet
 
-MAX_MEDIAN_MULTIPLE = 16  # on a real day one gateway was measured at ten times the mean
-SUBJECT_BOUND_DIVISOR = 4  # one subject may have this fraction (a fourth) of an origin's bound
-MIN_IN_FLIGHT_BOUND = 32.0  # requests in flight that are never scaled down, as most gateways may be idle
-MIN_DEMAND_BOUND = 50.0  # arrivals per second that are never scaled down
+MAX_MEDIAN_MULTIPLE = 16  # one gateway was measured at ten times the mean on a real day
+SUBJECT_BOUND_DIVISOR = 4  # one subject may have a fourth of the bound of its origin
+# Requests in flight of one origin that are never scaled down, as most gateways may be idle
+MIN_IN_FLIGHT_BOUND = 32.0
+MIN_DEMAND_BOUND = 50.0  # arrivals per second at one origin that are never scaled down
 
 Subject = TypeVar("Subject")
 
 
 class FleetEstimate(NamedTuple):
-    """An estimate for the whole fleet. Without other origins `total` is the local value."""
+    """An estimate for the whole fleet. `total` is the local value if no other gateway sent one."""
 
     local: float  # observed by this gateway
-    received: float  # sum of the values that others sent
-    origins: int  # number of others that sent a value
-    peers: int  # number of others that are up
-    age: int  # mean age of the received values, ns
+    received: float  # sum of the values that other gateways sent
+    origins: int  # number of other gateways that sent a value
+    peers: int  # number of other gateways that are up
+    age: int  # mean age of the received sets, ns
     deviation: float = 0.0  # standard deviation of the total, including the local part
 
     @property
     def total(self) -> float:
-        """The local value plus the received ones, scaled to all peers."""
+        """The local value plus the received ones, which are scaled from the known origins to all peers."""
         return self.local + (self.received * self.peers / self.origins if self.origins else 0.0)
 
 
 class FleetSums(Generic[Subject]):
-    """Sums over the sets of one kind at one moment."""
+    """Sums of the received sets of one kind at the time `now`."""
 
     def __init__(self, now: int, received: Sequence[ReceivedSet]) -> None:
         self.origins = len(received)
@@ -48,8 +51,9 @@
         self._variances: dict[Subject, float] = {}
 
     def add_origin_remainder(self, remainder: float, total: float, bound: float) -> float:
-        """Adds the remainder of an origin, whose values sum to `total`; returns the factor that scales them
-        down to the bound.
+        """Adds the remainder of one origin, whose values and remainder sum to `total`.
+
+        Returns the factor by which the values are to be scaled so that `total` does not exceed the bound.
         """
         scale = min(1.0, bound / total) if total else 1.0
         self.clipped_sets += scale < 1
@@ -57,7 +61,7 @@
         return scale
 
     def add_value(self, subject: Subject, value: float, deviation: float = 0.0) -> None:
-        """Adds an origin's value for one subject."""
+        """Adds the value of one subject from one origin; the value is already scaled down to the bounds."""
         self._sums[subject] = self._sums.get(subject, 0.0) + value
         if deviation:
             self._variances[subject] = self._variances.get(subject, 0.0) + deviation**2
@@ -65,7 +69,7 @@
     def estimate(
         self, subject: Subject, local: float, peers: int, local_deviation: float = 0.0
     ) -> FleetEstimate:
-        """The estimate for one subject; the deviation assumes that the values of gateways are
+        """The estimate for one subject; its deviation assumes that the values of the gateways are
         independent.
         """
         scale = peers / self.origins if self.origins else 0.0
@@ -80,7 +84,10 @@
     local_total: float,
     is_current: Callable[[int, int], bool],
 ) -> FleetSums[int]:
-    """Sums requests in flight by host. `is_current(host, observed_at)`: whether an entry counts."""
+    """Sums requests in flight by host.
+
+    `is_current(host, observed_at)` returns whether an observation of the host at that time still counts.
+    """
     sums: FleetSums[int] = FleetSums(now, received)
     sets = [cast(tuple[HostEntry, ...], each.entries) for each in received]
     values = [[entry.amount for entry in entries] for entries in sets]
@@ -100,7 +107,7 @@
     bound, scales = _add_origin_remainders(sums, received, values, local_total, MIN_DEMAND_BOUND)
     for entries, scale in zip(sets, scales, strict=True):
         for function, request_class, rate, deviation in entries:
-            # A deviation is limited to that of arrivals in a few large bursts.
+            # The deviation is limited to the deviation that arrivals in a few large bursts would have.
             sums.add_value(
                 (function, request_class),
                 min(rate * scale, bound / SUBJECT_BOUND_DIVISOR),
@@ -116,10 +123,10 @@
     local_total: float,
     min_bound: float,
 ) -> tuple[float, list[float]]:
-    """Adds the remainder of each origin. `values`: for each origin, those of its subjects.
+    """Adds the remainder of each origin. `values`: by origin, the values of its subjects.
 
-    Returns the bound of the sum of one origin, and for each origin the factor that scales its values down to
-    that bound.
+    Returns the bound for the sum of one origin, and by origin the factor that scales its values down to that
+    bound.
     """
     totals = [each.remainder + sum(amounts) for each, amounts in zip(received, values, strict=True)]
     bound = _origin_bound(totals, local_total, min_bound)
@@ -131,7 +138,7 @@
 
 
 def _origin_bound(totals: list[float], local_total: float, min_bound: float) -> float:
-    """The bound of the sum of one origin's set."""
+    """The greatest sum that one origin's set may have, see the module."""
     ordered = sorted([*totals, local_total])
     lower_median = ordered[(len(ordered) - 1) // 2]
     return max(min_bound, MAX_MEDIAN_MULTIPLE * lower_median)
--- a/gaproute/shared/gossip/fleet_view.py
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -1,4 +1,4 @@
-"""Estimates for the fleet by one gateway: its own observations with those that other gateways sent."""
+"""A gateway's estimates for the whole fleet, from its own observations and those of other gateways."""
 
 from statistics import median
 from typing import Generic, NamedTuple, cast
@@ -19,36 +19,36 @@
 from gaproute.shared.gossip.table import GossipTable
 from gaproute.units import SECOND
 
-SUMS_REUSE_TIME = SECOND // 2  # ns for which sums are cached; their figures are seconds old anyway
-MAX_NAMED_ORIGINS = 8  # gateways that are named for one instance
+SUMS_REUSE_TIME = SECOND // 2  # how long sums are cached; received observations are seconds old anyway
+MAX_NAMED_ORIGINS = 8  # gateways named as observers of one warm instance
 
 
 class CapacityEstimate(NamedTuple):
-    """The estimated available capacity of a host: a median, as several estimates of one figure do not add
-    up.
+    """The estimated available capacity of a host: the median, as the gateways estimate the same value and a
+    sum would count it several times.
     """
 
     median: float
-    origins: int  # gateways that have an estimate, including this one
-    age: int  # mean, ns
+    origins: int  # number of gateways that have an estimate, with this one
+    age: int  # mean age of the estimates, ns
 
 
 class WarmSighting(NamedTuple):
-    """A warm instance: how long ago it was last seen (ns), and by which gateways, the latest first."""
+    """A warm instance: the time since it was last seen, ns, and the gateways that saw it, latest first."""
 
     age: int
     origins: tuple[str, ...]
 
 
 class CachedSums(NamedTuple, Generic[Subject]):
-    """Sums that are used for a while."""
+    """Sums that are used again until `SUMS_REUSE_TIME` has passed. `made_at`: ns."""
 
     made_at: int
     sums: FleetSums[Subject]
 
 
 class FleetView:
-    """Reads the state of the other parts of a gateway's gossip. Sums are cached for a moment."""
+    """Computes estimates from local observations and the gossip table, and caches the sums. Times are ns."""
 
     def __init__(
         self,
@@ -67,26 +67,26 @@
 
     @property
     def clipped_sets(self) -> int:
-        """Sets that the present sums scale down."""
+        """The number of received sets that the cached sums scale down."""
         cached = (self._in_flight_sums, self._demand_sums)
         return sum([each.sums.clipped_sets for each in cached if each is not None])
 
     def clear_cache(self) -> None:
-        """Drops the cached sums."""
+        """Drops all cached sums."""
         self._in_flight_sums = self._demand_sums = None
 
     def in_flight(self, now: int, host: str) -> FleetEstimate:
-        """Requests in flight at the host, of the whole fleet."""
+        """The requests of the whole fleet that are in flight at the host."""
         key = self._keys.key(host)
         local = self._local.in_flight.get(key, 0.0)
         return self._current_in_flight_sums(now).estimate(key, local, len(self._peers))
 
     def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
-        """Arrivals per second in the whole fleet; the deviation assumes that the gateways' arrivals are
-        independent.
+        """Arrivals per second in the whole fleet.
 
-        For a function that only few gateways have among their most frequent ones it is a lower bound: see
-        `unnamed_demand`.
+        The deviation assumes that arrivals at different gateways are independent. The estimate is a lower
+        bound for a function that only few gateways name in their sets, as a set names only the most frequent
+        functions of its origin; `unnamed_demand` estimates the arrivals of all others.
         """
         subject = self._keys.key(function), request_class
         self._local.arrivals.end_elapsed_buckets(now)
@@ -94,7 +94,7 @@
         return self._current_demand_sums(now).estimate(subject, local, len(self._peers), deviation)
 
     def unnamed_demand(self, now: int, local: float) -> FleetEstimate:
-        """Arrivals per second of functions that their origins do not name. `local`: those of this gateway."""
+        """Arrivals per second of functions that the sets of demand do not name. `local`: at this gateway."""
         sums = self._current_demand_sums(now)
         return FleetEstimate(local, sums.remainder, sums.origins, len(self._peers), sums.age)
 
@@ -115,25 +115,28 @@
         return CapacityEstimate(median([capacity for capacity, _ in estimates]), len(estimates), mean_age)
 
     def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
-        """By host: warm instances; a lower bound, as gateways name only those that they saw last."""
+        """By host: the warm instance of the function.
+
+        Instances may be missing, as gateways name only those that they saw last.
+        """
         key = self._keys.key(function)
-        sightings: dict[str, list[tuple[int, str]]] = {}  # by host: (age, origin)
+        sightings: dict[str, list[tuple[int, str]]] = {}  # by host: (age, gateway that saw it)
         partition = key % WARM_PARTITIONS
         for origin, received in self._table.current_sets(now, EntryKind.WARM_INSTANCES, partition):
             for entry in cast(tuple[WarmInstanceEntry, ...], received.entries):
                 if entry.function == key:
                     self._add_sighting(sightings, now, entry.host, received.observed_at - entry.age, origin)
-        for (host, other), seen in self._local.warm_instances[partition].items():
-            if other == key:
-                self._add_sighting(sightings, now, host, seen, self._name)
-        return {host: _merge_sightings(seen) for host, seen in sightings.items()}
+        for (host, seen_function), seen_at in self._local.warm_instances[partition].items():
+            if seen_function == key:
+                self._add_sighting(sightings, now, host, seen_at, self._name)
+        return {host: _merge_sightings(of_host) for host, of_host in sightings.items()}
 
     def _add_sighting(
-        self, sightings: dict[str, list[tuple[int, str]]], now: int, host: int, seen: int, origin: str
+        self, sightings: dict[str, list[tuple[int, str]]], now: int, host: int, seen_at: int, origin: str
     ) -> None:
         max_age = KIND_LIMITS[EntryKind.WARM_INSTANCES].max_age
-        if now - seen <= max_age and self._hosts.is_current(host, seen):
-            sightings.setdefault(self._hosts.names_by_key[host], []).append((now - seen, origin))
+        if now - seen_at <= max_age and self._hosts.is_current(host, seen_at):
+            sightings.setdefault(self._hosts.names_by_key[host], []).append((now - seen_at, origin))
 
     def _current_in_flight_sums(self, now: int) -> FleetSums[int]:
         cached = self._in_flight_sums
@@ -153,6 +156,6 @@
         return cached.sums
 
 
-def _merge_sightings(seen: list[tuple[int, str]]) -> WarmSighting:
-    ordered = sorted(seen)
+def _merge_sightings(sightings: list[tuple[int, str]]) -> WarmSighting:
+    ordered = sorted(sightings)
     return WarmSighting(ordered[0][0], tuple([origin for _, origin in ordered[:MAX_NAMED_ORIGINS]]))
--- a/gaproute/shared/gossip/hosts.py
+++ b/gaproute/shared/gossip/hosts.py
@@ -1,24 +1,25 @@
-"""The listed hosts by key, and the time from which on gossip about each counts."""
+"""The listed hosts by key, and the time before which observations of a host are invalid."""
 
 from collections.abc import Callable, Mapping
 
-# Hosts that are gone or have restarted, stored until all earlier observations have expired
+# Hosts that are gone or have restarted; stored until all observations from before that have expired
 MAX_HOST_TOMBSTONES = 8192
 
 
 class ListedHosts:
-    """The keys that gossip may name. Times are ns of this gateway's clock."""
+    """The hosts that gossip may name, by key. Times are ns of this gateway's clock."""
 
     def __init__(self) -> None:
-        self.names_by_key: dict[int, str] = {}  # by key
-        self._start_markers: dict[int, object] = {}  # by key: the host's start as listed
-        self.tombstones: dict[int, int] = {}  # by key: observations until then are invalid; the oldest first
-        self.key_collisions = 0  # names that were left out because another has the same key
+        self.names_by_key: dict[int, str] = {}
+        self._start_markers: dict[int, object] = {}  # by key: the start of the host in the host list
+        # By key: the time up to which observations of the host are invalid; the oldest first
+        self.tombstones: dict[int, int] = {}
+        self.key_collisions = 0  # listed names that are left out because another name has the same key
 
     def update(self, now: int, hosts: Mapping[str, object], key_of: Callable[[str], int]) -> list[int]:
-        """Takes over the host list; returns the keys of hosts that are gone or have restarted.
+        """Replaces the listed hosts; returns the keys of hosts that are gone or have restarted.
 
-        `hosts`: by name, the start, as any value that changes at a restart.
+        `hosts`: by name, the start of the host as any value that changes at a restart.
         """
         names: dict[int, str] = {}
         starts: dict[int, object] = {}
@@ -43,7 +44,7 @@
             del self.tombstones[oldest]
 
     def is_current(self, host: int, seen_at: int) -> bool:
-        """Whether the host is listed and has not restarted since the time `seen_at`."""
+        """Whether an observation at the time `seen_at` counts: the host is listed and has not restarted."""
         return host in self.names_by_key and seen_at > self.tombstones.get(host, seen_at - 1)
 
     def _add_tombstones(self, now: int, hosts: list[int]) -> None:
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of a gateway's gossip, as named checks that return violations as text."""
+"""The invariants of a gateway's gossip: each check yields its violations as text."""
 
 from collections.abc import Iterator, Sequence
 
@@ -20,7 +20,7 @@
 
 
 def collections_are_bounded(node: GossipNode) -> Iterator[str]:
-    """Every map is bounded. This check is cheap and can always be called."""
+    """Checks that every collection is within its bound. The check is cheap enough for every call."""
     yield from exceeded((*_peer_bounds(node), *_local_bounds(node)))
 
 
@@ -29,9 +29,9 @@
     return (
         Bound("origins", len(node.table.received_sets), peers),
         Bound("sender limits", len(node.sender_limits), peers),
-        Bound("round", len(node.peers.remaining), max(peers, node.peers.round_length)),
-        Bound("tombstones", len(node.table.tombstones), table.MAX_ORIGIN_TOMBSTONES),
-        Bound("hosts' tombstones", len(node.hosts.tombstones), hosts.MAX_HOST_TOMBSTONES),
+        Bound("peers remaining in the round", len(node.peers.remaining), max(peers, node.peers.round_length)),
+        Bound("tombstones of origins", len(node.table.tombstones), table.MAX_ORIGIN_TOMBSTONES),
+        Bound("tombstones of hosts", len(node.hosts.tombstones), hosts.MAX_HOST_TOMBSTONES),
     )
 
 
@@ -40,79 +40,79 @@
     instances = max(map(len, local.warm_instances))
     named_hosts = max(len(local.in_flight), len(local.available_capacity))
     return (
-        Bound("keys", len(node.keys.keys), name_keys.MAX_CACHED_NAMES),
+        Bound("cached keys", len(node.keys.keys), name_keys.MAX_CACHED_NAMES),
         Bound("buckets", len(rates.buckets), arrivals.MAX_BUCKETS),
-        Bound("functions", len(rates.current_counts), arrivals.MAX_COUNTED_SUBJECTS),
+        Bound("counted functions", len(rates.current_counts), arrivals.MAX_COUNTED_SUBJECTS),
         Bound(
             "summed functions",
             len(rates.totals),
             arrivals.MAX_COUNTED_SUBJECTS * arrivals.MAX_BUCKETS,
         ),
-        Bound("warm instances", instances, local_observations.MAX_INSTANCES_PER_PARTITION),
-        Bound("hosts", named_hosts, local_observations.MAX_OBSERVED_HOSTS),
+        Bound("warm instances in a partition", instances, local_observations.MAX_INSTANCES_PER_PARTITION),
+        Bound("observed hosts", named_hosts, local_observations.MAX_OBSERVED_HOSTS),
     )
 
 
 def no_barred_set_is_stored(node: GossipNode) -> Iterator[str]:
-    """No set is stored that a tombstone bars."""
+    """Checks that no stored set is of an incarnation that a tombstone bars."""
     for origin, sets in node.table.received_sets.items():
         tombstone = node.table.tombstones.get(origin)
         ended = 0 if tombstone is None else tombstone.incarnation
-        for name, received in sets.items():
+        for set_key, received in sets.items():
             if received.version.incarnation <= ended:
-                yield f"{origin} ended with incarnation {ended}, and {name} of {received.version} is stored"
+                yield f"incarnation {ended} of {origin} ended, but {set_key} of {received.version} is stored"
 
 
 def origins_are_peers(node: GossipNode) -> Iterator[str]:
-    """No received set is of this gateway, or of a gateway that is no peer."""
+    """Checks that every received set is of a peer, and none of this gateway."""
     if node.name in node.table.received_sets:
-        yield "a set of this gateway's own was taken from another"
+        yield f"received sets of this gateway, {node.name}, are stored"
     for origin in node.table.received_sets:
         if origin not in node.peers:
-            yield f"sets of {origin} are stored, which is no peer"
+            yield f"sets of {origin} are stored, but {origin} is not a peer"
 
 
 def stored_sets_are_valid(node: GossipNode) -> Iterator[str]:
-    """Only sets that an origin can have made are stored."""
+    """Checks that the key and the incarnation of every stored set are valid."""
     for origin, sets in node.table.received_sets.items():
         if len(sets) > MAX_SETS_PER_GATEWAY:
-            yield f"{len(sets)} sets of {origin}"
+            yield f"{len(sets)} sets of {origin} are stored, {MAX_SETS_PER_GATEWAY} at most"
         for (kind, partition), received in sets.items():
             incarnation = received.version.incarnation
             if not 0 < incarnation <= MAX_INCARNATION or partition >= KIND_LIMITS[kind].partitions:
-                yield f"set {kind}/{partition} of {origin} has version {received.version}"
+                yield f"set {kind}/{partition} of {origin} is invalid, its version is {received.version}"
 
 
 class AgesOnlyGrow:
-    """No set of one version is stored as observed later than before. Stores the state of the last call."""
+    """Checks between calls that the observation time of a stored set of one version never rises."""
 
     def __init__(self) -> None:
         self.observed: dict[tuple[str, SetKey, SetVersion], int] = {}
 
     def __call__(self, node: GossipNode) -> Iterator[str]:
-        """Violations since the last call."""
+        """The violations since the last call."""
         observed = {
-            (origin, name, received.version): received.observed_at
+            (origin, set_key, received.version): received.observed_at
             for origin, sets in node.table.received_sets.items()
-            for name, received in sets.items()
+            for set_key, received in sets.items()
         }
         for stored_set, observed_at in observed.items():
             earlier = self.observed.get(stored_set, observed_at)
             if observed_at > earlier:
-                yield f"{stored_set} was observed at {earlier}, now at {observed_at}"
+                yield f"the observation time of {stored_set} rose from {earlier} to {observed_at}"
         self.observed = observed
 
 
 def message_has_only_local_observations(node: GossipNode, message: GossipMessage) -> Iterator[str]:
-    """A message contains only own observations, of now or of a cached set."""
+    """Checks that a message contains only observations of this gateway, current or from a cached set."""
     for entry_set in message.sets:
-        # What a cached set has may have ended since it was made, such as requests in flight
+        # Entries of a cached set may be over since it was made, for example requests in flight.
         for entry in () if _is_cached(node, entry_set) else entry_set.entries:
             if not _was_observed(node, entry):
-                yield f"{entry} of kind {entry_set.kind} is sent and was not observed here"
+                yield f"{entry} of kind {entry_set.kind} is sent, but this gateway did not observe it"
         reason = rejection_reason(entry_set)
         if reason is not None:
-            yield f"a set of kind {entry_set.kind} is sent that cannot be: {reason}"
+            yield f"an invalid set of kind {entry_set.kind} is sent: {reason}"
 
 
 def _is_cached(node: GossipNode, entry_set: EntrySet) -> bool:
@@ -134,9 +134,9 @@
 
 
 def check(node: GossipNode, *, thorough: bool = False) -> list[str]:
-    """The violations as text; empty if there are none. `thorough`: also checks that read all stored sets."""
-    found = [*collections_are_bounded(node)]
+    """The violations as text; empty if there are none. `thorough`: whether to check all stored sets too."""
+    violations = [*collections_are_bounded(node)]
     if thorough:
         for each in (no_barred_set_is_stored, origins_are_peers, stored_sets_are_valid):
-            found += each(node)
-    return found
+            violations += each(node)
+    return violations
--- a/gaproute/shared/gossip/local_observations.py
+++ b/gaproute/shared/gossip/local_observations.py
@@ -1,24 +1,25 @@
-"""The observations of this gateway itself, which alone are sent in its messages. Times are ns."""
+"""The observations that this gateway made itself; its messages contain no others. Times are ns."""
 
 from collections.abc import Container
 
 from gaproute.shared.gossip.arrivals import ArrivalRates
 from gaproute.shared.gossip.messages import MAX_AMOUNT, WARM_PARTITIONS
 
-MAX_OBSERVED_HOSTS = 8192  # hosts of which requests in flight or available capacity are stored
-MAX_INSTANCES_PER_PARTITION = 512  # warm instances stored of each partition, those that were seen last
+MAX_OBSERVED_HOSTS = 8192  # hosts in each of the maps of requests in flight and of available capacity
+MAX_INSTANCES_PER_PARTITION = 512  # the most recently seen warm instances
 
-InstanceKey = tuple[int, int]  # keys of host and function
+InstanceKey = tuple[int, int]  # key of the host, key of the function
 
 
 class LocalObservations:
-    """Observations of this gateway by the keys of hosts and functions; each map is bounded."""
+    """Observations of this gateway by the keys of hosts and functions, in bounded maps."""
 
     def __init__(self, now: int) -> None:
         self.arrivals = ArrivalRates(now)
-        self.in_flight: dict[int, float] = {}  # by host: requests of this gateway, for hosts that have any
+        # By host: requests of this gateway that are in flight there; a host without any is missing
+        self.in_flight: dict[int, float] = {}
         self.available_capacity: dict[int, float] = {}  # by host: estimated available capacity
-        # By partition: when each instance was seen last, the latest at the end
+        # By partition: when each warm instance was last seen, the latest at the end
         self.warm_instances: list[dict[InstanceKey, int]] = [{} for _ in range(WARM_PARTITIONS)]
 
     def record_in_flight(self, host: int, requests: float) -> None:
@@ -33,7 +34,7 @@
         _store_amount(self.available_capacity, host, capacity)
 
     def record_warm_instance(self, now: int, host: int, function: int) -> None:
-        """Records that the instance was seen now."""
+        """Records that the host has a warm instance of the function now."""
         instances, instance = self.warm_instances[function % WARM_PARTITIONS], (host, function)
         instances.pop(instance, None)
         instances[instance] = now
@@ -45,7 +46,7 @@
         self.warm_instances[function % WARM_PARTITIONS].pop((host, function), None)
 
     def forget_hosts(self, hosts: Container[int]) -> None:
-        """Drops what was observed of these hosts."""
+        """Drops all observations of these hosts."""
         for amounts in (self.in_flight, self.available_capacity):
             for host in [host for host in amounts if host in hosts]:
                 del amounts[host]
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -1,8 +1,8 @@
-"""The messages of gossip: sets of entries of one kind, which the sender observed itself.
+"""Gossip messages: sets of entries of one kind, with observations that the sender made itself.
 
-A set is sent and replaced as a whole; it has a version and an age. Names are sent as 32-bit keys: among 1,000
-names two have the same key once in 8,000 fleets, which is acceptable as gossip is only a hint. Amounts are
-sent as one byte on a logarithmic scale. Times and ages are ns.
+A set is sent and replaced as a whole; it has a version and an age. Names are sent as 32-bit keys: two of
+1,000 names have the same key in one of 8,000 fleets, which is acceptable as gossip is only a hint. Amounts
+are sent as one byte on a logarithmic scale. Times and ages are ns.
 """
 
 from enum import IntEnum, StrEnum
@@ -13,23 +13,24 @@
 from gaproute.shared.messages import MAX_COUNT
 from gaproute.units import MILLI, SECOND
 
-MESSAGE_HEADER_BYTES = 10  # of a message
-SET_HEADER_BYTES = 11  # of each set in it
-# Around a message: IP and UDP headers, the sender's name, the tags of the envelope's fields
+MESSAGE_HEADER_BYTES = 10
+SET_HEADER_BYTES = 11
+# Bytes around a message: IP and UDP headers, the name of the sender, the tags of the envelope's fields
 ENVELOPE_BYTES = 60
-ASSUMED_TRAVEL_TIME = 5 * MILLI  # assumed for every message, as clocks of gateways are not compared
+# Of every message; the travel time is not measured, as gateways do not compare their clocks
+ASSUMED_TRAVEL_TIME = 5 * MILLI
 
 MAX_INCARNATION = MAX_COUNT
 MAX_SEQUENCE = (1 << 32) - 1
-MAX_REQUEST_CLASSES = 256  # number of request classes that an entry can name
+MAX_REQUEST_CLASSES = 256  # request classes that an entry can name, as one byte
 
-SCALE_STEPS_PER_OCTAVE = 12  # steps per octave: an amount is exact within 3%
-AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS_PER_OCTAVE) - 1 for code in range(256))  # by byte: the amount
+SCALE_STEPS_PER_OCTAVE = 12  # an amount is exact within 3%
+AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS_PER_OCTAVE) - 1 for code in range(256))  # amount by byte
 MAX_AMOUNT = AMOUNT_SCALE[-1]  # 2.4 million
 
 
 class EntryKind(IntEnum):
-    """The kinds of sets; numbered as on the wire."""
+    """The kinds of sets, by their numbers on the wire."""
 
     IN_FLIGHT = 0
     AVAILABLE_CAPACITY = 1
@@ -40,20 +41,20 @@
 class KindLimits(NamedTuple):
     """The limits of the sets of one kind."""
 
-    label: str  # the name at the operators' address
-    partitions: int  # sets of one gateway; warm instances are divided by function
-    max_entries: int  # entries of a set: the greatest amounts, or the instances that were seen last
+    label: str  # the name of the kind at the operators' address
+    partitions: int  # sets of this kind that one gateway sends; warm instances are divided by function
+    max_entries: int  # in one set: the entries with the greatest amounts, or the latest ones
     entry_bytes: int
-    max_age: int  # age after which a set does not count, ns
+    max_age: int  # age above which a set does not count, ns
 
 
-KIND_LIMITS = (  # by kind: requests end within seconds; demand lasts for minutes, as do idle instances
+KIND_LIMITS = (  # by kind: requests end within seconds; demand and idle instances last for minutes
     KindLimits("hands", 1, 64, 5, 15 * SECOND),  # IN_FLIGHT
     KindLimits("room", 1, 64, 5, 20 * SECOND),  # AVAILABLE_CAPACITY
     KindLimits("demand", 1, 24, 8, 120 * SECOND),  # DEMAND
     KindLimits("warm", 8, 32, 10, 300 * SECOND),  # WARM_INSTANCES
 )
-MAX_SETS_PER_GATEWAY = sum(limits.partitions for limits in KIND_LIMITS)  # of one gateway
+MAX_SETS_PER_GATEWAY = sum(limits.partitions for limits in KIND_LIMITS)
 MAX_SET_AGE = max(limits.max_age for limits in KIND_LIMITS)
 WARM_PARTITIONS = KIND_LIMITS[EntryKind.WARM_INSTANCES].partitions
 
@@ -75,7 +76,7 @@
 
 
 class WarmInstanceEntry(NamedTuple):
-    """A warm instance, and how long before the set was made it was seen."""
+    """A warm instance, and its age: the time from when it was seen until the set was made."""
 
     host: int  # key
     function: int  # key
@@ -86,25 +87,25 @@
 
 
 class EntrySet(NamedTuple):
-    """Entries of one kind."""
+    """Entries of one kind and partition, with their version and age."""
 
     kind: int  # an `EntryKind`, unless the sender is faulty
     partition: int
-    sequence: int  # increases with each set of the kind and partition that its sender makes
+    sequence: int  # its sender increases it with each new set of the kind and partition
     age: int
-    remainder: float  # sum of the amounts of subjects for which there was no entry left
+    remainder: float  # sum of the amounts that have no entry because the set is full
     entries: Entries
 
 
 class GossipMessage(NamedTuple):
-    """The observations of its sender."""
+    """A message with observations of its sender."""
 
     incarnation: int
     sets: tuple[EntrySet, ...]
 
 
 class RejectionReason(StrEnum):
-    """Why a message or a set was rejected; the texts are those at the operators' address."""
+    """Why a message or a set is rejected; the values are keys at the operators' address."""
 
     UNKNOWN_SENDER = "stranger"
     RATE_LIMITED = "flood"
@@ -116,12 +117,12 @@
 
 
 def name_key(name: str) -> int:
-    """The key of the name of a host or function."""
+    """The 32-bit key of a host or function name."""
     return xxh32_intdigest(name.encode("utf-8", "backslashreplace"))
 
 
 def wire_size(message: GossipMessage) -> int:
-    """Bytes on the wire, with the headers below the message."""
+    """The size of a message on the wire with IP and UDP headers, bytes."""
     sets = sum(
         SET_HEADER_BYTES + KIND_LIMITS[each.kind].entry_bytes * len(each.entries) for each in message.sets
     )
--- a/gaproute/shared/gossip/name_keys.py
+++ b/gaproute/shared/gossip/name_keys.py
@@ -1,18 +1,18 @@
-"""Caches the keys of names, so that the names of a request need not be hashed each time."""
+"""Caches the keys of names, so that the names in a request are not hashed each time."""
 
 from gaproute.shared.gossip.messages import name_key
 
-MAX_CACHED_NAMES = 65_536  # names whose keys are cached
+MAX_CACHED_NAMES = 65_536  # the cache is cleared when it is full
 
 
 class NameKeys:
-    """A bounded cache of keys by name."""
+    """A bounded cache of keys by host or function name."""
 
     def __init__(self) -> None:
         self.keys: dict[str, int] = {}
 
     def key(self, name: str) -> int:
-        """The key of a host or function."""
+        """The key of a host or function name."""
         found = self.keys.get(name)
         if found is None:
             if len(self.keys) >= MAX_CACHED_NAMES:
--- a/gaproute/shared/gossip/node.py
+++ b/gaproute/shared/gossip/node.py
@@ -1,7 +1,7 @@
-"""One gateway's gossip: it observes, sends, receives and estimates. No I/O; time and random numbers are
-handed in.
+"""One gateway's part in the gossip: records observations, composes and receives messages, gives estimates.
 
-No received message raises an error; an invalid one is counted by its reason. Times are ns.
+The module does no I/O; time and random numbers are passed in. No received message raises an error; an invalid
+one is counted by its reason. Times are ns.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -26,14 +26,14 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.shared.token_bucket import TokenBucket
 
-SENDER_MESSAGES_PER_SECOND = 8  # messages per second of one sender: four times what a correct one sends
+SENDER_MESSAGES_PER_SECOND = 8  # accepted from one sender: four times what a correct one sends
 SENDER_BURST_MESSAGES = 16
-TICKS_PER_EXPIRY = 64  # turns between two removals of expired sets, which is every few seconds
+TICKS_PER_EXPIRY = 64  # ticks between two removals of expired sets, which is a few seconds
 STATUS_KINDS = (EntryKind.IN_FLIGHT, EntryKind.AVAILABLE_CAPACITY, EntryKind.DEMAND)
 
 
 class GossipNode:
-    """`tick`, at the time `due`, returns the messages to send; `receive` takes each message of a peer.
+    """Call `tick` at the time `due` for the messages to send, and `receive` for each message of a peer.
 
     `bytes_per_second`: limit of the bytes that this gateway sends.
     """
@@ -58,13 +58,13 @@
             name, self.keys, self.local_observations, self.table, self.hosts, self.peers
         )
         self.sender_limits: dict[str, TokenBucket] = {}
-        self.received_messages = 0  # messages
+        self.received_messages = 0
         self._tick_count = 0
 
-    # Own observations
+    # Observations of this gateway
 
     def record_arrival(self, now: int, function: str, request_class: int, count: int = 1) -> None:
-        """Records requests that arrived. `request_class`: its number, 0 to 255."""
+        """Records requests that arrive now. `request_class`: number of the request class, 0 to 255."""
         self.local_observations.arrivals.record(
             now, self.keys.key(function), request_class % MAX_REQUEST_CLASSES, count
         )
@@ -78,7 +78,7 @@
         self.local_observations.record_available_capacity(self.keys.key(host), capacity)
 
     def record_warm_instance(self, now: int, host: str, function: str) -> None:
-        """Records an instance that an answer or a health check has just shown."""
+        """Records a warm instance that an answer or a health check of the host proves."""
         self.local_observations.record_warm_instance(now, self.keys.key(host), self.keys.key(function))
 
     def record_unloaded_instance(self, host: str, function: str) -> None:
@@ -88,10 +88,10 @@
     # Peers and hosts
 
     def set_peers(self, now: int, names: Iterable[str]) -> None:
-        """Takes over the gateways that are up, with or without this one.
+        """Replaces the peers by the gateways that are up; this gateway may be among them.
 
-        Sets of a gateway that is not up any more do not count; later sets count once it is back with a higher
-        incarnation.
+        Sets of a gateway that is no longer up are dropped. After its return, sets count again only if their
+        incarnation is higher.
         """
         others = [name for name in names if name != self.name]
         present = frozenset(others)
@@ -101,7 +101,10 @@
         self.peers.set_peers(others)
 
     def set_hosts(self, now: int, hosts: Mapping[str, object]) -> None:
-        """Takes over the listed hosts: by name, their start. Observations before the start are invalid."""
+        """Replaces the listed hosts: by name, the start of the host.
+
+        Observations of a host from before a change of its start are invalid.
+        """
         gone = self.hosts.update(now, hosts, self.keys.key)
         if gone:
             self.local_observations.forget_hosts(frozenset(gone))
@@ -109,18 +112,18 @@
             self.fleet_view.clear_cache()
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Goes on with another incarnation, as other gateways took this one for dead."""
+        """Raises the incarnation of this gateway after other gateways declared it dead."""
         self.incarnation = max(self.incarnation, incarnation)
 
     # Sending and receiving
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called, ns."""
+        """When `tick` is to be called next, ns."""
         return self.scheduler.due
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """The messages to send now."""
+        """The messages to send now; also drops expired sets and tombstones."""
         if self._tick_count % TICKS_PER_EXPIRY == 0:
             self.table.expire(now)
         self._tick_count += 1
@@ -128,13 +131,13 @@
         return self.scheduler.tick(now, self.incarnation, self.local_entry_sets)
 
     def receive(self, now: int, sender: str, message: GossipMessage) -> int:
-        """Takes a peer's message; returns how many of its sets were new."""
+        """Merges a message of a peer; returns how many of its sets were newer than the stored ones."""
         return self.receive_encoded(now, sender, lambda: message)
 
     def receive_encoded(self, now: int, sender: str, decode: Callable[[], GossipMessage | None]) -> int:
-        """Takes the bytes of a message, which are decoded only if the sender is within its rate.
+        """Merges an encoded message, which is decoded only if the sender is a peer and within its rate limit.
 
-        `decode` returns None if they are no message.
+        `decode` returns the message, or None if the bytes cannot be decoded.
         """
         reason = self._sender_rejection(now, sender)
         if reason is not None:
@@ -150,7 +153,7 @@
     # Estimates for the fleet
 
     def in_flight(self, now: int, host: str) -> FleetEstimate:
-        """Requests in flight at the host, of the whole fleet."""
+        """The requests of the whole fleet that are in flight at the host."""
         return self.fleet_view.in_flight(now, host)
 
     def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
@@ -158,7 +161,7 @@
         return self.fleet_view.demand(now, function, request_class)
 
     def unnamed_demand(self, now: int) -> FleetEstimate:
-        """Arrivals per second of functions that their origins do not name."""
+        """Arrivals per second of the functions that the sets of demand do not name."""
         return self.fleet_view.unnamed_demand(now, self.local_entry_sets.get(now, EntryKind.DEMAND).remainder)
 
     def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
@@ -166,11 +169,11 @@
         return self.fleet_view.available_capacity(now, host)
 
     def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
-        """By host: the instances of a function that were seen; a lower bound."""
+        """By host: the warm instance of the function; instances may be missing, see `FleetView`."""
         return self.fleet_view.warm_instances(now, function)
 
     def status(self, now: int) -> dict[str, object]:
-        """The status for operators: what is sent and received, and how many origins each kind has."""
+        """The status for operators: counts of messages sent, received and rejected, and origins by kind."""
         origins = {KIND_LIMITS[kind].label: len(self.table.current_sets(now, kind)) for kind in STATUS_KINDS}
         return {
             "peers": len(self.peers),
--- a/gaproute/shared/gossip/peer_rounds.py
+++ b/gaproute/shared/gossip/peer_rounds.py
@@ -1,4 +1,4 @@
-"""Chooses the peer that gets the next message: each one once in a round, in random order."""
+"""Chooses the peer that gets the next message: in each round every peer once, in random order."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 class PeerRounds:
-    """The other gateways that are up, and those that are still to be sent to in this round."""
+    """The peers that are up, and those that have not yet been chosen in the current round."""
 
     def __init__(self, random: RandomSource) -> None:
         self.names: list[str] = []
-        self.remaining: list[str] = []  # of this round; the last one is next
-        self.round_length = 0  # peers at the beginning of this round
+        self.remaining: list[str] = []  # peers not yet chosen in this round; the last one is next
+        self.round_length = 0  # number of peers at the beginning of this round
         self._random = random
         self._members: dict[str, None] = {}
 
@@ -22,12 +22,12 @@
         return len(self.names)
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Takes over the peers that are up; the round goes on with those of its peers that still are."""
+        """Replaces the peers that are up; the current round skips those that are gone, without new ones."""
         self.names = list(names)
         self._members = dict.fromkeys(self.names)
 
     def next_peer(self) -> str | None:
-        """The next peer; None if there is none."""
+        """The next peer; None if there are no peers."""
         for _ in range(2):
             while self.remaining:
                 name = self.remaining.pop()
--- a/gaproute/shared/gossip/scheduler.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -1,7 +1,8 @@
-"""Decides when a message is sent and which sets it has, by a byte rate that does not grow with the fleet.
+"""Decides when a message is sent and which sets it has, at a byte rate that does not grow with the fleet.
 
-Each message has the requests in flight, which change fast, and at longer intervals one other set in turn. In
-a large fleet a round takes longer, and a receiver has sets of a sample of the origins, by which it scales.
+Each message contains the requests in flight, which change fast. At longer intervals it also contains one set
+of the kinds that change slowly, in turn. In a large fleet a round of all peers takes longer, so a receiver
+has unexpired sets of only a sample of the origins, and scales its sums up from that sample.
 """
 
 from typing import NamedTuple
@@ -17,14 +18,13 @@
 from gaproute.shared.gossip.peer_rounds import PeerRounds
 from gaproute.units import SECOND
 
-DEFAULT_BYTES_PER_SECOND = (
-    3_000  # bytes per second with headers: under 4 kB with bursts and with membership's messages
-)
-# In a fleet of cells, where the cell table uses a share of the 4 kB: 0.9 kB at 46,000 changes a day
+# With headers; leaves room below 4 kB per second for bursts and for the messages of the membership
+DEFAULT_BYTES_PER_SECOND = 3_000
+# Lower, as the dissemination of the cell table uses 0.9 of the 4 kB per second at 46,000 changes a day
 BYTES_PER_SECOND_IN_CELLS = 2_200
-# Shortest time between two messages to one peer, so that small fleets need not use the whole rate
+# Shortest time between two messages to one peer, so that a small fleet uses less than the byte rate
 MIN_PEER_INTERVAL = SECOND // 2
-SLOW_SET_INTERVAL = SECOND // 4  # between two sets other than the requests in flight
+SLOW_SET_INTERVAL = SECOND // 4  # between two sets of the kinds in `SLOW_KIND_SEQUENCE`
 SLOW_KIND_SEQUENCE = (
     EntryKind.DEMAND,
     EntryKind.WARM_INSTANCES,
@@ -48,8 +48,8 @@
     """Composes the messages and schedules them by their bytes per second. Times are ns."""
 
     def __init__(self, peers: PeerRounds, now: int, bytes_per_second: int = DEFAULT_BYTES_PER_SECOND) -> None:
-        self.due = now  # when the next message may be sent
-        self.sent_messages = 0  # messages
+        self.due = now  # when `tick` is to be called next
+        self.sent_messages = 0
         self.sent_bytes = 0
         self._peers, self._bytes_per_second = peers, bytes_per_second
         self._slow_set_due = now
@@ -57,7 +57,7 @@
         self._warm_partition = 0
 
     def tick(self, now: int, incarnation: int, sets: LocalEntrySets) -> list[OutgoingMessage]:
-        """The message that is due, if any; sets `due` for the next one."""
+        """The message that is due, if any; sets `due` to the time of the next one."""
         if now < self.due:
             return []
         peer = self._peers.next_peer()
