--- a/benchmarks/gossip_readings.py
+++ b/benchmarks/gossip_readings.py
@@ -29,7 +29,7 @@
         "alone": in_flight_error(traffic, own),
         "now": in_flight_error(traffic, traffic.true_counts),
         "age, s": first.age / SECOND,
-        "tellers": first.origins,
+        "tellers": first.origin_count,
         **demand_errors(node, traffic, now),
         **instance_errors(node, traffic, now),
     }
--- a/gaproute/shared/gossip/estimates.py
+++ b/gaproute/shared/gossip/estimates.py
@@ -28,23 +28,25 @@
 
     local: float  # observed by this gateway
     received: float  # sum of the values that other gateways sent
-    origins: int  # number of other gateways that sent a value
-    peers: int  # number of other gateways that are up
+    origin_count: int  # number of other gateways that sent a value
+    peer_count: int  # number of other gateways that are up
     age: int  # mean age of the received sets, ns
     deviation: float = 0.0  # standard deviation of the total, including the local part
 
     @property
     def total(self) -> float:
         """The local value plus the received ones, which are scaled from the known origins to all peers."""
-        return self.local + (self.received * self.peers / self.origins if self.origins else 0.0)
+        return self.local + (
+            self.received * self.peer_count / self.origin_count if self.origin_count else 0.0
+        )
 
 
 class FleetSums(Generic[Subject]):
     """Sums of the received sets of one kind at the time `now`."""
 
     def __init__(self, now: int, received: Sequence[ReceivedSet]) -> None:
-        self.origins = len(received)
-        self.age = sum(now - each.observed_at for each in received) // max(1, self.origins)
+        self.origin_count = len(received)
+        self.age = sum(now - each.observed_at for each in received) // max(1, self.origin_count)
         self.remainder = 0.0
         self.clipped_sets = 0  # number of sets that were scaled down
         self._sums: dict[Subject, float] = {}
@@ -67,15 +69,15 @@
             self._variances[subject] = self._variances.get(subject, 0.0) + deviation**2
 
     def estimate(
-        self, subject: Subject, local: float, peers: int, local_deviation: float = 0.0
+        self, subject: Subject, local: float, peer_count: int, local_deviation: float = 0.0
     ) -> FleetEstimate:
         """The estimate for one subject; its deviation assumes that the values of the gateways are
         independent.
         """
-        scale = peers / self.origins if self.origins else 0.0
+        scale = peer_count / self.origin_count if self.origin_count else 0.0
         variance = local_deviation**2 + self._variances.get(subject, 0.0) * scale
         received = self._sums.get(subject, 0.0)
-        return FleetEstimate(local, received, self.origins, peers, self.age, variance**0.5)
+        return FleetEstimate(local, received, self.origin_count, peer_count, self.age, variance**0.5)
 
 
 def sum_in_flight(
--- a/gaproute/shared/gossip/fleet_view.py
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -29,7 +29,7 @@
     """
 
     median: float
-    origins: int  # number of gateways that have an estimate, with this one
+    origin_count: int  # number of gateways that have an estimate, with this one
     age: int  # mean age of the estimates, ns
 
 
@@ -96,7 +96,7 @@
     def unnamed_demand(self, now: int, local: float) -> FleetEstimate:
         """Arrivals per second of functions that the sets of demand do not name. `local`: at this gateway."""
         sums = self._current_demand_sums(now)
-        return FleetEstimate(local, sums.remainder, sums.origins, len(self._peers), sums.age)
+        return FleetEstimate(local, sums.remainder, sums.origin_count, len(self._peers), sums.age)
 
     def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
         """The estimated available capacity of the host; None if no gateway has an estimate."""
--- a/gaproute/shared/gossip/hosts.py
+++ b/gaproute/shared/gossip/hosts.py
@@ -16,7 +16,7 @@
         self.tombstones: dict[int, int] = {}
         self.key_collisions = 0  # listed names that are left out because another name has the same key
 
-    def update(self, now: int, hosts: Mapping[str, object], key_of: Callable[[str], int]) -> list[int]:
+    def set_hosts(self, now: int, hosts: Mapping[str, object], key_of: Callable[[str], int]) -> list[int]:
         """Replaces the listed hosts; returns the keys of hosts that are gone or have restarted.
 
         `hosts`: by name, the start of the host as any value that changes at a restart.
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -83,7 +83,7 @@
                 yield f"set {kind}/{partition} of {origin} is invalid, its version is {received.version}"
 
 
-class AgesOnlyGrow:
+class ObservationTimesNeverRise:
     """Checks between calls that the observation time of a stored set of one version never rises."""
 
     def __init__(self) -> None:
--- a/gaproute/shared/gossip/node.py
+++ b/gaproute/shared/gossip/node.py
@@ -105,7 +105,7 @@
 
         Observations of a host from before a change of its start are invalid.
         """
-        gone = self.hosts.update(now, hosts, self.keys.key)
+        gone = self.hosts.set_hosts(now, hosts, self.keys.key)
         if gone:
             self.local_observations.forget_hosts(frozenset(gone))
             self.local_entry_sets.clear_cache()
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -70,7 +70,7 @@
     assert made.receive(SECOND, "a", in_flight(BEGUN_MS - HOUR_MS, 1, 2.0)) == 0
     assert made.in_flight(SECOND, "h1").received == pytest.approx(4.0, rel=0.03)
     assert (
-        made.in_flight(KIND_LIMITS[EntryKind.IN_FLIGHT].max_age + 2 * SECOND, "h1").origins == 0
+        made.in_flight(KIND_LIMITS[EntryKind.IN_FLIGHT].max_age + 2 * SECOND, "h1").origin_count == 0
     )  # what it said before fades as ever
     assert made.receive(2 * SECOND, "a", in_flight(BEGUN_MS + 1, 1, 2.0)) == 1
 
--- a/tests/gossip/test_node.py
+++ b/tests/gossip/test_node.py
@@ -6,7 +6,11 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.invariants import AgesOnlyGrow, check, message_has_only_local_observations
+from gaproute.shared.gossip.invariants import (
+    ObservationTimesNeverRise,
+    check,
+    message_has_only_local_observations,
+)
 from gaproute.shared.gossip.messages import (
     KIND_LIMITS,
     MAX_INCARNATION,
@@ -38,7 +42,7 @@
 
 def run(nodes, now, until, lost=lambda sender, to: False):
     """Turns all until then, each with ten requests a second; returns the messages sent."""
-    messages, ages = [], {name: AgesOnlyGrow() for name in nodes}
+    messages, ages = [], {name: ObservationTimesNeverRise() for name in nodes}
     while now < until:
         now += SECOND // 50
         for name, node in nodes.items():
@@ -81,7 +85,7 @@
     made = make_node()
     made.receive(0, "a", in_flight(1, (name_key("h1"), 4.0)))
     assert made.in_flight(SECOND, "h1").total == 12
-    assert made.in_flight(SECOND, "h1").origins == 1
+    assert made.in_flight(SECOND, "h1").origin_count == 1
 
 
 def test_nothing_heard_leaves_what_is_seen_here():
@@ -96,14 +100,14 @@
     made = make_node()
     made.receive(0, "a", in_flight(1, (name_key("h1"), 4.0)))
     assert made.in_flight(KIND_LIMITS[IN_FLIGHT].max_age - SECOND, "h1").received == 4
-    assert made.in_flight(KIND_LIMITS[IN_FLIGHT].max_age + SECOND, "h1").origins == 0
+    assert made.in_flight(KIND_LIMITS[IN_FLIGHT].max_age + SECOND, "h1").origin_count == 0
 
 
 def test_an_age_received_counts_against_the_maximum_and_is_read():
     made = make_node()
     made.receive(0, "a", in_flight(1, (name_key("h1"), 4.0), age=10 * SECOND))
     assert made.in_flight(0, "h1").age >= 10 * SECOND
-    assert made.in_flight(6 * SECOND, "h1").origins == 0
+    assert made.in_flight(6 * SECOND, "h1").origin_count == 0
 
 
 def test_a_peer_that_went_counts_again_only_under_a_higher_incarnation():
