--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.stub_document import change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.errors import GaprouteError
-from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.shared.dissemination.messages import NO_VERSION
 from gaproute.units import MILLI, SECOND
 
 CHANGE_INTERVAL = 1_878 * MILLI  # 46,000 a day
@@ -97,7 +97,7 @@
 def newcomer(count: int, seed: int, loss: int = 0) -> Recovery:
     """One gateway that holds nothing joins while changes come at the usual pace."""
     fleet = DisseminationFleet(count, seed, loss)
-    fleet.gateways[NEWCOMER].document.version = NOTHING
+    fleet.gateways[NEWCOMER].document.version = NO_VERSION
     return _recovery(fleet, [fleet.gateways[NEWCOMER]])
 
 
--- a/benchmarks/scale/dissemination_fleet.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -15,9 +15,17 @@
 from benchmarks.scale.stub_document import StubDocument, change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
-from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer, Send
-from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES
-from gaproute.shared.dissemination.messages import Announcement, Busy, Changes, Part, Pull, Push, wire_size
+from gaproute.shared.dissemination import Candidates, Change, Disseminator, OutgoingMessage, Peer
+from gaproute.shared.dissemination.bounds import EXCHANGE_TIMEOUT, MAX_LOG_CHANGES
+from gaproute.shared.dissemination.messages import (
+    Announcement,
+    BusyAnswer,
+    ChangesAnswer,
+    PartAnswer,
+    Pull,
+    Push,
+    wire_size,
+)
 from gaproute.units import MILLI, SECOND
 
 REGIONS, ZONES = 5, 13
@@ -27,7 +35,7 @@
 DATA_TIMEOUT = 200 * MILLI  # of TCP at least, for a lost segment
 SEGMENT = 1_400  # bytes
 
-PullAnswer = Changes | Part | Busy | None
+PullAnswer = ChangesAnswer | PartAnswer | BusyAnswer | None
 
 
 class DisseminationGateway:
@@ -120,7 +128,7 @@
             action()
         self.now = max(self.now, until)
 
-    def handle(self, gateway: DisseminationGateway, sends: Iterable[Send]) -> None:
+    def handle(self, gateway: DisseminationGateway, sends: Iterable[OutgoingMessage]) -> None:
         """Send what a gateway returned, and set its timer."""
         for send in sends:
             self._send(gateway, send)
@@ -144,7 +152,9 @@
         if gateway.alive:
             self.handle(gateway, gateway.disseminator.tick(self.now))
 
-    def _receive(self, gateway: DisseminationGateway, receive: Callable[[int], list[Send]]) -> None:
+    def _receive(
+        self, gateway: DisseminationGateway, receive: Callable[[int], list[OutgoingMessage]]
+    ) -> None:
         """Let the gateway handle what arrived, and note when it took a newer version."""
         if not gateway.alive:
             return
@@ -156,7 +166,7 @@
 
     # Messages
 
-    def _send(self, sender: DisseminationGateway, send: Send) -> None:
+    def _send(self, sender: DisseminationGateway, send: OutgoingMessage) -> None:
         receiver = self.gateway_of(send.to)
         if isinstance(send.message, Pull):
             self._start_exchange(sender, receiver, send.message)
@@ -181,7 +191,7 @@
         sent = wire_size(pull) // 2
         self.traffic.count_sent(client.index, self.now, sent)
         self.traffic.count_received(client.index, self.now, wire_size(pull) - sent)
-        end = self.now + EXCHANGE_TIME
+        end = self.now + EXCHANGE_TIMEOUT
         cut = self.links.is_cut(client.place, server.place) or self.links.is_cut(server.place, client.place)
         if cut:
             self._at(end, partial(self._end_exchange, client, server, None))
@@ -197,13 +207,13 @@
         if not server.alive or self.now > end:
             self._at(max(self.now, end), partial(self._end_exchange, client, server, None))
             return
-        answer = server.disseminator.answer(self.now, pull)
+        answer = server.disseminator.answer_pull(self.now, pull)
         assert answer is not None, f"{server.peer.name} rejected {pull!r}"
         size = wire_size(answer)
         self.traffic.count_message(server.index)
         self.traffic.count_sent(server.index, self.now, size)
         arrival = self.now + self.links.delay(server.place, client.place)
-        segments = 1 if isinstance(answer, Busy) else -(-size // SEGMENT)
+        segments = 1 if isinstance(answer, BusyAnswer) else -(-size // SEGMENT)
         arrival += self.links.retransmission_delay(DATA_TIMEOUT, segments)
         received = answer if arrival <= end else None
         self._at(min(arrival, end), partial(self._end_exchange, client, server, received))
@@ -213,7 +223,7 @@
     ) -> None:
         if answer is not None:
             self.traffic.count_received(client.index, self.now, wire_size(answer))
-        self._receive(client, lambda now: client.disseminator.receive_answer(now, server.peer, answer))
+        self._receive(client, lambda now: client.disseminator.receive_pull_answer(now, server.peer, answer))
 
     # States that would take long to play
 
@@ -227,6 +237,6 @@
         for gateway in gateways:
             replica = gateway.disseminator.replica
             gateway.document.version, gateway.document.digest = version, log[-1].digest
-            for change in log[-LOG_CHANGES:]:
+            for change in log[-MAX_LOG_CHANGES:]:
                 replica.log.append(change)
         return version
--- a/benchmarks/scale/stub_document.py
+++ b/benchmarks/scale/stub_document.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import Change, DocumentError
-from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.shared.dissemination.messages import NO_VERSION
 
 FLEET = "north"
 WHOLE_BYTES = 22_500  # of a table of 490 cells with three entries each, encoded and compressed
@@ -17,7 +17,7 @@
 class StubDocument:
     """A document whose content is the same in each version."""
 
-    def __init__(self, version: Version = NOTHING, whole_bytes: int = WHOLE_BYTES) -> None:
+    def __init__(self, version: Version = NO_VERSION, whole_bytes: int = WHOLE_BYTES) -> None:
         self.fleet, self.version, self.digest = FLEET, version, digest_of(version)
         self.data = bytes(whole_bytes)
 
@@ -33,7 +33,7 @@
             raise DocumentError("digest")
         self.version, self.digest = version, digest
 
-    def whole(self) -> bytes:
+    def encode(self) -> bytes:
         """The complete document's bytes."""
         return self.data
 
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -12,7 +12,7 @@
 from gaproute.peers.ports import PullAnswer, PullCallback, PullHandler, PullReply
 from gaproute.peers.tables import wire
 from gaproute.peers.tables.pull_exchange import OK
-from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
+from gaproute.shared.dissemination.bounds import EXCHANGE_TIMEOUT
 from gaproute.shared.dissemination.messages import Pull
 
 SEGMENT_HEADERS, SEGMENT = 52, 1_448  # bytes of a TCP segment
@@ -100,7 +100,7 @@
         self.bytes += transferred(HTTP_REQUEST + len(body))
         server = self._network.pull_servers.get(where)
         if server is None or self._network.is_partitioned(self._name, server.name):
-            self._loop.after(EXCHANGE_TIME, self._finish, self._current, None, done)
+            self._loop.after(EXCHANGE_TIMEOUT, self._finish, self._current, None, done)
             return
         delay = self._network.delay_between(self._name, server.name)
         arrival = TRIPS_OF_REQUEST * delay
--- a/gaproute/hollow/cells/shared_tables.py
+++ b/gaproute/hollow/cells/shared_tables.py
@@ -11,7 +11,7 @@
 from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
 from gaproute.peers.tables.document import TableDocument
 from gaproute.shared.dissemination import Change, Peer
-from gaproute.shared.dissemination.cell_peers import candidates
+from gaproute.shared.dissemination.cell_peers import candidates_from_table
 from gaproute.shared.dissemination.partial_view import Candidates
 from gaproute.shared.randomness import RandomSource
 
@@ -73,7 +73,7 @@
             return super().candidates(near)
         key = document.version, document.digest
         if key not in self._shared_candidates:
-            self._shared_candidates[key] = candidates(table, self.cell, (), ())
+            self._shared_candidates[key] = candidates_from_table(table, self.cell, (), ())
         named = self._shared_candidates[key]
-        gateways = max(1, len(near)) * named.gateways
-        return replace(named, neighbours=near, configured=self.configured, gateways=gateways)
+        gateways = max(1, len(near)) * named.gateway_count
+        return replace(named, neighbours=near, configured=self.configured, gateway_count=gateways)
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -44,7 +44,7 @@
         if stored is not None:
             version = Version(stored.term, stored.number)
             now = self._environment.loop.now()
-            self.transport.disseminator.publish_whole(now, version, stored.digest, stored.data)
+            self.transport.disseminator.publish_document(now, version, stored.digest, stored.data)
         self.transport.set_peers(self._environment.seeds)
         self.transport.start()
 
--- a/gaproute/peers/ports.py
+++ b/gaproute/peers/ports.py
@@ -10,14 +10,14 @@
 from gaproute.decisions.reports.ports import ObservationSource
 from gaproute.loop.timers import Callback, Timer
 from gaproute.peers.membership_wire import PayloadKind
-from gaproute.shared.dissemination.messages import Busy, Changes, Part, Pull
+from gaproute.shared.dissemination.messages import BusyAnswer, ChangesAnswer, PartAnswer, Pull
 from gaproute.shared.membership import Membership
 from gaproute.shared.raft.messages import RaftMessage
 
 DatagramHandler = Callable[[bytes], None]
 PayloadHandler = Callable[[str, bytes], None]  # takes the sender's name and the data
 RaftMessageHandler = Callable[[str, RaftMessage], None]  # takes the sender's name and the message
-PullAnswer = Changes | Part | Busy
+PullAnswer = ChangesAnswer | PartAnswer | BusyAnswer
 PullCallback = Callable[[PullAnswer | None], object]  # takes None if no answer came
 
 
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.cells.version import Version
 from gaproute.peers.tables import encoding
 from gaproute.shared.dissemination import Change, DocumentError
-from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.shared.dissemination.messages import NO_VERSION
 
 
 class TableDocument:
@@ -28,7 +28,7 @@
     @property
     def version(self) -> Version:
         """The current version."""
-        return NOTHING if self.holder.table is None else self.holder.table.version
+        return NO_VERSION if self.holder.table is None else self.holder.table.version
 
     def apply(self, change: Change) -> None:
         """Applies a change. Errors: DocumentError."""
@@ -50,7 +50,7 @@
         except TableError as fault:
             raise DocumentError("invalid table") from fault
 
-    def whole(self) -> bytes:
+    def encode(self) -> bytes:
         """The complete table, encoded. Errors: DocumentError if there is none."""
         if self.holder.table is None:
             raise DocumentError("no table")
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -10,7 +10,7 @@
 from gaproute.peers.peer_server import PeerServer
 from gaproute.peers.ports import PullCallback, PullHandler
 from gaproute.peers.tables import wire
-from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
+from gaproute.shared.dissemination.bounds import EXCHANGE_TIMEOUT
 from gaproute.shared.dissemination.messages import Pull
 
 TARGET = b"/tables"
@@ -45,8 +45,8 @@
             self.loop, data, lambda response, fault: self._end(exchange, response, done)
         )
         self.exchange = exchange
-        self._timer = self.loop.after(EXCHANGE_TIME, self._end, exchange, None, done)
-        exchange.connect(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
+        self._timer = self.loop.after(EXCHANGE_TIMEOUT, self._end, exchange, None, done)
+        exchange.connect(target, EXCHANGE_TIMEOUT, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
 
     def drop(self) -> None:
         """Ends the open pull."""
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -5,7 +5,7 @@
 
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import Disseminator, DocumentError
-from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.shared.dissemination.messages import NO_VERSION
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 from gaproute.units import SECOND
 
@@ -24,7 +24,7 @@
         report: Callable[[str], object],
     ) -> None:
         self.file = None if path is None else CellTableFile(path, fleet, report)
-        self.written = NOTHING  # the version on disk
+        self.written = NO_VERSION  # the version on disk
         self.write_at = clock()  # when `write` is to be called next
         self._clock = clock
 
@@ -51,7 +51,7 @@
             return  # a table that comes after a quiet time is written in the next turn
         self.write_at = self._clock() + WRITE_INTERVAL
         term, number = document.version
-        if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.whole())):
+        if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.encode())):
             self.written = document.version
         else:
             self.write_at = self._clock() + RETRY_INTERVAL
@@ -67,7 +67,7 @@
     def _take(self, disseminator: Disseminator, stored: StoredTable) -> None:
         version = Version(stored.term, stored.number)
         try:
-            disseminator.publish_whole(self._clock(), version, stored.digest, stored.data)
+            disseminator.publish_document(self._clock(), version, stored.digest, stored.data)
         except DocumentError as reason:
             if self.file is not None:
                 self.file.quarantine(str(reason))
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -25,9 +25,9 @@
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encode_table_change
 from gaproute.peers.tables.table_storage import TableStorage
-from gaproute.shared.dissemination import Disseminator, DocumentError, Peer, Send
-from gaproute.shared.dissemination.cell_peers import candidates
-from gaproute.shared.dissemination.messages import NOTHING, Pull
+from gaproute.shared.dissemination import Disseminator, DocumentError, OutgoingMessage, Peer
+from gaproute.shared.dissemination.cell_peers import candidates_from_table
+from gaproute.shared.dissemination.messages import NO_VERSION, Pull
 from gaproute.shared.dissemination.partial_view import Candidates
 from gaproute.shared.dissemination.version_reports import Propagation
 from gaproute.shared.randomness import RandomSource
@@ -85,7 +85,7 @@
         self.storage = TableStorage(loop.now, settings.path, settings.fleet, self._report_storage)
         self.timer: Timer | None = None
         self._callbacks: list[TableCallback] = []
-        self._reported_version = NOTHING  # the version for which the callbacks were called last
+        self._reported_version = NO_VERSION  # the version for which the callbacks were called last
         self._listed: _Listed | None = None
         self._list_at = loop.now()
         self._logged_rejections: set[str] = set()
@@ -131,7 +131,7 @@
             raise DocumentError("other fleet")
         digest = encoding.cells_digest(table.cells)
         data = encoding.encode_table(table)
-        self._finish_turn(self.disseminator.publish_whole(self.loop.now(), table.version, digest, data))
+        self._finish_turn(self.disseminator.publish_document(self.loop.now(), table.version, digest, data))
 
     def publish_change(self, change: TableChange) -> None:
         """Publishes a change of the current table that was made here. Errors: TableError, DocumentError."""
@@ -144,7 +144,7 @@
 
     def candidates(self, near: tuple[Peer, ...]) -> Candidates:
         """The peers to exchange with, by the current table; `near`: members that are up."""
-        return candidates(self.holder.table, self.cell, near, self.configured)
+        return candidates_from_table(self.holder.table, self.cell, near, self.configured)
 
     # Received messages
 
@@ -160,13 +160,13 @@
         self._finish_turn(self.disseminator.receive(now, peer, datagram.message))
 
     def _receive_answer(self, peer: Peer, answer: PullAnswer | None) -> None:
-        self._finish_turn(self.disseminator.receive_answer(self.loop.now(), peer, answer))
+        self._finish_turn(self.disseminator.receive_pull_answer(self.loop.now(), peer, answer))
 
     def _answer_pull(self, data: bytes) -> PullReply:
         now = self.loop.now()
         if not self.disseminator.admits(now, ""):
             return PullReply(BUSY, b"")
-        answer = self.disseminator.answer(now, wire.decode_pull(data))
+        answer = self.disseminator.answer_pull(now, wire.decode_pull(data))
         if answer is None:
             return PullReply(INVALID, b"not a pull of this fleet\n")
         return PullReply(ANSWERED, wire.encode_answer(answer))
@@ -174,7 +174,7 @@
     def _tick(self) -> None:
         self.timer = None
         now = self.loop.now()
-        sends: Iterable[Send] = ()
+        sends: Iterable[OutgoingMessage] = ()
         try:
             if now >= self._list_at:
                 self._list_candidates()
@@ -186,7 +186,7 @@
 
     # The end of a turn
 
-    def _finish_turn(self, sends: Iterable[Send]) -> None:
+    def _finish_turn(self, sends: Iterable[OutgoingMessage]) -> None:
         """Sends messages, reports a new table, and sets the timer."""
         for send in sends:
             self._send(send)
@@ -197,7 +197,7 @@
         self.timer = self.loop.at(due, self._tick)
         self._report_table()
 
-    def _send(self, send: Send) -> None:
+    def _send(self, send: OutgoingMessage) -> None:
         to, message = send
         if isinstance(message, Pull):
             self.pull_client.ask(to.address, message, lambda answer: self._receive_answer(to, answer))
@@ -209,7 +209,7 @@
         table = self.holder.table
         if table is None or table.version <= self._reported_version:
             return
-        if self._reported_version == NOTHING:
+        if self._reported_version == NO_VERSION:
             self._list_candidates()  # for later tables by the timer only, as it costs a millisecond
         self._reported_version = table.version
         for callback in self._callbacks:
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -8,19 +8,24 @@
 
 from gaproute.decisions.cells.bounds import MAX_NAME
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import ANSWER_BYTES, MAX_DOCUMENT_BYTES, PART_BYTES, PUSH_BYTES
+from gaproute.shared.dissemination.bounds import (
+    MAX_CHANGES_BYTES,
+    MAX_DOCUMENT_BYTES,
+    MAX_PART_BYTES,
+    MAX_PUSH_BYTES,
+)
 from gaproute.shared.dissemination.messages import (
     Announcement,
-    Busy,
+    BusyAnswer,
     Change,
-    Changes,
-    Part,
+    ChangesAnswer,
+    PartAnswer,
     Pull,
     Push,
 )
 
-MAX_DATAGRAM_BYTES = PUSH_BYTES + 500
-MAX_ANSWER_BYTES = max(ANSWER_BYTES, PART_BYTES) + 2_000
+MAX_DATAGRAM_BYTES = MAX_PUSH_BYTES + 500
+MAX_ANSWER_BYTES = max(MAX_CHANGES_BYTES, MAX_PART_BYTES) + 2_000
 MAX_INTEGER = (1 << 63) - 1
 
 Decoded = TypeVar("Decoded")
@@ -109,7 +114,7 @@
 
 def encode_pull(pull: Pull) -> bytes:
     """Encodes a pull."""
-    return _encode(_Pull(pull.fleet, pull.current, pull.whole, pull.target, pull.offset))
+    return _encode(_Pull(pull.fleet, pull.current, pull.wants_complete_document, pull.target, pull.offset))
 
 
 def decode_pull(data: bytes) -> Pull | None:
@@ -121,25 +126,25 @@
     return Pull(decoded.fleet, current, decoded.whole, target, decoded.offset)
 
 
-def encode_answer(answer: Changes | Part | Busy) -> bytes:
+def encode_answer(answer: ChangesAnswer | PartAnswer | BusyAnswer) -> bytes:
     """Encodes an answer to a pull."""
-    if isinstance(answer, Changes):
+    if isinstance(answer, ChangesAnswer):
         return _encode(_Changes(answer.fleet, _encode_changes(answer.changes)))
-    if isinstance(answer, Part):
+    if isinstance(answer, PartAnswer):
         part = _Part(answer.fleet, answer.version, answer.digest, answer.size, answer.offset, answer.data)
         return _encode(part)
     return _encode(_Busy(answer.fleet, answer.wait))
 
 
-def decode_answer(data: bytes) -> Changes | Part | Busy | None:
+def decode_answer(data: bytes) -> ChangesAnswer | PartAnswer | BusyAnswer | None:
     """Decodes an answer; None if it cannot be."""
     decoded = _read(_answer, data, MAX_ANSWER_BYTES)
     if isinstance(decoded, _Changes):
-        return Changes(decoded.fleet, _decode_changes(decoded.changes))
+        return ChangesAnswer(decoded.fleet, _decode_changes(decoded.changes))
     if isinstance(decoded, _Part):
         version = Version(*decoded.version)
-        return Part(decoded.fleet, version, decoded.digest, decoded.size, decoded.offset, decoded.data)
-    return None if decoded is None else Busy(decoded.fleet, decoded.wait)
+        return PartAnswer(decoded.fleet, version, decoded.digest, decoded.size, decoded.offset, decoded.data)
+    return None if decoded is None else BusyAnswer(decoded.fleet, decoded.wait)
 
 
 def _encode_changes(changes: tuple[Change, ...]) -> list[_Change]:
--- a/gaproute/shared/dissemination/__init__.py
+++ b/gaproute/shared/dissemination/__init__.py
@@ -9,7 +9,7 @@
 
 from gaproute.shared.dissemination.disseminator import Disseminator
 from gaproute.shared.dissemination.document import Document, DocumentError
-from gaproute.shared.dissemination.messages import Change, Peer, Send
+from gaproute.shared.dissemination.messages import Change, OutgoingMessage, Peer
 from gaproute.shared.dissemination.partial_view import Candidates
 
-__all__ = ["Candidates", "Change", "Disseminator", "Document", "DocumentError", "Peer", "Send"]
+__all__ = ["Candidates", "Change", "Disseminator", "Document", "DocumentError", "OutgoingMessage", "Peer"]
--- a/gaproute/shared/dissemination/assembly.py
+++ b/gaproute/shared/dissemination/assembly.py
@@ -1,10 +1,10 @@
 """Assembles a complete document that arrives in parts."""
 
 from gaproute.shared.dissemination.bounds import MAX_DOCUMENT_BYTES
-from gaproute.shared.dissemination.messages import NOTHING, Part
+from gaproute.shared.dissemination.messages import NO_VERSION, PartAnswer
 
 
-class Assembly:
+class DocumentAssembly:
     """The parts of one version, taken in order; a part of another version starts again."""
 
     def __init__(self) -> None:
@@ -12,10 +12,10 @@
 
     def clear(self) -> None:
         """Drops the parts."""
-        self.version, self.digest, self.size = NOTHING, 0, 0
+        self.version, self.digest, self.size = NO_VERSION, 0, 0
         self.data = bytearray()
 
-    def take(self, part: Part) -> bool:
+    def add_part(self, part: PartAnswer) -> bool:
         """Takes a part; returns whether it was the next one."""
         if not 0 < part.size <= MAX_DOCUMENT_BYTES or not part.data:
             return False
@@ -30,11 +30,11 @@
         return True
 
     @property
-    def begun(self) -> bool:
+    def has_parts(self) -> bool:
         """Whether some parts have come, but not all."""
         return bool(self.data)
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the last part has come."""
         return 0 < self.size == len(self.data)
--- a/gaproute/shared/dissemination/cell_peers.py
+++ b/gaproute/shared/dissemination/cell_peers.py
@@ -7,7 +7,7 @@
 from gaproute.shared.dissemination.partial_view import Candidates
 
 
-def candidates(
+def candidates_from_table(
     table: CellTable | None, own_cell: str, neighbours: Iterable[Peer], configured: Iterable[Peer]
 ) -> Candidates:
     """The peers to exchange with. `neighbours`: gateways of the own cell that are known beside the table."""
--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -8,26 +8,26 @@
 from collections import Counter
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.assembly import Assembly
+from gaproute.shared.dissemination.assembly import DocumentAssembly
 from gaproute.shared.dissemination.bounds import (
     ANNOUNCE_INTERVAL,
     EAGER_INTERVAL,
-    EAGER_TIME,
-    PUSH_BYTES,
+    EAGER_PERIOD,
+    MAX_PUSH_BYTES,
 )
 from gaproute.shared.dissemination.document import Document, DocumentError
 from gaproute.shared.dissemination.fetch import Fetch
 from gaproute.shared.dissemination.message_sender import MessageSender
 from gaproute.shared.dissemination.messages import (
     Announcement,
-    Busy,
+    BusyAnswer,
     Change,
-    Changes,
-    Part,
+    ChangesAnswer,
+    OutgoingMessage,
+    PartAnswer,
     Peer,
     Pull,
     Push,
-    Send,
 )
 from gaproute.shared.dissemination.partial_view import Candidates, PartialView
 from gaproute.shared.dissemination.pull_server import PullServer
@@ -38,10 +38,10 @@
 
 
 class Disseminator:
-    """Call `tick` at the time `due`, `receive` for each datagram, `answer` for each pull, and
-    `receive_answer`.
+    """Call `tick` at the time `due`, `receive` for each datagram, `answer_pull` for each pull, and
+    `receive_pull_answer`.
 
-    All but `answer` return the messages to send. Only this class may change `document`.
+    All but `answer_pull` return the messages to send. Only this class may change `document`.
     """
 
     def __init__(self, name: str, document: Document, random: RandomSource, now: int) -> None:
@@ -50,7 +50,7 @@
         self.message_sender = MessageSender(document, self.view, now)
         self.replica, self.version_reports = Replica(document), VersionReports()
         self.pull_server = PullServer(document, self.replica.log, now)
-        self.fetch, self.assembly = Fetch(self.replica), Assembly()
+        self.fetch, self.assembly = Fetch(self.replica), DocumentAssembly()
         self._random = random
         self._next_announcement = now + random.below(ANNOUNCE_INTERVAL)
         self._eager_until = now
@@ -71,30 +71,30 @@
         """By reason: how many messages were rejected."""
         return self.replica.rejections
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Announces the version to one peer, and repeats a request that was not answered."""
-        sends: list[Send] = []
+        sends: list[OutgoingMessage] = []
         if now >= self._next_announcement:
             self._schedule_announcement(now)
             for peer in self.view.sample(1):
                 sends += self.message_sender.announce(now, peer)
         if self._fetch_is_due(now):
-            current, amid_parts = self.document.version, self.assembly.begun
-            if self.fetch.deadline_passed(now, current, amid_parts=amid_parts):
+            current, parts_received = self.document.version, self.assembly.has_parts
+            if self.fetch.handle_deadline(now, current, parts_received=parts_received):
                 sends += self._send_request(now)
         return sends
 
     # Publishing
 
-    def publish(self, now: int, change: Change) -> list[Send]:
+    def publish(self, now: int, change: Change) -> list[OutgoingMessage]:
         """Publishes a change that was made at this gateway. Errors: DocumentError."""
         self.replica.apply(change)
-        return self._version_taken(now, "", (change,))
+        return self._handle_new_version(now, "", (change,))
 
-    def publish_whole(self, now: int, version: Version, digest: int, data: bytes) -> list[Send]:
+    def publish_document(self, now: int, version: Version, digest: int, data: bytes) -> list[OutgoingMessage]:
         """Publishes a complete document that was made here or read from disk. Errors: DocumentError."""
         self.replica.replace(version, digest, data)
-        return self._version_taken(now, "", ())
+        return self._handle_new_version(now, "", ())
 
     # Datagrams
 
@@ -102,54 +102,54 @@
         """Whether a datagram of that sender may be decoded; one that may not is counted."""
         if self.receive_limits.allows(now, sender, is_peer=sender in self.view.names):
             return True
-        self.replica.reject(RejectionReason.RATE_LIMITED)
+        self.replica.count_rejection(RejectionReason.RATE_LIMITED)
         return False
 
-    def receive(self, now: int, sender: Peer, message: object) -> list[Send]:
+    def receive(self, now: int, sender: Peer, message: object) -> list[OutgoingMessage]:
         """Handles a decoded datagram; None if it could not be decoded."""
         if not isinstance(message, Announcement | Push):
-            self.replica.reject(RejectionReason.UNDECODABLE)
+            self.replica.count_rejection(RejectionReason.UNDECODABLE)
         elif message.fleet != self.document.fleet:
-            self.replica.reject(RejectionReason.OTHER_FLEET)
+            self.replica.count_rejection(RejectionReason.OTHER_FLEET)
         elif isinstance(message, Announcement):
             return self._receive_announcement(now, sender, message)
         elif message.changes:
             return self._receive_changes(now, sender, message.changes)
         return []
 
-    def _receive_announcement(self, now: int, sender: Peer, message: Announcement) -> list[Send]:
+    def _receive_announcement(self, now: int, sender: Peer, message: Announcement) -> list[OutgoingMessage]:
         self.version_reports.record(now, sender.name, message.version)
         current = self.document.version
         if message.version == current:
             if message.digest != self.document.digest:
-                self.replica.reject(RejectionReason.CONTRADICTION)
+                self.replica.count_rejection(RejectionReason.CONTRADICTION)
             return []
         if message.version > current:
             return self._fetch_from(now, sender, message.version)
-        changes = self.replica.log.since(message.version, PUSH_BYTES)
+        changes = self.replica.log.since(message.version, MAX_PUSH_BYTES)
         if changes:
             return self.message_sender.push(now, sender, changes)
         return self.message_sender.announce(now, sender)
 
-    def _fetch_from(self, now: int, sender: Peer, version: Version) -> list[Send]:
+    def _fetch_from(self, now: int, sender: Peer, version: Version) -> list[OutgoingMessage]:
         """Fetches from a sender that has a newer version."""
-        current, known = self.document.version, self.fetch.knows(sender)
-        if self.fetch.announced(now, sender, version, current):
+        current, known = self.document.version, self.fetch.has_source(sender)
+        if self.fetch.handle_announcement(now, sender, version, current):
             return self._send_request(now)
         # The sender may push the changes as well, in case the push of the source is lost. It is asked only
         # once: a gateway without changes to push announces its version again, so two gateways would answer
         # each other's announcements without end.
-        if not known and self.fetch.is_near(current):
+        if not known and self.fetch.is_few_versions_behind(current):
             return self.message_sender.announce(now, sender)
         return []
 
-    def _receive_changes(self, now: int, sender: Peer, changes: tuple[Change, ...]) -> list[Send]:
+    def _receive_changes(self, now: int, sender: Peer, changes: tuple[Change, ...]) -> list[OutgoingMessage]:
         newest = changes[-1]
         if newest.version <= self.document.version:
             self._check_known_change(newest)
             return []
-        applied = self.replica.apply_following(changes)
-        sends = self._version_taken(now, sender.name, applied) if applied else []
+        applied = self.replica.apply_changes(changes)
+        sends = self._handle_new_version(now, sender.name, applied) if applied else []
         if newest.version > self.document.version:
             sends += self._fetch_from(now, sender, newest.version)
         return sends
@@ -158,50 +158,52 @@
         """Checks a change that is not new: whether it contradicts the current document."""
         current = self.document.version
         if change.version < current:
-            self.replica.reject(RejectionReason.LOWER_VERSION)
+            self.replica.count_rejection(RejectionReason.LOWER_VERSION)
         elif change.digest != self.document.digest:
-            self.replica.reject(RejectionReason.CONTRADICTION)
+            self.replica.count_rejection(RejectionReason.CONTRADICTION)
 
     # Pulls
 
-    def answer(self, now: int, pull: object) -> Changes | Part | Busy | None:
+    def answer_pull(self, now: int, pull: object) -> ChangesAnswer | PartAnswer | BusyAnswer | None:
         """The answer to a pull; None if the pull is rejected."""
         if not isinstance(pull, Pull):
-            self.replica.reject(RejectionReason.UNDECODABLE)
+            self.replica.count_rejection(RejectionReason.UNDECODABLE)
         elif pull.fleet != self.document.fleet:
-            self.replica.reject(RejectionReason.OTHER_FLEET)
+            self.replica.count_rejection(RejectionReason.OTHER_FLEET)
         else:
             return self.pull_server.answer(now, pull)
         return None
 
-    def receive_answer(self, now: int, peer: Peer, answer: Changes | Part | Busy | None) -> list[Send]:
+    def receive_pull_answer(
+        self, now: int, peer: Peer, answer: ChangesAnswer | PartAnswer | BusyAnswer | None
+    ) -> list[OutgoingMessage]:
         """Handles the answer to a pull; None if none came or it could not be decoded."""
         fetch = self.fetch
-        if fetch.source != peer or not fetch.by_exchange or fetch.waiting:
+        if fetch.source != peer or not fetch.uses_exchange or fetch.is_paused:
             return []  # too late: another peer is asked by now
         if answer is not None and answer.fleet != self.document.fleet:
-            self.replica.reject(RejectionReason.OTHER_FLEET)
-        elif isinstance(answer, Changes):
-            applied = self.replica.apply_following(answer.changes)
+            self.replica.count_rejection(RejectionReason.OTHER_FLEET)
+        elif isinstance(answer, ChangesAnswer):
+            applied = self.replica.apply_changes(answer.changes)
             if applied:
-                return self._version_taken(now, peer.name, applied)
-        elif isinstance(answer, Part):
+                return self._handle_new_version(now, peer.name, applied)
+        elif isinstance(answer, PartAnswer):
             return self._receive_part(now, answer)
-        elif isinstance(answer, Busy):
-            fetch.busy(now, answer.wait)
+        elif isinstance(answer, BusyAnswer):
+            fetch.handle_busy(now, answer.wait)
             return []
-        fetch.failed(now, amid_parts=self.assembly.begun)
+        fetch.handle_failure(now, parts_received=self.assembly.has_parts)
         return []
 
-    def _receive_part(self, now: int, part: Part) -> list[Send]:
-        if part.version <= self.document.version or not self.assembly.take(part):
+    def _receive_part(self, now: int, part: PartAnswer) -> list[OutgoingMessage]:
+        if part.version <= self.document.version or not self.assembly.add_part(part):
             self.assembly.clear()
-            self.fetch.failed(now)
+            self.fetch.handle_failure(now)
             return []
-        self.fetch.part_received(now)
-        return self._take_whole(now) if self.assembly.complete else self._send_request(now)
+        self.fetch.handle_part(now)
+        return self._install_document(now) if self.assembly.is_complete else self._send_request(now)
 
-    def _take_whole(self, now: int) -> list[Send]:
+    def _install_document(self, now: int) -> list[OutgoingMessage]:
         """Takes over a complete document once all its parts have come."""
         assembly, data = self.assembly, bytes(self.assembly.data)
         version, digest = assembly.version, assembly.digest
@@ -209,22 +211,24 @@
         try:
             self.replica.replace(version, digest, data)
         except DocumentError as reason:
-            self.replica.reject(str(reason))
-            self.fetch.failed(now)
+            self.replica.count_rejection(str(reason))
+            self.fetch.handle_failure(now)
             return []
-        return self._version_taken(now, "", ())
+        return self._handle_new_version(now, "", ())
 
     # Sending
 
-    def _version_taken(self, now: int, sender: str, changes: tuple[Change, ...]) -> list[Send]:
+    def _handle_new_version(
+        self, now: int, sender: str, changes: tuple[Change, ...]
+    ) -> list[OutgoingMessage]:
         """Handles a newer version that this gateway now has: pushes it to others except `sender`, and goes on
         fetching if there is a still newer one.
         """
-        fetch_continues = self.fetch.progressed(now, self.document.version)
+        fetch_continues = self.fetch.handle_progress(now, self.document.version)
         sends = self._send_request(now) if fetch_continues else []
-        self._eager_until = now + EAGER_TIME
+        self._eager_until = now + EAGER_PERIOD
         self._next_announcement = min(self._next_announcement, now + EAGER_INTERVAL)
-        return sends + self.message_sender.spread(now, changes, sender)
+        return sends + self.message_sender.push_to_sample(now, changes, sender)
 
     def _fetch_is_due(self, now: int) -> bool:
         due = self.fetch.due
@@ -234,14 +238,14 @@
         interval = EAGER_INTERVAL if now < self._eager_until else ANNOUNCE_INTERVAL
         self._next_announcement = now + interval * 3 // 4 + self._random.below(interval // 2)
 
-    def _send_request(self, now: int) -> list[Send]:
+    def _send_request(self, now: int) -> list[OutgoingMessage]:
         """Sends the open request to the source."""
         source, current = self.fetch.source, self.document.version
         if source is None:
             return []
-        if not self.fetch.by_exchange:
+        if not self.fetch.uses_exchange:
             return self.message_sender.announce(now, source)
-        whole = self.fetch.wants_whole(current)
+        whole = self.fetch.needs_complete_document(current)
         pull = Pull(
             self.document.fleet, current, whole, target=self.assembly.version, offset=len(self.assembly.data)
         )
--- a/gaproute/shared/dissemination/document.py
+++ b/gaproute/shared/dissemination/document.py
@@ -15,7 +15,7 @@
 
 
 class Document(Protocol):
-    """A gateway's one copy of the document. `version` is `NOTHING` before the first one, and only grows.
+    """A gateway's one copy of the document. `version` is `NO_VERSION` before the first one, and only grows.
 
     Equal documents have equal digests; different documents of one version have different digests.
     """
@@ -33,5 +33,5 @@
     def replace(self, version: Version, digest: int, data: bytes) -> None:
         """Takes over a complete document of a higher version. Errors: DocumentError."""
 
-    def whole(self) -> bytes:
+    def encode(self) -> bytes:
         """The complete document, encoded; at most `MAX_DOCUMENT_BYTES` bytes."""
--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -7,22 +7,22 @@
 from gaproute.shared.dissemination.messages import changes_size
 from gaproute.shared.invariants import Bound, exceeded
 
-MAX_PEERS = bounds.VIEW_NEIGHBOURS + bounds.VIEW_ENTRIES + bounds.VIEW_CONFIGURED
+MAX_PEERS = bounds.MAX_VIEW_NEIGHBOURS + bounds.MAX_VIEW_ENTRY_GATEWAYS + bounds.MAX_VIEW_CONFIGURED_PEERS
 
 
-def bounded(disseminator: Disseminator) -> Iterator[str]:
-    """Every collection is bounded."""
+def collections_are_bounded(disseminator: Disseminator) -> Iterator[str]:
+    """Every collection is collections_are_bounded."""
     yield from exceeded((*_document_bounds(disseminator), *_peer_bounds(disseminator)))
 
 
 def _document_bounds(disseminator: Disseminator) -> Sequence[Bound]:
     log = disseminator.replica.log
     return (
-        Bound("changes", len(log.changes), bounds.LOG_CHANGES),
-        Bound("bytes of changes", log.bytes, bounds.LOG_BYTES),
+        Bound("changes", len(log.changes), bounds.MAX_LOG_CHANGES),
+        Bound("bytes of changes", log.bytes, bounds.MAX_LOG_BYTES),
         Bound("bytes of a whole document", len(disseminator.assembly.data), bounds.MAX_DOCUMENT_BYTES),
         Bound("snapshots", len(disseminator.pull_server.snapshots), bounds.MAX_SNAPSHOTS),
-        Bound("reasons of rejection", len(disseminator.rejections), bounds.MAX_REASONS),
+        Bound("reasons of rejection", len(disseminator.rejections), bounds.MAX_REJECTION_REASONS),
     )
 
 
@@ -31,14 +31,14 @@
     return (
         Bound("peers", len(disseminator.view.names), MAX_PEERS),
         Bound("receive limits", len(disseminator.receive_limits.peers), MAX_PEERS),
-        Bound("reporters", len(reports.by_name), bounds.MAX_REPORTERS),
-        Bound("versions announced", len(reports.times), bounds.MAX_REPORTED_VERSIONS),
-        Bound("further sources", len(fetch.other_sources), bounds.MAX_SOURCES),
-        Bound("failures", fetch.failures, bounds.MAX_FAILURES),
+        Bound("reporters", len(reports.reports), bounds.MAX_REPORTERS),
+        Bound("versions announced", len(reports.announcement_times), bounds.MAX_REPORTED_VERSIONS),
+        Bound("further sources", len(fetch.other_sources), bounds.MAX_OTHER_SOURCES),
+        Bound("failures", fetch.failures, bounds.MAX_FETCH_FAILURES),
     )
 
 
-def chained(disseminator: Disseminator) -> Iterator[str]:
+def changes_form_a_chain(disseminator: Disseminator) -> Iterator[str]:
     """The stored changes form one chain that ends at the current version."""
     log = disseminator.replica.log
     changes = list(log.changes)
@@ -51,7 +51,7 @@
         yield f"the log counts {log.bytes} bytes of {changes_size(changes)}"
 
 
-def settled(disseminator: Disseminator) -> Iterator[str]:
+def fetch_target_is_newer(disseminator: Disseminator) -> Iterator[str]:
     """A fetch is open only towards a version above the current one."""
     fetch, current = disseminator.fetch, disseminator.document.version
     if fetch.source is not None and fetch.target <= current:
@@ -60,10 +60,14 @@
 
 def check(disseminator: Disseminator) -> list[str]:
     """The violations as text; empty if there are none."""
-    return [*bounded(disseminator), *chained(disseminator), *settled(disseminator)]
+    return [
+        *collections_are_bounded(disseminator),
+        *changes_form_a_chain(disseminator),
+        *fetch_target_is_newer(disseminator),
+    ]
 
 
-class Watch:
+class InvariantMonitor:
     """Calls `check` repeatedly, and checks that the current version never falls."""
 
     def __init__(self, disseminator: Disseminator) -> None:
--- a/gaproute/shared/dissemination/message_sender.py
+++ b/gaproute/shared/dissemination/message_sender.py
@@ -3,15 +3,20 @@
 A message above the budget is dropped and counted; later announcements make up for it.
 """
 
-from gaproute.shared.dissemination.bounds import FANOUT, MESSAGE_BURST, MESSAGE_RATE, PUSH_BYTES
+from gaproute.shared.dissemination.bounds import (
+    FANOUT,
+    MAX_PUSH_BYTES,
+    MESSAGE_BURST_BYTES,
+    MESSAGE_BYTES_PER_SECOND,
+)
 from gaproute.shared.dissemination.document import Document
 from gaproute.shared.dissemination.messages import (
     Announcement,
     Change,
+    OutgoingMessage,
     Peer,
     Pull,
     Push,
-    Send,
     changes_size,
     wire_size,
 )
@@ -24,33 +29,33 @@
 
     def __init__(self, document: Document, view: PartialView, now: int) -> None:
         self.document, self.view = document, view
-        self.budget = TokenBucket(MESSAGE_RATE, MESSAGE_BURST, now)
-        self.sent = self.bytes = 0
-        self.dropped = 0  # messages above the budget
+        self.budget = TokenBucket(MESSAGE_BYTES_PER_SECOND, MESSAGE_BURST_BYTES, now)
+        self.sent_messages = self.sent_bytes = 0
+        self.dropped_messages = 0  # messages above the budget
 
-    def announce(self, now: int, peer: Peer) -> list[Send]:
+    def announce(self, now: int, peer: Peer) -> list[OutgoingMessage]:
         """Announces the current version."""
         document = self.document
         return self.send(now, peer, Announcement(document.fleet, document.version, document.digest))
 
-    def push(self, now: int, peer: Peer, changes: tuple[Change, ...]) -> list[Send]:
+    def push(self, now: int, peer: Peer, changes: tuple[Change, ...]) -> list[OutgoingMessage]:
         """Pushes changes, which must fit in one datagram."""
         return self.send(now, peer, Push(self.document.fleet, changes))
 
-    def spread(self, now: int, changes: tuple[Change, ...], excluded: str) -> list[Send]:
+    def push_to_sample(self, now: int, changes: tuple[Change, ...], excluded: str) -> list[OutgoingMessage]:
         """Sends a new version to a few peers except the excluded one, with its changes if they fit."""
-        fits = changes and changes_size(changes) <= PUSH_BYTES
-        sends: list[Send] = []
+        fits = changes and changes_size(changes) <= MAX_PUSH_BYTES
+        sends: list[OutgoingMessage] = []
         for peer in self.view.sample(FANOUT, excluded):
             sends += self.push(now, peer, changes) if fits else self.announce(now, peer)
         return sends
 
-    def send(self, now: int, peer: Peer, message: Announcement | Push | Pull) -> list[Send]:
+    def send(self, now: int, peer: Peer, message: Announcement | Push | Pull) -> list[OutgoingMessage]:
         """Sends any message within the budget."""
         size = wire_size(message)
         if not self.budget.take(now, size):
-            self.dropped += 1
+            self.dropped_messages += 1
             return []
-        self.sent += 1
-        self.bytes += size
-        return [Send(peer, message)]
+        self.sent_messages += 1
+        self.sent_bytes += size
+        return [OutgoingMessage(peer, message)]
--- a/gaproute/shared/dissemination/messages.py
+++ b/gaproute/shared/dissemination/messages.py
@@ -6,7 +6,7 @@
 
 from gaproute.decisions.cells.version import Version
 
-NOTHING = Version(-1, -1)  # the version of a gateway without a document: below every other
+NO_VERSION = Version(-1, -1)  # the version of a gateway without a document: below every other
 
 DATAGRAM_HEADERS = 28  # IPv4 and UDP
 ENVELOPE_BYTES = 40  # beside a body: kind, lengths, and the sender's name and address at their usual lengths
@@ -52,20 +52,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """A request by an exchange: the changes after version `current`, or the `whole` document.
+    """A request by an exchange: the changes after version `current`, or the complete document.
 
     `offset`: where to go on in the complete document of version `target`.
     """
 
     fleet: str
     current: Version
-    whole: bool = False
-    target: Version = NOTHING
+    wants_complete_document: bool = False
+    target: Version = NO_VERSION
     offset: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
+class ChangesAnswer:
     """The answer to a pull with the changes after the requested version; none if they are not stored."""
 
     fleet: str
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class PartAnswer:
     """The answer to a pull with `data` from `offset` on, of the `size` bytes of the complete document."""
 
     fleet: str
@@ -85,14 +85,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Busy:
+class BusyAnswer:
     """The answer to a pull that it is to be repeated after `wait` ns."""
 
     fleet: str
     wait: int
 
 
-class Send(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message to send: a `Pull` by an exchange, whose answer is awaited; all others as datagrams."""
 
     to: Peer
@@ -104,13 +104,13 @@
     return sum(len(change.data) + 2 * VERSION_BYTES for change in changes)
 
 
-def wire_size(message: Announcement | Push | Pull | Changes | Part | Busy) -> int:
+def wire_size(message: Announcement | Push | Pull | ChangesAnswer | PartAnswer | BusyAnswer) -> int:
     """The size on the wire with headers, bytes; the size of an exchange counts for the pull."""
     body = ENVELOPE_BYTES + len(message.fleet) + VERSION_BYTES
     if isinstance(message, Pull):
         return EXCHANGE_HEADERS + body
-    if isinstance(message, Push | Changes):
+    if isinstance(message, Push | ChangesAnswer):
         body += changes_size(message.changes)
-    elif isinstance(message, Part):
+    elif isinstance(message, PartAnswer):
         body += len(message.data)
     return DATAGRAM_HEADERS + body
--- a/gaproute/shared/dissemination/partial_view.py
+++ b/gaproute/shared/dissemination/partial_view.py
@@ -10,26 +10,27 @@
 
 from gaproute.shared.dissemination.bounds import (
     FANOUT,
+    MAX_VIEW_CONFIGURED_PEERS,
+    MAX_VIEW_ENTRY_GATEWAYS,
+    MAX_VIEW_NEIGHBOURS,
     MIN_OUTSIDE_PUSHES,
-    VIEW_CONFIGURED,
-    VIEW_ENTRIES,
-    VIEW_NEIGHBOURS,
 )
 from gaproute.shared.dissemination.messages import Peer
 from gaproute.shared.randomness import RandomSource, partial_shuffle
 
 SHARE_UNITS = 1 << 20  # the unit of shares
-ATTEMPTS_PER_PEER = 3  # draws for each peer, as a draw may give a peer twice; unneeded draws cost nothing
+DRAWS_PER_PEER = 3  # draws for each peer, as a draw may give a peer twice; unneeded draws cost nothing
 
 
 @dataclass(frozen=True)
 class Candidates:
-    """The peers that may be used. `gateways`: about how many the fleet has, 0 if unknown."""
+    """The peers that may be used. `gateway_count`: about how many the fleet has, 0 if unknown."""
 
     neighbours: tuple[Peer, ...] = ()  # of the own cell; this gateway may be among them
-    entries: Mapping[str, tuple[Peer, ...]] = field(default_factory=dict)  # by zone, of the other cells
+    # By zone, of the other cells
+    entry_gateways: Mapping[str, tuple[Peer, ...]] = field(default_factory=dict)
     configured: tuple[Peer, ...] = ()
-    gateways: int = 0
+    gateway_count: int = 0
 
 
 class PartialView:
@@ -45,9 +46,9 @@
 
     def set_candidates(self, candidates: Candidates) -> None:
         """Takes over the present candidates; the sample is drawn again."""
-        self.inside = self._draw_sample(candidates.neighbours, VIEW_NEIGHBOURS)
-        outside = self._draw_sample(candidates.configured, VIEW_CONFIGURED)
-        outside += self._draw_entries(candidates.entries)
+        self.inside = self._draw_sample(candidates.neighbours, MAX_VIEW_NEIGHBOURS)
+        outside = self._draw_sample(candidates.configured, MAX_VIEW_CONFIGURED_PEERS)
+        outside += self._draw_entry_gateways(candidates.entry_gateways)
         self.names = {peer.name: None for peer in self.inside}
         self.outside = []
         for peer in outside:
@@ -59,7 +60,7 @@
     def sample(self, count: int, excluded: str = "") -> list[Peer]:
         """Up to `count` different peers, not the excluded one."""
         found: dict[str, Peer] = {}
-        for _ in range(ATTEMPTS_PER_PEER * count):
+        for _ in range(DRAWS_PER_PEER * count):
             if len(found) == count:
                 break
             peer = self._draw_peer()
@@ -79,15 +80,15 @@
         partial_shuffle(peers, count, self._random)
         return peers[:count]
 
-    def _draw_entries(self, entries: Mapping[str, tuple[Peer, ...]]) -> list[Peer]:
+    def _draw_entry_gateways(self, entries: Mapping[str, tuple[Peer, ...]]) -> list[Peer]:
         """A sample of the entries, in which no zone has two peers more than another one with peers left."""
-        by_zone = [self._draw_sample(peers, VIEW_ENTRIES) for _, peers in sorted(entries.items())]
+        by_zone = [self._draw_sample(peers, MAX_VIEW_ENTRY_GATEWAYS) for _, peers in sorted(entries.items())]
         zones = [peers for peers in by_zone if peers]
         # In an order that differs between gateways, so that they use different zones if there are many
         partial_shuffle(zones, len(zones), self._random)
         found: list[Peer] = []
         turn = 0
-        while zones and len(found) < VIEW_ENTRIES:
+        while zones and len(found) < MAX_VIEW_ENTRY_GATEWAYS:
             position = turn % len(zones)
             found.append(zones[position].pop())
             if zones[position]:
@@ -101,11 +102,11 @@
     """The share of messages that are sent outside the own cell, in `SHARE_UNITS`."""
     if not candidates.neighbours:
         return SHARE_UNITS
-    entries = sum(len(peers) for peers in candidates.entries.values())
+    entries = sum(len(peers) for peers in candidates.entry_gateways.values())
     outside = max(1, entries + len(candidates.configured))
     cell_size = len(candidates.neighbours) + 1
     # So that entry gateways receive about half as many messages more than others
-    fair_share = SHARE_UNITS * outside // (2 * (outside + max(candidates.gateways, cell_size)))
+    fair_share = SHARE_UNITS * outside // (2 * (outside + max(candidates.gateway_count, cell_size)))
     # So that a few pushes of each change leave the cell, whose gateways push it FANOUT times each
     min_share = SHARE_UNITS * MIN_OUTSIDE_PUSHES // (FANOUT * cell_size)
     return min(SHARE_UNITS, max(fair_share, min_share))
--- a/gaproute/shared/dissemination/receive_limits.py
+++ b/gaproute/shared/dissemination/receive_limits.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from gaproute.shared.dissemination.bounds import PEER_RATE, UNKNOWN_SENDER_RATE
+from gaproute.shared.dissemination.bounds import PEER_MESSAGES_PER_SECOND, UNKNOWN_SENDER_MESSAGES_PER_SECOND
 from gaproute.shared.token_bucket import TokenBucket
 
 
@@ -10,7 +10,9 @@
     """A token bucket for each peer of the view, and one for all other senders together."""
 
     def __init__(self, now: int) -> None:
-        self.unknown_senders = TokenBucket(UNKNOWN_SENDER_RATE, UNKNOWN_SENDER_RATE, now)
+        self.unknown_senders = TokenBucket(
+            UNKNOWN_SENDER_MESSAGES_PER_SECOND, UNKNOWN_SENDER_MESSAGES_PER_SECOND, now
+        )
         self.peers: dict[str, TokenBucket] = {}
 
     def set_peers(self, names: Iterable[str]) -> None:
@@ -23,5 +25,5 @@
             return self.unknown_senders.take(now, 1)
         bucket = self.peers.get(sender)
         if bucket is None:
-            bucket = self.peers[sender] = TokenBucket(PEER_RATE, PEER_RATE, now)
+            bucket = self.peers[sender] = TokenBucket(PEER_MESSAGES_PER_SECOND, PEER_MESSAGES_PER_SECOND, now)
         return bucket.take(now, 1)
--- a/gaproute/shared/dissemination/recent_changes.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -7,7 +7,7 @@
 from collections import deque
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import LOG_BYTES, LOG_CHANGES
+from gaproute.shared.dissemination.bounds import MAX_LOG_BYTES, MAX_LOG_CHANGES
 from gaproute.shared.dissemination.messages import Change, changes_size
 
 
@@ -24,7 +24,7 @@
             self.clear()
         self.changes.append(change)
         self.bytes += changes_size((change,))
-        while len(self.changes) > LOG_CHANGES or self.bytes > LOG_BYTES:
+        while len(self.changes) > MAX_LOG_CHANGES or self.bytes > MAX_LOG_BYTES:
             self.bytes -= changes_size((self.changes.popleft(),))
 
     def clear(self) -> None:
--- a/gaproute/shared/dissemination/replica.py
+++ b/gaproute/shared/dissemination/replica.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import MAX_REASONS
+from gaproute.shared.dissemination.bounds import MAX_REJECTION_REASONS
 from gaproute.shared.dissemination.document import Document, DocumentError
 from gaproute.shared.dissemination.messages import Change
 from gaproute.shared.dissemination.recent_changes import RecentChanges
@@ -26,12 +26,12 @@
 
 
 class Replica:
-    """`needs_whole`: a change did not fit, so that a complete document of a higher version is needed."""
+    """`needs_complete_document`: a change did not fit, so a newer complete document is needed."""
 
     def __init__(self, document: Document) -> None:
         self.document = document
         self.log = RecentChanges()
-        self.needs_whole = False
+        self.needs_complete_document = False
         self.rejections: Counter[str] = Counter()  # by reason
 
     def apply(self, change: Change) -> None:
@@ -41,7 +41,7 @@
         self.document.apply(change)
         self.log.append(change)
 
-    def apply_following(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
+    def apply_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
         """Applies the changes that follow the current version; returns those."""
         applied = []
         for change in changes:
@@ -52,8 +52,8 @@
             try:
                 self.apply(change)
             except DocumentError as reason:
-                self.reject(str(reason))
-                self.needs_whole = True
+                self.count_rejection(str(reason))
+                self.needs_complete_document = True
                 break
             applied.append(change)
         return tuple(applied)
@@ -64,10 +64,10 @@
             raise DocumentError("not above the version held")
         self.document.replace(version, digest, data)
         self.log.clear()
-        self.needs_whole = False
+        self.needs_complete_document = False
 
-    def reject(self, reason: str) -> None:
+    def count_rejection(self, reason: str) -> None:
         """Counts a rejection. All reasons are constants of the code; the bound is a safeguard."""
-        if reason not in self.rejections and len(self.rejections) >= MAX_REASONS - 1:
+        if reason not in self.rejections and len(self.rejections) >= MAX_REJECTION_REASONS - 1:
             reason = RejectionReason.OTHER
         self.rejections[str(reason)] += 1
--- a/gaproute/shared/dissemination/version_reports.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import MAX_REPORTED_VERSIONS, MAX_REPORTERS, REPORT_TIME
+from gaproute.shared.dissemination.bounds import MAX_REPORT_AGE, MAX_REPORTED_VERSIONS, MAX_REPORTERS
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
     received_at: int
 
 
-class AnnouncedTimes(NamedTuple):
+class AnnouncementTimes(NamedTuple):
     """When a version was first and last announced."""
 
     first: int
@@ -47,24 +47,24 @@
     """The last announcement of each gateway, and when each version was announced."""
 
     def __init__(self) -> None:
-        self.by_name: dict[str, Report] = {}  # the latest announcement comes last
-        self.times: dict[Version, AnnouncedTimes] = {}
+        self.reports: dict[str, Report] = {}  # the latest announcement comes last
+        self.announcement_times: dict[Version, AnnouncementTimes] = {}
 
     def record(self, now: int, name: str, version: Version) -> None:
         """Records that the gateway announced that version."""
-        self.by_name.pop(name, None)
-        self.by_name[name] = Report(version, now)
-        if len(self.by_name) > MAX_REPORTERS:
-            del self.by_name[next(iter(self.by_name))]
-        known = self.times.get(version)
-        self.times[version] = AnnouncedTimes(now if known is None else known.first, now)
-        if len(self.times) > MAX_REPORTED_VERSIONS:
-            del self.times[min(self.times)]
+        self.reports.pop(name, None)
+        self.reports[name] = Report(version, now)
+        if len(self.reports) > MAX_REPORTERS:
+            del self.reports[next(iter(self.reports))]
+        known = self.announcement_times.get(version)
+        self.announcement_times[version] = AnnouncementTimes(now if known is None else known.first, now)
+        if len(self.announcement_times) > MAX_REPORTED_VERSIONS:
+            del self.announcement_times[min(self.announcement_times)]
 
     def propagation(self, now: int, version: Version) -> Propagation:
         """How far that version has spread, as far as this gateway knows."""
-        reports = self.by_name.values()
-        current = [report.version for report in reports if now - report.received_at <= REPORT_TIME]
+        reports = self.reports.values()
+        current = [report.version for report in reports if now - report.received_at <= MAX_REPORT_AGE]
         behind = sum(each < version for each in current)
         agreed_since = None if behind else self._agreed_since(version)
         agreed_for = None if agreed_since is None else now - agreed_since
@@ -72,8 +72,8 @@
         return Propagation(len(current), behind, oldest, newest, agreed_for)
 
     def _agreed_since(self, version: Version) -> int | None:
-        reached = [times.first for other, times in self.times.items() if other >= version]
+        reached = [times.first for other, times in self.announcement_times.items() if other >= version]
         if not reached:
             return None
-        below = [times.last for other, times in self.times.items() if other < version]
+        below = [times.last for other, times in self.announcement_times.items() if other < version]
         return max([min(reached), *below])
--- a/tests/dissemination/test_asking.py
+++ b/tests/dissemination/test_asking.py
@@ -4,8 +4,15 @@
 from dissemination_mesh import FLEET, Mesh, StubDocument, Version, change_from, digest_of
 
 from gaproute.shared.dissemination import Change, DocumentError, Peer, bounds
-from gaproute.shared.dissemination.assembly import Assembly
-from gaproute.shared.dissemination.messages import NOTHING, Announcement, Busy, Part, Pull, Push
+from gaproute.shared.dissemination.assembly import DocumentAssembly
+from gaproute.shared.dissemination.messages import (
+    NO_VERSION,
+    Announcement,
+    BusyAnswer,
+    PartAnswer,
+    Pull,
+    Push,
+)
 from gaproute.shared.dissemination.replica import Replica
 from gaproute.units import SECOND
 
@@ -21,7 +28,7 @@
     mesh.settle(5)
     node, peer, held = mesh.nodes[0], mesh.peers[1], Version(1, 2)
     for message, reason in (
-        (Push(FLEET, (Change(NOTHING, Version(1, 0), 0, b""),)), "lower version"),
+        (Push(FLEET, (Change(NO_VERSION, Version(1, 0), 0, b""),)), "lower version"),
         (Push(FLEET, (Change(Version(1, 1), held, 99, b""),)), "contradiction"),
         (Announcement(FLEET, held, 99), "contradiction"),
         (Announcement("south", Version(9, 9), 0), "other fleet"),
@@ -33,8 +40,8 @@
         assert node.receive(mesh.now, peer, message) == []
         assert node.rejections[reason] == before + 1
         assert node.document.version == held
-    assert node.answer(mesh.now, Pull("south", held)) is None
-    assert node.answer(mesh.now, b"") is None
+    assert node.answer_pull(mesh.now, Pull("south", held)) is None
+    assert node.answer_pull(mesh.now, b"") is None
     mesh.check()
 
 
@@ -45,11 +52,11 @@
     wrong = Change(Version(1, 1), Version(1, 2), 1234, b"")
     sends = mesh.nodes[1].receive(mesh.now, mesh.peers[0], Push(FLEET, (wrong,)))
     assert mesh.nodes[1].rejections["digest"] == 1
-    assert sends[0].message.whole
+    assert sends[0].message.wants_complete_document
     mesh.send(1, sends)
     mesh.settle()
     assert mesh.versions() == [Version(1, 2)] * 2
-    assert not mesh.nodes[1].replica.needs_whole
+    assert not mesh.nodes[1].replica.needs_complete_document
 
 
 def test_two_contradicting_writers_are_notified_and_a_higher_version_resolves_it():
@@ -73,7 +80,7 @@
         with pytest.raises(DocumentError):
             mesh.nodes[0].publish(mesh.now, change)
     with pytest.raises(DocumentError):
-        mesh.nodes[0].publish_whole(mesh.now, Version(1, 1), 0, b"")
+        mesh.nodes[0].publish_document(mesh.now, Version(1, 1), 0, b"")
     assert mesh.versions() == [Version(1, 1)]
 
 
@@ -91,8 +98,8 @@
         if mesh.now >= node.due:
             sent += len(node.tick(mesh.now))
         mesh.check()
-    assert read <= 11 * bounds.UNKNOWN_SENDER_RATE + 100
-    assert node.message_sender.bytes <= 11 * bounds.MESSAGE_RATE + bounds.MESSAGE_BURST
+    assert read <= 11 * bounds.UNKNOWN_SENDER_MESSAGES_PER_SECOND + 100
+    assert node.message_sender.sent_bytes <= 11 * bounds.MESSAGE_BYTES_PER_SECOND + bounds.MESSAGE_BURST_BYTES
     assert node.rejections["flood"] >= 18_000
     mesh.publish(1)
     mesh.settle(10)
@@ -112,13 +119,13 @@
 
 def test_changes_of_which_the_first_are_held_are_taken_from_there_on():
     replica, changes = Replica(StubDocument(Version(1, 1))), chain(4)
-    assert replica.apply_following(changes[:2]) == changes[:2]
-    assert replica.apply_following(changes) == changes[2:]
+    assert replica.apply_changes(changes[:2]) == changes[:2]
+    assert replica.apply_changes(changes) == changes[2:]
     assert replica.document.version == Version(1, 5)
-    assert replica.apply_following(changes) == ()
-    assert replica.apply_following(chain(1, Version(1, 9))) == ()
+    assert replica.apply_changes(changes) == ()
+    assert replica.apply_changes(chain(1, Version(1, 9))) == ()
     assert not replica.rejections
-    assert not replica.needs_whole
+    assert not replica.needs_complete_document
 
 
 def test_a_whole_document_that_is_not_above_what_is_held_is_refused():
@@ -132,27 +139,27 @@
 
 
 def part(offset, data=b"abcd", size=10, version=NEXT, digest=5):
-    return Part(FLEET, version, digest, size, offset, data)
+    return PartAnswer(FLEET, version, digest, size, offset, data)
 
 
 def test_parts_are_taken_in_order_and_never_beyond_the_size():
-    assembly = Assembly()
-    assert not assembly.take(part(4))
-    assert assembly.take(part(0))
-    assert not assembly.complete
-    assert not assembly.take(part(0))
-    assert not assembly.take(part(8))
-    assert assembly.take(part(4))
-    assert not assembly.take(part(8))
-    assert assembly.take(part(8, b"ij"))
-    assert assembly.complete
+    assembly = DocumentAssembly()
+    assert not assembly.add_part(part(4))
+    assert assembly.add_part(part(0))
+    assert not assembly.is_complete
+    assert not assembly.add_part(part(0))
+    assert not assembly.add_part(part(8))
+    assert assembly.add_part(part(4))
+    assert not assembly.add_part(part(8))
+    assert assembly.add_part(part(8, b"ij"))
+    assert assembly.is_complete
     assert assembly.data == b"abcdabcdij"
-    assert assembly.take(part(0, version=Version(1, 3)))
+    assert assembly.add_part(part(0, version=Version(1, 3)))
     assert len(assembly.data) == 4
-    assert not assembly.take(part(4, digest=6, version=Version(1, 3)))
-    assert not assembly.take(part(0, size=0))
-    assert not assembly.take(part(0, b""))
-    assert not assembly.take(part(0, size=bounds.MAX_DOCUMENT_BYTES + 1))
+    assert not assembly.add_part(part(4, digest=6, version=Version(1, 3)))
+    assert not assembly.add_part(part(0, size=0))
+    assert not assembly.add_part(part(0, b""))
+    assert not assembly.add_part(part(0, size=bounds.MAX_DOCUMENT_BYTES + 1))
 
 
 # Asking, in detail
@@ -182,28 +189,29 @@
     node, far = mesh.nodes[0], Announcement(FLEET, Version(1, 90), 0)
     (pull,) = node.receive(mesh.now, mesh.peers[1], far)
     assert pull.to == mesh.peers[1]
-    assert pull.message.whole
+    assert pull.message.wants_complete_document
     assert node.receive(mesh.now, mesh.peers[2], far) == []
-    assert node.receive_answer(mesh.now, mesh.peers[1], None) == []
+    assert node.receive_pull_answer(mesh.now, mesh.peers[1], None) == []
     assert node.fetch.due == mesh.now + bounds.FAILURE_PAUSE
     (again,) = [send for send in node.tick(node.fetch.due) if isinstance(send.message, Pull)]
     assert again.to == mesh.peers[2]
-    assert node.receive_answer(mesh.now, mesh.peers[1], Busy(FLEET, 0)) == []  # too late: another was asked
+    # Too late: another peer is asked by now.
+    assert node.receive_pull_answer(mesh.now, mesh.peers[1], BusyAnswer(FLEET, 0)) == []
     assert node.fetch.source == mesh.peers[2]
-    assert not node.fetch.waiting
+    assert not node.fetch.is_paused
 
 
 def test_who_is_busy_is_left_for_another_and_asked_again_when_there_is_none():
     mesh = Mesh(3)
     node, far = mesh.nodes[0], Announcement(FLEET, Version(1, 90), 0)
     node.receive(mesh.now, mesh.peers[1], far)
-    node.receive_answer(mesh.now, mesh.peers[1], Busy(FLEET, 3 * SECOND))
+    node.receive_pull_answer(mesh.now, mesh.peers[1], BusyAnswer(FLEET, 3 * SECOND))
     assert node.fetch.due == mesh.now + 3 * SECOND
     assert node.fetch.source == mesh.peers[1]
     (pull,) = [send for send in node.tick(node.fetch.due) if isinstance(send.message, Pull)]
     assert pull.to == mesh.peers[1]
     node.receive(mesh.now, mesh.peers[2], far)
-    node.receive_answer(mesh.now, mesh.peers[1], Busy(FLEET, 1 << 62))
+    node.receive_pull_answer(mesh.now, mesh.peers[1], BusyAnswer(FLEET, 1 << 62))
     assert node.fetch.source == mesh.peers[2]
     assert node.fetch.due == mesh.now + bounds.BUSY_PAUSE
     assert node.fetch.failures == 0
@@ -215,15 +223,17 @@
     (pull,) = node.receive(mesh.now, source, Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
     node.receive(mesh.now, mesh.peers[2], Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
     for _ in range(3):  # of four parts; after each one the next answer is lost once
-        mesh.now += bounds.EXCHANGE_TIME - 1
-        (pull,) = node.receive_answer(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
-        assert node.fetch.due == mesh.now + bounds.EXCHANGE_TIME
-        node.receive_answer(mesh.now, source, None)
+        mesh.now += bounds.EXCHANGE_TIMEOUT - 1
+        (pull,) = node.receive_pull_answer(
+            mesh.now, source, mesh.nodes[1].answer_pull(mesh.now, pull.message)
+        )
+        assert node.fetch.due == mesh.now + bounds.EXCHANGE_TIMEOUT
+        node.receive_pull_answer(mesh.now, source, None)
         mesh.now = node.fetch.due
         (pull,) = [send for send in node.tick(mesh.now) if isinstance(send.message, Pull)]
         assert pull.to == source
         assert pull.message.offset == len(node.assembly.data) > 0
-    node.receive_answer(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
+    node.receive_pull_answer(mesh.now, source, mesh.nodes[1].answer_pull(mesh.now, pull.message))
     assert node.document.version == Version(1, 90)
 
 
@@ -232,10 +242,10 @@
     node, source = mesh.nodes[0], mesh.peers[1]
     (pull,) = node.receive(mesh.now, source, Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
     node.receive(mesh.now, mesh.peers[2], Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
-    node.receive_answer(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
+    node.receive_pull_answer(mesh.now, source, mesh.nodes[1].answer_pull(mesh.now, pull.message))
     asked = []
     for _ in range(bounds.MAX_PART_FAILURES + 1):
-        node.receive_answer(mesh.now, node.fetch.source, None)
+        node.receive_pull_answer(mesh.now, node.fetch.source, None)
         mesh.now = node.fetch.due
         asked += [send.to for send in node.tick(mesh.now) if isinstance(send.message, Pull)]
     assert asked == [source] * bounds.MAX_PART_FAILURES + [mesh.peers[2]]
--- a/tests/dissemination/test_dissemination.py
+++ b/tests/dissemination/test_dissemination.py
@@ -7,7 +7,7 @@
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import bounds
 from gaproute.shared.dissemination.invariants import check
-from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.shared.dissemination.messages import NO_VERSION
 from gaproute.units import MILLI, SECOND
 
 COUNT = 300
@@ -69,7 +69,7 @@
     fleet.run(start + changes * CHANGE_INTERVAL)
     assert all_hold(fleet, Version(version.term, version.number - 1))
     seconds = (fleet.now - start) / SECOND
-    assert max(fleet.traffic.sent) / seconds < bounds.MESSAGE_RATE
+    assert max(fleet.traffic.sent) / seconds < bounds.MESSAGE_BYTES_PER_SECOND
     assert (max(fleet.traffic.sent) + max(fleet.traffic.received)) / seconds < 4_000
     assert not any(gateway.disseminator.rejections["lower version"] for gateway in fleet.gateways)
 
@@ -85,12 +85,12 @@
 def test_a_newcomer_takes_the_whole_document_while_changes_come(loss):
     fleet = DisseminationFleet(COUNT, 4, loss)
     newcomer = fleet.gateways[7].disseminator
-    newcomer.document.version = NOTHING
+    newcomer.document.version = NO_VERSION
     start = fleet.now
     for number in range(10):
         fleet.run(start + number * CHANGE_INTERVAL)
         fleet.publish(fleet.gateways[0])
-        if newcomer.document.version > NOTHING:
+        if newcomer.document.version > NO_VERSION:
             break
     version = fleet.gateways[0].disseminator.document.version
     play_until_all_hold(fleet, version, 10)
@@ -100,7 +100,7 @@
     fleet = DisseminationFleet(COUNT, 5)
     fleet.links.cut = lambda one, other: (one.region == 2) != (other.region == 2)
     cut_off = [gateway for gateway in fleet.gateways if gateway.region == 2]
-    start, changes = fleet.now, 2 * bounds.LOG_CHANGES
+    start, changes = fleet.now, 2 * bounds.MAX_LOG_CHANGES
     for number in range(changes):
         fleet.run(start + number * SECOND // 4)
         fleet.publish(fleet.gateways[0])
@@ -113,7 +113,13 @@
     play_until_all_hold(fleet, version, 20)
     sent = max(max(second) for second in fleet.traffic.sent_in.values())
     received = max(max(second) for second in fleet.traffic.received_in.values())
-    assert sent <= bounds.MESSAGE_RATE + bounds.MESSAGE_BURST + bounds.SERVE_RATE + bounds.SERVE_BURST
+    assert (
+        sent
+        <= bounds.MESSAGE_BYTES_PER_SECOND
+        + bounds.MESSAGE_BURST_BYTES
+        + bounds.ANSWER_BYTES_PER_SECOND
+        + bounds.ANSWER_BURST_BYTES
+    )
     assert received <= WHOLE_BYTES + 10_000
     assert fleet.now - healed < 20 * SECOND
 
@@ -136,7 +142,7 @@
 def test_a_newcomer_whose_source_dies_amid_the_parts_takes_them_from_another():
     fleet = DisseminationFleet(COUNT, 8)
     newcomer = fleet.gateways[7].disseminator
-    newcomer.document.version = NOTHING
+    newcomer.document.version = NO_VERSION
     start = fleet.now
     while not newcomer.assembly.data:
         fleet.run(fleet.now + SECOND // 100)
--- a/tests/dissemination/test_orders.py
+++ b/tests/dissemination/test_orders.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as some
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import LOG_CHANGES
+from gaproute.shared.dissemination.bounds import MAX_LOG_CHANGES
 from gaproute.units import MILLI
 
 STEP = some.one_of(
@@ -46,7 +46,7 @@
 
 
 @settings(deadline=None, max_examples=60)
-@given(some.lists(some.integers(0, 3 * LOG_CHANGES), min_size=4, max_size=4), some.integers(1, 1 << 20))
+@given(some.lists(some.integers(0, 3 * MAX_LOG_CHANGES), min_size=4, max_size=4), some.integers(1, 1 << 20))
 def test_all_converge_from_any_versions(numbers, seed):
     mesh = Mesh(4, seed, [Version(1, number) for number in numbers])
     mesh.settle(60)
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -8,8 +8,8 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Peer, bounds
-from gaproute.shared.dissemination.cell_peers import candidates
-from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
+from gaproute.shared.dissemination.cell_peers import candidates_from_table
+from gaproute.shared.dissemination.messages import NO_VERSION, BusyAnswer, ChangesAnswer, PartAnswer, Pull
 from gaproute.shared.dissemination.partial_view import PartialView
 from gaproute.shared.dissemination.pull_server import PullServer
 from gaproute.shared.dissemination.recent_changes import RecentChanges
@@ -53,18 +53,18 @@
     assert len(log.since(Version(1, 1), 500)) == 2
     assert log.since(version, 10_000) == ()
     assert log.since(Version(1, 99), 10_000) == ()
-    assert log.since(NOTHING, 10_000) == ()
+    assert log.since(NO_VERSION, 10_000) == ()
 
 
 def test_the_log_is_bounded_and_a_gap_begins_it_anew():
     log, version = logged(500)
-    assert len(log.changes) == bounds.LOG_CHANGES
-    assert log.reaches(Version(1, version.number - bounds.LOG_CHANGES))
+    assert len(log.changes) == bounds.MAX_LOG_CHANGES
+    assert log.reaches(Version(1, version.number - bounds.MAX_LOG_CHANGES))
     assert not log.reaches(Version(1, 5))
     log.append(change_from(Version(1, 900)))
     assert len(log.changes) == 1
     log, _ = logged(50, b"x" * 8_000)
-    assert log.bytes <= bounds.LOG_BYTES
+    assert log.bytes <= bounds.MAX_LOG_BYTES
 
 
 # PartialView
@@ -74,7 +74,7 @@
     view = PartialView("peer0", Chance(3))
     entries = {f"zone{zone}": peers(100 + zone * 50, f"zone{zone}-") for zone in range(13)}
     view.set_candidates(Candidates(peers(200), entries, peers(20, "configured"), 16_000))
-    assert len(view.inside) == bounds.VIEW_NEIGHBOURS
+    assert len(view.inside) == bounds.MAX_VIEW_NEIGHBOURS
     assert len(view.names) <= 64
     assert "peer0" not in view.names
     zones = Counter(name.split("-")[0] for name in view.names if name.startswith("zone"))
@@ -107,14 +107,14 @@
 def test_a_table_names_neighbours_and_entries_by_zone():
     made = table(cells(26))
     own = made.cells[0]
-    known = candidates(made, own.name, peers(5), peers(2, "configured"))
+    known = candidates_from_table(made, own.name, peers(5), peers(2, "configured"))
     assert {peer.name for peer in known.neighbours} == {f"peer{n}" for n in range(5)} | {
         entry.name for entry in own.entries
     }
-    assert sum(map(len, known.entries.values())) == 2 * 25
-    assert len(known.entries) == 13
-    assert known.gateways == 7 * 26
-    assert candidates(None, own.name, peers(5), ()).entries == {}
+    assert sum(map(len, known.entry_gateways.values())) == 2 * 25
+    assert len(known.entry_gateways) == 13
+    assert known.gateway_count == 7 * 26
+    assert candidates_from_table(None, own.name, peers(5), ()).entry_gateways == {}
 
 
 # PullServer
@@ -129,25 +129,25 @@
 def test_changes_are_served_where_the_log_reaches_and_the_whole_where_it_is_asked_for():
     served, _, _ = serving(70)
     assert len(served.answer(0, Pull(FLEET, Version(1, 68))).changes) == 3
-    assert served.answer(SECOND, Pull(FLEET, Version(1, 2))) == Changes(FLEET, ())
+    assert served.answer(SECOND, Pull(FLEET, Version(1, 2))) == ChangesAnswer(FLEET, ())
     part = served.answer(SECOND, Pull(FLEET, Version(1, 2), True))
-    assert isinstance(part, Part)
+    assert isinstance(part, PartAnswer)
     assert part.offset == 0
     assert part.size == 20_000
-    assert served.answer(SECOND, Pull(FLEET, Version(1, 71))) == Changes(FLEET, ())
-    assert served.answer(SECOND, Pull(FLEET, Version(3, 0))) == Changes(FLEET, ())
+    assert served.answer(SECOND, Pull(FLEET, Version(1, 71))) == ChangesAnswer(FLEET, ())
+    assert served.answer(SECOND, Pull(FLEET, Version(3, 0))) == ChangesAnswer(FLEET, ())
 
 
 def fetch_whole(served, now, after_part=lambda: None):
     """(bytes taken, time it took, version) of one asker that waits where it is asked to."""
-    begun, data, wanted = now, b"", NOTHING
+    begun, data, wanted = now, b"", NO_VERSION
     while True:
-        answer = served.answer(now, Pull(FLEET, NOTHING, True, wanted, len(data)))
-        if isinstance(answer, Busy):
+        answer = served.answer(now, Pull(FLEET, NO_VERSION, True, wanted, len(data)))
+        if isinstance(answer, BusyAnswer):
             now += answer.wait
             continue
         assert answer.offset == len(data)
-        assert len(answer.data) <= bounds.PART_BYTES
+        assert len(answer.data) <= bounds.MAX_PART_BYTES
         wanted, data = answer.version, data + answer.data
         if len(data) == answer.size:
             return data, now - begun, wanted
@@ -166,10 +166,10 @@
     assert (data, took, version) == (document.data, 0, Version(1, 6))
     assert document.version > version
     # A later asker is given the same snapshot, and the changes since by the log.
-    late = served.answer(20 * SECOND, Pull(FLEET, NOTHING, True))
+    late = served.answer(20 * SECOND, Pull(FLEET, NO_VERSION, True))
     assert late.version == version
     assert log.since(version, 10_000)
-    old = served.answer(100 * SECOND, Pull(FLEET, NOTHING, True))
+    old = served.answer(100 * SECOND, Pull(FLEET, NO_VERSION, True))
     assert old.version == document.version
     assert len(served.snapshots) <= bounds.MAX_SNAPSHOTS
 
@@ -183,28 +183,28 @@
         assert len(data) == whole_bytes
         now += took
     fetch_whole(served, now)
-    assert now >= (count * whole_bytes - bounds.SERVE_BURST) * SECOND // bounds.SERVE_RATE
-    assert now <= (count * whole_bytes + bounds.SERVE_BURST) * SECOND // bounds.SERVE_RATE
+    assert now >= (count * whole_bytes - bounds.ANSWER_BURST_BYTES) * SECOND // bounds.ANSWER_BYTES_PER_SECOND
+    assert now <= (count * whole_bytes + bounds.ANSWER_BURST_BYTES) * SECOND // bounds.ANSWER_BYTES_PER_SECOND
 
 
 def test_asking_for_later_parts_again_and_again_is_paced_as_well():
     served, _, _ = serving(5)
-    version, given = served.answer(0, Pull(FLEET, NOTHING, True)).version, 0
+    version, given = served.answer(0, Pull(FLEET, NO_VERSION, True)).version, 0
     for now in range(0, 60 * SECOND, SECOND // 20):
-        answer = served.answer(now, Pull(FLEET, NOTHING, True, version, bounds.PART_BYTES))
-        given += len(answer.data) if isinstance(answer, Part) else 0
-    assert 60_000 < given <= 60 * bounds.SERVE_RATE + 2 * bounds.SERVE_BURST
+        answer = served.answer(now, Pull(FLEET, NO_VERSION, True, version, bounds.MAX_PART_BYTES))
+        given += len(answer.data) if isinstance(answer, PartAnswer) else 0
+    assert 60_000 < given <= 60 * bounds.ANSWER_BYTES_PER_SECOND + 2 * bounds.ANSWER_BURST_BYTES
 
 
 def test_an_asker_that_began_with_a_snapshot_goes_on_with_it_when_it_is_no_longer_given_out():
     served, document, log = serving(5)
-    first = served.answer(0, Pull(FLEET, NOTHING, True))
-    later = bounds.SNAPSHOT_TIME + SECOND
+    first = served.answer(0, Pull(FLEET, NO_VERSION, True))
+    later = bounds.SNAPSHOT_REUSE_TIME + SECOND
     change = change_from(document.version)
     document.apply(change)
     log.append(change)
-    assert served.answer(later, Pull(FLEET, NOTHING, True)).version == change.version
-    going_on = served.answer(later, Pull(FLEET, NOTHING, True, first.version, len(first.data)))
+    assert served.answer(later, Pull(FLEET, NO_VERSION, True)).version == change.version
+    going_on = served.answer(later, Pull(FLEET, NO_VERSION, True, first.version, len(first.data)))
     assert (going_on.version, going_on.offset) == (first.version, len(first.data))
 
 
@@ -230,5 +230,5 @@
     seen = VersionReports()
     for number in range(5_000):
         seen.record(number, f"gateway{number}", Version(1, number))
-    assert len(seen.by_name) == bounds.MAX_REPORTERS
-    assert len(seen.times) == bounds.MAX_REPORTED_VERSIONS
+    assert len(seen.reports) == bounds.MAX_REPORTERS
+    assert len(seen.announcement_times) == bounds.MAX_REPORTED_VERSIONS
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -16,14 +16,14 @@
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encode_table_change
 from gaproute.shared.dissemination import Change, DocumentError
-from gaproute.shared.dissemination.bounds import PUSH_BYTES
+from gaproute.shared.dissemination.bounds import MAX_PUSH_BYTES
 from gaproute.shared.dissemination.messages import (
     DATAGRAM_HEADERS,
-    NOTHING,
+    NO_VERSION,
     Announcement,
-    Busy,
-    Changes,
-    Part,
+    BusyAnswer,
+    ChangesAnswer,
+    PartAnswer,
     Pull,
     Push,
     wire_size,
@@ -80,7 +80,7 @@
     change = encode_table_change(one.holder.table, one.digest, CHANGE)
     with pytest.raises(DocumentError, match="without a table"):
         other.apply(change)
-    other.replace(one.version, one.digest, one.whole())
+    other.replace(one.version, one.digest, one.encode())
     for wrong in (
         replace(change, digest=change.digest ^ 1),
         replace(change, data=b"noise"),
@@ -95,10 +95,10 @@
     assert one.digest == other.digest
     assert one.holder.table == other.holder.table == apply_change(BASE, CHANGE)
     with pytest.raises(DocumentError):
-        other.replace(Version(1, 6), 0, one.whole())
+        other.replace(Version(1, 6), 0, one.encode())
     with pytest.raises(DocumentError):
-        other.replace(Version(1, 1), one.digest, one.whole())
-    assert document(None).version == NOTHING
+        other.replace(Version(1, 1), one.digest, one.encode())
+    assert document(None).version == NO_VERSION
 
 
 def test_a_holder_that_trims_is_refused():
@@ -123,11 +123,17 @@
 )
 PULLS = some.builds(Pull, FLEETS, VERSIONS, some.booleans(), VERSIONS, some.integers(0, 1 << 22))
 ANSWERS = some.one_of(
-    some.builds(Changes, FLEETS, some.lists(CHANGES, max_size=3).map(tuple)),
+    some.builds(ChangesAnswer, FLEETS, some.lists(CHANGES, max_size=3).map(tuple)),
     some.builds(
-        Part, FLEETS, VERSIONS, DIGESTS, some.integers(0, 1 << 22), some.integers(0, 1 << 22), some.binary()
+        PartAnswer,
+        FLEETS,
+        VERSIONS,
+        DIGESTS,
+        some.integers(0, 1 << 22),
+        some.integers(0, 1 << 22),
+        some.binary(),
     ),
-    some.builds(Busy, FLEETS, some.integers(0, (1 << 63) - 1)),
+    some.builds(BusyAnswer, FLEETS, some.integers(0, (1 << 63) - 1)),
 )
 
 
@@ -175,5 +181,5 @@
 
 
 def test_the_longest_push_fits_an_unfragmented_datagram():
-    change = Change(Version(1, 1), Version(1, 2), 1, bytes(PUSH_BYTES))
+    change = Change(Version(1, 1), Version(1, 2), 1, bytes(MAX_PUSH_BYTES))
     assert len(wire.encode_datagram(Push("f" * 60, (change,)), "255.255.255.255:65535")) < 1_300
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -30,7 +30,7 @@
 )
 from gaproute.peers.tables.pull_exchange import HttpPullListener, PullClient
 from gaproute.shared.dissemination import DocumentError, Peer
-from gaproute.shared.dissemination.bounds import PART_BYTES
+from gaproute.shared.dissemination.bounds import MAX_PART_BYTES
 from gaproute.shared.dissemination.messages import Announcement, Pull
 from gaproute.storage import files
 
@@ -167,7 +167,7 @@
     one.transport.publish(large)
     fleet.add("two")
     fleet.until_all_hold(large)
-    assert one.transport.disseminator.pull_server.bytes > 2 * PART_BYTES
+    assert one.transport.disseminator.pull_server.answer_bytes > 2 * MAX_PART_BYTES
 
 
 def test_one_that_was_away_while_many_changes_came_catches_up(fleet):
--- a/tests/support/dissemination_mesh.py
+++ b/tests/support/dissemination_mesh.py
@@ -4,7 +4,7 @@
 from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer
-from gaproute.shared.dissemination.invariants import Watch
+from gaproute.shared.dissemination.invariants import InvariantMonitor
 from gaproute.shared.dissemination.messages import Pull
 from gaproute.units import MILLI, SECOND
 
@@ -32,7 +32,7 @@
             document = StubDocument(version, whole_bytes)
             self.nodes.append(Disseminator(self.peers[index].name, document, Chance(seed + index), self.now))
             self.nodes[-1].set_candidates(Candidates(tuple(self.peers), {}, (), count))
-        self.watches = [Watch(node) for node in self.nodes]
+        self.watches = [InvariantMonitor(node) for node in self.nodes]
 
     def versions(self):
         """What each holds."""
@@ -61,8 +61,8 @@
         if not double:
             del self.flight[place]
         if isinstance(message, Pull):
-            answer = None if drop else self.nodes[receiver].answer(self.now, message)
-            self.send(sender, self.nodes[sender].receive_answer(self.now, self.peers[receiver], answer))
+            answer = None if drop else self.nodes[receiver].answer_pull(self.now, message)
+            self.send(sender, self.nodes[sender].receive_pull_answer(self.now, self.peers[receiver], answer))
         elif not drop:
             self.send(receiver, self.nodes[receiver].receive(self.now, self.peers[sender], message))
 
