--- a/gaproute/shared/dissemination/__init__.py
+++ b/gaproute/shared/dissemination/__init__.py
@@ -1,10 +1,12 @@
 """Epidemic dissemination of one small versioned document to every gateway of a fleet.
 
-A newer version is pushed at once to a few peers, drawn from a bounded partial view. Anti-entropy repairs what
-pushes miss: at intervals one peer is sent the current version, and the side with the older one fetches the
-changes or the complete document. No I/O here: time and random numbers are handed in, messages come through
-methods and are returned. A gateway that reaches no peer uses the version that it has. The entry point is
-`Disseminator`.
+A gateway pushes a newer version at once to a few peers, which it draws from a bounded partial view of the
+fleet. Anti-entropy repairs what the pushes miss: at intervals a gateway announces its current version to one
+peer, and the gateway of the two that has the older version fetches the changes or the complete document. A
+gateway that reaches no peer goes on with the version that it has.
+
+The package does no I/O: its user passes in time, random numbers and received messages, and sends the messages
+that methods return. The entry point is `Disseminator`.
 """
 
 from gaproute.shared.dissemination.disseminator import Disseminator
--- a/gaproute/shared/dissemination/assembly.py
+++ b/gaproute/shared/dissemination/assembly.py
@@ -1,22 +1,22 @@
-"""Assembles a complete document that arrives in parts."""
+"""Assembles a complete document from the parts in which it arrives."""
 
 from gaproute.shared.dissemination.bounds import MAX_DOCUMENT_BYTES
 from gaproute.shared.dissemination.messages import NO_VERSION, PartAnswer
 
 
 class DocumentAssembly:
-    """The parts of one version, taken in order; a part of another version starts again."""
+    """The parts of one version, which are added in order; the first part of another version replaces them."""
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
-        """Drops the parts."""
+        """Drops all parts."""
         self.version, self.digest, self.size = NO_VERSION, 0, 0
         self.data = bytearray()
 
     def add_part(self, part: PartAnswer) -> bool:
-        """Takes a part; returns whether it was the next one."""
+        """Adds a part; returns False, and does not add it, if it is not the next one or is invalid."""
         if not 0 < part.size <= MAX_DOCUMENT_BYTES or not part.data:
             return False
         if (part.version, part.digest, part.size) != (self.version, self.digest, self.size):
@@ -31,10 +31,10 @@
 
     @property
     def has_parts(self) -> bool:
-        """Whether some parts have come, but not all."""
+        """Whether at least one part has been added."""
         return bool(self.data)
 
     @property
     def is_complete(self) -> bool:
-        """Whether the last part has come."""
+        """Whether all parts have been added."""
         return 0 < self.size == len(self.data)
--- a/gaproute/shared/dissemination/cell_peers.py
+++ b/gaproute/shared/dissemination/cell_peers.py
@@ -1,4 +1,4 @@
-"""The peers that a cell table names."""
+"""The peers that a cell table names, as candidates for the partial view."""
 
 from collections.abc import Iterable
 
@@ -10,11 +10,14 @@
 def candidates_from_table(
     table: CellTable | None, own_cell: str, neighbours: Iterable[Peer], configured: Iterable[Peer]
 ) -> Candidates:
-    """The peers to exchange with. `neighbours`: gateways of the own cell that are known beside the table."""
+    """The peers with which this gateway may exchange messages.
+
+    `neighbours`: gateways of the own cell that are known by other means than the table.
+    """
     own = {peer.name: peer for peer in neighbours}
     if table is None:
         return Candidates(tuple(own.values()), {}, tuple(configured))
-    entries: dict[str, list[Peer]] = {}  # by zone, of the other cells
+    entries: dict[str, list[Peer]] = {}  # by zone, in the other cells
     for cell in table.cells:
         for entry in cell.entries:
             peer = Peer(entry.name, entry.address)
--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -1,8 +1,7 @@
-"""One gateway's part in the dissemination: which messages it sends, and how it handles those that it
-receives.
+"""One gateway's part in the dissemination: which messages it sends, and how it handles received ones.
 
-Invariants: the current version only grows; handling a message costs bounded memory, CPU time and bytes; a
-rejected message is counted by its reason and leaves the document as it was. Times are ns.
+Invariants: the current version never falls; handling a message takes bounded memory, CPU time and bytes; a
+rejected message is counted by its reason and leaves the document unchanged. Times are ns.
 """
 
 from collections import Counter
@@ -38,8 +37,8 @@
 
 
 class Disseminator:
-    """Call `tick` at the time `due`, `receive` for each datagram, `answer_pull` for each pull, and
-    `receive_pull_answer`.
+    """Call `tick` at the time `due`, `receive` for datagrams, `answer_pull` for pulls of other gateways, and
+    `receive_pull_answer` for answers to pulls of this gateway.
 
     All but `answer_pull` return the messages to send. Only this class may change `document`.
     """
@@ -56,7 +55,7 @@
         self._eager_until = now
 
     def set_candidates(self, candidates: Candidates) -> None:
-        """Takes over the peers with which this gateway may exchange."""
+        """Replaces the peers with which this gateway may exchange messages."""
         self.view.set_candidates(candidates)
         self.receive_limits.set_peers(self.view.names)
 
@@ -68,11 +67,11 @@
 
     @property
     def rejections(self) -> Counter[str]:
-        """By reason: how many messages were rejected."""
+        """The number of rejected messages by reason."""
         return self.replica.rejections
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Announces the version to one peer, and repeats a request that was not answered."""
+        """Announces the current version to one peer if that is due, and sends the request that is due."""
         sends: list[OutgoingMessage] = []
         if now >= self._next_announcement:
             self._schedule_announcement(now)
@@ -87,26 +86,26 @@
     # Publishing
 
     def publish(self, now: int, change: Change) -> list[OutgoingMessage]:
-        """Publishes a change that was made at this gateway. Errors: DocumentError."""
+        """Publishes a change that was made here. Raises `DocumentError` if it is rejected."""
         self.replica.apply(change)
-        return self._handle_new_version(now, "", (change,))
+        return self._on_new_version(now, "", (change,))
 
     def publish_document(self, now: int, version: Version, digest: int, data: bytes) -> list[OutgoingMessage]:
-        """Publishes a complete document that was made here or read from disk. Errors: DocumentError."""
+        """Publishes a complete document that was made here or stored. Raises `DocumentError` if rejected."""
         self.replica.replace(version, digest, data)
-        return self._handle_new_version(now, "", ())
+        return self._on_new_version(now, "", ())
 
     # Datagrams
 
     def admits(self, now: int, sender: str) -> bool:
-        """Whether a datagram of that sender may be decoded; one that may not is counted."""
+        """Whether a message of the sender may be decoded under the receive limits; if not, it is counted."""
         if self.receive_limits.allows(now, sender, is_peer=sender in self.view.names):
             return True
         self.replica.count_rejection(RejectionReason.RATE_LIMITED)
         return False
 
     def receive(self, now: int, sender: Peer, message: object) -> list[OutgoingMessage]:
-        """Handles a decoded datagram; None if it could not be decoded."""
+        """Handles a decoded datagram. `message`: None if the datagram could not be decoded."""
         if not isinstance(message, Announcement | Push):
             self.replica.count_rejection(RejectionReason.UNDECODABLE)
         elif message.fleet != self.document.fleet:
@@ -132,13 +131,13 @@
         return self.message_sender.announce(now, sender)
 
     def _fetch_from(self, now: int, sender: Peer, version: Version) -> list[OutgoingMessage]:
-        """Fetches from a sender that has a newer version."""
+        """Fetches a newer version that the sender has."""
         current, known = self.document.version, self.fetch.has_source(sender)
         if self.fetch.handle_announcement(now, sender, version, current):
             return self._send_request(now)
-        # The sender may push the changes as well, in case the push of the source is lost. It is asked only
-        # once: a gateway without changes to push announces its version again, so two gateways would answer
-        # each other's announcements without end.
+        # The sender is asked for the changes too, in case the push of the source is lost. It is asked only
+        # once: a sender without stored changes announces its version again instead of pushing, and the two
+        # gateways would answer each other's announcements without end.
         if not known and self.fetch.is_few_versions_behind(current):
             return self.message_sender.announce(now, sender)
         return []
@@ -149,13 +148,13 @@
             self._check_known_change(newest)
             return []
         applied = self.replica.apply_changes(changes)
-        sends = self._handle_new_version(now, sender.name, applied) if applied else []
+        sends = self._on_new_version(now, sender.name, applied) if applied else []
         if newest.version > self.document.version:
             sends += self._fetch_from(now, sender, newest.version)
         return sends
 
     def _check_known_change(self, change: Change) -> None:
-        """Checks a change that is not new: whether it contradicts the current document."""
+        """Counts a change that is not new as a rejection if it is outdated or contradicts the document."""
         current = self.document.version
         if change.version < current:
             self.replica.count_rejection(RejectionReason.LOWER_VERSION)
@@ -165,7 +164,7 @@
     # Pulls
 
     def answer_pull(self, now: int, pull: object) -> ChangesAnswer | PartAnswer | BusyAnswer | None:
-        """The answer to a pull; None if the pull is rejected."""
+        """Answers a pull; returns None if it is rejected. `pull`: None if it could not be decoded."""
         if not isinstance(pull, Pull):
             self.replica.count_rejection(RejectionReason.UNDECODABLE)
         elif pull.fleet != self.document.fleet:
@@ -177,16 +176,16 @@
     def receive_pull_answer(
         self, now: int, peer: Peer, answer: ChangesAnswer | PartAnswer | BusyAnswer | None
     ) -> list[OutgoingMessage]:
-        """Handles the answer to a pull; None if none came or it could not be decoded."""
+        """Handles the answer to a pull. `answer`: None if no answer came or it could not be decoded."""
         fetch = self.fetch
         if fetch.source != peer or not fetch.uses_exchange or fetch.is_paused:
-            return []  # too late: another peer is asked by now
+            return []  # this request is no longer open
         if answer is not None and answer.fleet != self.document.fleet:
             self.replica.count_rejection(RejectionReason.OTHER_FLEET)
         elif isinstance(answer, ChangesAnswer):
             applied = self.replica.apply_changes(answer.changes)
             if applied:
-                return self._handle_new_version(now, peer.name, applied)
+                return self._on_new_version(now, peer.name, applied)
         elif isinstance(answer, PartAnswer):
             return self._receive_part(now, answer)
         elif isinstance(answer, BusyAnswer):
@@ -204,7 +203,7 @@
         return self._install_document(now) if self.assembly.is_complete else self._send_request(now)
 
     def _install_document(self, now: int) -> list[OutgoingMessage]:
-        """Takes over a complete document once all its parts have come."""
+        """Replaces the document by the assembled one, all parts of which have arrived."""
         assembly, data = self.assembly, bytes(self.assembly.data)
         version, digest = assembly.version, assembly.digest
         assembly.clear()
@@ -214,15 +213,13 @@
             self.replica.count_rejection(str(reason))
             self.fetch.handle_failure(now)
             return []
-        return self._handle_new_version(now, "", ())
+        return self._on_new_version(now, "", ())
 
     # Sending
 
-    def _handle_new_version(
-        self, now: int, sender: str, changes: tuple[Change, ...]
-    ) -> list[OutgoingMessage]:
-        """Handles a newer version that this gateway now has: pushes it to others except `sender`, and goes on
-        fetching if there is a still newer one.
+    def _on_new_version(self, now: int, sender: str, changes: tuple[Change, ...]) -> list[OutgoingMessage]:
+        """Handles a change of the current version: pushes the new version to peers other than `sender`, and
+        goes on fetching if a still newer one is known.
         """
         fetch_continues = self.fetch.handle_progress(now, self.document.version)
         sends = self._send_request(now) if fetch_continues else []
@@ -239,14 +236,14 @@
         self._next_announcement = now + interval * 3 // 4 + self._random.below(interval // 2)
 
     def _send_request(self, now: int) -> list[OutgoingMessage]:
-        """Sends the open request to the source."""
+        """Sends the open request of the fetch to its source."""
         source, current = self.fetch.source, self.document.version
         if source is None:
             return []
         if not self.fetch.uses_exchange:
             return self.message_sender.announce(now, source)
-        whole = self.fetch.needs_complete_document(current)
+        full = self.fetch.needs_complete_document(current)
         pull = Pull(
-            self.document.fleet, current, whole, target=self.assembly.version, offset=len(self.assembly.data)
+            self.document.fleet, current, full, target=self.assembly.version, offset=len(self.assembly.data)
         )
         return self.message_sender.send(now, source, pull)
--- a/gaproute/shared/dissemination/document.py
+++ b/gaproute/shared/dissemination/document.py
@@ -1,4 +1,4 @@
-"""The interface of the document that is disseminated."""
+"""The interface of a document that can be disseminated."""
 
 from typing import Protocol
 
@@ -8,16 +8,17 @@
 
 
 class DocumentError(GaprouteError, ValueError):
-    """A change or a complete document is rejected; the text is a short reason.
+    """A change or a complete document is rejected; the current document is unchanged.
 
-    The current document is unchanged.
+    The text is a short constant reason, by which rejections are counted.
     """
 
 
 class Document(Protocol):
-    """A gateway's one copy of the document. `version` is `NO_VERSION` before the first one, and only grows.
+    """The one copy of the document at a gateway.
 
-    Equal documents have equal digests; different documents of one version have different digests.
+    Its `version` is `NO_VERSION` until it has a first version, and never falls. Equal documents have equal
+    digests; different documents of one version have different digests.
     """
 
     fleet: str
@@ -28,10 +29,13 @@
         """The current version."""
 
     def apply(self, change: Change) -> None:
-        """Applies a change whose base is the current version. Errors: DocumentError."""
+        """Applies a change whose base is the current version. Raises `DocumentError` if it is invalid."""
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
-        """Takes over a complete document of a higher version. Errors: DocumentError."""
+        """Replaces the content by a complete document of a newer version.
+
+        Raises `DocumentError` if it is invalid.
+        """
 
     def encode(self) -> bytes:
-        """The complete document, encoded; at most `MAX_DOCUMENT_BYTES` bytes."""
+        """Encodes the complete document, in at most `MAX_DOCUMENT_BYTES` bytes."""
--- a/gaproute/shared/dissemination/messages.py
+++ b/gaproute/shared/dissemination/messages.py
@@ -1,4 +1,4 @@
-"""The messages that gateways exchange, and their size on the wire."""
+"""The messages of the dissemination, and their sizes on the wire."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,16 +6,18 @@
 
 from gaproute.decisions.cells.version import Version
 
-NO_VERSION = Version(-1, -1)  # the version of a gateway without a document: below every other
+NO_VERSION = Version(-1, -1)  # the version of a gateway without a document; lower than all others
 
 DATAGRAM_HEADERS = 28  # IPv4 and UDP
-ENVELOPE_BYTES = 40  # beside a body: kind, lengths, and the sender's name and address at their usual lengths
-EXCHANGE_HEADERS = 700  # of a TCP connection that is opened and closed, with HTTP headers in both directions
-VERSION_BYTES = 19  # a version and a digest, if neither part of the version is above 65,535
+ENVELOPE_BYTES = (
+    40  # around a body: kind, lengths, and the name and address of the sender at their usual lengths
+)
+EXCHANGE_HEADERS = 700  # bytes for opening and closing a TCP connection, and HTTP headers in both directions
+VERSION_BYTES = 19  # a version and a digest, if term and number of the version are at most 65,535
 
 
 class Peer(NamedTuple):
-    """A gateway, with the address at which others reach it."""
+    """A gateway, with the address at which other gateways reach it."""
 
     name: str
     address: str
@@ -23,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One encoded change from version `base` to `version`; `digest`: of the document after it."""
+    """One encoded change of the document from version `base` to `version`; `digest`: after the change."""
 
     base: Version
     version: Version
@@ -33,8 +35,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """The version that the sender has. A gateway with an older one requests the changes by announcing
-    that.
+    """The current version of the sender.
+
+    A gateway with an older version requests the changes by announcing its own version to the sender.
     """
 
     fleet: str
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Changes that follow one another."""
+    """Consecutive changes in one datagram."""
 
     fleet: str
     changes: tuple[Change, ...]
@@ -52,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """A request by an exchange: the changes after version `current`, or the complete document.
+    """A request by an exchange for the changes after version `current`, or for the complete document.
 
-    `offset`: where to go on in the complete document of version `target`.
+    `offset`: the position in the complete document of version `target` from which to go on.
     """
 
     fleet: str
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangesAnswer:
-    """The answer to a pull with the changes after the requested version; none if they are not stored."""
+    """The answer to a pull with changes after the version of the pull; empty if they are not stored."""
 
     fleet: str
     changes: tuple[Change, ...]
@@ -74,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartAnswer:
-    """The answer to a pull with `data` from `offset` on, of the `size` bytes of the complete document."""
+    """The answer to a pull with a part of the complete document: `data` at `offset` of all `size` bytes."""
 
     fleet: str
     version: Version
@@ -86,26 +89,26 @@
 
 @dataclass(frozen=True, slots=True)
 class BusyAnswer:
-    """The answer to a pull that it is to be repeated after `wait` ns."""
+    """The answer to a pull of a gateway that is busy; the pull may be repeated after `wait` ns."""
 
     fleet: str
     wait: int
 
 
 class OutgoingMessage(NamedTuple):
-    """A message to send: a `Pull` by an exchange, whose answer is awaited; all others as datagrams."""
+    """A message to send. A `Pull` is sent by an exchange, which has an answer; all others as datagrams."""
 
     to: Peer
     message: Announcement | Push | Pull
 
 
 def changes_size(changes: Iterable[Change]) -> int:
-    """The size of changes within a message, bytes."""
+    """The size of the changes within a message, bytes."""
     return sum(len(change.data) + 2 * VERSION_BYTES for change in changes)
 
 
 def wire_size(message: Announcement | Push | Pull | ChangesAnswer | PartAnswer | BusyAnswer) -> int:
-    """The size on the wire with headers, bytes; the size of an exchange counts for the pull."""
+    """The size of a message on the wire, bytes. The headers of an exchange count as part of the pull."""
     body = ENVELOPE_BYTES + len(message.fleet) + VERSION_BYTES
     if isinstance(message, Pull):
         return EXCHANGE_HEADERS + body
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -1,10 +1,9 @@
-"""Answers pulls: changes, or the complete document in parts, at a bounded rate.
+"""Answers pulls with changes, or with the complete document in parts, at a bounded byte rate.
 
-A complete document is encoded once and given to all that request it within `SNAPSHOT_REUSE_TIME`; later
-changes are sent separately. A gateway that got the first part is granted the others: one transfer after the
-other reaches all gateways sooner than many slow transfers at a time, as each gateway that has the document
-serves others.
-Times are ns.
+A complete document is encoded once as a snapshot, and sent to all gateways that request it within
+`SNAPSHOT_REUSE_TIME`; they fetch later changes separately. The first part of a transfer is charged for all
+parts, so that a transfer that has begun is not interrupted: one transfer after the other reaches all gateways
+sooner than many slow transfers at a time, as each gateway with the document serves others. Times are ns.
 """
 
 from dataclasses import dataclass
@@ -33,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """A complete document as of `made_at`."""
+    """A complete encoded document as it was at the time `made_at`."""
 
     version: Version
     digest: int
@@ -42,15 +41,15 @@
 
 
 class PullServer:
-    """Answers from the document and its stored changes, both of which `Disseminator` updates."""
+    """Answers pulls from the document and the log of its changes, which `Disseminator` updates."""
 
     def __init__(self, document: Document, log: RecentChanges, now: int) -> None:
         self.snapshots: list[Snapshot] = []  # the latest last
-        self.answer_bytes = 0  # of all answers so far
-        self.busy_answers = 0  # number of answers that the server is busy
+        self.answer_bytes = 0  # of all charged answers so far
+        self.busy_answers = 0  # number of busy answers so far
         self._document, self._log = document, log
         self._budget = TokenBucket(ANSWER_BYTES_PER_SECOND, ANSWER_BURST_BYTES, now)
-        self._prepaid_bytes = 0  # bytes of parts that are paid for and not requested yet
+        self._prepaid_bytes = 0  # bytes of parts that are charged to the budget and not yet sent
 
     def answer(self, now: int, pull: Pull) -> ChangesAnswer | PartAnswer | BusyAnswer:
         """The answer to a pull."""
@@ -71,13 +70,13 @@
         return answer
 
     def _charge(self, now: int, size: int) -> int:
-        """How long the asking gateway must wait for the budget; 0 if it need not."""
+        """Charges the bytes to the budget; returns how long the pulling gateway must wait, 0 if not."""
         if self._budget.borrow(now, size):
             return 0
         return max(1, self._budget.wait(now, size))
 
     def _charge_part(self, now: int, part: PartAnswer) -> int:
-        """How long the asking gateway must wait for a part; the first part pays for all of them."""
+        """How long the pulling gateway must wait for a part; the first part is charged for all of them."""
         size = wire_size(part)
         if part.offset == 0 or self._prepaid_bytes < size:
             remaining = part.size - part.offset
@@ -98,7 +97,7 @@
         return PartAnswer(fleet, snapshot.version, snapshot.digest, size, offset, data)
 
     def _choose_snapshot(self, now: int, pull: Pull) -> Snapshot:
-        """The snapshot that the asking gateway has begun with, else one from which stored changes lead on."""
+        """The snapshot of which the pulling gateway has parts, else the latest usable one, else a new one."""
         for snapshot in self.snapshots:
             if pull.offset > 0 and snapshot.version == pull.target:
                 return snapshot
@@ -110,7 +109,7 @@
         return self.snapshots[-1]
 
     def _is_usable(self, now: int, pull: Pull, latest: Snapshot) -> bool:
-        """Whether the latest snapshot and the stored changes lead to the current version."""
+        """Whether the latest snapshot is current, or is fresh and stored changes lead on from it."""
         if latest.version == self._document.version:
             return True
         fresh = now - latest.made_at <= SNAPSHOT_REUSE_TIME
--- a/gaproute/shared/dissemination/receive_limits.py
+++ b/gaproute/shared/dissemination/receive_limits.py
@@ -1,4 +1,4 @@
-"""Limits on received messages; a message above them is dropped before it is decoded."""
+"""Rate limits on received messages; a message above its limit is dropped before it is decoded."""
 
 from collections.abc import Iterable
 
@@ -16,11 +16,11 @@
         self.peers: dict[str, TokenBucket] = {}
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Takes over the present peers of the view."""
+        """Replaces the peers of the view; peers that stay keep their token buckets."""
         self.peers = {name: self.peers[name] for name in names if name in self.peers}
 
     def allows(self, now: int, sender: str, *, is_peer: bool) -> bool:
-        """Whether a message of that sender may be decoded."""
+        """Whether a message of the sender is within the limit, and may be decoded."""
         if not is_peer:
             return self.unknown_senders.take(now, 1)
         bucket = self.peers.get(sender)
--- a/gaproute/shared/dissemination/recent_changes.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -1,7 +1,7 @@
-"""The last changes of the document, for gateways that are a little behind.
+"""A log of the last changes of the document, for gateways that are a few versions behind.
 
-Invariants: each change begins at the version where the one before ended; the last one leads to the current
-version.
+Invariants: each change starts from the version to which the change before it leads; the last change leads to
+the current version.
 """
 
 from collections import deque
@@ -19,7 +19,7 @@
         self.bytes = 0
 
     def append(self, change: Change) -> None:
-        """Adds a change that was just applied."""
+        """Appends a change that has just been applied; drops all others first if it does not follow them."""
         if self.changes and self.changes[-1].version != change.base:
             self.clear()
         self.changes.append(change)
@@ -28,12 +28,12 @@
             self.bytes -= changes_size((self.changes.popleft(),))
 
     def clear(self) -> None:
-        """Drops all changes, as a complete document was taken over."""
+        """Drops all changes, as after a complete document they do not lead to the current version."""
         self.changes.clear()
         self.bytes = 0
 
     def since(self, version: Version, max_bytes: int) -> tuple[Change, ...]:
-        """The changes from that version on, at most so many bytes; empty if they do not begin there."""
+        """The changes that follow the version, up to `max_bytes`; empty if none is stored that does."""
         found: list[Change] = []
         remaining, reached = max_bytes, False
         for change in self.changes:
@@ -47,7 +47,7 @@
         return tuple(found)
 
     def reaches(self, version: Version) -> bool:
-        """Whether the changes lead from that version to the current one."""
+        """Whether the changes lead from the version to the current one."""
         if not self.changes:
             return False
         return self.changes[-1].version == version or any(change.base == version for change in self.changes)
--- a/gaproute/shared/dissemination/replica.py
+++ b/gaproute/shared/dissemination/replica.py
@@ -1,6 +1,6 @@
 """A gateway's replica of the document, and the last changes that were applied to it.
 
-Invariants: the version only grows; a rejected change leaves the replica as it was and is counted by its
+Invariants: the version never falls; a rejected change leaves the replica unchanged and is counted by its
 reason.
 """
 
@@ -15,7 +15,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Reasons for rejections beside those of the document; the texts are logged."""
+    """Reasons for rejections beside those in the texts of `DocumentError`; the values are logged."""
 
     RATE_LIMITED = "flood"
     UNDECODABLE = "not understood"
@@ -26,7 +26,11 @@
 
 
 class Replica:
-    """`needs_complete_document`: a change did not fit, so a newer complete document is needed."""
+    """A document with the log of its changes, and counts of rejections.
+
+    `needs_complete_document`: a change from the current version was rejected, so that only a newer complete
+    document helps.
+    """
 
     def __init__(self, document: Document) -> None:
         self.document = document
@@ -35,14 +39,14 @@
         self.rejections: Counter[str] = Counter()  # by reason
 
     def apply(self, change: Change) -> None:
-        """Applies one change. Errors: DocumentError."""
+        """Applies one change. Raises `DocumentError` if it is invalid or not from the current version."""
         if change.base != self.document.version or change.version <= change.base:
             raise DocumentError("not from the version held")
         self.document.apply(change)
         self.log.append(change)
 
     def apply_changes(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
-        """Applies the changes that follow the current version; returns those."""
+        """Applies those of the consecutive changes that follow the current version, and returns them."""
         applied = []
         for change in changes:
             if change.version <= self.document.version:
@@ -59,7 +63,7 @@
         return tuple(applied)
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
-        """Takes over a complete document. Errors: DocumentError."""
+        """Replaces the document by a complete one. Raises `DocumentError` if it is invalid or not newer."""
         if version <= self.document.version:
             raise DocumentError("not above the version held")
         self.document.replace(version, digest, data)
@@ -67,7 +71,7 @@
         self.needs_complete_document = False
 
     def count_rejection(self, reason: str) -> None:
-        """Counts a rejection. All reasons are constants of the code; the bound is a safeguard."""
+        """Counts a rejection by its reason. Reasons are constants in the code; the bound is a precaution."""
         if reason not in self.rejections and len(self.rejections) >= MAX_REJECTION_REASONS - 1:
             reason = RejectionReason.OTHER
         self.rejections[str(reason)] += 1
--- a/gaproute/shared/dissemination/version_reports.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -1,9 +1,9 @@
-"""Which versions other gateways have announced, and for how long.
+"""The versions that other gateways announced to this one, and when.
 
-This is a sample: the gateways that happened to announce to this one within the last seconds, at most
-`MAX_REPORTERS`. If all of them have a version, the whole fleet probably has it; that is no proof, and nothing
-is known about a gateway that is cut off or that announces to others only. Announcements are not verified.
-Times are ns.
+The reports are a sample: at most `MAX_REPORTERS` gateways that happened to announce to this one within the
+last seconds. If all of them have a version, the whole fleet probably has it; that is no proof, as nothing is
+known about a gateway that is cut off or that announced to other gateways only. Announcements are not
+verified. Times are ns.
 """
 
 from dataclasses import dataclass
@@ -17,9 +17,10 @@
 class Propagation:
     """How far one version has spread.
 
-    `reporters` gateways announced within the last seconds, versions from `oldest` to `newest`; `behind` of
-    them have an older version than the one in question. `agreed_for`: for how long every announcement has
-    been of that version or a newer one; None if there was none, or while one that is behind still counts.
+    `reporters`: number of gateways whose last announcement counts, of versions from `oldest` to `newest`.
+    `behind`: number of those that announced an older version than the one in question. `agreed_for`: for how
+    long all announcements have been of that version or a newer one, ns; None if there was no such
+    announcement, or while the announcement of a gateway that is behind still counts.
     """
 
     reporters: int
@@ -37,7 +38,7 @@
 
 
 class AnnouncementTimes(NamedTuple):
-    """When a version was first and last announced."""
+    """When a version was first and last announced to this gateway."""
 
     first: int
     last: int
@@ -47,11 +48,11 @@
     """The last announcement of each gateway, and when each version was announced."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, Report] = {}  # the latest announcement comes last
+        self.reports: dict[str, Report] = {}  # by name; the latest announcement is the last
         self.announcement_times: dict[Version, AnnouncementTimes] = {}
 
     def record(self, now: int, name: str, version: Version) -> None:
-        """Records that the gateway announced that version."""
+        """Records that the gateway with this name announced the version now."""
         self.reports.pop(name, None)
         self.reports[name] = Report(version, now)
         if len(self.reports) > MAX_REPORTERS:
@@ -62,7 +63,7 @@
             del self.announcement_times[min(self.announcement_times)]
 
     def propagation(self, now: int, version: Version) -> Propagation:
-        """How far that version has spread, as far as this gateway knows."""
+        """How far the version has spread, as far as this gateway knows."""
         reports = self.reports.values()
         current = [report.version for report in reports if now - report.received_at <= MAX_REPORT_AGE]
         behind = sum(each < version for each in current)
