--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -60,23 +60,23 @@
         ended = 0 if tombstone is None else tombstone.incarnation
         for set_key, received in sets.items():
             if received.version.incarnation <= ended:
-                yield f"incarnation {ended} of {origin} ended, but {set_key} of {received.version} is stored"
+                yield f"{origin} has ended incarnation {ended}, but {set_key} of {received.version} is stored"
 
 
 def origins_are_peers(node: GossipNode) -> Iterator[str]:
     """Checks that every received set is of a peer, and none of this gateway."""
     if node.name in node.table.received_sets:
-        yield f"received sets of this gateway, {node.name}, are stored"
+        yield "sets of this gateway itself are stored as received ones"
     for origin in node.table.received_sets:
         if origin not in node.peers:
-            yield f"sets of {origin} are stored, but {origin} is not a peer"
+            yield f"sets of {origin}, which is not a peer, are stored"
 
 
 def stored_sets_are_valid(node: GossipNode) -> Iterator[str]:
     """Checks that the key and the incarnation of every stored set are valid."""
     for origin, sets in node.table.received_sets.items():
         if len(sets) > MAX_SETS_PER_GATEWAY:
-            yield f"{len(sets)} sets of {origin} are stored, {MAX_SETS_PER_GATEWAY} at most"
+            yield f"{len(sets)} sets, more than one gateway sends, are stored of {origin}"
         for (kind, partition), received in sets.items():
             incarnation = received.version.incarnation
             if not 0 < incarnation <= MAX_INCARNATION or partition >= KIND_LIMITS[kind].partitions:
@@ -99,7 +99,7 @@
         for stored_set, observed_at in observed.items():
             earlier = self.observed.get(stored_set, observed_at)
             if observed_at > earlier:
-                yield f"the observation time of {stored_set} rose from {earlier} to {observed_at}"
+                yield f"{stored_set} was observed at {earlier} before, but now at {observed_at}"
         self.observed = observed
 
 
