--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -125,7 +125,7 @@
             return []
         if message.version > current:
             return self._fetch_from(now, sender, message.version)
-        changes = self.replica.log.since(message.version, MAX_PUSH_BYTES)
+        changes = self.replica.log.changes_since(message.version, MAX_PUSH_BYTES)
         if changes:
             return self.message_sender.push(now, sender, changes)
         return self.message_sender.announce(now, sender)
@@ -138,7 +138,7 @@
         # The sender is asked for the changes too, in case the push of the source is lost. It is asked only
         # once: a sender without stored changes announces its version again instead of pushing, and the two
         # gateways would answer each other's announcements without end.
-        if not known and self.fetch.is_few_versions_behind(current):
+        if not known and self.fetch.is_slightly_behind(current):
             return self.message_sender.announce(now, sender)
         return []
 
--- a/gaproute/shared/dissemination/fetch.py
+++ b/gaproute/shared/dissemination/fetch.py
@@ -61,7 +61,7 @@
         same_term = current.term == self.target.term
         return same_term and self.target.number - current.number > MAX_LOG_CHANGES
 
-    def is_few_versions_behind(self, current: Version) -> bool:
+    def is_slightly_behind(self, current: Version) -> bool:
         """Whether the missing changes are so few that a datagram may contain them all."""
         same_term = current.term == self.target.term
         gap_is_small = same_term and self.target.number - current.number <= MAX_DATAGRAM_VERSION_GAP
@@ -76,7 +76,7 @@
         self.target = max(self.target, version)
         if self.source is None:
             self.failures, self.source = 0, peer
-            self._open_request(now, uses_exchange=not self.is_few_versions_behind(current))
+            self._open_request(now, uses_exchange=not self.is_slightly_behind(current))
             return True
         if peer.name == self.source.name:
             if self.uses_exchange or self.is_paused:
@@ -94,7 +94,7 @@
             self._end_fetch()
             return False
         self.failures = 0
-        self._open_request(now, uses_exchange=not self.is_few_versions_behind(current))
+        self._open_request(now, uses_exchange=not self.is_slightly_behind(current))
         return True
 
     def handle_busy(self, now: int, wait: int) -> None:
@@ -130,7 +130,7 @@
             if self.source is None:
                 return False
         self._open_request(
-            now, uses_exchange=self.failures > DATAGRAM_FAILURES or not self.is_few_versions_behind(current)
+            now, uses_exchange=self.failures > DATAGRAM_FAILURES or not self.is_slightly_behind(current)
         )
         return True
 
--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -19,7 +19,7 @@
     log = disseminator.replica.log
     return (
         Bound("stored changes", len(log.changes), bounds.MAX_LOG_CHANGES),
-        Bound("bytes of stored changes", log.bytes, bounds.MAX_LOG_BYTES),
+        Bound("bytes of stored changes", log.stored_bytes, bounds.MAX_LOG_BYTES),
         Bound("bytes of received parts", len(disseminator.assembly.data), bounds.MAX_DOCUMENT_BYTES),
         Bound("snapshots", len(disseminator.pull_server.snapshots), bounds.MAX_SNAPSHOTS),
         Bound("reasons for rejection", len(disseminator.rejections), bounds.MAX_REJECTION_REASONS),
@@ -47,8 +47,8 @@
             yield f"a stored change from {later.base} follows a change to {earlier.version}"
     if changes and changes[-1].version != disseminator.document.version:
         yield f"the log ends at {changes[-1].version}, the document is at {disseminator.document.version}"
-    if changes_size(changes) != log.bytes:
-        yield f"the log counts {log.bytes} bytes, but its changes have {changes_size(changes)}"
+    if changes_size(changes) != log.stored_bytes:
+        yield f"the log counts {log.stored_bytes} bytes, but its changes have {changes_size(changes)}"
 
 
 def fetch_target_is_newer(disseminator: Disseminator) -> Iterator[str]:
--- a/gaproute/shared/dissemination/messages.py
+++ b/gaproute/shared/dissemination/messages.py
@@ -8,11 +8,13 @@
 
 NO_VERSION = Version(-1, -1)  # the version of a gateway without a document; lower than all others
 
-DATAGRAM_HEADERS = 28  # IPv4 and UDP
+DATAGRAM_HEADER_BYTES = 28  # IPv4 and UDP
 ENVELOPE_BYTES = (
     40  # around a body: kind, lengths, and the name and address of the sender at their usual lengths
 )
-EXCHANGE_HEADERS = 700  # bytes for opening and closing a TCP connection, and HTTP headers in both directions
+EXCHANGE_HEADER_BYTES = (
+    700  # bytes for opening and closing a TCP connection, and HTTP headers in both directions
+)
 VERSION_BYTES = 19  # a version and a digest, if term and number of the version are at most 65,535
 
 
@@ -111,9 +113,9 @@
     """The size of a message on the wire, bytes. The headers of an exchange count as part of the pull."""
     body = ENVELOPE_BYTES + len(message.fleet) + VERSION_BYTES
     if isinstance(message, Pull):
-        return EXCHANGE_HEADERS + body
+        return EXCHANGE_HEADER_BYTES + body
     if isinstance(message, Push | ChangesAnswer):
         body += changes_size(message.changes)
     elif isinstance(message, PartAnswer):
         body += len(message.data)
-    return DATAGRAM_HEADERS + body
+    return DATAGRAM_HEADER_BYTES + body
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -61,7 +61,7 @@
             answer = self._make_part(now, pull)
             wait = self._charge_part(now, answer)
         else:
-            answer = ChangesAnswer(fleet, self._log.since(pull.current, MAX_CHANGES_BYTES))
+            answer = ChangesAnswer(fleet, self._log.changes_since(pull.current, MAX_CHANGES_BYTES))
             wait = self._charge(now, wire_size(answer))
         if wait:
             self.busy_answers += 1
@@ -113,4 +113,4 @@
         if latest.version == self._document.version:
             return True
         fresh = now - latest.made_at <= SNAPSHOT_REUSE_TIME
-        return fresh and self._log.reaches(latest.version) and latest.version > pull.current
+        return fresh and self._log.leads_from(latest.version) and latest.version > pull.current
--- a/gaproute/shared/dissemination/recent_changes.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -16,23 +16,23 @@
 
     def __init__(self) -> None:
         self.changes: deque[Change] = deque()
-        self.bytes = 0
+        self.stored_bytes = 0
 
     def append(self, change: Change) -> None:
         """Appends a change that has just been applied; drops all others first if it does not follow them."""
         if self.changes and self.changes[-1].version != change.base:
             self.clear()
         self.changes.append(change)
-        self.bytes += changes_size((change,))
-        while len(self.changes) > MAX_LOG_CHANGES or self.bytes > MAX_LOG_BYTES:
-            self.bytes -= changes_size((self.changes.popleft(),))
+        self.stored_bytes += changes_size((change,))
+        while len(self.changes) > MAX_LOG_CHANGES or self.stored_bytes > MAX_LOG_BYTES:
+            self.stored_bytes -= changes_size((self.changes.popleft(),))
 
     def clear(self) -> None:
         """Drops all changes, as after a complete document they do not lead to the current version."""
         self.changes.clear()
-        self.bytes = 0
+        self.stored_bytes = 0
 
-    def since(self, version: Version, max_bytes: int) -> tuple[Change, ...]:
+    def changes_since(self, version: Version, max_bytes: int) -> tuple[Change, ...]:
         """The changes that follow the version, up to `max_bytes`; empty if none is stored that does."""
         found: list[Change] = []
         remaining, reached = max_bytes, False
@@ -46,7 +46,7 @@
             found.append(change)
         return tuple(found)
 
-    def reaches(self, version: Version) -> bool:
+    def leads_from(self, version: Version) -> bool:
         """Whether the changes lead from the version to the current one."""
         if not self.changes:
             return False
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -49,22 +49,22 @@
 
 def test_the_log_returns_the_changes_after_a_version_within_the_bytes():
     log, version = make_log(10)
-    assert [change.version.number for change in log.since(Version(1, 8), 10_000)] == [9, 10, 11]
-    assert len(log.since(Version(1, 1), 500)) == 2
-    assert log.since(version, 10_000) == ()
-    assert log.since(Version(1, 99), 10_000) == ()
-    assert log.since(NO_VERSION, 10_000) == ()
+    assert [change.version.number for change in log.changes_since(Version(1, 8), 10_000)] == [9, 10, 11]
+    assert len(log.changes_since(Version(1, 1), 500)) == 2
+    assert log.changes_since(version, 10_000) == ()
+    assert log.changes_since(Version(1, 99), 10_000) == ()
+    assert log.changes_since(NO_VERSION, 10_000) == ()
 
 
 def test_the_log_is_bounded_and_cleared_by_a_gap():
     log, version = make_log(500)
     assert len(log.changes) == bounds.MAX_LOG_CHANGES
-    assert log.reaches(Version(1, version.number - bounds.MAX_LOG_CHANGES))
-    assert not log.reaches(Version(1, 5))
+    assert log.leads_from(Version(1, version.number - bounds.MAX_LOG_CHANGES))
+    assert not log.leads_from(Version(1, 5))
     log.append(change_from(Version(1, 900)))
     assert len(log.changes) == 1
     log, _ = make_log(50, b"x" * 8_000)
-    assert log.bytes <= bounds.MAX_LOG_BYTES
+    assert log.stored_bytes <= bounds.MAX_LOG_BYTES
 
 
 # PartialView
@@ -168,7 +168,7 @@
     # A later pull is answered from the same snapshot; the log has the changes cell_table since.
     late = server.answer(20 * SECOND, Pull(FLEET, NO_VERSION, True))
     assert late.version == version
-    assert log.since(version, 10_000)
+    assert log.changes_since(version, 10_000)
     after_reuse_time = server.answer(100 * SECOND, Pull(FLEET, NO_VERSION, True))
     assert after_reuse_time.version == document.version
     assert len(server.snapshots) <= bounds.MAX_SNAPSHOTS
