--- a/gaproute/shared/dissemination/messages.py
+++ b/gaproute/shared/dissemination/messages.py
@@ -9,12 +9,9 @@
 NO_VERSION = Version(-1, -1)  # the version of a gateway without a document; lower than all others
 
 DATAGRAM_HEADER_BYTES = 28  # IPv4 and UDP
-ENVELOPE_BYTES = (
-    40  # around a body: kind, lengths, and the name and address of the sender at their usual lengths
-)
-EXCHANGE_HEADER_BYTES = (
-    700  # bytes for opening and closing a TCP connection, and HTTP headers in both directions
-)
+# Around a body: kind, lengths, and the name and address of the sender at their usual lengths
+ENVELOPE_BYTES = 40
+EXCHANGE_HEADER_BYTES = 700  # opening and closing a TCP connection, and HTTP headers in both directions
 VERSION_BYTES = 19  # a version and a digest, if term and number of the version are at most 65,535
 
 
@@ -91,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BusyAnswer:
-    """The answer to a pull of a gateway that is busy; the pull may be repeated after `wait` ns."""
+    """The answer of a gateway that is too busy to serve a pull, which may be repeated after `wait` ns."""
 
     fleet: str
     wait: int
--- a/gaproute/shared/dissemination/partial_view.py
+++ b/gaproute/shared/dissemination/partial_view.py
@@ -19,7 +19,7 @@
 from gaproute.shared.randomness import RandomSource, partial_shuffle
 
 SHARE_UNITS = 1 << 20  # shares are integers in units of 1 / SHARE_UNITS
-DRAWS_PER_PEER = 3  # a draw may give a peer that was drawn before; draws stop at enough peers
+DRAWS_PER_PEER = 3  # as a draw may repeat a peer; drawing stops once there are enough peers
 
 
 @dataclass(frozen=True)
@@ -87,7 +87,7 @@
         """
         by_zone = [self._draw_sample(peers, MAX_VIEW_ENTRY_GATEWAYS) for _, peers in sorted(entries.items())]
         zones = [peers for peers in by_zone if peers]
-        # Shuffled, so that gateways draw from different zones if there are more zones than places
+        # Shuffled, so that gateways draw from different zones if the view has too few places for all
         partial_shuffle(zones, len(zones), self._random)
         found: list[Peer] = []
         turn = 0
--- a/gaproute/shared/gossip/node.py
+++ b/gaproute/shared/gossip/node.py
@@ -35,7 +35,7 @@
 class GossipNode:
     """Call `tick` at the time `due` for the messages to send, and `receive` for each message of a peer.
 
-    `bytes_per_second`: limit of the bytes that this gateway sends.
+    `bytes_per_second`: limit on the bytes that this gateway sends.
     """
 
     def __init__(
--- a/gaproute/shared/gossip/peer_rounds.py
+++ b/gaproute/shared/gossip/peer_rounds.py
@@ -22,7 +22,7 @@
         return len(self.names)
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Replaces the peers that are up; the current round skips those that are gone, without new ones."""
+        """Replaces the peers that are up. Lost peers leave the current round; new ones join the next."""
         self.names = list(names)
         self._members = dict.fromkeys(self.names)
 
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -18,7 +18,7 @@
 from gaproute.shared.dissemination import Change, DocumentError
 from gaproute.shared.dissemination.bounds import MAX_PUSH_BYTES
 from gaproute.shared.dissemination.messages import (
-    DATAGRAM_HEADERS,
+    DATAGRAM_HEADER_BYTES,
     NO_VERSION,
     Announcement,
     BusyAnswer,
@@ -167,7 +167,7 @@
         version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, where)
     )
     datagram.sender.name = name
-    return len(datagram.SerializeToString()) + DATAGRAM_HEADERS
+    return len(datagram.SerializeToString()) + DATAGRAM_HEADER_BYTES
 
 
 @given(
