--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -11,10 +11,10 @@
 from gaproute.decisions.routing.observations import Observation
 from gaproute.http1 import render
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.peers import ObservationClient, PeerServer, observation_wire
 from gaproute.telemetry.logs import logger
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 FACTS = (256, 1_024, 4_096, 16_384)
 HOSTS = 256
@@ -44,13 +44,13 @@
         self.facts, self.loop = facts, Loop()
         self.peer_server = PeerServer(
             self.loop,
-            address("127.0.0.1:0"),
+            parse_address("127.0.0.1:0"),
             StandInDecisions(facts),
             HostHistory(),
             ["std"],
             cpu_clock=lambda: 0,
         )
-        record = Record(logger(io.StringIO()), ["std"])
+        record = GatewayRecord(logger(io.StringIO()), ["std"])
         self.client = ObservationClient(
             self.loop, (), SharedObservations(), lambda subjects: 0, lambda: None, record
         )
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -19,8 +19,8 @@
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import CellTable
-from gaproute.decisions.chance import Chance
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.chance import RandomGenerator
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.cell_members import RejectedMember
 from gaproute.fronts.kserve.entry import EntryFront
@@ -28,13 +28,13 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.entry_gateways import EntryGateways
 from gaproute.hosts.kserve.settings import ClientSettings
-from gaproute.interface import Report
+from gaproute.interface import HostLoadReport
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
 from gaproute.peers.tables import CellTableChannels, CellTableSettings, CellTableTransport
 from gaproute.peers.tables.pull_exchange import HttpPullListener, PullClient
 from gaproute.shared.dissemination import Peer
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 WRONG_LIST = "wrong host list"  # as operators read it in the status
 WRONG_MEMBER = "wrong host of a source"
@@ -53,7 +53,7 @@
         self,
         loop: Loop,
         configuration: Configuration,
-        record: Record,
+        record: GatewayRecord,
         seed: int,
         client_settings: ClientSettings,
         run_name: str,
@@ -69,7 +69,7 @@
         location = GatewayLocation(configuration.name, self.cells_line.region, self.cells_line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
         self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
-        self.hosts = CellHostClient(loop, Pooling(), client_settings, configuration.name)
+        self.hosts = CellHostClient(loop, ConnectionReusePolicy(), client_settings, configuration.name)
         self.entries = EntryGateways(loop, client_settings, configuration.name)
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entries
@@ -97,7 +97,7 @@
                 self.configuration.name, self.cells_line.fleet, path=self.cells_line.stored_table
             ),
             CellTableChannels(membership_transport, HttpPullListener(server), PullClient(self.loop)),
-            Chance(self.seed + SeedOffset.CELL_TABLE),
+            RandomGenerator(self.seed + SeedOffset.CELL_TABLE),
             self.record,
         )
         self.table = CellTableSource(self.loop, self.cells_line, self.record, transport, self._table_adopted)
@@ -123,13 +123,13 @@
 
     def gateways(self) -> list[Gateway]:
         """The decisions of each known cell."""
-        single = self.gateway.single
+        single = self.gateway.single_gateway
         return [single] if single is not None else list(self.gateway.local.gateways.values())
 
     def can_forward(self) -> bool:
         """Whether requests can be forwarded to another gateway."""
         table = self._current_table()
-        return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
+        return table is not None and any(self.gateway.entries.ordered_entries(cell) for cell in table.cells)
 
     def status(self) -> JsonObject:
         """The status for operators; its keys are older than the names in the code."""
@@ -172,21 +172,21 @@
 
     def _poll_wanted_cells(self) -> None:
         """Follows the cells that the decisions need now, which depend on the functions that are requested."""
-        self.poll_timer = self.loop.after(self.cell_hosts_line.look, self._poll_wanted_cells)
+        self.poll_timer = self.loop.call_later(self.cell_hosts_line.look, self._poll_wanted_cells)
         self._follow_wanted_cells()
 
     def _follow_wanted_cells(self) -> None:
         table = self._current_table()
         if table is None:
             return
-        zones = {name: table.by_name[name].zone for name in self.gateway.wanted()}
+        zones = {name: table.by_name[name].zone for name in self.gateway.cells_to_follow()}
         if zones != self.lists.zones:
             self.lists.set_cells(zones)
         self._reapply_released_lists()
 
     def _reapply_released_lists(self) -> None:
         """Gives the decisions their lists again if they released a cell and want it again."""
-        if self.gateway.single is not None:
+        if self.gateway.single_gateway is not None:
             return
         known = self.gateway.local.gateways
         if all(cell in known for cell in self.applied_lists):
@@ -214,7 +214,7 @@
             self._apply_lists,
             self._members_rejected,
             self._source_changed,
-            Chance(self.seed + SeedOffset.CELL_SOURCES),
+            RandomGenerator(self.seed + SeedOffset.CELL_SOURCES),
         )
 
     def _list_rejected(self, cell: str, mistakes: Sequence[Mistake]) -> None:
@@ -241,5 +241,5 @@
             rejections[WRONG_MEMBER] = self.rejected_members
         return rejections
 
-    def _load_report(self, cell: str) -> Report | None:
-        return self.gateway.local.report(self.loop.now(), cell)
+    def _load_report(self, cell: str) -> HostLoadReport | None:
+        return self.gateway.local.load_report(self.loop.now(), cell)
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -12,7 +12,7 @@
 from gaproute.appliance.cell_lists import ListsByCell
 from gaproute.appliance.json_object import JsonObject
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
-from gaproute.decisions.cells.bounds import MAX_HOSTS
+from gaproute.decisions.cells.bounds import MAX_HOSTS_PER_CELL
 from gaproute.discovery.cell_members import CellMembers, RejectedMember
 from gaproute.discovery.cell_reconciler import CellReconciler
 from gaproute.discovery.changelog.cell_watcher import CellWatcher, cell_path
@@ -22,7 +22,7 @@
 from gaproute.shared.randomness import RandomSource
 
 MAX_CELLS = 64  # followed at a time; a view of 512 hosts has fewer, unless its cells are tiny
-MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view has by its table
+MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS_PER_CELL  # of all cells: four times what a view has by its table
 MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
 
 
@@ -42,9 +42,9 @@
     def select_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """The rejected members to be logged: each one once, and a limited number for a connection."""
         unlogged = [member for member in rejected if self.rejected.get(member.host) != member.reason]
-        if len(self.rejected) + len(unlogged) > MAX_HOSTS:
+        if len(self.rejected) + len(unlogged) > MAX_HOSTS_PER_CELL:
             self.rejected = {}
-        self.rejected.update(unlogged[:MAX_HOSTS])
+        self.rejected.update(unlogged[:MAX_HOSTS_PER_CELL])
         return self.limit_for_log(unlogged)
 
     def limit_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
@@ -116,7 +116,7 @@
             "followed": len(self.followed),
             "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
             "asked": sum(each.watcher.connection_count for each in followed),
-            "begun_anew": sum(each.watcher.restarts for each in followed),
+            "begun_anew": sum(each.watcher.restart_count for each in followed),
         }
 
     def close(self) -> None:
@@ -145,7 +145,7 @@
         if followed is None:
             return  # the cell was released as a result of an earlier event in the same bytes
         hosts_of_others = sum(
-            len(each.members.reported) for name, each in self.followed.items() if name != cell
+            len(each.members.reported_lines) for name, each in self.followed.items() if name != cell
         )
         rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - hosts_of_others)
         if rejected:
@@ -164,7 +164,7 @@
         self.timer = None
         if self.events_pending:
             self.events_pending = False
-            self.timer = self.loop.after(self.apply_interval, self._apply_pending)
+            self.timer = self.loop.call_later(self.apply_interval, self._apply_pending)
             self._put_in_force()
 
     def _apply_after_stall(self) -> None:
@@ -179,16 +179,16 @@
     def _put_in_force(self) -> None:
         """Uses the hosts that are consistent."""
         offered = {
-            cell: followed.members.reported
+            cell: followed.members.reported_lines
             for cell, followed in self.followed.items()
-            if followed.members.reported or cell in self.reconciler.active
+            if followed.members.reported_lines or cell in self.reconciler.lines_in_force
         }
-        before = self.reconciler.active
+        before = self.reconciler.lines_in_force
         self.reconciler.reconcile(offered, self.zones)
         self._report_conflicts()
         in_force = {
             cell: self._lines(cell, lines, unchanged=before.get(cell) is lines)
-            for cell, lines in self.reconciler.active.items()
+            for cell, lines in self.reconciler.lines_in_force.items()
             if lines or cell in self.in_force
         }
         if in_force != self.in_force:
@@ -203,7 +203,7 @@
 
     def _report_conflicts(self) -> None:
         for cell, followed in self.followed.items():
-            before, followed.conflicts = followed.conflicts, self.reconciler.rejected.get(cell, {})
+            before, followed.conflicts = followed.conflicts, self.reconciler.rejection_reasons.get(cell, {})
             new = [RejectedMember(*each) for each in followed.conflicts.items() if each not in before.items()]
             if new:
                 self.on_rejected(cell, len(new), followed.limit_for_log(new))
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -16,18 +16,18 @@
 from gaproute.appliance.shutdown import GracefulShutdown
 from gaproute.config.configuration import Configuration
 from gaproute.connections import AcceptedConnections
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.decisions.admission.admission import Admission
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve import KServeFront
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.interface import State
+from gaproute.interface import ListedHostState
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.telemetry.logs import logger
-from gaproute.telemetry.record import Log, Record
+from gaproute.telemetry.record import GatewayRecord, Log
 
 SEED_BITS = 64
 
@@ -55,7 +55,7 @@
         self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
         self.log: Log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
         self.loop.on_error = self._log_error
-        self.record = Record(self.log, [line.name for line in configuration.request_classes])
+        self.record = GatewayRecord(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
         # Whether other processes serve at the clients' addresses, even after this one has stopped
@@ -68,10 +68,12 @@
         self.peers = self._make_peer_services()
 
     def _make_connections(self) -> AcceptedConnections:
-        connections = AcceptedConnections.of(self.loop)
+        connections = AcceptedConnections.for_loop(self.loop)
         clients = self.configuration.client_limits
-        chance = Chance(self.seed + SeedOffset.ADMISSION)
-        connections.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
+        chance = RandomGenerator(self.seed + SeedOffset.ADMISSION)
+        connections.admission = Admission(
+            clients.connections, clients.per_address, descriptor_limit(), chance
+        )
         return connections
 
     def _make_peer_services(self) -> PeerServices:
@@ -102,7 +104,7 @@
             "started",
             listen_addresses=[front.address for front in self.fronts],
             hosts=len(self.rows),
-            descriptor_limit=descriptors(),
+            descriptor_limit=descriptor_limit(),
             max_client_connections=self.connections.admission.max_connections,
         )
 
@@ -124,12 +126,12 @@
             if self.cells is not None:
                 self.client_fronts.append(self.cells.listen(self.peers, self.ready))
         else:
-            self.fronts.append(OperatorFront(self.loop, address(where), self))
+            self.fronts.append(OperatorFront(self.loop, parse_address(where), self))
 
     def _client_front(self, where: str) -> KServeFront:
         inherited = self.inherited.get(where)
         return KServeFront(
-            self.loop, address(where), self.core, self.configuration, self.address_ready, inherited
+            self.loop, parse_address(where), self.core, self.configuration, self.address_ready, inherited
         )
 
     def _close_fronts(self) -> None:
@@ -176,7 +178,7 @@
         return (self.address_shared or not self.stopping) and self._has_active_host()
 
     def _has_active_host(self) -> bool:
-        active = any(row.listed.state is State.ACTIVE for row in self.rows.values())
+        active = any(row.listed.state is ListedHostState.ACTIVE for row in self.rows.values())
         return active or self.cells is not None and self.cells.can_forward()
 
     # Signals and the parent
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -18,8 +18,8 @@
 from gaproute.config.directives.fleet import PeerLine
 from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.config.errors import Mistake
-from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.follower import ObservationFollower
+from gaproute.decisions.chance import RandomGenerator
+from gaproute.decisions.reports.hint_selector import HintSelector
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.observation_kinds import SharedObservation, Subject
 from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
@@ -27,15 +27,15 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
-from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.addresses import parse_address
+from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.peer_server import LIMITS
 from gaproute.peers.raft.transport import TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 
 LAST_RUN = "past life"  # the origin of observations from the store, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
@@ -67,7 +67,7 @@
         loop: Loop,
         configuration: Configuration,
         gateway: Gateway,
-        record: Record,
+        record: GatewayRecord,
         seed: int,
         cells: PeerListObserver | None = None,
     ) -> None:
@@ -82,17 +82,22 @@
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
         self.request_classes = [line.name for line in configuration.request_classes]
-        self.follower = ObservationFollower(
+        self.follower = HintSelector(
             self.observations,
             configuration.terms.keep_alive,
             {name: number for number, name in enumerate(self.request_classes)},
-            Chance(seed + SeedOffset.OBSERVATIONS),
+            RandomGenerator(seed + SeedOffset.OBSERVATIONS),
         )
 
     def listen(self, where: str) -> PeerServer:
         """Opens the address for other gateways. Errors: OSError; `close` is to be called then."""
         server = PeerServer(
-            self.loop, address(where), self.gateway, self.host_history, self.request_classes, self._limits()
+            self.loop,
+            parse_address(where),
+            self.gateway,
+            self.host_history,
+            self.request_classes,
+            self._limits(),
         )
         self.peer_server = server
         try:
@@ -168,8 +173,8 @@
 
     def apply_observations(self, subjects: Collection[Subject]) -> int:
         """Passes the observations of these subjects to the decisions as hints; returns how many were used."""
-        starts = self.host_history.active_starts()
-        return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
+        starts = self.host_history.active_start_times()
+        return self.follower.apply_hints(self.gateway, self.loop.now(), starts, subjects)
 
     def observations_complete(self) -> None:
         """Notes that one source has sent all its observations: the mix of functions is known now."""
@@ -202,8 +207,8 @@
                 part.close()
 
     def _open_membership(self, server: PeerServer) -> MembershipTransport:
-        chance = Chance(self.seed + SeedOffset.MEMBERSHIP)
-        open_datagrams = partial(Datagrams, self.loop)
+        chance = RandomGenerator(self.seed + SeedOffset.MEMBERSHIP)
+        open_datagrams = partial(DatagramSocket, self.loop)
         return MembershipTransport(
             self.loop, self.configuration.name, server.address, chance, self.record, open_datagrams
         )
@@ -211,12 +216,12 @@
     def _open_leases(self, server: PeerServer) -> None:
         line = self.configuration.raft_group
         if line is not None:
-            chance = Chance(self.seed + SeedOffset.LEASES)
+            chance = RandomGenerator(self.seed + SeedOffset.LEASES)
             self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, chance)
             server.routes[TARGET] = self.leases.handle
 
     def _make_gossip(self, transport: MembershipTransport) -> GossipTransport:
-        chance = Chance(self.seed + SeedOffset.GOSSIP)
+        chance = RandomGenerator(self.seed + SeedOffset.GOSSIP)
         return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, chance)
 
     def _limits(self) -> Limits:
@@ -228,7 +233,7 @@
     def _restore(self, store: ObservationStore) -> None:
         now = self.loop.now()
         for subject, value, age in store.read(MAX_OBSERVATIONS):
-            observed_at = self.observations.observed_at(now, age)
+            observed_at = self.observations.earliest_observation_time(now, age)
             if observed_at is not None:
                 self.observations.add(subject, SharedObservation(observed_at, LAST_RUN, 0, value))
         applied = self.apply_observations(self.observations.by_subject)
@@ -238,7 +243,7 @@
             "observations_restored",
             observations=len(self.observations.by_subject),
             hints_taken=applied,
-            rejected=self.observations.rejected(),
+            rejected=self.observations.rejection_counts(),
         )
 
     def _log_store(self, text: str) -> None:
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -10,7 +10,7 @@
 from gaproute.appliance.legacy_names import legacy_counts, legacy_event
 from gaproute.appliance.peer_services import PeerServices
 from gaproute.appliance.running_gateway import RunningGateway
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.decisions.routing.functions import Function
 from gaproute.units import MILLI
 
@@ -28,7 +28,11 @@
         "late_turns": appliance.loop.late_turns,
         "counts": legacy_counts(appliance.record.counts),
         "clients": _clients(appliance),
-        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
+        "connections": {
+            "opened": hosts.connections_opened,
+            "reused": hosts.connections_reused,
+            "raced": hosts.reuse_races,
+        },
         "gateways": membership_transport and membership_transport.membership.live_count(),
         "cells": appliance.cells and appliance.cells.status(),
         "weak_word": gossip and gossip.node.status(appliance.loop.now()),
@@ -50,7 +54,7 @@
                 "address": row.address,
                 "state": row.listed.state.value,
                 "capacity": row.listed.capacity,
-                "connections": len(host.open) if host else 0,
+                "connections": len(host.open_connections) if host else 0,
                 "relays": attempts.get(name, {}),
             }
         )
@@ -100,10 +104,10 @@
         "connections": connections.client_count,
         "most": connections.admission.max_connections,
         "parked": connections.parked_count,
-        "displaced": connections.evicted,
-        "turned_away": connections.rejected,
-        "idle_ended": connections.expired,
-        "descriptors": descriptors(),
+        "displaced": connections.evicted_count,
+        "turned_away": connections.rejected_count,
+        "idle_ended": connections.expired_count,
+        "descriptors": descriptor_limit(),
         "kept_back": connections.admission.reserved_descriptors,
     }
 
@@ -114,11 +118,11 @@
     client = appliance.peers.observation_client
     return {
         "facts": len(observations.by_subject),
-        "refused": observations.rejected(),
+        "refused": observations.rejection_counts(),
         "peers": client.state if client else {},
         "booked": client.hints_taken if client else 0,
-        "right": sum(gateway.hints.right for gateway in appliance.decisions),
-        "wrong": sum(gateway.hints.wrong for gateway in appliance.decisions),
+        "right": sum(gateway.hints.right_count for gateway in appliance.decisions),
+        "wrong": sum(gateway.hints.wrong_count for gateway in appliance.decisions),
     }
 
 
--- a/gaproute/cluster/links/datagrams.py
+++ b/gaproute/cluster/links/datagrams.py
@@ -10,7 +10,7 @@
 from gaproute.cluster.addresses import Link, LinkAddressError, link_address, link_of_number
 from gaproute.cluster.links.context import EmulatorContext
 from gaproute.cluster.links.faults import LinkFaultKind
-from gaproute.loop.addresses import SocketAddress, address
+from gaproute.loop.addresses import SocketAddress, parse_address
 from gaproute.loop.descriptors import READ
 
 MAX_DATAGRAM = 65535  # bytes: UDP's own limit
@@ -84,7 +84,7 @@
         self._routes = {}
         if self.held and not self._releasing:
             self._releasing = True
-            self.loop.soon(self._release, len(self.held))
+            self.loop.call_soon(self._release, len(self.held))
 
     def close(self) -> None:
         """Closes the socket."""
@@ -133,7 +133,7 @@
             self.counts.unmatched += 1
             return None
         source = socket.inet_aton(link_address(link.destination, link.source))
-        route = Route(link, address(slot.datagram_address).target, sent_from(source))
+        route = Route(link, parse_address(slot.datagram_address).target, sent_from(source))
         self._routes[called] = route
         return route
 
@@ -156,7 +156,7 @@
                 self._send(data, route)
             elif self._delayed < MAX_DELAYED:
                 self._delayed += 1
-                self.loop.at(due, self._send_delayed, due, data, route)
+                self.loop.call_at(due, self._send_delayed, due, data, route)
             else:
                 self.counts.discarded += 1
 
@@ -191,7 +191,7 @@
             self.held_bytes -= len(datagram.data)
             self._send_released(datagram)
         if left > MAX_RELEASED_PER_TURN:
-            self.loop.soon(self._release, left - MAX_RELEASED_PER_TURN)
+            self.loop.call_soon(self._release, left - MAX_RELEASED_PER_TURN)
         else:
             self._releasing = False
 
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -1,7 +1,7 @@
-"""The core of a running gateway: requests from any front, actions to the hosts, one final answer for each.
+"""Connects the fronts, the decisions and the hosts of a running gateway.
 
-A front (the server of one client protocol) hands in a `Call` and gets one `Final` for it; the hosts report
-one `AttemptResult` for each attempt. Fronts and hosts do not know of each other.
+A front (the server of one client protocol) submits a `Call` and receives one `FinalAnswer` for it. The hosts
+report one `AttemptResult` for each attempt. Fronts and hosts do not depend on each other.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,34 +11,34 @@
 from gaproute.core.attempts import AttemptRunner
 from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts
-from gaproute.interface.call import Call, Final
+from gaproute.interface.call import Call, FinalAnswer
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
 
 class Core(AttemptRunner):
-    """One gateway's requests, its decisions and its hosts. Times are ns of the loop's clock."""
+    """Drives the decisions of one gateway on its requests and its hosts. Times are ns of the loop's clock."""
 
     def __init__(
         self,
         loop: Loop,
         gateway: DecisionModule,
-        terms: interface.Terms,
+        terms: interface.RoutingSettings,
         hosts: Hosts,
-        record: Record,
-        name: str,
+        record: GatewayRecord,
+        id_prefix: str,
     ) -> None:
-        """`name` begins the ids of its requests: no two gateways have the same."""
+        """`id_prefix`: the prefix of the gateway's ids of requests, which no other gateway may have."""
         super().__init__(gateway, loop, record, hosts, terms.request_classes)
-        self.name = name
+        self.id_prefix = id_prefix
         self.wait_timers: dict[str, Timer] = {}  # by key
-        self.submitted = 0  # requests so far
-        self.send_to_peers: Callable[[bytes], None] | None = None  # None: no other gateways
-        self.on_arrival: Callable[[int, str, int], None] | None = None  # (now, function, class) of each
+        self.submitted_count = 0  # number of submitted requests
+        self.send_to_peers: Callable[[bytes], None] | None = None  # None: there are no other gateways
+        self.on_arrival: Callable[[int, str, int], None] | None = None  # takes time, function, request class
 
-    # From the fronts
+    # Requests of the fronts
 
     def submit(
         self,
@@ -49,34 +49,37 @@
         load_time: int | None,
         first_byte_at: int,
         time_left: int,
-        on_final: Callable[[Final], None],
+        on_final: Callable[[FinalAnswer], None],
     ) -> str:
-        """Takes a request and returns the gateway's id for it.
+        """Accepts a request and returns the id that the gateway assigns to it.
 
         `request_class` and `tenant` are indices in the terms; `lanes` is the number of requests that one
         instance runs at a time. The client waits for `time_left` ns from `first_byte_at` on. `on_final` is
-        called once, and never before this method has returned.
+        called once, and never before this method returns.
         """
-        self.submitted += 1
-        key = f"{self.name}-{self.submitted:x}"
+        self.submitted_count += 1
+        key = f"{self.id_prefix}-{self.submitted_count:x}"
         now = self.loop.now()
-        left = max(0, first_byte_at + time_left - now)
-        deadline = now + left
-        deadline_timer = self.loop.at(deadline, self._deadline_passed, key)
+        remaining_time = max(0, first_byte_at + time_left - now)
+        deadline = now + remaining_time
+        deadline_timer = self.loop.call_at(deadline, self._deadline_passed, key)
         request = RequestInFlight(key, call, request_class, on_final, first_byte_at, deadline, deadline_timer)
         self.in_flight[key] = request
-        self._record_arrival(request, now, left)
+        self._record_arrival(request, now, remaining_time)
         try:
             self.start_request(
-                now, interface.Request(key, tenant, left, call.function, lanes, load_time, request_class)
+                now,
+                interface.Request(
+                    key, tenant, remaining_time, call.function, lanes, load_time, request_class
+                ),
             )
-        except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
-            self._decisions_failed(key, error)
+        except Exception as error:  # noqa: BLE001 - no error may affect other requests
+            self._handle_decision_error(key, error)
         return key
 
-    def _record_arrival(self, request: RequestInFlight, now: int, left: int) -> None:
+    def _record_arrival(self, request: RequestInFlight, now: int, remaining_time: int) -> None:
         call = request.call
-        self.record.request_received(request.request_class)
+        self.record.count_request(request.request_class)
         if self.on_arrival is not None:
             self.on_arrival(now, call.function, request.request_class)
         if self.record.is_traced(call.request_id):
@@ -86,39 +89,39 @@
                 gateway_request_id=request.id,
                 request_class=call.request_class,
                 function=call.function,
-                time_left_ms=left // MILLI,
+                time_left_ms=remaining_time // MILLI,
             )
 
     def client_left(self, key: str) -> None:
-        """Notes that the client has left: no attempt of its request begins from now on."""
+        """Handles the departure of a client: no further attempt of its request starts."""
         request = self.in_flight.get(key)
         if request is None or request.on_final is None:
             return
         request.on_final = None
-        self.record.client_left(request.request_class)
+        self.record.count_client_left(request.request_class)
         if request.log_step is not None:
             request.log_step("client_left", attempts=len(request.attempts))
-        self._guard(key, self.abandon, self.loop.now(), key)
+        self._call_guarded(key, self.abandon_request, self.loop.now(), key)
         self._withdraw_attempts(request)
         self._release_if_complete(request)
 
-    def end_by(self, when: int) -> None:
-        """Has each request get its final answer by `when`, as the process ends soon."""
+    def end_requests_by(self, when: int) -> None:
+        """Ensures that each request gets its final answer by `when`, as the process ends soon."""
         self.gateway.end_by = when
-        self.loop.at(when, self._end_all)
+        self.loop.call_at(when, self._end_all_requests)
 
-    def _end_all(self) -> None:
+    def _end_all_requests(self) -> None:
         for request in list(self.in_flight.values()):
-            self._guard(request.id, self.wait_elapsed, request.id, self.loop.now())
+            self._call_guarded(request.id, self.wait_elapsed, request.id, self.loop.now())
             for number in request.attempts:
-                self._withdraw(request, number)
+                self._withdraw_attempt(request, number)
 
     # Waits
 
-    def wait(self, key: str, until: int, now: int) -> None:
-        """Resumes the key's generator at `until`, in place of any earlier wait."""
+    def start_wait(self, key: str, until: int, now: int) -> None:
+        """Schedules the end of the generator's wait at `until`; replaces an earlier wait of the key."""
         self.cancel_wait(key)
-        self.wait_timers[key] = self.loop.at(until, self._wait_elapsed, key)
+        self.wait_timers[key] = self.loop.call_at(until, self._wait_elapsed, key)
 
     def cancel_wait(self, key: str) -> None:
         """Cancels the wait of the key, if there is one."""
@@ -128,22 +131,22 @@
 
     def _wait_elapsed(self, key: str) -> None:
         self.wait_timers.pop(key, None)
-        self._guard(key, self.wait_elapsed, key, self.loop.now())
+        self._call_guarded(key, self.wait_elapsed, key, self.loop.now())
 
     # Hosts
 
     def update_hosts(self, rows: Sequence[interface.ListedHost], *, complete: bool) -> None:
-        """Takes over the host list (`complete`), or a change of it."""
+        """Applies a host list (`complete`) or changes of it."""
         now = self.loop.now()
         self.gateway.update_hosts(now, rows, complete=complete)
         self.start_housekeeping(now)
 
-    def watch_hosts(self) -> None:
-        """Does nothing: a running gateway gets its host list without asking for it."""
+    def watch_host_list(self) -> None:
+        """Does nothing: a running gateway receives its host list without a request."""
 
-    def order(self, host: str, function: str, copies: int) -> None:
-        """Orders a host to load a function."""
-        self.record.load_ordered(host)
+    def order_load(self, host: str, function: str, copies: int) -> None:
+        """Sends a load order to a host."""
+        self.record.count_load_order(host)
         ordered_at = self.loop.now()
         self.hosts.order(
             host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
@@ -170,20 +173,20 @@
             )
         self.gateway.load_order_ended(now, host, function, result, copies_loaded)
 
-    def probe(self, host: str) -> None:
-        """Checks a host's health."""
+    def probe_host(self, host: str) -> None:
+        """Sends a health check to a host."""
         self.hosts.probe(host, partial(self._probe_answered, host))
 
-    def _probe_answered(self, host: str, report: interface.Report | None, *, good: bool) -> None:
+    def _probe_answered(self, host: str, report: interface.HostLoadReport | None, *, good: bool) -> None:
         self.probe_answered(self.loop.now(), host, report, good=good)
 
     # Other gateways
 
     def broadcast(self, payload: bytes) -> None:
-        """Sends a payload to all other gateways, where there are any."""
+        """Sends a payload to all other gateways, if there are any."""
         if self.send_to_peers is not None:
             self.send_to_peers(payload)
 
     def receive_broadcast(self, payload: bytes, /) -> None:
-        """Takes a payload of another gateway; one that cannot be decoded is ignored."""
+        """Passes a payload of another gateway to the decisions, which ignore a malformed one."""
         self.gateway.peer_message_received(self.loop.now(), payload)
--- a/gaproute/decisions/routing/housekeeping.py
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -1,43 +1,43 @@
-"""What a gateway does beside its requests: polls, probes and cleanup."""
+"""Polls of the host list, probes of hosts and cleanup, independent of requests."""
 
 from collections.abc import Generator
 from typing import Any
 
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 from gaproute.decisions.routing.tables import Tables
-from gaproute.interface import Action, PollHostList, Probe, Terms, Wait
+from gaproute.interface import Action, PollHostList, Probe, RoutingSettings, Wait
 from gaproute.units import MILLI, SECOND
 
-PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
-UNPAID_INTERVAL = 100 * MILLI  # between checks whether requests have paid for a probe
-CLEANUP_INTERVAL = SECOND  # between cleanups: each costs CPU, and unused functions take little memory
+PROBE_INTERVAL = 700 * MILLI  # between probes of one host if load reports come only in answer to probes
+BUDGET_CHECK_INTERVAL = 100 * MILLI  # between checks whether the budget allows a probe
+CLEANUP_INTERVAL = SECOND  # between cleanups: a cleanup costs CPU, and unused functions need little memory
 
 
 class Housekeeping:
-    """Polls the host list where it must be polled, probes hosts that report only to probes, and cleans up."""
+    """Polls the host list if it has to be polled, probes hosts that report only to probes, and cleans up."""
 
     def __init__(
         self,
-        terms: Terms,
+        settings: RoutingSettings,
         tables: Tables,
         sharing: LoadReportSharing,
-        chance: Chance,
+        random: RandomGenerator,
     ) -> None:
         self.hosts, self.functions = tables.hosts, tables.functions
-        self.sharing, self.chance = sharing, chance
-        self.probing = terms.probes_allowed and terms.reports_by_probe
-        self.host_list_wanted = terms.host_list_polled
+        self.report_sharing, self.random = sharing, random
+        self.probing = settings.probes_allowed and settings.reports_by_probe
+        self.host_list_wanted = settings.host_list_polled
 
     def run(self, now: int) -> Generator[Action, Any, None]:
-        """The one generator of a gateway's housekeeping, for as long as the gateway runs."""
+        """Runs the housekeeping of one gateway as long as the gateway runs."""
         cleaned_at = now
         while True:
             if self.host_list_wanted:
                 self.host_list_wanted = False
                 yield PollHostList()
             if self.probing:
-                host = self.sharing.host_to_probe(now, self.hosts.active, PROBE_INTERVAL, self.chance)
+                host = self.report_sharing.host_to_probe(now, self.hosts.active, PROBE_INTERVAL, self.random)
                 if host is not None:
                     yield Probe(host.id)
             if now - cleaned_at >= CLEANUP_INTERVAL:
@@ -49,10 +49,10 @@
     def _interval(self) -> int:
         if not self.probing:
             return CLEANUP_INTERVAL
-        if not self.sharing.may_probe():
-            return UNPAID_INTERVAL
+        if not self.report_sharing.can_afford_probe():
+            return BUDGET_CHECK_INTERVAL
         return PROBE_INTERVAL // max(1, len(self.hosts.active))
 
     def forget_departed(self) -> None:
-        """Forget hosts that left the list and have no attempt in flight."""
+        """Forgets hosts that left the list and have no attempt in flight."""
         self.functions.forget_hosts(self.hosts.remove_departed())
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -18,7 +18,7 @@
 
 from gaproute.connections.acceptor import Acceptor
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
+from gaproute.decisions.admission.admission import EVICTION_RETRY_DELAY
 from gaproute.fronts.jsonrpc import cancellation, responses
 from gaproute.fronts.jsonrpc.connection import RpcConnection
 from gaproute.fronts.jsonrpc.connection_owner import OpenRequest
@@ -26,7 +26,7 @@
 from gaproute.fronts.jsonrpc.memory_limit import connections_to_end
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
-from gaproute.interface.call import Call, Ending, Final
+from gaproute.interface.call import Call, FinalAnswer, FinalResult
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
@@ -75,7 +75,7 @@
         self.open_request_ids: dict[str, RpcConnection] = {}  # by the client's id of the request
         self.unresponsive_clients = 0  # number of connections ended as their clients received no answers
         self.on_protocol_error: Callable[[ErrorCode, str], None] = _ignore_error
-        self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
+        self.sweep_timer = loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def _first_request_due(self) -> int:
         return self.loop.now() + FIRST_MESSAGE_TIMEOUT
@@ -87,10 +87,10 @@
 
     def _sweep(self) -> None:
         # First, as an error must not end the sweeps
-        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.loop.now()
         for connection in list(self.active_connections):
-            self.loop.guard(connection.check_progress, now)
+            self.loop.call_guarded(connection.check_progress, now)
         self.enforce_memory_limit()
 
     def enforce_memory_limit(self) -> None:
@@ -176,16 +176,16 @@
             client_present=lambda: connection.presence.is_waiting_for(request.number, request.request_id),
         )
 
-    def finish_request(self, connection: RpcConnection, request: Request, final: Final) -> None:
+    def finish_request(self, connection: RpcConnection, request: Request, final: FinalAnswer) -> None:
         """Sends the final answer to a request, unless the client has cancelled the request meanwhile."""
         number = request.number
         open_request = connection.open_requests.get(number)
-        if open_request is None or open_request.gateway_request_id != final.request:
+        if open_request is None or open_request.gateway_request_id != final.request_id:
             return  # the request was cancelled; a new request may have its number
         del connection.open_requests[number], self.open_request_ids[request.request_id]
-        if final.answer is not None and final.ending is Ending.DELIVERED:
+        if final.answer is not None and final.result is FinalResult.DELIVERED:
             connection.write(responses.encode_result(number, final.answer.body))
-        elif final.ending is Ending.REJECTED:
+        elif final.result is FinalResult.REJECTED:
             code = ErrorCode.REJECTED
             connection.write(responses.encode_error(number, code, final.reason, final.retry_after))
         else:
@@ -211,9 +211,9 @@
         ) is not None:
             self.accept_connection(*accepted)
         if not has_capacity:
-            self.drain_timer = self.loop.after(FULL_RETRY_PAUSE, self.stop_accepting)
+            self.drain_timer = self.loop.call_later(EVICTION_RETRY_DELAY, self.stop_accepting)
         elif not self.listener.backlog_empty:
-            self.drain_timer = self.loop.after(ACCEPT_RETRY_PAUSE, self.stop_accepting)
+            self.drain_timer = self.loop.call_later(ACCEPT_RETRY_PAUSE, self.stop_accepting)
         else:
             self.listener.close()
             self.check_emptied()
--- a/gaproute/hollow/environment.py
+++ b/gaproute/hollow/environment.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from gaproute.config import Configuration
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop.timers import Callback, Timer
 from gaproute.peers.ports import (
     CallbackLoop,
@@ -52,7 +52,7 @@
 
     on_late_turn: list[Callable[[], object]]
 
-    def after(self, span: int, call: Callback, /, *args: object) -> Timer:
+    def call_later(self, span: int, call: Callback, /, *args: object) -> Timer:
         """Calls `call(*args)` after the span, ns."""
 
 
@@ -63,7 +63,7 @@
     `loop` is a `gaproute.loop.Loop` where there are real sockets. `configuration` is checked, and shared by
     all gateways of a process. These make what sends and receives:
 
-    - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.Datagrams`
+    - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.DatagramSocket`
     - `open_raft_transport(loop, name, peers, receive)`: as `gaproute.peers.raft.RaftTransport`
 
     `open_raft_disk(name)` makes the disk of a member of the Raft group. `wall_clock` returns ns since 1970.
@@ -80,6 +80,6 @@
     wall_clock: Callable[[], int]
     record: EventCounter = field(default_factory=EventCounter)
 
-    def random(self, stream: RandomStream) -> Chance:
+    def random(self, stream: RandomStream) -> RandomGenerator:
         """The random numbers of one part, the same for the same seed."""
-        return Chance(self.seed + stream)
+        return RandomGenerator(self.seed + stream)
--- a/gaproute/hosts/jsonlines/connection_owner.py
+++ b/gaproute/hosts/jsonlines/connection_owner.py
@@ -1,48 +1,49 @@
-"""What a connection needs of the host that it leads to, and of the pool of all connections."""
+"""The parts of a host and of the connection pool that a connection uses, as protocol classes."""
 
 from __future__ import annotations
 
 from typing import Protocol, TypeVar
 
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 
 Connection = TypeVar("Connection", contravariant=True)
 
 
-class HostConnectionOwner(Protocol):
+class ConnectionPoolProtocol(Protocol):
     """The part of `ConnectionPool` that its connections use.
 
-    `connect_timeout`: ns; `cancel_allowed`: whether hosts take cancellations. `malformed`: connections that
-    were closed because a line could not be decoded; `unmatched`: replies that belong to no request.
+    `connect_timeout` is in ns. `cancel_allowed`: whether hosts take cancellations. `malformed_replies`: the
+    number of lines that could not be decoded, each of which closed its connection. `unmatched_replies`: the
+    number of replies that belong to no request.
     """
 
     loop: Loop
-    pooling: Pooling
+    pooling: ConnectionReusePolicy
     connect_timeout: int
     cancel_allowed: bool
-    malformed: int
-    unmatched: int
+    malformed_replies: int
+    unmatched_replies: int
 
 
-class ConnectionRegistry(Protocol[Connection]):
-    """The connections of one host: see `ConnectionSet`."""
+class ConnectionSetProtocol(Protocol[Connection]):
+    """The part of `ConnectionSet` that its connections use."""
 
     def discard(self, connection: Connection) -> None:
-        """Removes a connection; no error where it is not in the set."""
+        """Removes a connection; no error if it is not in the set."""
 
 
-class ConnectionHost(Protocol[Connection]):
+class HostProtocol(Protocol[Connection]):
     """The part of `Host` that its connections use."""
 
     name: str
     address: Address
 
     @property
-    def pool(self) -> HostConnectionOwner:
+    def pool(self) -> ConnectionPoolProtocol:
         """The pool of all connections."""
 
     @property
-    def connections(self) -> ConnectionRegistry[Connection]:
+    def connections(self) -> ConnectionSetProtocol[Connection]:
         """The host's connections."""
--- a/gaproute/load/generator.py
+++ b/gaproute/load/generator.py
@@ -18,7 +18,7 @@
 from gaproute.load.slow_clients import SlowClient
 from gaproute.load.traffic import ActiveTraffic, Deadline
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.units import MILLI, SECOND
 
 POLL_INTERVAL = 20 * MILLI  # between checks whether all is open, or all has ended
@@ -50,7 +50,7 @@
         self.ends_at: int | None = None  # ns of the loop, when no more requests are sent
         self.requests = RequestTemplates(self.random)
         self._traffic = {line.name: ActiveTraffic(line) for line in script.traffic}
-        self._targets = [address(target) for target in script.targets]
+        self._targets = [parse_address(target) for target in script.targets]
         self._connector = Connector(
             loop,
             self.random,
@@ -86,7 +86,7 @@
         active = self._traffic[traffic.name]
         if traffic.think and self.started_at is not None and self._is_sending():
             pause = round(self.random.expovariate(1 / traffic.think))
-            self.loop.after(pause, self._pause_over, connection, connection.stream)
+            self.loop.call_later(pause, self._pause_over, connection, connection.stream)
         elif active.waiting:
             connection.send_requests(traffic, active.waiting.popleft())
         else:
@@ -155,7 +155,7 @@
                 client = SlowClient(self.loop, slow, self.random, self._targets, self.counts, self.ends_at)
                 self.loop.spawn(client.play())
         for storm in self.script.storms:
-            self.loop.after(storm.at, self._storm, storm)
+            self.loop.call_later(storm.at, self._storm, storm)
         self.loop.spawn(self.watch_deadlines())
 
     def result(self) -> LoadResult:
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets; accepting pauses while the process lacks descriptors."""
+"""Listening sockets, which pause accepting while the process lacks descriptors."""
 
 import os
 import socket
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from gaproute.loop import sockets
-from gaproute.loop.addresses import SocketAddress, address_of
+from gaproute.loop.addresses import SocketAddress, bound_address
 from gaproute.loop.descriptors import READ
 from gaproute.loop.faults import FAILED_CONNECTION_ERRNOS, SHORTAGE_ERRNOS, Backoff
 from gaproute.loop.loop import Loop
@@ -16,26 +16,28 @@
 from gaproute.units import MILLI
 
 BACKLOG = 4096  # connections that wait in the kernel to be accepted
-MAX_ACCEPTS_PER_TURN = 32  # so that requests in flight get their share of the turn
-MAX_FAILED_ACCEPTS = 16  # connections in a row that had failed before they were accepted, in one call
+MAX_ACCEPTS_PER_TURN = 32  # leaves time in the turn for requests in flight
+MAX_FAILED_ACCEPTS = 16  # in one call of `accept`: connections in a row that failed before they were accepted
 FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE = 2 * MILLI, 50 * MILLI  # while the process lacks descriptors
 ACCEPT_RETRY_PAUSE = 5 * MILLI  # between attempts to empty the backlog when the process stops
 
 
-class Accepted(NamedTuple):
-    """A connection that was accepted, and its client's address."""
+class AcceptedSocket(NamedTuple):
+    """The socket of an accepted connection, and its client's address."""
 
     sock: socket.socket
     address: SocketAddress
 
 
-def open_listening_socket(where: tuple[int, SocketAddress], backlog: int = BACKLOG) -> socket.socket:
-    """A socket that listens. Errors: OSError."""
-    family, target = where
+def open_listening_socket(
+    requested_address: tuple[int, SocketAddress], backlog: int = BACKLOG
+) -> socket.socket:
+    """Opens a listening socket. Errors: OSError."""
+    family, target = requested_address
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
     try:
         if isinstance(target, str):
-            _remove_stale(target)
+            _remove_stale_socket_file(target)
         else:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             if family == socket.AF_INET6:
@@ -48,13 +50,13 @@
     return sock
 
 
-def _remove_stale(path: str) -> None:
-    """Removes a socket file on which nobody listens; one in use stays, and bind fails then."""
+def _remove_stale_socket_file(path: str) -> None:
+    """Removes a socket file on which no process listens; bind(2) fails on a file that is in use."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
-        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as trial:
-            trial.connect(path)
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+            probe.connect(path)
     except ConnectionRefusedError:
         os.unlink(path)
     except FileNotFoundError:
@@ -64,15 +66,15 @@
 class Listener:
     """Accepts connections at one address and calls `on_socket(sock)` for each.
 
-    With `on_ready` instead of `on_socket`, `on_ready()` is called while connections wait, and `accept` takes
-    them. `inherited`: a listening socket that another process has opened and still owns. `address`: the
-    address as text, with the port that the kernel picked. Errors: OSError.
+    With `on_ready` instead of `on_socket`, the listener calls `on_ready()` while connections wait, and the
+    owner calls `accept`. `inherited`: a listening socket that another process has opened and still owns.
+    `address`: the bound address as text, with the port that the kernel picked. Errors: OSError.
     """
 
     def __init__(
         self,
         loop: Loop,
-        where: tuple[int, SocketAddress],
+        requested_address: tuple[int, SocketAddress],
         on_socket: Callable[[socket.socket], object] | None,
         backlog: int = BACKLOG,
         *,
@@ -80,24 +82,24 @@
         inherited: socket.socket | None = None,
     ) -> None:
         self.loop, self.on_socket, self.on_ready = loop, on_socket, on_ready
-        self.pauses = 0
-        self.pause_timer: Timer | None = None  # ends a pause
+        self.pause_count = 0
+        self.pause_timer: Timer | None = None  # ends the present pause
         self.backoff = Backoff(FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE)
-        self.backlog_seen_empty = False  # by the last `accept`
-        self.backlog_since: int | None = None  # since when connections may wait in the backlog, ns
-        target = where[1]
+        self.backlog_seen_empty = False  # whether the last `accept` found no waiting connection
+        self.backlog_since: int | None = None  # the earliest time (ns) of a connection in the backlog
+        target = requested_address[1]
         self.path = target if isinstance(target, str) and inherited is None else None
-        self.sock = open_listening_socket(where, backlog) if inherited is None else inherited
+        self.sock = open_listening_socket(requested_address, backlog) if inherited is None else inherited
         try:
             self.sock.setblocking(False)
-            self.address = address_of(self.sock)
-            loop.watch(self.sock.fileno(), READ, self._ready)
+            self.address = bound_address(self.sock)
+            loop.watch(self.sock.fileno(), READ, self._handle_events)
         except OSError:
             if inherited is None:
                 self.close()
             raise
 
-    def _ready(self, events: int) -> None:
+    def _handle_events(self, events: int) -> None:
         if self.backlog_since is None:
             self.backlog_since = self.loop.previous_poll_at
         if self.on_ready is not None:
@@ -109,8 +111,8 @@
                     return
                 self.on_socket(accepted.sock)
 
-    def accept(self) -> Accepted | None:
-        """Accepts a connection; None if none waits (`backlog_empty`) or none can be accepted now."""
+    def accept(self) -> AcceptedSocket | None:
+        """Accepts a connection; None if no connection waits (`backlog_empty`) or can be accepted now."""
         self.backlog_seen_empty = False
         for _ in range(MAX_FAILED_ACCEPTS):
             if self.sock.fileno() < 0:
@@ -121,35 +123,39 @@
                 self.backlog_seen_empty = True
                 self.backlog_since = None
                 return None
-            except OSError as fault:
-                if fault.errno in FAILED_CONNECTION_ERRNOS:
-                    continue  # this connection has failed: try the next one
-                self._back_off(fault)
+            except OSError as error:
+                if error.errno in FAILED_CONNECTION_ERRNOS:
+                    continue  # only this connection has failed; the next one may be fine
+                self._back_off(error)
                 return None
             self.backoff.reset()
-            self._note_wait(sock.fileno())
-            return Accepted(sockets.configure(sock), address)
-        self.pause(self.backoff.next_pause())  # the same connection may have failed each time
+            self._record_backlog_wait(sock.fileno())
+            return AcceptedSocket(sockets.configure(sock), address)
+        self.pause(self.backoff.next_pause())  # it may be the same connection that fails each time
         return None
 
-    def _note_wait(self, fd: int) -> None:
-        """Notes since when the connection may have waited in the backlog: its first bytes may be as old."""
+    def _record_backlog_wait(self, fd: int) -> None:
+        """Stores how long the connection may have waited in the backlog: its first bytes may be as old."""
         if self.backlog_since is None:
             self.loop.backlogged_since.pop(fd, None)
         else:
             self.loop.backlogged_since[fd] = self.backlog_since
 
-    def _back_off(self, fault: OSError) -> None:
-        """Pauses after a failure that concerns all connections; a second one in a row is a shortage."""
+    def _back_off(self, error: OSError) -> None:
+        """Pauses after a failure that concerns all connections.
+
+        A second failure in a row means a lasting shortage, so descriptors are freed. Errors: `error`, unless
+        it is a shortage.
+        """
         repeated = self.backoff.has_failed
         self.pause(self.backoff.next_pause())
-        if fault.errno not in SHORTAGE_ERRNOS:
-            raise fault
+        if error.errno not in SHORTAGE_ERRNOS:
+            raise error
         if repeated:
             self.loop.relieve_shortage()
 
     def accept_all(self, take: Callable[[socket.socket, SocketAddress], object]) -> bool:
-        """Calls `take(socket, address)` for each waiting connection; returns whether none waits any more."""
+        """Calls `take(socket, address)` for each waiting connection; returns whether the backlog is empty."""
         while (accepted := self.accept()) is not None:
             take(accepted.sock, accepted.address)
         return self.backlog_empty
@@ -160,13 +166,13 @@
         return self.backlog_seen_empty or self.sock.fileno() < 0
 
     def pause(self, span: int) -> None:
-        """Accepts no connection for `span` ns; new ones wait in the kernel's backlog."""
-        self.pauses += 1
+        """Accepts no connection for `span` ns; new connections wait in the kernel's backlog."""
+        self.pause_count += 1
         if self.backlog_since is None:
             self.backlog_since = self.loop.now()
         self.loop.unwatch(self.sock.fileno())
         self._cancel_pause()
-        self.pause_timer = self.loop.after(span, self._resume)
+        self.pause_timer = self.loop.call_later(span, self._resume)
 
     def _cancel_pause(self) -> None:
         if self.pause_timer is not None:
@@ -177,7 +183,7 @@
         self.pause_timer = None
         fd = self.sock.fileno()
         if fd >= 0 and fd not in self.loop.watched:
-            self.loop.watch(fd, READ, self._ready)
+            self.loop.watch(fd, READ, self._handle_events)
 
     def close(self) -> None:
         """Closes the listening socket; the kernel resets connections that wait in its backlog."""
--- a/gaproute/peers/ports.py
+++ b/gaproute/peers/ports.py
@@ -34,7 +34,7 @@
 
 
 class EventLog(Protocol):
-    """The log of events for operators: `gaproute.telemetry.record.Record`."""
+    """The log of events for operators: `gaproute.telemetry.record.GatewayRecord`."""
 
     def event(self, level: str, name: str, /, **fields: object) -> None:
         """Logs one event; `level`: "info", "warning" or "error"."""
@@ -46,19 +46,19 @@
     def now(self) -> int:
         """The time."""
 
-    def at(self, when: int, call: Callback, /, *args: object) -> Timer:
+    def call_at(self, when: int, call: Callback, /, *args: object) -> Timer:
         """Calls `call(*args)` at the time `when`; returns the timer."""
 
 
 class CallbackLoop(TimerLoop, Protocol):
     """A loop that also calls back in its present or next turn."""
 
-    def soon(self, call: Callback, /, *args: object) -> object:
+    def call_soon(self, call: Callback, /, *args: object) -> object:
         """Calls `call(*args)` after the callbacks that are due now."""
 
 
 class DatagramSocket(Protocol):
-    """An open socket for datagrams: `gaproute.loop.datagrams.Datagrams`."""
+    """An open socket for datagrams: `gaproute.loop.datagrams.DatagramSocket`."""
 
     def send(self, data: bytes, where: str, /) -> None:
         """Sends one datagram to the address, or drops it."""
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -10,7 +10,7 @@
 from gaproute.peers.ports import CallbackLoop, EventLog, RaftMessageHandler, RaftMessageTransport
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import Disk, RaftNode, Role
-from gaproute.shared.raft.invariants import replay
+from gaproute.shared.raft.invariants import node_summary_json
 from gaproute.shared.raft.messages import RaftMessage, Reply
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI
@@ -118,7 +118,7 @@
     def _send(self, messages: Iterable[tuple[str, RaftMessage]]) -> None:
         for to, message in messages:
             if to == self.name:
-                self.loop.soon(self.receive, to, message)
+                self.loop.call_soon(self.receive, to, message)
             else:
                 self.transport.send(to, message)
 
@@ -126,7 +126,7 @@
         times = [part.due for part in self._parts() if part.due is not None]
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.at(min(times), self.run_due) if times else None
+        self.timer = self.loop.call_at(min(times), self.run_due) if times else None
 
     def _after_turn(self, begun: int) -> None:
         self._schedule()
@@ -190,7 +190,9 @@
             self.record.event("warning", "raft_turn_slow", took_ms=(now - begun) // MILLI)
         self._log_changes(node)
         for violation in node.violations[self.logged_violations :]:
-            self.record.event("error", "raft_invariant_violated", violation=violation, replay=replay(node))
+            self.record.event(
+                "error", "raft_invariant_violated", violation=violation, replay=node_summary_json(node)
+            )
         self.logged_violations = len(node.violations)
         if now - self.rejections_logged_at >= REJECTIONS_INTERVAL:
             self.rejections_logged_at = now
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -14,7 +14,7 @@
 from gaproute.http1 import Exchange, Limits, Request, Response, Server
 from gaproute.http1.client import ClientConnection
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.loop.timers import Timer
 from gaproute.peers.raft import wire
 from gaproute.shared.raft.messages import RaftMessage
@@ -118,7 +118,7 @@
             max_buffered_bytes=4 * wire.MAX_BATCH_BYTES,
         )
         server: Server = Server(
-            self.loop, address(where), lambda request: self.handle(server, request), limits
+            self.loop, parse_address(where), lambda request: self.handle(server, request), limits
         )
         self.server = server
         return server.address
@@ -166,7 +166,7 @@
         self.counts["lost"] += state.push(wire.encode_message(message))
         if state.exchange is None and state.timer is None:
             # After the present callbacks, so that all messages of one turn are sent in one batch.
-            state.timer = self.loop.at(max(self.loop.now(), state.retry_at), self._send_batch, to, state)
+            state.timer = self.loop.call_at(max(self.loop.now(), state.retry_at), self._send_batch, to, state)
 
     def _send_batch(self, to: str, state: PeerState) -> None:
         """Sends the messages that are queued, in one exchange."""
@@ -179,12 +179,12 @@
         state.exchange = Exchange(
             self.loop, data, lambda answer, fault: self._finish(to, state, len(messages), answer)
         )
-        state.timer = self.loop.after(EXCHANGE_TIMEOUT, self._finish, to, state, len(messages), None)
+        state.timer = self.loop.call_later(EXCHANGE_TIMEOUT, self._finish, to, state, len(messages), None)
         if state.connection is not None and state.connection.open:
             state.exchange.send_on(state.connection)
             return
         state.exchange.connect(
-            address(self.peers[to]),
+            parse_address(self.peers[to]),
             EXCHANGE_TIMEOUT,
             MAX_RESPONSE_BYTES,
             MAX_RESPONSE_BYTES,
@@ -208,7 +208,7 @@
         self.counts["sent" if sent else "lost"] += messages
         state.retry_at = now if sent else now + RETRY_DELAY
         if state.queue and not self.closed:
-            state.timer = self.loop.at(state.retry_at, self._send_batch, to, state)
+            state.timer = self.loop.call_at(state.retry_at, self._send_batch, to, state)
 
     def close(self) -> None:
         """Ends sending and listening."""
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -1,7 +1,7 @@
 """`python -m gaproute.platform`: runs one gateway of the platform, configured by environment variables.
 
-Exit codes: 0 stopped; 2 the environment or the configuration cannot be used; 3 the address cannot be listened
-on, or the operating system lacks descriptors or memory to start. Errors that may pass are retried first
+Exit codes: 0 stopped; 2 the environment or the configuration is unusable; 3 the gateway cannot listen on its
+address, or the operating system lacks descriptors or memory. Transient errors are retried first
 (`loop.starting`).
 """
 
@@ -11,54 +11,56 @@
 
 from gaproute.loop import Loop
 from gaproute.loop.starting import StartupRetries
-from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration, read_environment
-from gaproute.platform.process import Process
-from gaproute.telemetry.record import TRACE_ONE_IN
+from gaproute.platform.configuration import ConfigurationRejectedError, read_configuration, read_environment
+from gaproute.platform.process import GatewayProcess
+from gaproute.telemetry.record import DEFAULT_TRACE_ONE_IN
 
 EXIT_STOPPED, EXIT_UNUSABLE_CONFIGURATION, EXIT_CANNOT_START = 0, 2, 3
 
 
-def trace_one_in() -> int:
-    """By GAPROUTE_FOLLOW=N the steps of one request in N are logged; 1: of all, 0: of none.
+def read_trace_one_in() -> int:
+    """Reads GAPROUTE_FOLLOW=N: the steps of one request in N are logged; 1 logs all requests, 0 none.
 
-    A value that is no number is ignored: a mistake in it is no reason not to start.
+    An invalid value is replaced by the default, since it is no reason to refuse to start.
     """
     text = os.environ.get("GAPROUTE_FOLLOW", "")
-    return int(text) if text.isdigit() else TRACE_ONE_IN
+    return int(text) if text.isdigit() else DEFAULT_TRACE_ONE_IN
 
 
 def main() -> int:
-    """Runs the gateway until it is stopped; returns the exit code."""
-    patience = StartupRetries()
+    """Runs the gateway until it stops; returns the exit code."""
+    startup_retries = StartupRetries()
     try:
-        process = make_process(patience)
-    except ConfigurationRefusedError as error:
+        process = make_process(startup_retries)
+    except ConfigurationRejectedError as error:
         print(error, file=sys.stderr)
         return EXIT_UNUSABLE_CONFIGURATION
     except OSError as error:
-        print(f"cannot start: {error.strerror}", file=sys.stderr)
+        print(f"cannot start the gateway: {error.strerror}", file=sys.stderr)
         return EXIT_CANNOT_START
     try:
-        patience.call(process.start)
+        startup_retries.call(process.start)
     except OSError as error:
         print(f"cannot listen on {process.listen}: {error.strerror}", file=sys.stderr)
         return EXIT_CANNOT_START
     gc.collect()
-    gc.freeze()  # objects that live as long as the process are not examined in later collections
+    gc.freeze()  # later collections skip the objects that live as long as the process
     process.run()
     return EXIT_STOPPED
 
 
-def make_process(patience: StartupRetries) -> Process:
-    """Makes the gateway that the environment describes, with its signal handlers.
+def make_process(startup_retries: StartupRetries) -> GatewayProcess:
+    """Creates the gateway that the environment describes, and sets its signal handlers.
 
-    Errors: ConfigurationRefusedError; OSError where the operating system lacks descriptors or memory.
+    Errors: ConfigurationRejectedError; OSError if the operating system lacks descriptors or memory.
     """
     name, listen, path = read_environment()
-    loaded = patience.call(lambda: read_configuration(path))
-    loop = patience.call(Loop)
-    process = Process(path, loaded, name=name, listen=listen, loop=loop, trace_one_in=trace_one_in())
-    patience.call(process.handle_signals)
+    loaded = startup_retries.call(lambda: read_configuration(path))
+    loop = startup_retries.call(Loop)
+    process = GatewayProcess(
+        path, loaded, name=name, listen=listen, loop=loop, trace_one_in=read_trace_one_in()
+    )
+    startup_retries.call(process.handle_signals)
     return process
 
 
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -1,50 +1,55 @@
-"""One gateway process of the platform: makes, starts, stops and closes its parts."""
+"""One gateway process of the platform: creates, starts, stops and closes its components."""
 
 import signal
 import traceback
 
 from gaproute.connections import AcceptedConnections
-from gaproute.connections.descriptors import descriptors
+from gaproute.connections.descriptors import descriptor_limit
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import MIN_IDLE_WITH_RETRIES, Admission, response_margin
-from gaproute.decisions.chance import Chance
+from gaproute.decisions.admission.admission import (
+    MIN_EVICTION_IDLE_TIME_WITH_RETRIES,
+    Admission,
+    response_margin,
+)
+from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS, split_descriptors
-from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.connections.pooling import ConnectionReusePolicy
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import parse_address
 from gaproute.platform.configuration import Configuration, LoadedConfiguration
 from gaproute.platform.host_list import HostList
 from gaproute.platform.log import Log
-from gaproute.platform.peers import PeerReports
+from gaproute.platform.peers import PeerReportSocket
 from gaproute.platform.reload import ConfigurationReloader
 from gaproute.platform.shutdown import GracefulShutdown
 from gaproute.platform.status import StatusLog
-from gaproute.telemetry.record import TRACE_ONE_IN, Record
+from gaproute.telemetry.record import DEFAULT_TRACE_ONE_IN, GatewayRecord
 
 SEED_BASE = 16
-CHANGE_LOG_SEED, ADMISSION_SEED = 1, 3  # added to the seed, so that no two parts draw the same numbers
-MAX_TRACE = 2000  # last characters of an error's traceback that are logged
-MAX_REASON = 200  # characters of the reason for rejecting a client's message that are logged
+# Added to the seed, so that no two components draw the same numbers.
+CHANGE_LOG_SEED_OFFSET, ADMISSION_SEED_OFFSET = 1, 3
+MAX_TRACEBACK_CHARS = 2000  # length of the logged end of an error's traceback
+MAX_REASON_CHARS = 200  # logged length of the reason for rejecting a client's message
 
 
-class Process:
-    """The parts of a gateway. Call `start`, then `run`, which ends after `stop`; signals call the rest."""
+class GatewayProcess:
+    """A gateway and its components. Call `start`, then `run`, which returns after `stop` was called."""
 
     def __init__(
         self,
-        path: str,
+        configuration_path: str,
         loaded: LoadedConfiguration,
         *,
         name: str | None = None,
         listen: str | None = None,
         loop: Loop | None = None,
         log: Log | None = None,
-        trace_one_in: int = TRACE_ONE_IN,
+        trace_one_in: int = DEFAULT_TRACE_ONE_IN,
     ) -> None:
-        """`path`: the configuration file, for reloads; `name` and `listen` replace those of the file."""
+        """`configuration_path`: read again on reload; `name` and `listen` override those of the file."""
         self.configuration, self.terms, self.deployment = loaded
         self.name = name or self.configuration.name
         self.listen = listen or self.configuration.listen
@@ -52,52 +57,56 @@
         self.log = log or Log()
         self.loop.on_error = self._log_error
         self.seed = int(self.configuration.seed, SEED_BASE)
-        self.sockets = min(self.configuration.limits.sockets, descriptors())
-        self.record = Record(self.log, self.deployment.class_names, trace_one_in)
-        self._share_sockets()
+        self.descriptor_limit = min(self.configuration.limits.sockets, descriptor_limit())
+        self.record = GatewayRecord(self.log, self.deployment.class_names, trace_one_in)
+        self._divide_descriptors()
         self._make_core()
-        self.host_list = HostList(self.loop, self.log, self.deployment.zones, self.hosts, self.core)
-        self.peers = PeerReports(self.loop, self.log, lambda: self.configuration, self._receive_report)
-        self.core.send_to_peers = self.peers.send
-        self.reloader = ConfigurationReloader(self.loop, self.log, path, self._apply)
-        deadlines = tuple(each.hard_limit for each in self.terms.request_classes)
+        self.host_list = HostList(self.loop, self.log, self.deployment.zones, self.host_client, self.core)
+        self.peer_reports = PeerReportSocket(
+            self.loop, self.log, lambda: self.configuration, self._receive_report
+        )
+        self.core.send_to_peers = self.peer_reports.send
+        self.reloader = ConfigurationReloader(
+            self.loop, self.log, configuration_path, self._apply_configuration
+        )
+        deadlines = tuple(request_class.hard_limit for request_class in self.terms.request_classes)
         self.shutdown = GracefulShutdown(self.loop, self.log, self.core, deadlines)
-        self.front: JsonRpcFront | None = None  # None until `start`, as the next one
-        self.status: StatusLog | None = None
-
-    def _share_sockets(self) -> None:
-        """Divides the descriptors between connections of clients and connections to hosts."""
-        shares = split_descriptors(self.sockets)
-        self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
-        self.hosts.on_removed = self.record.forget_host
-        AcceptedConnections.of(self.loop).admission = Admission(
+        self.front: JsonRpcFront | None = None  # None until `start`
+        self.status: StatusLog | None = None  # None until `start`
+
+    def _divide_descriptors(self) -> None:
+        """Divides the descriptors between client connections and host connections."""
+        shares = split_descriptors(self.descriptor_limit)
+        self.host_client = JsonLinesClient(self.loop, ConnectionReusePolicy(), self.deployment, shares.hosts)
+        self.host_client.on_host_removed = self.record.forget_host
+        AcceptedConnections.for_loop(self.loop).admission = Admission(
             shares.clients,
             shares.clients + 1,
-            self.sockets,
-            Chance(self.seed + ADMISSION_SEED),
-            min_idle=MIN_IDLE_WITH_RETRIES,
+            self.descriptor_limit,
+            RandomGenerator(self.seed + ADMISSION_SEED_OFFSET),
+            min_eviction_idle_time=MIN_EVICTION_IDLE_TIME_WITH_RETRIES,
             queue_when_full=True,
             reserved_descriptors=shares.hosts + PROCESS_DESCRIPTORS,
         )
 
     def _make_core(self) -> None:
         self.gateway = Gateway(self.seed, self.terms, self.loop.now())
-        longest = self.gateway.load_order_limiter.travel_time
-        if longest:
-            self.hosts.order_timeout = min(self.hosts.order_timeout, longest)
-        self.core = Core(self.loop, self.gateway, self.terms, self.hosts, self.record, self.name)
+        travel_time = self.gateway.load_order_limiter.max_transit_time
+        if travel_time:
+            self.host_client.order_timeout = min(self.host_client.order_timeout, travel_time)
+        self.core = Core(self.loop, self.gateway, self.terms, self.host_client, self.record, self.name)
 
     # Start
 
     def start(self) -> None:
-        """Listens for clients and follows the host list.
+        """Listens for clients, follows the host list and starts the status log.
 
-        Errors: OSError where the address cannot be listened on; then `start` may be called again.
+        Errors: OSError if the gateway cannot listen on its address; `start` may then be called again.
         """
-        front = self.front = self._listen()
+        front = self.front = self._create_front()
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
-            self.peers.open()
-        chance = Chance(self.seed + CHANGE_LOG_SEED)
+            self.peer_reports.open()
+        chance = RandomGenerator(self.seed + CHANGE_LOG_SEED_OFFSET)
         self.host_list.start(self.configuration.known, self.configuration.changelog, chance)
         self._log_start(front)
         self.status = StatusLog(
@@ -106,27 +115,27 @@
             core=self.core,
             gateway=self.gateway,
             front=front,
-            hosts=self.hosts,
+            host_client=self.host_client,
             host_list=self.host_list,
         )
         self.status.write()
 
-    def _listen(self) -> JsonRpcFront:
+    def _create_front(self) -> JsonRpcFront:
         front = JsonRpcFront(
             self.loop,
-            address(self.listen),
+            parse_address(self.listen),
             self.core,
             self.deployment.class_names,
             self.terms.request_classes,
-            self.ready,
+            self.is_ready,
             response_margin(),
         )
         front.on_protocol_error = self._log_rejected_message
         return front
 
-    def ready(self) -> bool:
-        """Whether clients should send requests: a host is active, and the process is not stopping."""
-        return not self.shutdown.begun and any(host.active for host in self.hosts.hosts.values())
+    def is_ready(self) -> bool:
+        """Whether clients should send requests: a host is active and the process is not stopping."""
+        return not self.shutdown.has_begun and any(host.active for host in self.host_client.hosts.values())
 
     def _receive_report(self, payload: bytes) -> None:
         self.core.receive_broadcast(payload)
@@ -134,16 +143,16 @@
     # Signals
 
     def handle_signals(self) -> None:
-        """Sets the handlers: SIGTERM and SIGINT stop the process, SIGHUP reloads the configuration."""
+        """Sets the signal handlers: SIGTERM and SIGINT stop the process, SIGHUP reloads the configuration."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Reads the configuration file again; only a new address of the change log takes effect."""
+        """Reads the configuration file again; only a changed change log address takes effect."""
         self.reloader.reload()
 
-    def _apply(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self.configuration = configuration
         self.host_list.set_address(configuration.changelog)
 
@@ -155,20 +164,20 @@
     # Run
 
     def run(self) -> None:
-        """Runs until the process has stopped, then closes all parts."""
+        """Runs the loop until the process stops, then closes all components."""
         self.loop.run()
         if self.status is not None:
-            self.loop.guard(self.status.write)
+            self.loop.call_guarded(self.status.write)
         connections = self.front.connection_count if self.front is not None else 0
         self.log.info("stopped", requests_in_flight=len(self.core.in_flight), client_connections=connections)
         self.reloader.cancel()
         self.close()
 
     def close(self) -> None:
-        """Closes the sockets of all parts, also where closing one of them fails."""
-        for part in (self.front, self.host_list, self.hosts, self.peers):
-            if part is not None:
-                self.loop.guard(part.close)
+        """Closes all components, even if closing one of them raises an error."""
+        for component in (self.front, self.host_list, self.host_client, self.peer_reports):
+            if component is not None:
+                self.loop.call_guarded(component.close)
 
     # Log
 
@@ -177,10 +186,10 @@
             "started",
             name=self.name,
             listen_address=front.address,
-            hosts=len(self.hosts.hosts),
-            descriptor_limit=self.sockets,
-            max_client_connections=AcceptedConnections.of(self.loop).admission.max_connections,
-            max_host_connections=self.hosts.max_connections,
+            hosts=len(self.host_client.hosts),
+            descriptor_limit=self.descriptor_limit,
+            max_client_connections=AcceptedConnections.for_loop(self.loop).admission.max_connections,
+            max_host_connections=self.host_client.max_connections,
             limits=self.configuration.limits,
             report_names=self.deployment.report_names,
             prices=self.configuration.settings.get("prices"),
@@ -189,7 +198,7 @@
 
     def _log_error(self, error: BaseException) -> None:
         trace = "".join(traceback.format_exception(error))
-        self.log.error("unhandled_exception", error=repr(error), traceback=trace[-MAX_TRACE:])
+        self.log.error("unhandled_exception", error=repr(error), traceback=trace[-MAX_TRACEBACK_CHARS:])
 
     def _log_rejected_message(self, code: int, text: str) -> None:
-        self.log.info("client_message_rejected", code=code, error=text[:MAX_REASON])
+        self.log.info("client_message_rejected", code=code, error=text[:MAX_REASON_CHARS])
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -1,4 +1,4 @@
-"""The status line that the platform process logs for operators every few seconds."""
+"""The status line that the platform process periodically logs for operators."""
 
 import os
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 MEBIBYTE = 1 << 20
 STATUS_INTERVAL = 5 * SECOND
 
-Figure = TypeVar("Figure")
+Value = TypeVar("Value")
 
 
 class StatusLog:
-    """Writes the status line at once and every `STATUS_INTERVAL`. Its keys are in `docs/platform.md`."""
+    """Writes the status line every `STATUS_INTERVAL`. `docs/platform.md` describes its keys."""
 
     def __init__(
         self,
@@ -31,15 +31,16 @@
         core: Core,
         gateway: Gateway,
         front: JsonRpcFront,
-        hosts: JsonLinesClient,
+        host_client: JsonLinesClient,
         host_list: HostList,
     ) -> None:
         self.loop, self.log, self.core, self.front = loop, log, core, front
-        self.gateway, self.hosts, self.host_list = gateway, hosts, host_list
+        self.gateway, self.host_client, self.host_list = gateway, host_client, host_list
 
     def write(self) -> None:
-        """Writes a line now and sets the timer of the next one."""
-        self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
+        """Writes a status line and schedules the next one."""
+        # The timer is set first, so that an error in this line does not end the status log.
+        self.loop.call_later(STATUS_INTERVAL, self.write)
         self.log.info("status", **self._fields())
 
     def _fields(self) -> dict[str, object]:
@@ -47,67 +48,71 @@
             "requests_in_flight": len(self.core.in_flight),
             "counts": self.core.record.snapshot(),
             "host_connections": self._connections_in_use(),
-            "host_estimates": self._estimates(),
+            "host_estimates": self._host_estimates(),
             **self._client_fields(),
             **self._host_fields(),
             **self._process_fields(),
-            **self._list_fields(),
+            **self._host_list_fields(),
         }
 
     def _connections_in_use(self) -> dict[str, list[int]]:
-        """By host: [connections, requests on them], for hosts that have a connection."""
+        """By host: [connections, requests in flight on them], for hosts that have a connection."""
         return {
             name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
-            for name, host in self.hosts.hosts.items()
+            for name, host in self.host_client.hosts.items()
             if host.connections
         }
 
-    def _estimates(self) -> dict[str, list[float]]:
+    def _host_estimates(self) -> dict[str, list[float]]:
         """By host: [queue, slowdown, own attempts in flight], for hosts that are in use or slow."""
         gateway, now = self.gateway, self.loop.now()
         return {
-            host.id: [round(gateway.queued(host, 1, now), 1), round(host.slowdown, 1), len(host.in_flight)]
+            host.id: [
+                round(gateway.request_count(host, 1, now), 1),
+                round(host.slowdown, 1),
+                len(host.in_flight),
+            ]
             for host in gateway.active_hosts
             if host.in_flight or host.slowdown > 1
         }
 
     def _client_fields(self) -> dict[str, int]:
-        front, connections = self.front, AcceptedConnections.of(self.loop)
+        front, connections = self.front, AcceptedConnections.for_loop(self.loop)
         return {
             "client_connections": connections.client_count,
-            "parked_connections": front.parked,
+            "parked_connections": front.parked_count,
             "protocol_errors": front.protocol_errors,
             "rejected_connections": front.rejected_connections,
             "unresponsive_clients": front.unresponsive_clients,
-            "evicted_idle": connections.evicted,
+            "evicted_idle": connections.evicted_count,
         }
 
     def _host_fields(self) -> dict[str, int]:
-        hosts = self.hosts
+        hosts = self.host_client
         return {
-            "host_connections_opened": hosts.opened,
-            "host_connections_reused": hosts.reused,
-            "host_connections_multiplexed": hosts.multiplexed,
-            "malformed_responses": hosts.malformed,
-            "unmatched_responses": hosts.unmatched,
+            "host_connections_opened": hosts.connections_opened,
+            "host_connections_reused": hosts.connections_reused,
+            "host_connections_multiplexed": hosts.requests_multiplexed,
+            "malformed_responses": hosts.malformed_replies,
+            "unmatched_responses": hosts.unmatched_replies,
         }
 
     def _process_fields(self) -> dict[str, float | None]:
         return {
             "late_loop_turns": self.loop.late_turns,
-            "open_descriptors": _if_readable(open_descriptors),
-            "resident_memory_mb": _if_readable(resident_memory),
+            "open_descriptors": _value_if_readable(open_descriptors),
+            "resident_memory_mb": _value_if_readable(resident_memory),
             "cpu_s": round(sum(os.times()[:2]), 2),
         }
 
-    def _list_fields(self) -> dict[str, object]:
-        watcher, rejected = self.host_list.watcher, self.host_list.converter.rejected
+    def _host_list_fields(self) -> dict[str, object]:
+        watcher, rejected = self.host_list.watcher, self.host_list.member_converter.rejected_count
         if watcher is None:
             return {"rejected_members": rejected}
         return {
             "rejected_members": rejected,
             "change_log_connections": watcher.connection_count,
-            "change_log_restarts": watcher.restarts,
+            "change_log_restarts": watcher.restart_count,
             "change_log_error": watcher.last_error,
             "change_log_seq": watcher.last_seq,
             "change_log_silent_ms": (self.loop.now() - watcher.last_message_at) // MILLI,
@@ -115,18 +120,18 @@
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open. Errors: OSError where none is free to count them."""
+    """The number of open descriptors of this process. Errors: OSError if none is free for counting."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def resident_memory() -> float:
-    """The resident memory of this process, MiB. Errors: OSError where no descriptor is free to read it."""
+    """The resident memory of this process in MiB. Errors: OSError if no descriptor is free for reading it."""
     with open("/proc/self/statm") as file:
         pages = int(file.read().split()[1])
     return round(pages * os.sysconf("SC_PAGESIZE") / MEBIBYTE, 1)
 
 
-def _if_readable(read: Callable[[], Figure]) -> Figure | None:
+def _value_if_readable(read: Callable[[], Value]) -> Value | None:
     try:
         return read()
     except OSError:
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -73,7 +73,7 @@
         """Charges the bytes to the budget; returns how long the pulling gateway must wait, 0 if not."""
         if self._budget.borrow(now, size):
             return 0
-        return max(1, self._budget.wait(now, size))
+        return max(1, self._budget.wait_time(now, size))
 
     def _charge_part(self, now: int, part: PartAnswer) -> int:
         """How long the pulling gateway must wait for a part; the first part is charged for all of them."""
