--- a/gaproute/shared/dissemination/version_reports.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -1,25 +1,26 @@
-"""Which versions other gateways have announced, and for how long.
+"""The versions that other gateways announced to this one, and when.
 
-This is a sample: the gateways that happened to announce to this one within the last seconds, at most
-`MAX_REPORTERS`. If all of them have a version, the whole fleet probably has it; that is no proof, and nothing
-is known about a gateway that is cut off or that announces to others only. Announcements are not verified.
-Times are ns.
+The reports are a sample: at most `MAX_REPORTERS` gateways that happened to announce to this one within the
+last seconds. If all of them have a version, the whole fleet probably has it; that is no proof, as nothing is
+known about a gateway that is cut off or that announced to other gateways only. Announcements are not
+verified. Times are ns.
 """
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import MAX_REPORTED_VERSIONS, MAX_REPORTERS, REPORT_TIME
+from gaproute.shared.dissemination.bounds import MAX_REPORT_AGE, MAX_REPORTED_VERSIONS, MAX_REPORTERS
 
 
 @dataclass(frozen=True)
 class Propagation:
     """How far one version has spread.
 
-    `reporters` gateways announced within the last seconds, versions from `oldest` to `newest`; `behind` of
-    them have an older version than the one in question. `agreed_for`: for how long every announcement has
-    been of that version or a newer one; None if there was none, or while one that is behind still counts.
+    `reporters`: number of gateways whose last announcement counts, of versions from `oldest` to `newest`.
+    `behind`: number of those that announced an older version than the one in question. `agreed_for`: for how
+    long all announcements have been of that version or a newer one, ns; None if there was no such
+    announcement, or while the announcement of a gateway that is behind still counts.
     """
 
     reporters: int
@@ -36,8 +37,8 @@
     received_at: int
 
 
-class AnnouncedTimes(NamedTuple):
-    """When a version was first and last announced."""
+class AnnouncementTimes(NamedTuple):
+    """When a version was first and last announced to this gateway."""
 
     first: int
     last: int
@@ -47,24 +48,24 @@
     """The last announcement of each gateway, and when each version was announced."""
 
     def __init__(self) -> None:
-        self.by_name: dict[str, Report] = {}  # the latest announcement comes last
-        self.times: dict[Version, AnnouncedTimes] = {}
+        self.reports: dict[str, Report] = {}  # by name; the latest announcement is the last
+        self.announcement_times: dict[Version, AnnouncementTimes] = {}
 
     def record(self, now: int, name: str, version: Version) -> None:
-        """Records that the gateway announced that version."""
-        self.by_name.pop(name, None)
-        self.by_name[name] = Report(version, now)
-        if len(self.by_name) > MAX_REPORTERS:
-            del self.by_name[next(iter(self.by_name))]
-        known = self.times.get(version)
-        self.times[version] = AnnouncedTimes(now if known is None else known.first, now)
-        if len(self.times) > MAX_REPORTED_VERSIONS:
-            del self.times[min(self.times)]
+        """Records that the gateway with this name announced the version now."""
+        self.reports.pop(name, None)
+        self.reports[name] = Report(version, now)
+        if len(self.reports) > MAX_REPORTERS:
+            del self.reports[next(iter(self.reports))]
+        known = self.announcement_times.get(version)
+        self.announcement_times[version] = AnnouncementTimes(now if known is None else known.first, now)
+        if len(self.announcement_times) > MAX_REPORTED_VERSIONS:
+            del self.announcement_times[min(self.announcement_times)]
 
     def propagation(self, now: int, version: Version) -> Propagation:
-        """How far that version has spread, as far as this gateway knows."""
-        reports = self.by_name.values()
-        current = [report.version for report in reports if now - report.received_at <= REPORT_TIME]
+        """How far the version has spread, as far as this gateway knows."""
+        reports = self.reports.values()
+        current = [report.version for report in reports if now - report.received_at <= MAX_REPORT_AGE]
         behind = sum(each < version for each in current)
         agreed_since = None if behind else self._agreed_since(version)
         agreed_for = None if agreed_since is None else now - agreed_since
@@ -72,8 +73,8 @@
         return Propagation(len(current), behind, oldest, newest, agreed_for)
 
     def _agreed_since(self, version: Version) -> int | None:
-        reached = [times.first for other, times in self.times.items() if other >= version]
+        reached = [times.first for other, times in self.announcement_times.items() if other >= version]
         if not reached:
             return None
-        below = [times.last for other, times in self.times.items() if other < version]
+        below = [times.last for other, times in self.announcement_times.items() if other < version]
         return max([min(reached), *below])
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.chance import RandomGenerator
 from gaproute.peers.membership import MembershipTransport
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.messages import LIMITS, HostEntry, name_key
+from gaproute.shared.gossip.messages import KIND_LIMITS, HostEntry, name_key
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.membership import Membership, MemberState
 from gaproute.shared.raft import RaftNode
@@ -72,7 +72,7 @@
     assert node.receive(SECOND, "a", in_flight(START_MS - HOUR_MS, 1, 2.0)) == 0
     assert node.in_flight(SECOND, "h1").received == pytest.approx(4.0, rel=0.03)
     # The entries of the former incarnation expire as usual
-    assert node.in_flight(LIMITS[EntryKind.IN_FLIGHT].max_age + 2 * SECOND, "h1").origins == 0
+    assert node.in_flight(KIND_LIMITS[EntryKind.IN_FLIGHT].max_age + 2 * SECOND, "h1").origin_count == 0
     assert node.receive(2 * SECOND, "a", in_flight(START_MS + 1, 1, 2.0)) == 1
 
 
@@ -88,7 +88,7 @@
     second_address = second.peers.peer_server.address
     third = start("third", f"peer second {second_address}\nweak-word yes")
     node = third.peers.gossip.node
-    testbed.until(lambda: "second" in node.table.received)
+    testbed.until(lambda: "second" in node.table.received_sets)
     before = second.peers.membership_transport.membership.incarnation
     second.close()
     clock_offset[0] = -HOUR_MS
@@ -132,7 +132,7 @@
         network.clients = {"h0": LeaseClient("h0", network.names, network.chance, network.now)}
         lease = network.clients["h0"].acquire(network.now, f"room-{restart}", 30 * SECOND)
         network.run(10 * SECOND)
-        assert lease.valid_at(network.now)
+        assert lease.is_valid_at(network.now)
         fencing_tokens.append(lease.fencing_token)
         sessions.append(network.clients["h0"].session)
         for name in network.names:
