--- a/gaproute/appliance/cell_endpoints.py
+++ b/gaproute/appliance/cell_endpoints.py
@@ -1,4 +1,4 @@
-"""Converts host lines of cells to endpoints; of a changed list only the changed lines are converted again."""
+"""Converts the host lists of cells to endpoints; in a changed list, only the changed lines are converted."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class ConvertedLine(NamedTuple):
-    """A line of a list, and the endpoint that was made of it."""
+    """A line of a host list and its endpoint."""
 
     line: HostLine
     endpoint: Endpoint
 
 
 class ConvertedList(NamedTuple):
-    """The list of a cell with its endpoints."""
+    """The host list of a cell and its endpoints."""
 
     zone: str
     lines: list[HostLine]
@@ -25,8 +25,11 @@
     endpoints: list[Endpoint]
 
 
-class CellEndpoints:
-    """The endpoints of the lists in force. `use_capacities`: whether the capacities in the lines are used."""
+class CellEndpointConverter:
+    """Converts the host lists of cells, and keeps those of the last call to convert only changed lines.
+
+    `use_capacities`: whether endpoints get the capacities in the lines.
+    """
 
     def __init__(self, loop: Loop, *, use_capacities: bool) -> None:
         self.converter = HostLineConverter(loop, use_capacities=use_capacities)
@@ -38,10 +41,10 @@
         zones: Mapping[str, str],
         current_at: Mapping[str, int | None] | None = None,
     ) -> dict[str, list[Endpoint]]:
-        """The endpoints by cell, of the lines by cell; a host whose line names no zone is in the zone of its
-        cell.
+        """Converts the host lines of all cells; returns the endpoints by cell.
 
-        `current_at`: by cell, when its former list was last known to be in force, ns of the loop's clock.
+        A host whose line names no zone is in the zone of its cell, which `zones` has by cell.
+        `current_at`: by cell, when its previous list was last known to be current, ns of the loop's clock.
         """
         current_at = current_at or {}
         self.lists = {
@@ -54,19 +57,20 @@
     def _convert_list(
         self, cell: str, lines: list[HostLine], zone: str, current_at: int | None
     ) -> ConvertedList:
-        before = self.lists.get(cell)
-        absent_at = current_at if before is not None else None  # the first list of a cell has none before it
-        if before is not None and before.zone == zone and before.lines is lines:
-            return before
-        known = before.by_host if before is not None and before.zone == zone else {}
+        previous = self.lists.get(cell)
+        absent_at = current_at if previous is not None else None  # None for the first list of a cell
+        if previous is not None and previous.zone == zone and previous.lines is lines:
+            return previous
+        previous_lines = previous.by_host if previous is not None and previous.zone == zone else {}
         by_host = {
-            line.name: self._convert_line(line, zone, known.get(line.name), absent_at) for line in lines
+            line.name: self._convert_line(line, zone, previous_lines.get(line.name), absent_at)
+            for line in lines
         }
         return ConvertedList(zone, lines, by_host, [converted.endpoint for converted in by_host.values()])
 
     def _convert_line(
-        self, line: HostLine, zone: str, known: ConvertedLine | None, absent_at: int | None
+        self, line: HostLine, zone: str, previous: ConvertedLine | None, absent_at: int | None
     ) -> ConvertedLine:
-        if known is not None and (known.line is line or known.line == line):
-            return known
+        if previous is not None and (previous.line is line or previous.line == line):
+            return previous
         return ConvertedLine(line, self.converter.endpoint(line, zone, absent_at))
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process: makes, starts and stops its parts."""
+"""The appliance: one gateway process, which makes, starts and stops its parts."""
 
 import secrets
 import signal
@@ -33,11 +33,11 @@
 
 
 class Appliance:
-    """A gateway process.
+    """A gateway process, run by `gaproute serve`.
 
-    `fronts`: all that listens; `client_fronts`: those of them that take requests, from clients or forwarded.
-    `gateway` exchanges observations with other gateways; in a fleet of cells it knows no host, and each known
-    cell has decisions of its own.
+    `fronts` are all open fronts; `client_fronts` are those for requests, from clients or forwarded by other
+    gateways. `gateway` makes the decisions, and has the observations that other gateways exchange; in a fleet
+    of cells it knows no host, and each known cell has decisions of its own.
     """
 
     def __init__(
@@ -46,23 +46,23 @@
         loop: Loop | None = None,
         seed: int | None = None,
         log: Log | None = None,
-        inherited: Mapping[str, socket.socket] | None = None,
+        inherited_sockets: Mapping[str, socket.socket] | None = None,
     ) -> None:
-        """`inherited`: listening sockets that a parent has opened, by the address as configured."""
-        self.configuration, self.inherited = configuration, dict(inherited or {})
+        """`inherited_sockets`: listening sockets that a parent has opened, by the address as configured."""
+        self.configuration, self.inherited_sockets = configuration, dict(inherited_sockets or {})
         self.loop = loop or Loop()
-        self.started: int = self.loop.now()  # ns of the loop's clock
+        self.started_at: int = self.loop.now()  # ns of the loop's clock
         self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
         self.log: Log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
         self.loop.on_error = self._log_error
         self.record = GatewayRecord(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
-        # Whether other processes serve at the clients' addresses, even after this one has stopped
+        # Whether other processes share the clients' addresses and serve them after this process stops
         self.address_shared = False
         self.fronts: list[Front] = []
         self.client_fronts: list[RestFront] = []
-        path = make_request_path(self.loop, configuration, self.record, self.seed, self.hosts_changed)
+        path = make_request_path(self.loop, configuration, self.record, self.seed, self.apply_endpoints)
         self.gateway, self.hosts, self.core, self.cells = path.gateway, path.hosts, path.core, path.cells
         self.connections = self._make_connections()
         self.peers = self._make_peer_services()
@@ -70,9 +70,9 @@
     def _make_connections(self) -> AcceptedConnections:
         connections = AcceptedConnections.for_loop(self.loop)
         clients = self.configuration.client_limits
-        chance = RandomGenerator(self.seed + SeedOffset.ADMISSION)
+        random_source = RandomGenerator(self.seed + SeedOffset.ADMISSION)
         connections.admission = Admission(
-            clients.connections, clients.per_address, descriptor_limit(), chance
+            clients.connections, clients.per_address, descriptor_limit(), random_source
         )
         return connections
 
@@ -81,16 +81,15 @@
 
     @property
     def decisions(self) -> Sequence[Gateway]:
-        """The decisions for the whole fleet, or for each known cell."""
+        """The decisions for the whole fleet, or those for each known cell."""
         return [self.gateway] if self.cells is None else self.cells.gateways()
 
     # Start
 
     def start(self) -> None:
-        """Listens and begins to serve.
+        """Opens all fronts and begins to serve.
 
-        Errors: OSError where an address cannot be listened on. Then nothing listens, and it may be called
-        again.
+        Errors: OSError if an address cannot be listened on. No front is open then; the call may be repeated.
         """
         self._listen()
         if self.peers.gossip is not None:
@@ -103,39 +102,44 @@
         self.log.info(
             "started",
             listen_addresses=[front.address for front in self.fronts],
-            hosts=len(self.rows),
+            hosts=len(self.endpoints),
             descriptor_limit=descriptor_limit(),
             max_client_connections=self.connections.admission.max_connections,
         )
 
     def _listen(self) -> None:
-        for kind, where in self.configuration.listen_addresses:
+        for kind, address in self.configuration.listen_addresses:
             try:
-                self._open_front(kind, where)
+                self._open_front(kind, address)
             except OSError as error:
                 self._close_fronts()
-                raise OSError(error.errno, f"{where}: {error.strerror}") from error
+                raise OSError(error.errno, f"{address}: {error.strerror}") from error
 
-    def _open_front(self, kind: str, where: str) -> None:
+    def _open_front(self, kind: str, address: str) -> None:
         if kind == CLIENT_PROTOCOL:
-            front = self._client_front(where)
+            front = self._open_client_front(address)
             self.fronts.append(front)
             self.client_fronts.append(front)
         elif kind == PEER_PROTOCOL:
-            self.fronts.append(self.peers.listen(where))
+            self.fronts.append(self.peers.listen(address))
             if self.cells is not None:
                 self.client_fronts.append(self.cells.listen(self.peers, self.ready))
         else:
-            self.fronts.append(OperatorFront(self.loop, parse_address(where), self))
+            self.fronts.append(OperatorFront(self.loop, parse_address(address), self))
 
-    def _client_front(self, where: str) -> KServeFront:
-        inherited = self.inherited.get(where)
+    def _open_client_front(self, address: str) -> KServeFront:
+        inherited_socket = self.inherited_sockets.get(address)
         return KServeFront(
-            self.loop, parse_address(where), self.core, self.configuration, self.address_ready, inherited
+            self.loop,
+            parse_address(address),
+            self.core,
+            self.configuration,
+            self.address_ready,
+            inherited_socket,
         )
 
     def _close_fronts(self) -> None:
-        """Closes the fronts that were opened, after a failed start."""
+        """Closes the fronts that a failed start has opened."""
         for front in self.fronts:
             front.close()
         self.peers.close()
@@ -145,23 +149,23 @@
     # The host list
 
     @property
-    def rows(self) -> dict[str, Endpoint]:
+    def endpoints(self) -> dict[str, Endpoint]:
         """The known hosts, by name."""
-        return self.host_list.rows
+        return self.host_list.endpoints
 
-    def update_hosts(self, rows: Sequence[Endpoint]) -> None:
-        """Applies a complete host list, to the connections first: decisions may use a new host at once."""
-        self.hosts_changed(rows)
-        self.core.update_hosts([row.listed for row in rows], complete=True)
-        self.peers.update_hosts(self.host_list.states())
+    def update_hosts(self, endpoints: Sequence[Endpoint]) -> None:
+        """Applies a complete host list, first to the connections, as decisions may use new hosts at once."""
+        self.apply_endpoints(endpoints)
+        self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete=True)
+        self.peers.update_hosts(self.host_list.states_and_start_times())
 
-    def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
-        """Passes all hosts that are known now to the connections and the host list."""
-        self.hosts.update(rows, complete=True)
-        self.host_list.replace(rows)
+    def apply_endpoints(self, endpoints: Sequence[Endpoint]) -> None:
+        """Passes all hosts known now to the connections and to the host list."""
+        self.hosts.update(endpoints, complete=True)
+        self.host_list.replace_endpoints(endpoints)
 
     def reload_host_lists(self) -> None:
-        """Reads the files of hosts now."""
+        """Reads the files with lists of hosts now."""
         if self.cells is not None:
             self.cells.reload()
         else:
@@ -170,21 +174,21 @@
     # Readiness
 
     def ready(self) -> bool:
-        """Whether this process serves and has a host, or a gateway to which it can forward."""
-        return not self.stopping and self._has_active_host()
+        """Whether this process serves and has an active host or a gateway to forward to."""
+        return not self.stopping and self._can_serve()
 
     def address_ready(self) -> bool:
         """Whether the clients' addresses are served, by this process or by others that share them."""
-        return (self.address_shared or not self.stopping) and self._has_active_host()
+        return (self.address_shared or not self.stopping) and self._can_serve()
 
-    def _has_active_host(self) -> bool:
-        active = any(row.listed.state is ListedHostState.ACTIVE for row in self.rows.values())
+    def _can_serve(self) -> bool:
+        active = any(endpoint.listed.state is ListedHostState.ACTIVE for endpoint in self.endpoints.values())
         return active or self.cells is not None and self.cells.can_forward()
 
     # Signals and the parent
 
     def handle_signals(self) -> None:
-        """Sets the handlers: SIGTERM and SIGINT stop the process, SIGHUP reads the host list again.
+        """Sets signal handlers: SIGTERM and SIGINT stop the process, SIGHUP reads the host lists again.
 
         It is called before `start`, so that no signal is missed. Errors: OSError.
         """
@@ -193,10 +197,10 @@
         self.loop.on_signal(signal.SIGHUP, self.reload_host_lists)
 
     def attach_to_parent(self, liveness_pipe: int, ready_pipe: int) -> None:
-        """Reports to the parent that this process serves, and stops it when the liveness pipe ends.
+        """Reports to the parent that this process serves, and stops it when the liveness pipe is closed.
 
-        The end of the pipe means that all processes at the addresses end; any earlier stop is of this process
-        alone.
+        A closed pipe means that all processes at the clients' addresses stop; an earlier stop is of this
+        process alone.
         """
         self.address_shared = True
         watch_parent(self.loop, liveness_pipe, self._stop_with_all)
@@ -222,7 +226,7 @@
         """Runs the loop until `stop` has ended it, then closes all parts."""
         self.loop.run()
         self.close()
-        uptime = max(1, self.loop.now() - self.started)
+        uptime = max(1, self.loop.now() - self.started_at)
         self.log.info(
             "stopped",
             requests_in_flight=len(self.core.in_flight),
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -1,6 +1,6 @@
 """The leases of one gateway: its node of the Raft group, and lease requests at the operators' address.
 
-This module connects the parts and makes no decisions.
+This module only connects the parts.
 """
 
 import secrets
@@ -26,32 +26,33 @@
 from gaproute.telemetry.record import GatewayRecord
 from gaproute.units import MILLI
 
-# Each run draws the first number of its requests from this range; all numbers stay below JSON's 2^53.
-RUN_BITS = 40
-REQUEST_BITS = 12
+# Each run draws the high bits of its request numbers, so that two runs use different numbers. All numbers
+# stay below 2^53, up to which JSON numbers are exact.
+RUN_NUMBER_BITS = 40
+REQUEST_NUMBER_BITS = 12
 
 
 class LeaseService:
     """A gateway's lease client, and its node of the Raft group if `line` names the gateway as a member.
 
-    `line`: the configuration's line `keepers`. Errors: OSError where the Raft log file cannot be opened. A
-    disk that fails for a while raises none: the node does nothing until the disk works.
+    `line`: the configuration's line `keepers`. Errors: OSError if the Raft log file cannot be opened, except
+    for disk faults that may pass: the node then does nothing until the disk works.
     """
 
     def __init__(
-        self, loop: Loop, name: str, line: RaftGroupLine, record: GatewayRecord, chance: RandomSource
+        self, loop: Loop, name: str, line: RaftGroupLine, record: GatewayRecord, random_source: RandomSource
     ) -> None:
         self.loop = loop
-        self.peers: dict[str, str] = {}  # addresses by name
-        self.disk: RaftLogFile | None = None
+        self.peers: dict[str, str] = {}  # the other gateways' addresses, by name
+        self.log_file: RaftLogFile | None = None
         if name in line.names and line.votes is not None:
-            self.disk = self._open_raft_log(line.votes, record)
+            self.log_file = self._open_raft_log(line.votes, record)
         self.hosted_node = HostedNode(
-            NodeEnvironment(loop, record, chance, partial(RaftTransport, loop, name, self.peers)),
+            NodeEnvironment(loop, record, random_source, partial(RaftTransport, loop, name, self.peers)),
             RaftGroupView(name, line.names),
-            NodeStorage(LeaseTable(max_duration=line.longest), self.disk, time.time_ns() // MILLI),
+            NodeStorage(LeaseTable(max_duration=line.longest), self.log_file, time.time_ns() // MILLI),
         )
-        last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
+        last_number = secrets.randbits(RUN_NUMBER_BITS) << REQUEST_NUMBER_BITS
         self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
         self.timer: Timer | None = None
 
@@ -65,47 +66,47 @@
         except OSError as error:
             if error.errno not in TRANSIENT_ERRNOS:
                 raise
-            # The node opens the file at its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
+            # The node opens the file when it first reads, which it retries every `STORAGE_RETRY_INTERVAL`
         return log_file
 
     def update_peers(self, peers: dict[str, str]) -> None:
-        """Takes over the addresses, by name, of all gateways that may request leases."""
+        """Replaces the addresses, by name, of all other gateways."""
         for name in [name for name in self.peers if name not in peers]:
             del self.peers[name]
         self.peers.update(peers)
 
-    def handle(self, server: Server, request: Request) -> None:
-        """Handles a batch of messages from another gateway."""
+    def handle_messages(self, server: Server, request: Request) -> None:
+        """Handles a batch of Raft messages from another gateway."""
         self.hosted_node.transport.handle(server, request)
 
     def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
         """Carries out an operator's command. Errors: `LeaseRequestError`."""
         status = self.requests.execute(self.loop.now(), command)
-        self._run_due()
+        self._run_due_work()
         return status
 
     def table(self) -> JsonObject:
-        """The lease table at the operators' address; its JSON keys are older than the names in the code."""
+        """The lease table for operators; its JSON keys are older than the names in the code."""
         return {"errands": self.requests.all_statuses(self.loop.now()), **self.hosted_node.status()}
 
-    def _run_due(self) -> None:
+    def _run_due_work(self) -> None:
         self.requests.tick(self.loop.now())
         self.hosted_node.run_due()
         if self.timer is not None:
             self.timer.cancel()
         due = self.requests.due
         self.timer = (
-            None if due is None else self.loop.call_at(max(due, self.loop.now() + MILLI), self._run_due)
+            None if due is None else self.loop.call_at(max(due, self.loop.now() + MILLI), self._run_due_work)
         )
 
     def stop(self) -> None:
-        """Releases all leases; call `close` afterwards."""
+        """Releases all leases; `close` has to follow."""
         self.hosted_node.stop()
 
     def close(self) -> None:
-        """Closes the timer, the sockets and the disk."""
+        """Cancels the timer, and closes the sockets and the Raft log file."""
         if self.timer is not None:
             self.timer.cancel()
         self.hosted_node.close()
-        if self.disk is not None:
-            self.disk.close()
+        if self.log_file is not None:
+            self.log_file.close()
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -1,4 +1,4 @@
-"""The operators' address of a gateway: its tables over HTTP (`status.py`), and lease requests."""
+"""The operators' address of a gateway: serves tables (`status.py`) and accepts lease commands over HTTP."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -13,43 +13,43 @@
 from gaproute.loop.addresses import Address
 from gaproute.shared.leases.operator_requests import decode_operator_command
 
-LEASES = b"/permits"
-TABLES: dict[bytes, Callable[[RunningGateway], object]] = {
+LEASES_PATH = b"/permits"
+TABLES_BY_PATH: dict[bytes, Callable[[RunningGateway], object]] = {
     b"/status": status.status,
     b"/hosts": status.host_table,
     b"/knows": status.warm_instances,
     b"/peers": status.peer_table,
-    LEASES: status.lease_table,
+    LEASES_PATH: status.lease_table,
     b"/events": status.event_table,
 }
 JSON_HEADERS = ((b"Content-Type", b"application/json"),)
 
 
 class LeasesUnavailableError(GaprouteError, ValueError):
-    """A lease was requested at a gateway that belongs to no Raft group."""
+    """A lease command reached a gateway whose configuration names no Raft group."""
 
 
 class OperatorFront:
-    """Serves what the command line reads. Errors: OSError where the address cannot be listened on."""
+    """Serves the tables and lease requests. Errors: OSError if the address cannot be listened on."""
 
-    def __init__(self, loop: Loop, where: Address, appliance: RunningGateway) -> None:
+    def __init__(self, loop: Loop, address: Address, appliance: RunningGateway) -> None:
         self.appliance = appliance
-        self.server = Server(loop, where, self.handle)
+        self.server = Server(loop, address, self.handle)
         self.address: str = self.server.address
 
     def handle(self, request: Request) -> None:
-        """Answers one request."""
-        if request.target == LEASES and request.method == b"POST":
+        """Answers a request."""
+        if request.target == LEASES_PATH and request.method == b"POST":
             self._execute(request)
             return
-        table = TABLES.get(request.target)
+        table = TABLES_BY_PATH.get(request.target)
         if table is None:
             self._answer(request, HTTPStatus.NOT_FOUND, {"error": f"the paths are {_paths()}"})
         else:
             self._answer(request, HTTPStatus.OK, table(self.appliance))
 
     def _execute(self, request: Request) -> None:
-        """Requests, extends or releases a lease for an operator (`docs/leases.md`)."""
+        """Carries out an operator's command to request, extend or release a lease (`docs/leases.md`)."""
         leases = self.appliance.peers.leases
         try:
             if leases is None:
@@ -69,5 +69,5 @@
 
 
 def _paths() -> str:
-    *names, last = (path.decode() for path in TABLES)
+    *names, last = (path.decode() for path in TABLES_BY_PATH)
     return f"{', '.join(names)} and {last}"
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -1,9 +1,8 @@
-"""One parent with several gateway processes at the same addresses, which it starts, restarts, rolls and
-stops.
+"""A parent process that starts, restarts, reloads and stops several gateway processes at the same addresses.
 
-The parent opens the clients' listening sockets and passes them to each child, so that all accept from one
-queue (`listening_sockets.py`). Each child is a gateway of its own: its own decisions, counts, load order
-limit, operators' address and peers' address.
+The parent opens the listening sockets for clients and passes them to each child, so that all children accept
+from one queue (`listening_sockets.py`). Each child is a separate gateway with its own decisions, counts, load
+order limit, operators' address and peers' address.
 """
 
 import signal
@@ -19,40 +18,40 @@
 
 
 class Parent:
-    """`count` gateways by a configuration that was read from `file`, and is read from there again at a
-    reload.
-    """
+    """`process_count` gateways of one configuration, which a reload reads again from `configuration_file`."""
 
     def __init__(
         self,
-        file: str | Path,
+        configuration_file: str | Path,
         configuration: Configuration,
-        count: int,
+        process_count: int,
         seed: int | None = None,
         loop: Loop | None = None,
         log: Log | None = None,
     ) -> None:
-        self.count = count
+        self.process_count = process_count
         self.loop = loop or Loop()
         name = f"{configuration.name}, parent"
         self.log: Log = log or logger(level=configuration.log_level).bind(gateway=name)
         self.listeners = ListeningSockets()
-        command = ServeCommand(str(file), count, seed)
+        command = ServeCommand(str(configuration_file), process_count, seed)
         self.children = ChildProcesses(
             self.loop, self.log, command, configuration, self.listeners, self.loop.stop
         )
-        self.reloads = RollingReload(self.loop, self.log, str(file), self.children, self.listeners)
+        self.reloads = RollingReload(
+            self.loop, self.log, str(configuration_file), self.children, self.listeners
+        )
 
     @property
     def stopping(self) -> bool:
-        """Whether all children were asked to end."""
+        """Whether all children were asked to stop."""
         return self.children.stopping
 
     def start(self) -> None:
-        """Listens and starts all children.
+        """Opens the listening sockets and starts all children.
 
-        Errors: OSError where an address cannot be listened on, or a child cannot be started. Then it may be
-        called again.
+        Errors: OSError if an address cannot be listened on or a child cannot be started. The call may be
+        repeated then.
         """
         self.listeners.open(self.children.configuration)
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -60,11 +59,13 @@
         self.loop.on_signal(signal.SIGHUP, self.reloads.reload)
         self.children.start_missing()
         self.log.info(
-            "parent_started", processes=self.count, listen_addresses=self.listeners.displayed_addresses()
+            "parent_started",
+            processes=self.process_count,
+            listen_addresses=self.listeners.displayed_addresses(),
         )
 
     def stop(self) -> None:
-        """Asks all children to end; the loop ends after the last one."""
+        """Asks all children to stop; the loop ends after the last child."""
         if self.stopping:
             return
         self.log.info("stopping", processes=len(self.children.by_slot))
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -1,7 +1,7 @@
-"""What one gateway exchanges with other gateways and takes over from its own last run; connects the parts.
+"""The parts with which a gateway communicates with other gateways, and its observations of the last run.
 
-At the address for peers are served: membership, gossip, observations for other gateways, leases and forwarded
-requests. Observations also come from the store that this gateway wrote in its last run.
+The address for peers serves membership, gossip, observations, leases and forwarded requests. Observations
+also come from the store that this gateway wrote in its last run. This module only connects the parts.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import GatewayRecord
 
-LAST_RUN = "past life"  # the origin of observations from the store, as operators read it
+LAST_RUN_ORIGIN = "past life"  # origin of observations from the store, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
-# Connections of gateways that request leases from a member of the Raft group: batches are long, and every
-# gateway of a large fleet may have a connection to each member.
+# Limits at the address for peers in a fleet with leases: batches of Raft messages are long, and every gateway
+# of a large fleet may have a connection to each member of the Raft group.
 LEASE_PEER_LIMITS = Limits(
     max_body_bytes=MAX_BATCH_BYTES,
     max_pipelined=1,
@@ -50,16 +50,17 @@
 
 
 class PeerListObserver(Protocol):
-    """The part of `CellServices` that is notified of the peers."""
+    """The interface of `CellServices` for changes of the peer list."""
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
-        """Takes over the addresses of all other gateways, by name."""
+        """Replaces the addresses of all other gateways, by name."""
 
 
 class PeerServices:
-    """The parts that communicate with other gateways; those that are not configured are None.
+    """The parts that communicate with other gateways; a part that is not configured is None.
 
-    `gateway`: the decisions, which give and take observations. `cells`: notified of the peers.
+    `gateway`: the decisions, which supply observations and use those of others. `cells` is notified of each
+    change of the peer list.
     """
 
     def __init__(
@@ -82,18 +83,18 @@
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
         self.request_classes = [line.name for line in configuration.request_classes]
-        self.follower = HintSelector(
+        self.hint_selector = HintSelector(
             self.observations,
             configuration.terms.keep_alive,
             {name: number for number, name in enumerate(self.request_classes)},
             RandomGenerator(seed + SeedOffset.OBSERVATIONS),
         )
 
-    def listen(self, where: str) -> PeerServer:
-        """Opens the address for other gateways. Errors: OSError; `close` is to be called then."""
+    def listen(self, address: str) -> PeerServer:
+        """Opens the address for other gateways. Errors: OSError; `close` has to be called then."""
         server = PeerServer(
             self.loop,
-            parse_address(where),
+            parse_address(address),
             self.gateway,
             self.host_history,
             self.request_classes,
@@ -111,7 +112,7 @@
         return server
 
     def start(self) -> None:
-        """Applies the observations of the last run, then requests those of the peers."""
+        """Applies the observations of the last run, then requests observations of the peers."""
         self.open_observation_store()
         if self.configuration.peers or self.configuration.peers_file:
             self.observation_client = ObservationClient(
@@ -119,25 +120,30 @@
                 (),
                 self.observations,
                 self.apply_observations,
-                self.observations_complete,
+                self.apply_request_mix,
                 self.record,
             )
             self.update_peers(self.configuration.peers)
         source = self.configuration.peers_file
         if source is not None:
             self.peer_list_watch = FileWatch(
-                self.loop, source.path, source.look, self.update_peers, self.peer_list_rejected, read_peers
+                self.loop,
+                source.path,
+                source.look,
+                self.update_peers,
+                self.log_rejected_peer_list,
+                read_peers,
             )
 
     def update_hosts(self, states: Mapping[str, tuple[str, int]]) -> None:
-        """Takes over the complete host list: by host its state and its start (ns since 1970)."""
+        """Replaces the host list; `states`: by host, its state and its start time (ns since 1970)."""
         self.host_history.update(self.loop.now(), states)
         if self.gossip is not None:
             history = self.host_history.entries
             self.gossip.set_hosts({name: entry.started for name, entry in history.items() if name in states})
 
     def update_peers(self, peers: Sequence[PeerLine]) -> None:
-        """Takes over the complete list of gateways, which may include this one."""
+        """Replaces the list of peers; `peers` may include this gateway."""
         others = [peer for peer in peers if peer.name != self.configuration.name]
         addresses = {peer.name: peer.where for peer in others}
         if self.membership_transport is not None:
@@ -149,15 +155,15 @@
         if self.observation_client is not None:
             self.observation_client.set_peers(others)
 
-    def peer_list_rejected(self, mistakes: Iterable[Mistake]) -> None:
-        """Logs why the list of peers that was read last is not used."""
+    def log_rejected_peer_list(self, mistakes: Iterable[Mistake]) -> None:
+        """Logs why the peer list last read is not used."""
         for mistake in mistakes:
             self.record.event("error", "peer_list_rejected", error=str(mistake))
 
     def open_observation_store(self) -> None:
-        """Opens the store on disk, if there is one, and applies what it has of the last run.
+        """Opens the observation store, if one is configured, and applies the observations of the last run.
 
-        A store that cannot be opened is tried again while the gateway serves, and written to from then on.
+        If the store cannot be opened, the gateway retries while it serves and then writes to it.
         """
         if self.configuration.observation_file is None:
             return
@@ -172,21 +178,21 @@
         )
 
     def apply_observations(self, subjects: Collection[Subject]) -> int:
-        """Passes the observations of these subjects to the decisions as hints; returns how many were used."""
+        """Passes the observations of the subjects to the decisions as hints; returns how many were used."""
         starts = self.host_history.active_start_times()
-        return self.follower.apply_hints(self.gateway, self.loop.now(), starts, subjects)
+        return self.hint_selector.apply_hints(self.gateway, self.loop.now(), starts, subjects)
 
-    def observations_complete(self) -> None:
-        """Notes that one source has sent all its observations: the mix of functions is known now."""
+    def apply_request_mix(self) -> None:
+        """Passes the mix of functions to the decisions, after a source has sent all its observations."""
         self.gateway.hint_function_mix(self.observations.request_mix())
 
     def cpu_spent(self) -> int:
-        """CPU time that sending and storing observations took, ns."""
+        """The CPU time spent on sending and storing observations, ns."""
         parts = (self.peer_server, self.observation_writer)
         return sum(part.spent for part in parts if part is not None)
 
     def stop(self) -> None:
-        """Leaves the membership and releases all leases; other gateways are still answered until `close`."""
+        """Leaves the membership and releases all leases; other gateways get answers until `close`."""
         for part in (self.membership_transport, self.leases):
             if part is not None:
                 part.stop()
@@ -194,7 +200,7 @@
             self.peer_list_watch.close()
 
     def close(self) -> None:
-        """Closes all parts except the front that `listen` opened."""
+        """Closes all parts except the server that `listen` returned."""
         for part in (
             self.peer_list_watch,
             self.observation_client,
@@ -207,37 +213,37 @@
                 part.close()
 
     def _open_membership(self, server: PeerServer) -> MembershipTransport:
-        chance = RandomGenerator(self.seed + SeedOffset.MEMBERSHIP)
+        random_source = RandomGenerator(self.seed + SeedOffset.MEMBERSHIP)
         open_datagrams = partial(DatagramSocket, self.loop)
         return MembershipTransport(
-            self.loop, self.configuration.name, server.address, chance, self.record, open_datagrams
+            self.loop, self.configuration.name, server.address, random_source, self.record, open_datagrams
         )
 
     def _open_leases(self, server: PeerServer) -> None:
         line = self.configuration.raft_group
         if line is not None:
-            chance = RandomGenerator(self.seed + SeedOffset.LEASES)
-            self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, chance)
-            server.routes[TARGET] = self.leases.handle
+            random_source = RandomGenerator(self.seed + SeedOffset.LEASES)
+            self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, random_source)
+            server.routes[TARGET] = self.leases.handle_messages
 
     def _make_gossip(self, transport: MembershipTransport) -> GossipTransport:
-        chance = RandomGenerator(self.seed + SeedOffset.GOSSIP)
-        return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, chance)
+        random_source = RandomGenerator(self.seed + SeedOffset.GOSSIP)
+        return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, random_source)
 
     def _limits(self) -> Limits:
         limits = LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
         if self.configuration.cells is None:
             return limits
-        return _with_forwarded_requests(limits, self.configuration.client_limits)
+        return _raise_limits_for_forwarding(limits, self.configuration.client_limits)
 
     def _restore(self, store: ObservationStore) -> None:
         now = self.loop.now()
         for subject, value, age in store.read(MAX_OBSERVATIONS):
             observed_at = self.observations.earliest_observation_time(now, age)
             if observed_at is not None:
-                self.observations.add(subject, SharedObservation(observed_at, LAST_RUN, 0, value))
+                self.observations.add(subject, SharedObservation(observed_at, LAST_RUN_ORIGIN, 0, value))
         applied = self.apply_observations(self.observations.by_subject)
-        self.observations_complete()
+        self.apply_request_mix()
         self.record.event(
             "info",
             "observations_restored",
@@ -250,8 +256,8 @@
         self.record.event("warning", "observation_store_fault", message=text)
 
 
-def _with_forwarded_requests(limits: Limits, clients: ClientLimitsLine) -> Limits:
-    """Limits where other gateways also forward requests: as large as the limits for clients."""
+def _raise_limits_for_forwarding(limits: Limits, clients: ClientLimitsLine) -> Limits:
+    """Returns limits that also admit forwarded requests, which are as large as requests of clients."""
     return limits._replace(
         max_head_bytes=clients.head + FORWARDED_HEADER_BYTES,
         max_body_bytes=max(limits.max_body_bytes, clients.body),
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -1,7 +1,7 @@
-"""The tables of a running gateway that operators read, as plain data for JSON.
+"""The tables of a running gateway for operators, as plain data for JSON.
 
-The JSON keys are older than the names in the code and do not change; those of counters and events are mapped
-by `legacy_names.py`.
+The JSON keys are older than the names in the code and do not change; `legacy_names.py` maps the keys of
+counters and events.
 """
 
 from collections.abc import Iterator
@@ -16,18 +16,18 @@
 
 
 def status(appliance: RunningGateway) -> JsonObject:
-    """The gateway as a whole: its state and its counts."""
+    """The state and the counts of the whole gateway."""
     peer_services, hosts = appliance.peers, appliance.hosts
     membership_transport, gossip = peer_services.membership_transport, peer_services.gossip
     return {
         "name": appliance.configuration.name,
         "stopping": appliance.stopping,
         "ready": appliance.ready(),
-        "up_ms": (appliance.loop.now() - appliance.started) // MILLI,
+        "up_ms": (appliance.loop.now() - appliance.started_at) // MILLI,
         "held": len(appliance.core.in_flight),
         "late_turns": appliance.loop.late_turns,
         "counts": legacy_counts(appliance.record.counts),
-        "clients": _clients(appliance),
+        "clients": _client_connections(appliance),
         "connections": {
             "opened": hosts.connections_opened,
             "reused": hosts.connections_reused,
@@ -36,24 +36,24 @@
         "gateways": membership_transport and membership_transport.membership.live_count(),
         "cells": appliance.cells and appliance.cells.status(),
         "weak_word": gossip and gossip.node.status(appliance.loop.now()),
-        "learnt": _observations_taken(appliance),
-        "telling": _observations_given(peer_services),
-        "memory": _observation_store(peer_services),
+        "learnt": _received_observations(appliance),
+        "telling": _sent_observations(peer_services),
+        "memory": _observation_store_status(peer_services),
     }
 
 
 def host_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The hosts of the list, by name."""
+    """The known hosts, ordered by name."""
     attempts = legacy_counts(appliance.record.counts).get("relay", {})
     table = []
-    for name, row in sorted(appliance.rows.items()):
+    for name, endpoint in sorted(appliance.endpoints.items()):
         host = appliance.hosts.hosts.get(name)
         table.append(
             {
                 "name": name,
-                "address": row.address,
-                "state": row.listed.state.value,
-                "capacity": row.listed.capacity,
+                "address": endpoint.address,
+                "state": endpoint.listed.state.value,
+                "capacity": endpoint.listed.capacity,
                 "connections": len(host.open_connections) if host else 0,
                 "relays": attempts.get(name, {}),
             }
@@ -62,22 +62,22 @@
 
 
 def warm_instances(appliance: RunningGateway) -> list[JsonObject]:
-    """The warm instances that the decisions expect, the last used first.
+    """The warm instances that the decisions expect, the most recently used first.
 
-    `by`: the evidence for each: an answer, a request sent there, or the gateway that reported it; `tried`:
-    whether a reported one was used yet.
+    `by` is the evidence for an instance: an answer, a request sent there, or the gateway that reported it.
+    `tried`: whether this gateway has used the instance.
     """
     rows = [
         row
         for gateway in appliance.decisions
         for name, function in gateway.functions_by_name.items()
-        for row in _instances(appliance, name, function)
+        for row in _function_instances(appliance, name, function)
     ]
     return sorted(rows, key=lambda row: int(row["age_ms"]))
 
 
 def peer_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The known gateways: their state by the membership, and what each sent at the start."""
+    """The known gateways: their state in the membership, and the progress of fetching their observations."""
     observation_client = appliance.peers.observation_client
     progress = observation_client.state if observation_client else {}
     membership_transport = appliance.peers.membership_transport
@@ -88,17 +88,17 @@
 
 
 def lease_table(appliance: RunningGateway) -> JsonObject | None:
-    """The leases of this gateway, and its node of the Raft group; None where it has none."""
+    """The leases of this gateway, and its node of the Raft group; None if it has no leases."""
     leases = appliance.peers.leases
     return None if leases is None else leases.table()
 
 
 def event_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The last events of the log."""
+    """The most recent log events."""
     return [legacy_event(event, fields) for event, fields in appliance.record.events]
 
 
-def _clients(appliance: RunningGateway) -> JsonObject:
+def _client_connections(appliance: RunningGateway) -> JsonObject:
     connections = appliance.connections
     return {
         "connections": connections.client_count,
@@ -112,8 +112,8 @@
     }
 
 
-def _observations_taken(appliance: RunningGateway) -> JsonObject:
-    """Observations taken over from other gateways and from the last run, and how many proved right."""
+def _received_observations(appliance: RunningGateway) -> JsonObject:
+    """Counts of observations from other gateways and the last run, and of hints proven right or wrong."""
     observations = appliance.peers.observations
     client = appliance.peers.observation_client
     return {
@@ -126,15 +126,15 @@
     }
 
 
-def _observations_given(peer_services: PeerServices) -> JsonObject | None:
-    """Observations that other gateways were sent at their request."""
+def _sent_observations(peer_services: PeerServices) -> JsonObject | None:
+    """Counts and CPU time of observations sent to other gateways on request."""
     server = peer_services.peer_server
     if server is None:
         return None
     return {"facts": server.transfers.encoded, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
 
 
-def _observation_store(peer_services: PeerServices) -> JsonObject | None:
+def _observation_store_status(peer_services: PeerServices) -> JsonObject | None:
     writer = peer_services.observation_writer
     if writer is None:
         return None
@@ -146,8 +146,8 @@
     }
 
 
-def _instances(appliance: RunningGateway, name: str, function: Function) -> Iterator[JsonObject]:
-    """The instances of one function: first by own attempts, then those that others reported."""
+def _function_instances(appliance: RunningGateway, name: str, function: Function) -> Iterator[JsonObject]:
+    """Yields the instances of a function: first those of own attempts, then those that others reported."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
         for host, used_at in last_used.items():
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -21,7 +21,7 @@
     node = second.peers.gossip.node
     rig.until(lambda: "third" in node.table.received_sets and node.warm_instances(rig.loop.now(), "lamp"))
     ((host, (age, origins)),) = node.warm_instances(rig.loop.now(), "lamp").items()
-    assert host in third.rows
+    assert host in third.endpoints
     assert origins == ("third",)
     assert age >= 0
     assert rig.gate.peers.gossip is None
