--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -28,7 +28,7 @@
 from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
-from gaproute.peers.membership import MAX_DATAGRAMS, MembershipTransport
+from gaproute.peers.membership import MAX_DATAGRAMS_PER_SECOND, MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
 from gaproute.shared.gossip.messages import LIMITS, DemandEntry, HostEntry, WarmInstanceEntry
@@ -155,7 +155,7 @@
 
         def receive() -> None:
             self._transport.received_in_second = read_before
-            self._transport._received(datagram)
+            self._transport._handle_datagram(datagram)
 
         return {"word": name, "bytes": len(datagram), "refused, us": cpu_us(receive)}
 
@@ -176,7 +176,7 @@
         gateway.row("over the sender's budget", datagram),
         gateway.row("a stranger's", stranger),
         gateway.row("noise", noise),
-        gateway.row("beyond 2,000 a second", datagram, read_before=MAX_DATAGRAMS),
+        gateway.row("beyond 2,000 a second", datagram, read_before=MAX_DATAGRAMS_PER_SECOND),
     ]
     gateway.close()
     return rows
--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
-from gaproute.peers.raft.transport import TARGET
+from gaproute.peers.raft.transport import HTTP_TARGET
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.shared.raft.messages import RaftMessage
@@ -48,7 +48,7 @@
 
 def posted(data: bytes) -> int:
     """Bytes of the exchange that carries a batch."""
-    head = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n" % (TARGET, len(data))
+    head = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n" % (HTTP_TARGET, len(data))
     return len(head) + len(data) + len(render(204, (), b"", close=False))
 
 
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -77,7 +77,7 @@
         for body in self.answers:
             answer = observation_wire.decode_answer(body)
             assert answer is not None
-            self.client.take("peer", self.loop.now(), answer)
+            self.client.merge_answer("peer", self.loop.now(), answer)
         assert len(self.client.observations.by_subject) == self.facts
 
     def close(self) -> None:
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.measurement import Measurements, Play
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
 from gaproute.decisions.chance import RandomGenerator
-from gaproute.peers.membership_wire import decode, encode
+from gaproute.peers.membership_wire import decode_message, encode_message
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
 from gaproute.shared.membership.message_builder import Outgoing
 
@@ -36,7 +36,7 @@
 
 def decoded(data: bytes) -> MembershipMessage:
     """The message of a datagram of this benchmark's own."""
-    message = decode(data)
+    message = decode_message(data)
     assert message is not None
     return message
 
@@ -69,7 +69,7 @@
     def message_of(self, name: str, kind: MessageKind, number: int) -> bytes:
         """Encode a message of another member, with as many updates as this gateway's own."""
         message = self.mirror.builder.message(kind, number)
-        return encode(
+        return encode_message(
             message._replace(sender=MemberUpdate(name, self.peers[name], MemberState.ALIVE, SINCE_1970))
         )
 
@@ -80,7 +80,7 @@
 
     def send(self, messages: Iterable[Outgoing], began: float) -> None:
         """Count what goes out, and answer the probes among it; `began`: when the CPU time began, s."""
-        datagrams = [(where, message, encode(message)) for where, message in messages]
+        datagrams = [(where, message, encode_message(message)) for where, message in messages]
         self.spent += time.process_time() - began
         for where, message, data in datagrams:
             self.out += len(data) + UDP_HEADERS
@@ -125,7 +125,7 @@
         made = Membership("gate-0000", peers["gate-0000"], RandomGenerator(seed), 0, SINCE_1970)
         for name, where in peers.items():
             news = MemberUpdate(f"{name}", f"{where} "[:-1], MemberState.ALIVE, SINCE_1970)
-            made.receive(0, decoded(encode(MembershipMessage(MessageKind.ACK, 0, news))))
+            made.receive(0, decoded(encode_message(MembershipMessage(MessageKind.ACK, 0, news))))
         return made
 
     return retained_bytes(build)
@@ -139,7 +139,7 @@
     )
     place, moved, now = 0, 0, 0
     while True:
-        pull = encode(MembershipMessage(MessageKind.PULL, place, newcomer))
+        pull = encode_message(MembershipMessage(MessageKind.PULL, place, newcomer))
         moved += len(pull) + UDP_HEADERS
         answers = sender.receive(now, decoded(pull))
         if not answers:  # so many chunks a period: asked again in the next
@@ -147,7 +147,7 @@
             sender.tick(now)
             continue
         ((_, part),) = answers
-        moved += len(encode(part)) + UDP_HEADERS
+        moved += len(encode_message(part)) + UDP_HEADERS
         place = part.sequence
         if place == 0:
             return moved
--- a/benchmarks/scale/membership_faults.py
+++ b/benchmarks/scale/membership_faults.py
@@ -6,7 +6,7 @@
 from gaproute.hollow import PARTS, HollowGateway
 from gaproute.hollow.simulation import GatewayLoop, GatewayRow, SimulatedFleet
 from gaproute.hollow.simulation.network import SimulatedDatagrams
-from gaproute.peers.membership_wire import decode, encode
+from gaproute.peers.membership_wire import decode_message, encode_message
 from gaproute.shared.membership import (
     Membership,
     MembershipMessage,
@@ -57,13 +57,13 @@
         loop = GatewayLoop(fleet.loop)
         socket = SimulatedDatagrams(fleet.network, row.name, loop, row.where, answers.append)
         sender = MemberUpdate(row.name, row.where, MemberState.ALIVE, 1)
-        ping = encode(MembershipMessage(MessageKind.PING, number, sender))
+        ping = encode_message(MembershipMessage(MessageKind.PING, number, sender))
         fleet.loop.call_at(fleet.loop.time + number * PING_INTERVAL, socket.send, ping, fleet.rows[0].where)
     return answers
 
 
 def _is_ack(datagram: bytes) -> bool:
-    message = decode(datagram)
+    message = decode_message(datagram)
     assert message is not None
     return message.kind == MessageKind.ACK
 
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -90,7 +90,7 @@
         if server is None or membership_transport is None:
             raise ValueError("the address of the peers is not listened on")
         front = EntryFront(server.server, self.core, self.configuration, ready, self._load_report)
-        server.forwarded = front.handle
+        server.forwarded_request_handler = front.handle
         transport = CellTableTransport(
             self.loop,
             CellTableSettings(
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -31,8 +31,8 @@
 from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
-from gaproute.peers.peer_server import LIMITS
-from gaproute.peers.raft.transport import TARGET
+from gaproute.peers.peer_server import HTTP_LIMITS
+from gaproute.peers.raft.transport import HTTP_TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import GatewayRecord
@@ -218,14 +218,14 @@
         if line is not None:
             chance = RandomGenerator(self.seed + SeedOffset.LEASES)
             self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, chance)
-            server.routes[TARGET] = self.leases.handle
+            server.routes[HTTP_TARGET] = self.leases.handle
 
     def _make_gossip(self, transport: MembershipTransport) -> GossipTransport:
         chance = RandomGenerator(self.seed + SeedOffset.GOSSIP)
         return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, chance)
 
     def _limits(self) -> Limits:
-        limits = LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
+        limits = HTTP_LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
         if self.configuration.cells is None:
             return limits
         return _with_forwarded_requests(limits, self.configuration.client_limits)
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -79,7 +79,7 @@
 def peer_table(appliance: RunningGateway) -> list[JsonObject]:
     """The known gateways: their state by the membership, and what each sent at the start."""
     observation_client = appliance.peers.observation_client
-    progress = observation_client.state if observation_client else {}
+    progress = observation_client.state_by_peer if observation_client else {}
     membership_transport = appliance.peers.membership_transport
     rows: list[JsonObject] = [{"name": name, "state": None} for name in progress]
     if membership_transport is not None:
@@ -119,7 +119,7 @@
     return {
         "facts": len(observations.by_subject),
         "refused": observations.rejection_counts(),
-        "peers": client.state if client else {},
+        "peers": client.state_by_peer if client else {},
         "booked": client.hints_taken if client else 0,
         "right": sum(gateway.hints.right_count for gateway in appliance.decisions),
         "wrong": sum(gateway.hints.wrong_count for gateway in appliance.decisions),
@@ -131,7 +131,11 @@
     server = peer_services.peer_server
     if server is None:
         return None
-    return {"facts": server.transfers.encoded, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
+    return {
+        "facts": server.transfers.encoded_observations,
+        "put_off": server.postponed_requests,
+        "cpu_ms": server.spent / MILLI,
+    }
 
 
 def _observation_store(peer_services: PeerServices) -> JsonObject | None:
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -37,9 +37,9 @@
 
     def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> int:
         """Send another part's payload; its bytes with headers."""
-        before = self.transport.bytes
+        before = self.transport.sent_bytes
         self.transport.send_payload(address, kind, data)
-        size = self.transport.bytes - before
+        size = self.transport.sent_bytes - before
         self._payloads += 1
         self._payload_bytes += size
         return size + DATAGRAM_HEADERS
@@ -51,14 +51,14 @@
     def counters(self) -> dict[str, int]:
         """`entries`: members held; `refused`: members beyond the bound, and updates that make no sense."""
         transport, membership = self.transport, self.membership
-        messages = transport.sent - self._payloads
+        messages = transport.sent_datagrams - self._payloads
         return {
             "messages": messages,
-            "bytes": transport.bytes - self._payload_bytes + messages * DATAGRAM_HEADERS,
+            "bytes": transport.sent_bytes - self._payload_bytes + messages * DATAGRAM_HEADERS,
             "entries": len(membership.members),
             "news": len(membership.table.pending_updates),
             "refused": membership.rejected,
-            "flood": transport.rate_limited,
+            "flood": transport.rate_limited_datagrams,
             "suspicions": membership.suspicions,
         }
 
--- a/gaproute/hollow/peer_server.py
+++ b/gaproute/hollow/peer_server.py
@@ -12,7 +12,7 @@
 from gaproute.loop.addresses import parse_address
 from gaproute.peers import PeerServer
 from gaproute.peers.raft import RaftTransport
-from gaproute.peers.raft.transport import TARGET
+from gaproute.peers.raft.transport import HTTP_TARGET
 
 
 class PeerServerPart(ControlPart):
@@ -32,11 +32,14 @@
             [line.name for line in environment.configuration.request_classes],
             LEASE_PEER_LIMITS,
         )
-        self._peer_server.routes[TARGET] = raft_transport.handle
+        self._peer_server.routes[HTTP_TARGET] = raft_transport.handle
 
     def counters(self) -> dict[str, int]:
         """Transfers of observations that were encoded, and how often who asked for one was put off."""
-        return {"told": self._peer_server.transfers.encoded, "put_off": self._peer_server.put_off}
+        return {
+            "told": self._peer_server.transfers.encoded_observations,
+            "put_off": self._peer_server.postponed_requests,
+        }
 
     def close(self) -> None:
         """Listen no more."""
--- a/gaproute/peers/membership_wire.py
+++ b/gaproute/peers/membership_wire.py
@@ -8,7 +8,7 @@
 from gaproute.peers import word_pb2
 from gaproute.shared.membership import MembershipMessage, MemberUpdate, MessageKind
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 
 
 class PayloadKind(IntEnum):
@@ -19,8 +19,8 @@
 
 
 # By number: a look-up costs less than a call of the Enum.
-MESSAGE_KINDS = {kind.value: kind for kind in MessageKind}
-PAYLOAD_KINDS = {kind.value: kind for kind in PayloadKind}
+MESSAGE_KINDS_BY_NUMBER = {kind.value: kind for kind in MessageKind}
+PAYLOAD_KINDS_BY_NUMBER = {kind.value: kind for kind in PayloadKind}
 
 
 class Payload(NamedTuple):
@@ -31,10 +31,10 @@
     data: bytes
 
 
-def encode(message: MembershipMessage) -> bytes:
+def encode_message(message: MembershipMessage) -> bytes:
     """The datagram of a message."""
     envelope = word_pb2.Word(
-        version=VERSION, kind=message.kind, number=message.sequence, target=message.target
+        version=PROTOCOL_VERSION, kind=message.kind, number=message.sequence, target=message.target
     )
     filled = [(envelope.sender, message.sender)]
     filled += [(envelope.news.add(), update) for update in message.updates]
@@ -45,7 +45,7 @@
 
 def encode_payload(kind: PayloadKind, sender: str, data: bytes) -> bytes:
     """The datagram of another part's payload."""
-    envelope = word_pb2.Word(version=VERSION, kind=kind, weak=data)
+    envelope = word_pb2.Word(version=PROTOCOL_VERSION, kind=kind, weak=data)
     envelope.sender.name = sender
     return bytes(envelope.SerializeToString())
 
@@ -59,12 +59,12 @@
         envelope = word_pb2.Word.FromString(data)
     except DecodeError:
         return None
-    if abs(envelope.version - VERSION) > 1:
+    if abs(envelope.version - PROTOCOL_VERSION) > 1:
         return None
-    payload_kind = PAYLOAD_KINDS.get(envelope.kind)
+    payload_kind = PAYLOAD_KINDS_BY_NUMBER.get(envelope.kind)
     if payload_kind is not None:
         return Payload(payload_kind, envelope.sender.name, envelope.weak)
-    kind = MESSAGE_KINDS.get(envelope.kind)
+    kind = MESSAGE_KINDS_BY_NUMBER.get(envelope.kind)
     if kind is None:
         return None
     sender, *updates = [
@@ -74,7 +74,7 @@
     return MembershipMessage(kind, envelope.number, sender, envelope.target, tuple(updates))
 
 
-def decode(data: bytes) -> MembershipMessage | None:
+def decode_message(data: bytes) -> MembershipMessage | None:
     """The message of membership in the datagram; None for any other datagram."""
     message = decode_datagram(data)
     return message if isinstance(message, MembershipMessage) else None
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -29,22 +29,22 @@
 from gaproute.peers.ports import EventLog, Peer
 from gaproute.units import MILLI, SECOND
 
-PUT_OFF = 503  # HTTP status of a peer that has no CPU time left for the answer
-DEFAULT_PAUSE = 100 * MILLI  # until the next request, if the peer does not say when
-MAX_PAUSE = SECOND
+HTTP_SERVICE_UNAVAILABLE = 503  # HTTP status of a peer that has no CPU time left for the answer
+DEFAULT_RETRY_DELAY = 100 * MILLI  # until the next request, if the peer does not say when
+MAX_RETRY_DELAY = SECOND
 RETRY_AFTER_HEADER = b"gaproute-retry-after-ms"
-MAX_HEAD_BYTES = 16_384  # of an answer
-ASKED = "asked"  # the state of a peer that has not sent all observations yet, as operators see it
+MAX_RESPONSE_HEAD_BYTES = 16_384  # of an answer
+FETCHING_STATE = "asked"  # the state of a peer that has not sent all observations yet, as operators see it
 
 
 @dataclass
-class PeerProgress:
+class FetchProgress:
     """How much one peer has sent so far."""
 
     cursor: int = 0  # of the next chunk; 0 before the first one and after the last one
     run_id: int = 0  # of the peer's process; its marks are valid for this process only
     mark: int = 0  # the changes after this mark are requested; 0 before the first complete snapshot
-    received: int = 0  # number of observations
+    received_observations: int = 0  # number of observations
     retries: int = 0
 
 
@@ -58,8 +58,8 @@
 class ObservationClient:
     """Gets observations from peers.
 
-    `follow(subjects)` hands the decisions the observations of these subjects as hints, and returns how many
-    hints they use; `completed()` is called at the end of each snapshot.
+    `apply_observations(subjects)` hands the decisions the observations of these subjects as hints, and returns how many
+    hints they use; `on_snapshot_complete()` is called at the end of each snapshot.
     """
 
     def __init__(
@@ -67,17 +67,17 @@
         loop: Loop,
         peers: Iterable[Peer],
         observations: SharedObservations,
-        follow: Callable[[Collection[Subject]], int],
-        completed: Callable[[], None],
+        apply_observations: Callable[[Collection[Subject]], int],
+        on_snapshot_complete: Callable[[], None],
         record: EventLog,
     ) -> None:
         self.observations = observations
         self.hints_taken = 0
-        self.state: dict[str, str] = {}  # by peer, for operators
+        self.state_by_peer: dict[str, str] = {}  # by peer, for operators
         self._loop, self._record = loop, record
-        self._follow, self._completed = follow, completed
-        self._ends_at = loop.now() + FETCH_PERIOD
-        self._tasks: list[Coroutine] = []
+        self._apply_observations, self._on_snapshot_complete = apply_observations, on_snapshot_complete
+        self._fetching_ends_at = loop.now() + FETCH_PERIOD
+        self._fetch_tasks: list[Coroutine] = []
         self.set_peers(peers)
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
@@ -87,79 +87,82 @@
         at a time.
         """
         for peer in peers:
-            if peer.name in self.state or self._loop.now() >= self._ends_at:
+            if peer.name in self.state_by_peer or self._loop.now() >= self._fetching_ends_at:
                 continue
-            if list(self.state.values()).count(ASKED) >= MAX_PEERS_AT_A_TIME:
+            if list(self.state_by_peer.values()).count(FETCHING_STATE) >= MAX_PEERS_AT_A_TIME:
                 break
-            self.state[peer.name] = ASKED
-            self._tasks.append(self._loop.spawn(self._learn(peer)))
+            self.state_by_peer[peer.name] = FETCHING_STATE
+            self._fetch_tasks.append(self._loop.spawn(self._fetch_observations(peer)))
 
     def close(self) -> None:
         """Ends all requests."""
-        for task in self._tasks:
+        for task in self._fetch_tasks:
             task.cancel()
 
-    def take(self, origin: str, requested_at: int, answer: ObservationAnswer) -> int:
+    def merge_answer(self, origin: str, requested_at: int, answer: ObservationAnswer) -> int:
         """Merges an answer and uses its observations; returns how many it had."""
         received = SharedObservations()
         observation_wire.read_observations(answer, requested_at, origin, received)
         self.observations.merge(received)
         # Only the subjects of this answer are used, but with the observations of all peers: a host is gone if
         # any of them reports it as gone.
-        self.hints_taken += self._follow(received.by_subject)
+        self.hints_taken += self._apply_observations(received.by_subject)
         return len(received.by_subject)
 
-    def _learn(self, peer: Peer) -> Generator[Promise, _ExchangeResult, None]:
+    def _fetch_observations(self, peer: Peer) -> Generator[Promise, _ExchangeResult, None]:
         """Requests a snapshot of one peer, then its changes until the time is up."""
-        progress = PeerProgress()
+        progress = FetchProgress()
         for _ in range(MAX_CHUNKS_PER_PEER):
             requested_at = self._loop.now()
-            if requested_at > self._ends_at:
-                self.state[peer.name] = _end_state(progress)
+            if requested_at > self._fetching_ends_at:
+                self.state_by_peer[peer.name] = _final_state(progress)
                 return
-            result = yield self._exchange(peer, progress)
-            pause = _pause(progress, result)
-            if pause is not None:
-                yield self._loop.sleep(pause)
+            result = yield self._send_request(peer, progress)
+            delay = _retry_delay(progress, result)
+            if delay is not None:
+                yield self._loop.sleep(delay)
                 continue
-            answer = _decode(result.response)
+            answer = _decode_response(result.response)
             if answer is None:
-                self._drop(peer, progress)
+                self._abandon_fetch(peer, progress)
                 return
-            progress.received += self.take(peer.name, requested_at, answer)
+            progress.received_observations += self.merge_answer(peer.name, requested_at, answer)
             progress.cursor = answer.next
             if progress.cursor:
                 continue
-            self._end_round(peer, progress, answer)
+            self._finish_transfer(peer, progress, answer)
             if not progress.mark:
                 return  # a peer of version 1 sends no changes
             yield self._loop.sleep(POLL_INTERVAL)
 
-    def _end_round(self, peer: Peer, progress: PeerProgress, answer: ObservationAnswer) -> None:
+    def _finish_transfer(self, peer: Peer, progress: FetchProgress, answer: ObservationAnswer) -> None:
         """Handles the last chunk of a snapshot or of changes."""
         if not progress.mark:
-            self._completed()
+            self._on_snapshot_complete()
             self._record.event(
                 "info",
                 "observations_fetched",
                 peer=peer.name,
-                observations=progress.received,
+                observations=progress.received_observations,
                 hints_taken=self.hints_taken,
                 rejected=self.observations.rejection_counts(),
             )
-        self.state[peer.name] = f"told {progress.received} facts"
+        self.state_by_peer[peer.name] = f"told {progress.received_observations} facts"
         progress.run_id, progress.mark = answer.life, answer.mark
 
-    def _drop(self, peer: Peer, progress: PeerProgress) -> None:
-        self.state[peer.name] = f"dropped after {progress.received} facts"
+    def _abandon_fetch(self, peer: Peer, progress: FetchProgress) -> None:
+        self.state_by_peer[peer.name] = f"dropped after {progress.received_observations} facts"
         self._record.event(
-            "warning", "observation_fetch_abandoned", peer=peer.name, observations=progress.received
+            "warning",
+            "observation_fetch_abandoned",
+            peer=peer.name,
+            observations=progress.received_observations,
         )
 
-    def _exchange(self, peer: Peer, progress: PeerProgress) -> Promise:
+    def _send_request(self, peer: Peer, progress: FetchProgress) -> Promise:
         """Sends the next request to the peer; a promise of its `_ExchangeResult`."""
         body = observation_wire.encode_request(progress.cursor, progress.run_id, progress.mark)
-        head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % observation_wire.TARGET
+        head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % observation_wire.HTTP_TARGET
         data = head + b"Content-Length: %d\r\n\r\n" % len(body) + body
         promise = Promise()
         exchange = Exchange(
@@ -168,36 +171,36 @@
             lambda response, fault: promise.set(_ExchangeResult(response, timed_out=False)),
         )
 
-        def time_up() -> None:
+        def on_timeout() -> None:
             exchange.cancel()
             promise.set(_ExchangeResult(None, timed_out=True))
 
-        exchange.connect(parse_address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
-        timer = self._loop.call_later(ANSWER_TIMEOUT, time_up)
+        exchange.connect(parse_address(peer.where), ANSWER_TIMEOUT, MAX_RESPONSE_HEAD_BYTES, MAX_ANSWER_BYTES)
+        timer = self._loop.call_later(ANSWER_TIMEOUT, on_timeout)
         promise.then(lambda _: timer.cancel())
         return promise
 
 
-def _pause(progress: PeerProgress, result: _ExchangeResult) -> int | None:
+def _retry_delay(progress: FetchProgress, result: _ExchangeResult) -> int | None:
     """How long to wait before the same request is repeated; None if it is not."""
     response = result.response
-    if response is not None and response.status == PUT_OFF:
+    if response is not None and response.status == HTTP_SERVICE_UNAVAILABLE:
         wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
-        return min(MAX_PAUSE, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_PAUSE
-    absent = response is None and not result.timed_out and not progress.received
-    if absent and progress.retries < MAX_RETRIES:
+        return min(MAX_RETRY_DELAY, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_RETRY_DELAY
+    unreachable = response is None and not result.timed_out and not progress.received_observations
+    if unreachable and progress.retries < MAX_RETRIES:
         progress.retries += 1  # the peer may be starting as well
         return RETRY_INTERVAL
     return None
 
 
-def _decode(response: Response | None) -> ObservationAnswer | None:
+def _decode_response(response: Response | None) -> ObservationAnswer | None:
     if response is None or response.status != 200:
         return None
     return observation_wire.decode_answer(response.body)
 
 
-def _end_state(progress: PeerProgress) -> str:
+def _final_state(progress: FetchProgress) -> str:
     if progress.mark:
-        return f"told {progress.received} facts"
-    return f"out of time after {progress.received} facts"
+        return f"told {progress.received_observations} facts"
+    return f"out of time after {progress.received_observations} facts"
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -21,12 +21,12 @@
 from gaproute.peers.observation_messages import ObservationRequest
 from gaproute.units import MICRO, MILLI
 
-MAX_TRANSFERS = 16  # stored for peers; a peer that asks for an older one must begin again
-MAX_CHUNK_BYTES = 4 << 20  # of all stored chunks
+MAX_STORED_TRANSFERS = 16  # stored for peers; a peer that asks for an older one must begin again
+MAX_STORED_CHUNK_BYTES = 4 << 20  # of all stored chunks
 # For so long after its begin, a snapshot is also sent to other gateways that have just started: after a
 # restart of all gateways these are many
-SHARED_TIME = 250 * MILLI
-CURSOR_BASE = 1 << 20  # a cursor is the transfer's number times this, plus the number of the chunk
+SNAPSHOT_SHARING_TIME = 250 * MILLI
+CURSORS_PER_TRANSFER = 1 << 20  # a cursor is the transfer's number times this, plus the number of the chunk
 RUN_ID_BITS = 63
 
 
@@ -40,31 +40,31 @@
 class Transfer:
     """A snapshot, or the changes since a mark, read as far as it was requested."""
 
-    def __init__(self, begun_at: int, observations: Iterator[OwnObservation], *, is_snapshot: bool) -> None:
-        self.begun_at, self.observations, self.is_snapshot = begun_at, observations, is_snapshot
+    def __init__(self, started_at: int, observations: Iterator[OwnObservation], *, is_snapshot: bool) -> None:
+        self.started_at, self.observations, self.is_snapshot = started_at, observations, is_snapshot
         self.chunks: list[Chunk] = []
-        self.bytes = 0  # of all chunks
-        self.ended = False  # whether everything was read
+        self.chunk_bytes = 0  # of all chunks
+        self.fully_read = False  # whether everything was read
 
-    def has_more_after(self, position: int) -> bool:
+    def has_chunk_after(self, position: int) -> bool:
         """Whether another chunk follows the one at the position."""
-        return not self.ended or position + 1 < len(self.chunks)
+        return not self.fully_read or position + 1 < len(self.chunks)
 
     def can_serve(self, position: int) -> bool:
         """Whether the chunk at the position exists, or is the next one to read."""
-        is_next = position == len(self.chunks) and not self.ended
+        is_next = position == len(self.chunks) and not self.fully_read
         return position < len(self.chunks) or is_next
 
     def append(self, chunk: Chunk) -> None:
         """Stores a chunk."""
         self.chunks.append(chunk)
-        self.bytes += len(chunk.data)
+        self.chunk_bytes += len(chunk.data)
 
 
 class ObservationTransfers:
     """Answers requests for observations, chunk by chunk.
 
-    `gateway`: the decisions whose observations are sent; `request_classes`: their names; `cpu_clock`: CPU
+    `gateway`: the decisions whose observations are sent; `request_classes`: their names_length; `cpu_clock`: CPU
     time so far, ns.
     """
 
@@ -77,73 +77,75 @@
     ) -> None:
         self.run_id = secrets.randbits(RUN_ID_BITS) | 1  # the marks are times of this process's clock
         self.transfers: dict[int, Transfer] = {}  # by number
-        self.encoded = 0  # number of observations
+        self.encoded_observations = 0  # number of observations
         self.gateway, self._history, self._request_classes = gateway, history, request_classes
         self._cpu_clock = cpu_clock
-        self._last_number = 0
+        self._last_transfer_number = 0
 
-    def answer(self, now: int, request: ObservationRequest, begun: int) -> bytes:
+    def answer(self, now: int, request: ObservationRequest, cpu_time_at_start: int) -> bytes:
         """The requested chunk, encoded, with what the requesting gateway needs for the next request.
 
-        `begun`: when work on the request began, by the CPU clock.
+        `cpu_time_at_start`: when work on the request began, by the CPU clock.
         """
-        number, position = divmod(request.cursor, CURSOR_BASE)
+        number, position = divmod(request.cursor, CURSORS_PER_TRANSFER)
         transfer = self.transfers.get(number)
         if transfer is None or not transfer.can_serve(position):
             since = request.mark if request.life == self.run_id else SINCE_EVER
-            number, position = self._begin(now, since), 0
+            number, position = self._find_or_start_transfer(now, since), 0
             transfer = self.transfers[number]
         if position == len(transfer.chunks):
-            self._read_chunk(now, transfer, begun)
+            self._read_chunk(now, transfer, cpu_time_at_start)
         chunk = transfer.chunks[position]
-        more = transfer.has_more_after(position)
+        more = transfer.has_chunk_after(position)
         tail = lore_pb2.Told(
-            next=number * CURSOR_BASE + position + 1 if more else 0,
+            next=number * CURSORS_PER_TRANSFER + position + 1 if more else 0,
             held_us=(now - chunk.built_at) // MICRO,
         )
         # Protobuf messages that follow one another are one message, so the chunk need not be encoded again.
         data: bytes = chunk.data + tail.SerializeToString()
         return data
 
-    def _begin(self, now: int, since: int) -> int:
+    def _find_or_start_transfer(self, now: int, since: int) -> int:
         """Returns the number of a transfer of the changes since that time, or of a snapshot."""
         is_snapshot = since == SINCE_EVER
         if is_snapshot:
-            recent = self._recent_snapshot(now)
+            recent = self._shareable_snapshot(now)
             if recent is not None:
                 return recent
         observations = own_observations(self.gateway, self._history, self._request_classes, now, since)
-        self._last_number += 1
-        self.transfers[self._last_number] = Transfer(now, observations, is_snapshot=is_snapshot)
-        self._drop_oldest()
-        return self._last_number
+        self._last_transfer_number += 1
+        self.transfers[self._last_transfer_number] = Transfer(now, observations, is_snapshot=is_snapshot)
+        self._drop_oldest_transfers()
+        return self._last_transfer_number
 
-    def _recent_snapshot(self, now: int) -> int | None:
+    def _shareable_snapshot(self, now: int) -> int | None:
         """The number of a snapshot that began so lately that other gateways get it too; None if none did."""
         for number, transfer in self.transfers.items():
-            if transfer.is_snapshot and now - transfer.begun_at <= SHARED_TIME:
+            if transfer.is_snapshot and now - transfer.started_at <= SNAPSHOT_SHARING_TIME:
                 return number
         return None
 
-    def _drop_oldest(self) -> None:
+    def _drop_oldest_transfers(self) -> None:
         """Drops the oldest transfers above the limits, but never the newest."""
         while len(self.transfers) > 1 and (
-            len(self.transfers) > MAX_TRANSFERS
-            or sum(transfer.bytes for transfer in self.transfers.values()) > MAX_CHUNK_BYTES
+            len(self.transfers) > MAX_STORED_TRANSFERS
+            or sum(transfer.chunk_bytes for transfer in self.transfers.values()) > MAX_STORED_CHUNK_BYTES
         ):
             del self.transfers[next(iter(self.transfers))]
 
-    def _read_chunk(self, now: int, transfer: Transfer, begun: int) -> None:
+    def _read_chunk(self, now: int, transfer: Transfer, cpu_time_at_start: int) -> None:
         """Reads observations until the chunk is full or the slice of CPU time is spent."""
-        answer = lore_pb2.Told(version=observation_wire.VERSION, life=self.run_id, mark=transfer.begun_at)
-        names = 0
+        answer = lore_pb2.Told(
+            version=observation_wire.PROTOCOL_VERSION, life=self.run_id, mark=transfer.started_at
+        )
+        names_length = 0
         for count, (subject, value, observed_at) in enumerate(transfer.observations, 1):
-            names += observation_wire.add_observation(answer, subject, value, now - observed_at)
-            self.encoded += 1
-            if count >= MAX_CHUNK_OBSERVATIONS or names > MAX_CHUNK_NAME_BYTES:
+            names_length += observation_wire.add_observation(answer, subject, value, now - observed_at)
+            self.encoded_observations += 1
+            if count >= MAX_CHUNK_OBSERVATIONS or names_length > MAX_CHUNK_NAME_BYTES:
                 break
-            if self._cpu_clock() - begun > SLICE_CPU_TIME:
+            if self._cpu_clock() - cpu_time_at_start > SLICE_CPU_TIME:
                 break
         else:
-            transfer.ended = True
+            transfer.fully_read = True
         transfer.append(Chunk(now, bytes(answer.SerializeToString())))
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -18,18 +18,18 @@
 from gaproute.peers.observation_messages import FigureMessage, ObservationAnswer, ObservationRequest
 from gaproute.units import MICRO
 
-VERSION = 2
-TARGET = b"/lore"  # of HTTP requests for observations
+PROTOCOL_VERSION = 2
+HTTP_TARGET = b"/lore"  # of HTTP requests for observations
 PEER_HOPS = 1
-NOT_FINITE = -1  # stands for a time that is not finite, and is rejected as any invalid time
-FIGURES = (  # kinds that are sent as names and one number
+INVALID_TIME = -1  # stands for a time that is not finite, and is rejected as any invalid time
+FIGURE_KINDS = (  # kinds that are sent as names and one number
     ObservationKind.FAILURE,
     ObservationKind.SLOWDOWN,
     ObservationKind.USUAL_TIME,
     ObservationKind.LOAD_TIME,
     ObservationKind.REQUEST_SHARE,
 )
-TIMES = (ObservationKind.USUAL_TIME, ObservationKind.LOAD_TIME)  # whole ns
+TIME_KINDS = (ObservationKind.USUAL_TIME, ObservationKind.LOAD_TIME)  # whole ns
 
 # Is called with subject, value and age in microseconds
 AddObservation = Callable[[Subject, Value, int], None]
@@ -37,7 +37,7 @@
 
 def encode_request(cursor: int = 0, run_id: int = 0, mark: int = 0) -> bytes:
     """The bytes of a request for observations."""
-    request = lore_pb2.Ask(version=VERSION, cursor=cursor, life=run_id, mark=mark)
+    request = lore_pb2.Ask(version=PROTOCOL_VERSION, cursor=cursor, life=run_id, mark=mark)
     return bytes(request.SerializeToString())
 
 
@@ -55,7 +55,7 @@
         answer: ObservationAnswer = lore_pb2.Told.FromString(data)
     except DecodeError:
         return None
-    return answer if abs(answer.version - VERSION) <= 1 else None
+    return answer if abs(answer.version - PROTOCOL_VERSION) <= 1 else None
 
 
 def add_observation(answer: ObservationAnswer, subject: Subject, value: Value, age: int) -> int:
@@ -90,11 +90,11 @@
         if observed_at is not None:
             observations.add(subject, SharedObservation(observed_at, origin, PEER_HOPS, value))
 
-    _read_hosts(answer, add)
+    _read_host_observations(answer, add)
     _read_figures(answer, add)
 
 
-def _read_hosts(answer: ObservationAnswer, add: AddObservation) -> None:
+def _read_host_observations(answer: ObservationAnswer, add: AddObservation) -> None:
     listed, warm = ObservationKind.LISTED_STATE.value, ObservationKind.WARM_INSTANCE.value
     for host in answer.listed:
         add((listed, host.worker), (host.state, host.started_ns), host.age_us)
@@ -106,12 +106,12 @@
 
 
 def _read_figures(answer: ObservationAnswer, add: AddObservation) -> None:
-    for kind in FIGURES:
+    for kind in FIGURE_KINDS:
         figures: Iterable[FigureMessage] = getattr(answer, kind)
         for each in figures:
-            value = _whole_time(each.value) if kind in TIMES else each.value
+            value = _whole_nanoseconds(each.value) if kind in TIME_KINDS else each.value
             add((kind.value, *each.names), (value,), each.age_us)
 
 
-def _whole_time(duration: float) -> int:
-    return int(duration) if math.isfinite(duration) else NOT_FINITE
+def _whole_nanoseconds(duration: float) -> int:
+    return int(duration) if math.isfinite(duration) else INVALID_TIME
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -19,11 +19,11 @@
 from gaproute.peers.observation_transfers import ObservationTransfers
 from gaproute.units import MILLI
 
-FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded requests begin with
-PROTOBUF = (b"Content-Type", b"application/x-protobuf")
+FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded_request_handler requests begin with
+PROTOBUF_HEADER = (b"Content-Type", b"application/x-protobuf")
 RETRY_AFTER_HEADER = b"Gaproute-Retry-After-Ms"
 # Connections for observations: after a restart of all gateways, hundreds ask at the same time.
-LIMITS = Limits(max_body_bytes=4096, max_pipelined=1, max_connections=1024)
+HTTP_LIMITS = Limits(max_body_bytes=4096, max_pipelined=1, max_connections=1024)
 
 Route = Callable[[Server, Request], None]  # answers the request at the server
 
@@ -38,22 +38,22 @@
     def __init__(
         self,
         loop: Loop,
-        where: Address,
+        address: Address,
         gateway: ObservationSource,
         history: HostHistory,
         request_classes: Sequence[str],
-        limits: Limits = LIMITS,
+        limits: Limits = HTTP_LIMITS,
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
         self.routes: dict[bytes, Route] = {}  # by target: the routes of other parts
         # Takes the requests that other gateways forward; None while none are accepted
-        self.forwarded: Callable[[Request], None] | None = None
+        self.forwarded_request_handler: Callable[[Request], None] | None = None
         self.transfers = ObservationTransfers(gateway, history, request_classes, cpu_clock)
         self.cpu_budget = CpuBudget(loop.now())
-        self.put_off = 0  # requests for observations that were put off
+        self.postponed_requests = 0  # requests for observations that were put off
         self.spent = 0  # CPU time for observations, ns
         self.loop, self._cpu_clock = loop, cpu_clock
-        self.server = Server(loop, where, self.handle, limits)
+        self.server = Server(loop, address, self.handle, limits)
         self.address = self.server.address
 
     def handle(self, request: Request) -> None:
@@ -61,9 +61,9 @@
         route = self.routes.get(request.target)
         if route is not None:
             route(self.server, request)
-        elif self.forwarded is not None and request.target.startswith(FORWARDED_PREFIX):
-            self.forwarded(request)
-        elif request.target != observation_wire.TARGET or request.method != b"POST":
+        elif self.forwarded_request_handler is not None and request.target.startswith(FORWARDED_PREFIX):
+            self.forwarded_request_handler(request)
+        elif request.target != observation_wire.HTTP_TARGET or request.method != b"POST":
             self.server.answer(request, 404, (), b"POST /lore\n")
         else:
             self._handle_observations(request)
@@ -75,20 +75,22 @@
     def _handle_observations(self, request: Request) -> None:
         now = self.loop.now()
         if not self.cpu_budget.allows_slice(now):
-            self._put_off(request, now)
+            self._postpone(request, now)
             return
-        begun = self._cpu_clock()
+        cpu_time_at_start = self._cpu_clock()
         try:
             decoded = observation_wire.decode_request(request.body)
         except DecodeError:
             self.server.answer(request, 400, (), b"not an Ask\n")
             return
-        self.server.answer(request, 200, (PROTOBUF,), self.transfers.answer(now, decoded, begun))
-        spent = self._cpu_clock() - begun
+        self.server.answer(
+            request, 200, (PROTOBUF_HEADER,), self.transfers.answer(now, decoded, cpu_time_at_start)
+        )
+        spent = self._cpu_clock() - cpu_time_at_start
         self.spent += spent
         self.cpu_budget.deduct(now, spent)
 
-    def _put_off(self, request: Request, now: int) -> None:
-        self.put_off += 1
+    def _postpone(self, request: Request, now: int) -> None:
+        self.postponed_requests += 1
         wait_ms = -(-self.cpu_budget.retry_delay(now) // MILLI)  # rounded up
         self.server.answer(request, 503, ((RETRY_AFTER_HEADER, b"%d" % wait_ms),), b"")
--- a/gaproute/standins/membership_network.py
+++ b/gaproute/standins/membership_network.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from gaproute.decisions.chance import RandomGenerator
-from gaproute.peers.membership_wire import encode
+from gaproute.peers.membership_wire import encode_message
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState
 from gaproute.units import MILLI
 
@@ -73,7 +73,7 @@
     def send(self, sender: str, messages: Iterable[tuple[str, MembershipMessage]]) -> None:
         """Sends messages (receiver, message), of which some are lost."""
         for receiver, message in messages:
-            self.sizes.append(len(encode(message)))
+            self.sizes.append(len(encode_message(message)))
             if not self.is_lost(sender, receiver):
                 self.deliver(receiver, message)
 
--- a/tests/decisions/reports/test_observation_exchange.py
+++ b/tests/decisions/reports/test_observation_exchange.py
@@ -31,7 +31,7 @@
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_host
     assert len(gateway.seen("loaded")) == loads
     assert gateway.gate.peers.peer_server.transfers.encoded >= 1
-    assert second.peers.observation_client.state["g"].startswith("told ")
+    assert second.peers.observation_client.state_by_peer["g"].startswith("told ")
     assert not second.core.gateway.load_order_limiter.open_orders
     assert not second.core.gateway.load_order_limiter.ends
 
@@ -53,7 +53,7 @@
     gateway.gate.host_list.watch.close()  # the list of the sending gateway is late and still has the host
     gateway.relist(*[row for row in rows if not row.startswith(f"host {host} ")])
     second = start()
-    gateway.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
+    gateway.until(lambda: second.peers.observation_client.state_by_peer["g"].startswith("told"))
     assert second.peers.observations.rejections["not listed"]
     assert host not in second.core.gateway.hosts_by_id
     assert "lamp" not in second.core.gateway.functions_by_name
@@ -78,7 +78,7 @@
     second = start(address)
     gateway.at = gateway.at[0], ("127.0.0.1", int(second.fronts[0].address.rpartition(":")[2]))
     assert gateway.wait(gateway.ask("lamp", "meanwhile")).status == 200
-    gateway.until(lambda: second.peers.observation_client.state["g"] == "dropped after 0 facts")
+    gateway.until(lambda: second.peers.observation_client.state_by_peer["g"] == "dropped after 0 facts")
     listener.close()
 
 
@@ -86,6 +86,6 @@
     gateway, start = gateway_and_start
     gateway.gate.peers.peer_server.cpu_budget.deduct(gateway.loop.now(), 11 * MILLI)
     second = start()
-    gateway.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
+    gateway.until(lambda: second.peers.observation_client.state_by_peer["g"].startswith("told"))
     assert gateway.gate.peers.peer_server.put_off >= 1
     assert second.peers.observation_client.hints_taken >= 1
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -37,7 +37,10 @@
     sender.sendto(b"\xff" * 1400, (host, int(port)))
     sender.close()
     made.until(
-        lambda: node.table.rejections["nonsense"] == 3 and second.peers.membership_transport.undecodable == 1
+        lambda: (
+            node.table.rejections["nonsense"] == 3
+            and second.peers.membership_transport.undecodable_datagrams == 1
+        )
     )
 
 
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -7,7 +7,7 @@
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.gossip.wire import amount_code
-from gaproute.peers.membership_wire import decode as decode_membership
+from gaproute.peers.membership_wire import decode_message as decode_membership
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage
 from gaproute.shared.gossip.messages import (
     AMOUNT_SCALE,
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from gaproute.decisions.chance import RandomGenerator
-from gaproute.peers.membership_wire import decode, encode
+from gaproute.peers.membership_wire import decode_message, encode_message
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
 from gaproute.shared.membership.invariants import check
 from gaproute.shared.membership.message_builder import MAX_MESSAGE_BYTES
@@ -115,7 +115,7 @@
     assert message.updates[0] == MemberUpdate("a", "a", MemberState.SUSPECT, 3)
     assert message.sequence == 4
     assert 3 < len(message.updates) < MAX_MESSAGE_BYTES / ENTRY_BYTES
-    assert len(encode(message)) <= MAX_MESSAGE_BYTES
+    assert len(encode_message(message)) <= MAX_MESSAGE_BYTES
 
 
 def test_messages_survive_encoding_and_invalid_bytes_decode_to_none():
@@ -126,12 +126,12 @@
         "b",
         (MemberUpdate("b", "1.2.3.4:5", MemberState.SUSPECT, 9),),
     )
-    assert decode(encode(message)) == message
-    assert decode(b"\xff\xff") is None
-    assert decode(b"") is None
-    future = bytearray(encode(message))
+    assert decode_message(encode_message(message)) == message
+    assert decode_message(b"\xff\xff") is None
+    assert decode_message(b"") is None
+    future = bytearray(encode_message(message))
     future[1] = 9  # its version
-    assert decode(bytes(future)) is None
+    assert decode_message(bytes(future)) is None
 
 
 @given(
--- a/tests/peers/test_observation_transfers.py
+++ b/tests/peers/test_observation_transfers.py
@@ -74,12 +74,12 @@
 
 def test_clients_that_begin_at_one_moment_share_a_transfer_and_its_ages_grow(server):
     first, second = request_observations(server), None
-    encoded = server.transfers.encoded
+    encoded = server.transfers.encoded_observations
     refill_cpu_budget(server)
     chunks = server.transfers.transfers[1].chunks
     chunks[0] = chunks[0]._replace(built_at=server.loop.now() - 100 * MILLI)
     second = request_observations(server)
-    assert server.transfers.encoded == encoded
+    assert server.transfers.encoded_observations == encoded
     assert second.next == first.next
     assert len(server.transfers.transfers) == 1
     assert [each.worker for each in second.warm] == [each.worker for each in first.warm]
@@ -119,7 +119,7 @@
         request_observations(server, life=server.transfers.run_id, mark=number + 1)
     assert len(server.transfers.transfers) == 16
     for transfer in server.transfers.transfers.values():
-        transfer.bytes = 3 << 20
+        transfer.chunk_bytes = 3 << 20
     refill_cpu_budget(server)
     request_observations(server, life=server.transfers.run_id, mark=41)
     assert len(server.transfers.transfers) == 2
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -43,7 +43,7 @@
 def test_what_changes_after_the_snapshot_comes_as_well(fleet):
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
+    made.until(lambda: second.peers.observation_client.state_by_peer["g"].startswith("told"))
     assert "lamp" not in second.core.gateway.functions_by_name
     assert made.wait(made.ask("lamp", "w1")).status == 200
     made.until(lambda: "lamp" in second.core.gateway.functions_by_name)
@@ -59,12 +59,12 @@
         late = f"127.0.0.1:{taken.getsockname()[1]}"
     second = start("second", f"peer late {late}")
     made.rest(100 * MILLI)
-    assert second.peers.observation_client.state["late"] == "asked"
+    assert second.peers.observation_client.state_by_peer["late"] == "asked"
     peers = made.gate.peers
     server = PeerServer(
         made.loop, parse_address(late), peers.gateway, peers.host_history, peers.request_classes
     )
-    made.until(lambda: second.peers.observation_client.state["late"].startswith("told"))
+    made.until(lambda: second.peers.observation_client.state_by_peer["late"].startswith("told"))
     server.close()
     assert second.peers.observation_client.hints_taken
 
@@ -75,11 +75,11 @@
     peers.write_text("peer second 127.0.0.1:9\n")
     second = start("second", f"peers-file {peers} look 5ms")
     assert second.peers.membership_transport.membership.members == {}
-    assert second.peers.observation_client.state == {}
+    assert second.peers.observation_client.state_by_peer == {}
     fresh = made.folder / "fresh"
     fresh.write_text(f"peer second 127.0.0.1:9\npeer g {where(made.gate)}\n")
     fresh.replace(peers)
-    made.until(lambda: second.peers.observation_client.state.get("g", "").startswith("told"))
+    made.until(lambda: second.peers.observation_client.state_by_peer.get("g", "").startswith("told"))
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
     made.until(lambda: any(what == "peer_list_rejected" for what, _ in second.record.events))
@@ -125,7 +125,7 @@
 
     listener = scripted_host(made.loop, act)
     second = start("second", f"peer half {listener.address}")
-    made.until(lambda: second.peers.observation_client.state["half"] == "dropped after 1 facts")
+    made.until(lambda: second.peers.observation_client.state_by_peer["half"] == "dropped after 1 facts")
     listener.close()
     assert set(second.core.gateway.functions_by_name["lamp"].hinted_at) == {"h1"}
 
@@ -170,14 +170,16 @@
     second = start("second", f"peer g {where(made.gate)}")
     made.until(lambda: second.peers.observation_client.hints_taken)
     third = start("third", f"peer second {where(second)}")
-    made.until(lambda: third.peers.observation_client.state["second"].startswith("told"))
+    made.until(lambda: third.peers.observation_client.state_by_peer["second"].startswith("told"))
     assert "lamp" not in third.core.gateway.functions_by_name, "a hint was passed on"
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith(f"host {host} ")])
     made.until(lambda: all(host not in each.rows for each in (made.gate, second, third)))
     fourth = start("fourth", f"peer g {where(made.gate)}", f"peer second {where(second)}")
     made.until(
-        lambda: all(state.startswith("told") for state in fourth.peers.observation_client.state.values())
+        lambda: all(
+            state.startswith("told") for state in fourth.peers.observation_client.state_by_peer.values()
+        )
     )
     assert host not in fourth.core.gateway.hosts_by_id
     made.until(lambda: fourth.peers.observations.by_subject["listed", host].value[0] == "gone")
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -182,14 +182,14 @@
     fleet.add("two")
     fleet.until_all_hold(held)
     two = fleet.gateways[1]
-    heard = two.membership.handlers.pop(PayloadKind.CELL_TABLE)
+    heard = two.membership.payload_handlers.pop(PayloadKind.CELL_TABLE)
     for number in range(40):
         change = next_change(held, capacity=10.0 + number)
         held = apply_change(held, change)
         one.transport.publish_change(change)
         fleet.loop.run(fleet.loop.sleep(2 * MILLI))
     assert two.transport.table() == FIRST
-    two.membership.handlers[PayloadKind.CELL_TABLE] = heard
+    two.membership.payload_handlers[PayloadKind.CELL_TABLE] = heard
     fleet.until_all_hold(held)
     assert [snapshot.version for snapshot in one.transport.disseminator.pull_server.snapshots] == [
         FIRST.version
