--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -154,7 +154,7 @@
         """A row. `read_before`: datagrams that were read in this second already."""
 
         def receive() -> None:
-            self._transport.received_in_second = read_before
+            self._transport.datagrams_in_second = read_before
             self._transport._handle_datagram(datagram)
 
         return {"word": name, "bytes": len(datagram), "refused, us": cpu_us(receive)}
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,7 @@
 
 from benchmarks.rows import median_with_range, write
 from gaproute.decisions.chance import RandomGenerator
-from gaproute.peers.membership_wire import decode, encode
+from gaproute.peers.membership_wire import decode_message, encode_message
 from gaproute.shared.membership import MembershipMessage, MemberState
 from gaproute.shared.membership.invariants import check
 from gaproute.standins.membership_network import MembershipNetwork
@@ -54,10 +54,10 @@
     def send(self, sender: str, messages: Iterable[tuple[str, MembershipMessage]]) -> None:
         """Send each message (receiver, message) as its bytes; some are lost."""
         for receiver, message in messages:
-            data = encode(message)
+            data = encode_message(message)
             self.sizes.append(len(data))
             if not self.is_lost(sender, receiver):
-                decoded = decode(data)
+                decoded = decode_message(data)
                 assert decoded is not None
                 self.deliver(receiver, decoded)
 
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -53,7 +53,7 @@
         self.loop, self.cells_line, self.record, self.transport = loop, cells_line, record, transport
         self.rejected: Counter[str] = Counter()
         self.watch: FileWatch | None = None
-        transport.on_table(on_table)
+        transport.add_table_callback(on_table)
 
     @property
     def table(self) -> CellTable | None:
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -52,7 +52,7 @@
             NodeStorage(LeaseTable(max_duration=line.longest), self.disk, time.time_ns() // MILLI),
         )
         last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
-        self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
+        self.requests = OperatorRequests(self.hosted_node.lease_client, line.longest, last_number)
         self.timer: Timer | None = None
 
     @staticmethod
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -141,7 +141,7 @@
         others = [peer for peer in peers if peer.name != self.configuration.name]
         addresses = {peer.name: peer.where for peer in others}
         if self.membership_transport is not None:
-            self.membership_transport.configure(others)
+            self.membership_transport.set_configured_peers(others)
         if self.leases is not None:
             self.leases.update_peers(addresses)
         if self.cells is not None:
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -65,7 +65,7 @@
         self.next_tick: int = now
         self._cleanup_at: int = now + CLEANUP_INTERVAL
         tables: CellTablePart = parts["tables"]
-        tables.transport.on_table(self._adopt)
+        tables.transport.add_table_callback(self._adopt)
 
     def tick(self, now: int) -> None:
         """Sample a route, check which host lists are wanted, forget hosts that left."""
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -11,7 +11,7 @@
 from gaproute.hollow.environment import PartLoop
 from gaproute.peers.ports import PullAnswer, PullCallback, PullHandler, PullReply
 from gaproute.peers.tables import wire
-from gaproute.peers.tables.pull_exchange import OK
+from gaproute.peers.tables.pull_exchange import HTTP_OK
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
 from gaproute.shared.dissemination.messages import Pull
 
@@ -89,12 +89,12 @@
         self._current = 0  # the number of the pull that is open; an answer to an earlier one is dropped
         self.pulls = self.bytes = 0
 
-    def ask(self, where: str, pull: Pull, done: PullCallback) -> None:
+    def send_pull(self, where: str, pull: Pull, done: PullCallback) -> None:
         """Pull from the gateway with that address, and drop the pull before.
 
         `done(answer)` is called once, with None where none came; for a dropped pull it is not called.
         """
-        self.drop()
+        self.cancel_pull()
         body = wire.encode_pull(pull)
         self.pulls += 1
         self.bytes += transferred(HTTP_REQUEST + len(body))
@@ -106,7 +106,7 @@
         arrival = TRIPS_OF_REQUEST * delay
         self._loop.call_later(arrival, self._arrived, self._current, server, body, delay, done)
 
-    def drop(self) -> None:
+    def cancel_pull(self) -> None:
         """End the pull that is open."""
         self._current += 1
 
@@ -114,10 +114,10 @@
         self, number: int, server: SimulatedPullServer, body: bytes, delay: int, done: PullCallback
     ) -> None:
         reply = server.handle(body)
-        answer = wire.decode_answer(reply.body) if reply.status == OK else None
+        answer = wire.decode_answer(reply.body) if reply.status == HTTP_OK else None
         self._loop.call_later(delay, self._finish, number, answer, done)
 
     def _finish(self, number: int, answer: PullAnswer | None, done: PullCallback) -> None:
         if number == self._current:
-            self.drop()
+            self.cancel_pull()
             done(answer)
--- a/gaproute/hollow/cells/shared_tables.py
+++ b/gaproute/hollow/cells/shared_tables.py
@@ -34,7 +34,7 @@
             super().apply(change)
             self._share()
         else:
-            self._take(known, change.digest, change.digest)
+            self._replace_table(known, change.digest, change.digest)
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
         """Take a whole table. Errors: DocumentError."""
@@ -43,7 +43,7 @@
             super().replace(version, digest, data)
             self._share()
         else:
-            self._take(known, digest, digest)
+            self._replace_table(known, digest, digest)
 
     def _share(self) -> None:
         assert self.holder.table is not None
@@ -66,14 +66,14 @@
         super().__init__(loop, settings, channels, random, record)
         self._shared_candidates = shared_candidates
 
-    def candidates(self, near: tuple[Peer, ...]) -> Candidates:
+    def candidates(self, neighbours: tuple[Peer, ...]) -> Candidates:
         """As of `CellTableTransport`."""
         table, document = self.holder.table, self.disseminator.document
         if table is None or self.cell:
-            return super().candidates(near)
+            return super().candidates(neighbours)
         key = document.version, document.digest
         if key not in self._shared_candidates:
             self._shared_candidates[key] = candidates(table, self.cell, (), ())
         named = self._shared_candidates[key]
-        gateways = max(1, len(near)) * named.gateways
-        return replace(named, neighbours=near, configured=self.configured, gateways=gateways)
+        gateways = max(1, len(neighbours)) * named.gateways
+        return replace(named, neighbours=neighbours, configured=self.configured, gateways=gateways)
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -60,7 +60,7 @@
                 return
             self._rejected += self._request.state == LeaseState.REJECTED
             self._expired += self._request.state == LeaseState.EXPIRED
-        self._request = self.hosted_node.client.acquire(now, f"gateway/{self._name}", LEASE_DURATION)
+        self._request = self.hosted_node.lease_client.acquire(now, f"gateway/{self._name}", LEASE_DURATION)
         self.hosted_node.run_due()
 
     def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -46,7 +46,7 @@
 
     def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
         """Configure the members, which are never forgotten."""
-        self.transport.configure(gateways)
+        self.transport.set_configured_peers(gateways)
 
     def counters(self) -> dict[str, int]:
         """`entries`: members held; `refused`: members beyond the bound, and updates that make no sense."""
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -19,7 +19,7 @@
 OBSERVATION_INTERVAL = SECOND // 2
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
 # Between two reads of the members, so that many updates of members do not cause as many reads
-PEERS_INTERVAL = SECOND
+PEER_UPDATE_INTERVAL = SECOND
 
 
 class GossipTransport:
@@ -40,10 +40,12 @@
         now = loop.now()
         self.loop, self.transport, self.gateway = loop, transport, gateway
         self.node = GossipNode(name, transport.membership.incarnation, random, now, rate)
-        self._in_flight: dict[str, int] = {}  # by host: the number of requests that was recorded last
-        self._observe_at = self._peers_at = now
-        self._observed_until = now  # the time until which warm instances are recorded
-        transport.register(PayloadKind.GOSSIP, self._received)
+        self._recorded_in_flight: dict[
+            str, int
+        ] = {}  # by host: the number of requests that was recorded last
+        self._next_observation_at = self._next_peer_update_at = now
+        self._warm_instances_read_at = now  # the time until which warm instances are recorded
+        transport.register(PayloadKind.GOSSIP, self._handle_payload)
         self._timer = loop.call_at(now, self._tick)
 
     def record_arrival(self, now: int, function: str, request_class: int) -> None:
@@ -61,49 +63,49 @@
     def _tick(self) -> None:
         now = self.loop.now()
         try:
-            self._turn(now)
+            self._run_turn(now)
         finally:  # an error in one turn is logged by the loop and must not end the later turns
             self._timer = self.loop.call_at(max(self.node.due, now + MIN_TURN_INTERVAL), self._tick)
 
-    def _turn(self, now: int) -> None:
-        if now >= self._peers_at:
-            self._peers_at = now + PEERS_INTERVAL
+    def _run_turn(self, now: int) -> None:
+        if now >= self._next_peer_update_at:
+            self._next_peer_update_at = now + PEER_UPDATE_INTERVAL
             self._update_peers(now)
-        if now >= self._observe_at:
-            self._observe_at = now + OBSERVATION_INTERVAL
-            self._observe_in_flight()
-            self._observe_warm_instances(now)
-        self._send(now)
+        if now >= self._next_observation_at:
+            self._next_observation_at = now + OBSERVATION_INTERVAL
+            self._record_in_flight()
+            self._record_warm_instances(now)
+        self._send_messages(now)
 
     def _update_peers(self, now: int) -> None:
         membership = self.transport.membership
         self.node.raise_incarnation(membership.incarnation)
         self.node.set_peers(now, [*membership.table.alive.names, *membership.table.suspects])
 
-    def _observe_in_flight(self) -> None:
+    def _record_in_flight(self) -> None:
         hosts = self.gateway.hosts_by_id
         for name, host in hosts.items():
             requests = len(host.in_flight)
-            if requests != self._in_flight.get(name, 0):
-                self._in_flight[name] = requests
+            if requests != self._recorded_in_flight.get(name, 0):
+                self._recorded_in_flight[name] = requests
                 self.node.record_in_flight(name, requests)
-        for name in [name for name in self._in_flight if name not in hosts]:
-            del self._in_flight[name]
+        for name in [name for name in self._recorded_in_flight if name not in hosts]:
+            del self._recorded_in_flight[name]
             self.node.record_in_flight(name, 0)
 
-    def _observe_warm_instances(self, now: int) -> None:
-        for observation in self.gateway.observations_since(now, self._observed_until):
+    def _record_warm_instances(self, now: int) -> None:
+        for observation in self.gateway.observations_since(now, self._warm_instances_read_at):
             if observation.kind == ObservationKind.WARM_INSTANCE:
                 host, function = observation.names
                 self.node.record_warm_instance(observation.at, str(host), str(function))
-        self._observed_until = now
+        self._warm_instances_read_at = now
 
-    def _send(self, now: int) -> None:
+    def _send_messages(self, now: int) -> None:
         members = self.transport.membership.members
         for peer, message in self.node.tick(now):
             member = members.get(peer)
             if member is not None:
                 self.transport.send_payload(member.address, PayloadKind.GOSSIP, encode(message))
 
-    def _received(self, sender: str, data: bytes) -> None:
+    def _handle_payload(self, sender: str, data: bytes) -> None:
         self.node.receive_encoded(self.loop.now(), sender, lambda: decode(data))
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -32,13 +32,13 @@
     WarmInstanceEntry,
 )
 
-VERSION = 1
+PROTOCOL_VERSION = 1
 AGE_UNIT = 10_000_000  # ns; the longest age is 655 s, twice that at which any set expires
 MAX_AGE_UNITS = 65_535
 RATE_UNITS = 100  # rates are sent in hundredths of a request a second
 MAX_RELATIVE_DEVIATION = 655.0  # of the rate
 MAX_WARM_AGE = LIMITS[EntryKind.WARM_INSTANCES].max_age
-MAX_BYTES = 1200  # fits in one unfragmented datagram on every usual network
+MAX_MESSAGE_BYTES = 1200  # fits in one unfragmented datagram on every usual network
 
 MESSAGE_HEADER, SET_HEADER = Struct("<BQB"), Struct("<BBIHBH")
 HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY = Struct("<IB"), Struct("<IBBH"), Struct("<IIH")
@@ -48,7 +48,7 @@
 CODE_BOUNDS = [(low * high) ** 0.5 if low else high / 2 for low, high in pairwise(AMOUNT_SCALE)]
 
 
-class UndecodableError(GaprouteError, ValueError):
+class MalformedGossipError(GaprouteError, ValueError):
     """The bytes are not a message of this version."""
 
 
@@ -59,7 +59,7 @@
 
 def encode(message: GossipMessage) -> bytes:
     """Bytes of a message."""
-    parts = [MESSAGE_HEADER.pack(VERSION, message.incarnation, len(message.sets))]
+    parts = [MESSAGE_HEADER.pack(PROTOCOL_VERSION, message.incarnation, len(message.sets))]
     for entries in message.sets:
         parts.append(_encode_set_header(entries))
         parts += _encode_entries(entries)
@@ -70,7 +70,7 @@
     """The message; None if the bytes cannot be decoded."""
     try:
         return _decode_message(data)
-    except (struct.error, UndecodableError):
+    except (struct.error, MalformedGossipError):
         return None
 
 
@@ -112,18 +112,18 @@
 
 
 def _decode_message(data: bytes) -> GossipMessage:
-    if len(data) > MAX_BYTES:
-        raise UndecodableError("too long")
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise MalformedGossipError("too long")
     version, incarnation, count = MESSAGE_HEADER.unpack_from(data)
-    if version != VERSION or count > MAX_SETS:
-        raise UndecodableError("another version, or too many sets")
+    if version != PROTOCOL_VERSION or count > MAX_SETS:
+        raise MalformedGossipError("another version, or too many sets")
     sets: list[EntrySet] = []
     position = MESSAGE_HEADER.size
     for _ in range(count):
         entries, position = _decode_set(data, position)
         sets.append(entries)
     if position != len(data):
-        raise UndecodableError("followed by something else")
+        raise MalformedGossipError("followed by something else")
     return GossipMessage(incarnation, tuple(sets))
 
 
@@ -131,11 +131,11 @@
     """The set that begins at the position, and where it ends."""
     kind, partition, sequence, age, remainder, count = SET_HEADER.unpack_from(data, position)
     if kind >= len(LIMITS) or count > LIMITS[kind].max_entries:
-        raise UndecodableError("another kind, or too many entries")
+        raise MalformedGossipError("another kind, or too many entries")
     begin = position + SET_HEADER.size
     end = begin + count * ENTRY_STRUCTS[kind].size
     if end > len(data):
-        raise UndecodableError("cut short")
+        raise MalformedGossipError("cut short")
     unit = RATE_UNITS if kind == EntryKind.DEMAND else 1
     entries = _decode_entries(kind, data[begin:end])
     decoded = EntrySet(kind, partition, sequence, age * AGE_UNIT, AMOUNT_SCALE[remainder] / unit, entries)
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -54,13 +54,13 @@
         self.datagram_socket = open_datagrams(datagram_address(address), self._handle_datagram)
         self.sent_datagrams = self.sent_bytes = 0
         self.undecodable_datagrams = self.rate_limited_datagrams = 0
-        self.received_in_second = 0  # datagrams received in the present second
-        self.second_began_at = 0  # ns
+        self.datagrams_in_second = 0  # datagrams received in the present second
+        self.second_started_at = 0  # ns
         self.payload_handlers: dict[PayloadKind, PayloadHandler] = {}  # by kind of payload
         self._timer: Timer | None = None
         self._reschedule_timer()
 
-    def configure(self, peers: Iterable[Peer]) -> None:
+    def set_configured_peers(self, peers: Iterable[Peer]) -> None:
         """Takes over the configured gateways, which are never forgotten."""
         self.membership.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
         self._log_member_changes()
@@ -107,10 +107,10 @@
 
     def _handle_datagram(self, data: bytes) -> None:
         now = self.loop.now()
-        if now - self.second_began_at >= SECOND:
-            self.received_in_second, self.second_began_at = 0, now
-        self.received_in_second += 1
-        if self.received_in_second > MAX_DATAGRAMS_PER_SECOND:
+        if now - self.second_started_at >= SECOND:
+            self.datagrams_in_second, self.second_started_at = 0, now
+        self.datagrams_in_second += 1
+        if self.datagrams_in_second > MAX_DATAGRAMS_PER_SECOND:
             self.rate_limited_datagrams += 1
             return
         message = decode_datagram(data)
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -58,8 +58,8 @@
 class ObservationClient:
     """Gets observations from peers.
 
-    `apply_observations(subjects)` hands the decisions the observations of these subjects as hints, and returns how many
-    hints they use; `on_snapshot_complete()` is called at the end of each snapshot.
+    `apply_observations(subjects)` hands the decisions the observations of these subjects as hints,
+    and returns how many hints they use; `on_snapshot_complete()` is called at the end of each snapshot.
     """
 
     def __init__(
@@ -187,8 +187,8 @@
     if response is not None and response.status == HTTP_SERVICE_UNAVAILABLE:
         wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
         return min(MAX_RETRY_DELAY, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_RETRY_DELAY
-    unreachable = response is None and not result.timed_out and not progress.received_observations
-    if unreachable and progress.retries < MAX_RETRIES:
+    no_response = response is None and not result.timed_out and not progress.received_observations
+    if no_response and progress.retries < MAX_RETRIES:
         progress.retries += 1  # the peer may be starting as well
         return RETRY_INTERVAL
     return None
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -64,7 +64,7 @@
 class ObservationTransfers:
     """Answers requests for observations, chunk by chunk.
 
-    `gateway`: the decisions whose observations are sent; `request_classes`: their names_length; `cpu_clock`: CPU
+    `gateway`: the decisions whose observations are sent; `request_classes`: their names; `cpu_clock`: CPU
     time so far, ns.
     """
 
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -66,13 +66,13 @@
         lanes, started = value
         answer.warm.add(worker=names[0], function=names[1], lanes=lanes, started_ns=started, age_us=age_us)
     elif kind == ObservationKind.LISTED_STATE:
-        _add_listed(answer, names[0], value, age_us)
+        _add_listed_host(answer, names[0], value, age_us)
     else:
         getattr(answer, kind).add(names=names, value=value[0], age_us=age_us)
     return sum([len(name) for name in names])
 
 
-def _add_listed(answer: ObservationAnswer, host: str, value: Value, age_us: int) -> None:
+def _add_listed_host(answer: ObservationAnswer, host: str, value: Value, age_us: int) -> None:
     state, started = value
     if state == ListedState.GONE:
         answer.gone.add(worker=host, age_us=age_us)
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -19,13 +19,13 @@
 from gaproute.peers.observation_transfers import ObservationTransfers
 from gaproute.units import MILLI
 
-FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded_request_handler requests begin with
+FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded requests begin with
 PROTOBUF_HEADER = (b"Content-Type", b"application/x-protobuf")
 RETRY_AFTER_HEADER = b"Gaproute-Retry-After-Ms"
 # Connections for observations: after a restart of all gateways, hundreds ask at the same time.
 HTTP_LIMITS = Limits(max_body_bytes=4096, max_pipelined=1, max_connections=1024)
 
-Route = Callable[[Server, Request], None]  # answers the request at the server
+RouteHandler = Callable[[Server, Request], None]  # answers the request at the server
 
 
 class PeerServer:
@@ -45,7 +45,7 @@
         limits: Limits = HTTP_LIMITS,
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
-        self.routes: dict[bytes, Route] = {}  # by target: the routes of other parts
+        self.routes: dict[bytes, RouteHandler] = {}  # by target: the routes of other parts
         # Takes the requests that other gateways forward; None while none are accepted
         self.forwarded_request_handler: Callable[[Request], None] | None = None
         self.transfers = ObservationTransfers(gateway, history, request_classes, cpu_clock)
--- a/gaproute/peers/ports.py
+++ b/gaproute/peers/ports.py
@@ -60,7 +60,7 @@
 class DatagramSocket(Protocol):
     """An open socket for datagrams: `gaproute.loop.datagrams.DatagramSocket`."""
 
-    def send(self, data: bytes, where: str, /) -> None:
+    def send(self, data: bytes, address: str, /) -> None:
         """Sends one datagram to the address, or drops it."""
 
     def close(self) -> None:
@@ -93,14 +93,14 @@
 
     counts: Counter[str]  # messages by what became of them
 
-    def send(self, to: str, message: RaftMessage, /) -> None:
+    def send(self, peer: str, message: RaftMessage, /) -> None:
         """Sends a message to the peer of that name, or drops it."""
 
     def close(self) -> None:
         """Ends sending and receiving."""
 
 
-class BusyHost(Protocol):
+class HostWithAttempts(Protocol):
     """A host of which the number of attempts in flight is read."""
 
     @property
@@ -112,20 +112,20 @@
     """Decisions whose attempts in flight and warm instances are sent to other gateways."""
 
     @property
-    def hosts_by_id(self) -> Mapping[str, BusyHost]:
+    def hosts_by_id(self) -> Mapping[str, HostWithAttempts]:
         """All hosts by name."""
 
 
 class PullSender(Protocol):
     """Requests the cell table of other gateways, one pull at a time."""
 
-    def ask(self, where: str, pull: Pull, done: PullCallback, /) -> None:
+    def send_pull(self, address: str, pull: Pull, on_answer: PullCallback, /) -> None:
         """Sends a pull to the gateway with that address, in place of the one that is open.
 
-        `done` is called once, later; it is not called for a pull that is replaced or dropped.
+        `on_answer` is called once, later; it is not called for a pull that is replaced or dropped.
         """
 
-    def drop(self) -> None:
+    def cancel_pull(self) -> None:
         """Ends the open pull."""
 
 
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -16,9 +16,11 @@
 from gaproute.units import MILLI
 
 # Between log lines about rejected messages, so that a flood of them is not a flood of lines
-REJECTIONS_INTERVAL = 60_000 * MILLI
-SLOW_TURN = 50 * MILLI  # duration of a turn of the node above which its disk delays the gateway's requests
-NO_NODE = "refused: no keeper here"
+REJECTION_LOG_INTERVAL = 60_000 * MILLI
+SLOW_TURN_DURATION = (
+    50 * MILLI
+)  # duration of a turn of the node above which its disk delays the gateway's requests
+NO_NODE_COUNTER = "refused: no keeper here"
 
 Transport = TypeVar("Transport", bound=RaftMessageTransport)
 
@@ -57,7 +59,7 @@
 
 
 class HostedNode(Generic[Transport]):
-    """Runs the lease client `client` and, if there is a disk and this gateway is a member, the `node`."""
+    """Runs the `lease_client` and, if there is a disk and this gateway is a member, the `node`."""
 
     def __init__(
         self, environment: NodeEnvironment[Transport], group: RaftGroupView, storage: NodeStorage
@@ -65,13 +67,15 @@
         self.loop, self.record = environment.loop, environment.record
         self.name, self.machine = group.name, storage.machine
         self.transport = environment.open_transport(self.receive)
-        self.client = LeaseClient(self.name, group.members, environment.random, self.loop.now())
-        self.node = self._make_node(environment.random, group, storage)
-        self.log = NodeLog(self.record, self.loop.now())
+        self.lease_client = LeaseClient(self.name, group.members, environment.random, self.loop.now())
+        self.node = self._create_node(environment.random, group, storage)
+        self.event_logger = NodeEventLogger(self.record, self.loop.now())
         self.timer: Timer | None = None
-        self._schedule()
+        self._reschedule_timer()
 
-    def _make_node(self, random: RandomSource, group: RaftGroupView, storage: NodeStorage) -> RaftNode | None:
+    def _create_node(
+        self, random: RandomSource, group: RaftGroupView, storage: NodeStorage
+    ) -> RaftNode | None:
         if storage.disk is None or group.name not in group.members:
             return None
         node = RaftNode(
@@ -87,51 +91,51 @@
             self.record.event("error", "raft_log_discarded", reason=node.store.discard_reason)
         return node
 
-    def _parts(self) -> list[LeaseClient | RaftNode]:
-        return [self.client] if self.node is None else [self.client, self.node]
+    def _client_and_node(self) -> list[LeaseClient | RaftNode]:
+        return [self.lease_client] if self.node is None else [self.lease_client, self.node]
 
     def set_configured_members(self, members: Iterable[str]) -> None:
         """Takes over the names of the members in the configuration."""
         members = tuple(members)
-        for part in self._parts():
+        for part in self._client_and_node():
             part.set_configured_members(self.loop.now(), members)
         self.run_due()
 
     def receive(self, sender: str, message: RaftMessage) -> None:
         """Handles a message from a peer, or from this gateway."""
-        part = self.client if isinstance(message, Reply) else self.node
+        part = self.lease_client if isinstance(message, Reply) else self.node
         if part is None:
-            self.transport.counts[NO_NODE] += 1
+            self.transport.counts[NO_NODE_COUNTER] += 1
             return
-        begun = self.loop.now()
-        self._send(part.hear(begun, sender, message))
-        self._after_turn(begun)
+        started_at = self.loop.now()
+        self._send(part.hear(started_at, sender, message))
+        self._finish_turn(started_at)
 
     def run_due(self) -> None:
         """Runs what is due now; is called after every call of the client."""
-        begun = self.loop.now()
-        for part in self._parts():
-            if part.due is not None and part.due <= begun:
-                self._send(part.tick(begun))
-        self._after_turn(begun)
+        started_at = self.loop.now()
+        for part in self._client_and_node():
+            if part.due is not None and part.due <= started_at:
+                self._send(part.tick(started_at))
+        self._finish_turn(started_at)
 
     def _send(self, messages: Iterable[tuple[str, RaftMessage]]) -> None:
-        for to, message in messages:
-            if to == self.name:
-                self.loop.call_soon(self.receive, to, message)
+        for recipient, message in messages:
+            if recipient == self.name:
+                self.loop.call_soon(self.receive, recipient, message)
             else:
-                self.transport.send(to, message)
+                self.transport.send(recipient, message)
 
-    def _schedule(self) -> None:
-        times = [part.due for part in self._parts() if part.due is not None]
+    def _reschedule_timer(self) -> None:
+        times = [part.due for part in self._client_and_node() if part.due is not None]
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.loop.call_at(min(times), self.run_due) if times else None
 
-    def _after_turn(self, begun: int) -> None:
-        self._schedule()
+    def _finish_turn(self, started_at: int) -> None:
+        self._reschedule_timer()
         if self.node is not None:
-            self.log.turn(self.node, begun, self.loop.now(), self.transport.counts)
+            self.event_logger.log_turn(self.node, started_at, self.loop.now(), self.transport.counts)
 
     def status(self) -> dict[str, object]:
         """The status at the operators' address, with its JSON keys."""
@@ -145,7 +149,7 @@
                     if request.expires_at is None
                     else (request.expires_at - self.loop.now()) // MILLI,
                 }
-                for request in self.client.requests
+                for request in self.lease_client.requests
             ],
             "carried": dict(self.transport.counts),
             "keeper": None if self.node is None else self._node_status(self.node),
@@ -164,7 +168,7 @@
 
     def stop(self) -> None:
         """Releases all leases; call `close` afterwards."""
-        self.client.release_all(self.loop.now())
+        self.lease_client.release_all(self.loop.now())
         self.run_due()
 
     def close(self) -> None:
@@ -174,27 +178,27 @@
         self.transport.close()
 
 
-class NodeLog:
+class NodeEventLogger:
     """Logs changes of a node that an operator should know, each once."""
 
     def __init__(self, record: EventLog, now: int) -> None:
         self.record = record
-        self.logged: dict[str, object] = {}  # by name of the figure: the last logged value
-        self.rejections: dict[str, int] = {}
+        self.last_logged: dict[str, object] = {}  # by name of the figure: the last logged value
+        self.logged_rejections: dict[str, int] = {}
         self.rejections_logged_at = now
         self.logged_violations = 0  # how many were logged so far
 
-    def turn(self, node: RaftNode, begun: int, now: int, counts: Mapping[str, int]) -> None:
-        """Logs after a turn of the node from `begun` to `now`; `counts`: those of the transport."""
-        if now - begun > SLOW_TURN:
-            self.record.event("warning", "raft_turn_slow", took_ms=(now - begun) // MILLI)
+    def log_turn(self, node: RaftNode, started_at: int, now: int, counts: Mapping[str, int]) -> None:
+        """Logs after a turn of the node from `started_at` to `now`; `counts`: those of the transport."""
+        if now - started_at > SLOW_TURN_DURATION:
+            self.record.event("warning", "raft_turn_slow", took_ms=(now - started_at) // MILLI)
         self._log_changes(node)
         for violation in node.violations[self.logged_violations :]:
             self.record.event(
                 "error", "raft_invariant_violated", violation=violation, replay=node_summary_json(node)
             )
         self.logged_violations = len(node.violations)
-        if now - self.rejections_logged_at >= REJECTIONS_INTERVAL:
+        if now - self.rejections_logged_at >= REJECTION_LOG_INTERVAL:
             self.rejections_logged_at = now
             rejected = {what: count for what, count in counts.items() if what.startswith("refused")}
             self._log_rejections({**node.rejections, **rejected})
@@ -203,24 +207,24 @@
         """Logs the role, failures of the disk, and the members, each if it has changed."""
         role, failure = node.role.value, node.storage_failure
         members = [member.name for member in node.members]
-        if node.role in (Role.LEADER, Role.FOLLOWER) and self._has_changed("role", role):
+        if node.role in (Role.LEADER, Role.FOLLOWER) and self._replace_logged_value("role", role):
             self.record.event("info", "raft_role_changed", role=role, term=node.term, leader=node.leader)
-        if self._has_changed("failure", failure):
+        if self._replace_logged_value("failure", failure):
             self.record.event(
                 "error", "raft_storage_failed", error=failure, term=node.term, leader=node.leader
             )
-        if self._has_changed("members", members):
+        if self._replace_logged_value("members", members):
             self.record.event(
                 "info", "raft_members_changed", members=members, term=node.term, leader=node.leader
             )
 
-    def _has_changed(self, figure: str, value: object) -> bool:
+    def _replace_logged_value(self, figure: str, value: object) -> bool:
         """Whether a value is not empty and differs from that of the last call."""
-        changed = self.logged.get(figure) != value
-        self.logged[figure] = value
+        changed = self.last_logged.get(figure) != value
+        self.last_logged[figure] = value
         return changed and bool(value)
 
     def _log_rejections(self, by_reason: dict[str, int]) -> None:
-        if by_reason != self.rejections:
-            self.rejections = by_reason
+        if by_reason != self.logged_rejections:
+            self.logged_rejections = by_reason
             self.record.event("warning", "raft_messages_rejected", by_reason=by_reason)
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -21,16 +21,16 @@
 from gaproute.units import MILLI, SECOND
 
 # Messages that wait for one peer; above it the oldest is dropped, which is the most outdated
-MAX_QUEUED = 256
+MAX_QUEUED_MESSAGES = 256
 MAX_QUEUED_BYTES = 2 * wire.MAX_BATCH_BYTES
 # Enough for a snapshot over a slow link; a peer that is down costs one attempt in that time
 EXCHANGE_TIMEOUT = 2 * SECOND
 RETRY_DELAY = 200 * MILLI  # after a failed exchange: about a heartbeat interval
-RATE = 500  # messages per second that one peer may send: ten times those of a busy leader
-BURST = 1000  # messages above that at one moment
+MAX_MESSAGES_PER_SECOND = 500  # messages per second that one peer may send: ten times those of a busy leader
+MAX_MESSAGE_BURST = 1000  # messages above that at one moment
 MAX_CONNECTIONS = 256
 MAX_RESPONSE_BYTES = 4096  # of headers, and of the body
-TARGET = b"/keepers"
+HTTP_TARGET = b"/keepers"
 
 
 class PeerState:
@@ -43,15 +43,15 @@
         self.exchange: Exchange | None = None
         self.timer: Timer | None = None  # for the next batch, or for the timeout of the exchange
         self.retry_at = now  # nothing is sent before this time, ns
-        self.tokens: float = BURST
+        self.tokens: float = MAX_MESSAGE_BURST
         self.refilled_at = now
 
-    def push(self, data: bytes) -> int:
+    def queue_message(self, data: bytes) -> int:
         """Queues a message; returns how many older ones were dropped for it."""
         self.queue.append(data)
         self.queued_bytes += len(data)
         dropped = 0
-        while len(self.queue) > MAX_QUEUED or self.queued_bytes > MAX_QUEUED_BYTES:
+        while len(self.queue) > MAX_QUEUED_MESSAGES or self.queued_bytes > MAX_QUEUED_BYTES:
             self.queued_bytes -= len(self.queue.popleft())
             dropped += 1
         return dropped
@@ -60,7 +60,7 @@
         """The messages that are sent together next."""
         messages: list[bytes] = []
         size = 0
-        while self.queue and len(messages) < wire.MAX_MESSAGES:
+        while self.queue and len(messages) < wire.MAX_BATCH_MESSAGES:
             if messages and size + len(self.queue[0]) >= wire.FULL_BATCH_BYTES:
                 break
             messages.append(self.queue.popleft())
@@ -70,7 +70,9 @@
 
     def spend_tokens(self, now: int, messages: int) -> bool:
         """Whether the peer may send that many messages now."""
-        self.tokens = min(BURST, self.tokens + (now - self.refilled_at) * RATE / SECOND)
+        self.tokens = min(
+            MAX_MESSAGE_BURST, self.tokens + (now - self.refilled_at) * MAX_MESSAGES_PER_SECOND / SECOND
+        )
         self.refilled_at = now
         if self.tokens < messages:
             return False
@@ -102,14 +104,14 @@
         self, loop: Loop, name: str, peers: Mapping[str, str], receive: Callable[[str, RaftMessage], None]
     ) -> None:
         self.loop, self.name, self.peers, self.receive = loop, name, peers, receive
-        self.states: dict[str, PeerState] = {}  # by name
+        self.peer_states: dict[str, PeerState] = {}  # by name
         self.counts: Counter[str] = Counter()
         self.server: Server | None = None
         self.closed = False
 
     # Receiving
 
-    def listen(self, where: str) -> str:
+    def listen(self, address: str) -> str:
         """Listens at an address of its own, which is returned as text. Errors: OSError."""
         limits = Limits(
             max_body_bytes=wire.MAX_BATCH_BYTES,
@@ -118,14 +120,14 @@
             max_buffered_bytes=4 * wire.MAX_BATCH_BYTES,
         )
         server: Server = Server(
-            self.loop, parse_address(where), lambda request: self.handle(server, request), limits
+            self.loop, parse_address(address), lambda request: self.handle(server, request), limits
         )
         self.server = server
         return server.address
 
     def handle(self, server: Server, request: Request) -> None:
         """Answers a request that a server received."""
-        if request.target != TARGET or request.method != b"POST":
+        if request.target != HTTP_TARGET or request.method != b"POST":
             server.answer(request, 404, (), b"POST /keepers\n")
             return
         try:
@@ -151,47 +153,55 @@
 
     def _peer_state(self, name: str) -> PeerState:
         """The state of a peer; a new one also drops those of gateways that are no peers any more."""
-        if name not in self.states:
-            for gone in [each for each in self.states if each not in self.peers]:
-                self.states.pop(gone).close()
-            self.states[name] = PeerState(self.loop.now())
-        return self.states[name]
+        if name not in self.peer_states:
+            for removed in [each for each in self.peer_states if each not in self.peers]:
+                self.peer_states.pop(removed).close()
+            self.peer_states[name] = PeerState(self.loop.now())
+        return self.peer_states[name]
 
-    def send(self, to: str, message: RaftMessage) -> None:
+    def send(self, peer: str, message: RaftMessage) -> None:
         """Queues a message for a peer."""
-        if to not in self.peers or self.closed:
+        if peer not in self.peers or self.closed:
             self.counts["lost"] += 1
             return
-        state = self._peer_state(to)
-        self.counts["lost"] += state.push(wire.encode_message(message))
+        state = self._peer_state(peer)
+        self.counts["lost"] += state.queue_message(wire.encode_message(message))
         if state.exchange is None and state.timer is None:
             # After the present callbacks, so that all messages of one turn are sent in one batch.
-            state.timer = self.loop.call_at(max(self.loop.now(), state.retry_at), self._send_batch, to, state)
+            state.timer = self.loop.call_at(
+                max(self.loop.now(), state.retry_at), self._send_batch, peer, state
+            )
 
-    def _send_batch(self, to: str, state: PeerState) -> None:
+    def _send_batch(self, peer: str, state: PeerState) -> None:
         """Sends the messages that are queued, in one exchange."""
         state.timer = None
-        if not state.queue or state.exchange is not None or to not in self.peers or self.closed:
+        if not state.queue or state.exchange is not None or peer not in self.peers or self.closed:
             return
         messages = state.pop_batch()
         body = wire.encode_batch(self.name, messages)
-        data = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n%b" % (TARGET, len(body), body)
+        data = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n%b" % (
+            HTTP_TARGET,
+            len(body),
+            body,
+        )
         state.exchange = Exchange(
-            self.loop, data, lambda answer, fault: self._finish(to, state, len(messages), answer)
+            self.loop, data, lambda answer, fault: self._finish_exchange(peer, state, len(messages), answer)
+        )
+        state.timer = self.loop.call_later(
+            EXCHANGE_TIMEOUT, self._finish_exchange, peer, state, len(messages), None
         )
-        state.timer = self.loop.call_later(EXCHANGE_TIMEOUT, self._finish, to, state, len(messages), None)
         if state.connection is not None and state.connection.open:
             state.exchange.send_on(state.connection)
             return
         state.exchange.connect(
-            parse_address(self.peers[to]),
+            parse_address(self.peers[peer]),
             EXCHANGE_TIMEOUT,
             MAX_RESPONSE_BYTES,
             MAX_RESPONSE_BYTES,
             state.set_connection,
         )
 
-    def _finish(self, to: str, state: PeerState, messages: int, answer: Response | None) -> None:
+    def _finish_exchange(self, peer: str, state: PeerState, messages: int, answer: Response | None) -> None:
         """Handles the end of an exchange; `answer` is None if its time was up."""
         exchange, state.exchange = state.exchange, None
         if state.timer is not None:
@@ -208,13 +218,13 @@
         self.counts["sent" if sent else "lost"] += messages
         state.retry_at = now if sent else now + RETRY_DELAY
         if state.queue and not self.closed:
-            state.timer = self.loop.call_at(state.retry_at, self._send_batch, to, state)
+            state.timer = self.loop.call_at(state.retry_at, self._send_batch, peer, state)
 
     def close(self) -> None:
         """Ends sending and listening."""
         self.closed = True
-        for state in self.states.values():
+        for state in self.peer_states.values():
             state.close()
-        self.states.clear()
+        self.peer_states.clear()
         if self.server is not None:
             self.server.close()
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -14,8 +14,8 @@
 from gaproute.shared.messages import MAX_NAME_LENGTH
 from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, RaftMessage
 
-VERSION = 1
-MAX_MESSAGES = 64  # in a batch: those of a few heartbeats
+PROTOCOL_VERSION = 1
+MAX_BATCH_MESSAGES = 64  # in a batch: those of a few heartbeats
 FULL_BATCH_BYTES = 512 << 10  # above which no further message joins a batch
 # One snapshot and the messages that were sent with it
 MAX_BATCH_BYTES = MAX_SNAPSHOT_BYTES + FULL_BATCH_BYTES
@@ -26,7 +26,7 @@
     tuple[
         int,
         Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)],
-        Annotated[list[RaftMessage], Meta(min_length=1, max_length=MAX_MESSAGES)],
+        Annotated[list[RaftMessage], Meta(min_length=1, max_length=MAX_BATCH_MESSAGES)],
     ]
 )
 
@@ -49,7 +49,7 @@
 
 def encode_batch(sender: str, messages: Sequence[bytes]) -> bytes:
     """Encodes a batch of messages that are encoded already."""
-    return _encoder.encode((VERSION, sender, [msgspec.Raw(message) for message in messages]))
+    return _encoder.encode((PROTOCOL_VERSION, sender, [msgspec.Raw(message) for message in messages]))
 
 
 def decode_batch(data: bytes) -> Batch:
@@ -58,7 +58,7 @@
         raise MalformedBatchError("too long")
     if data[:1] != ARRAY_OF_THREE:
         raise MalformedBatchError("noise")
-    if data[1:2] != bytes((VERSION,)):
+    if data[1:2] != bytes((PROTOCOL_VERSION,)):
         raise MalformedBatchError("version")
     try:
         _, sender, messages = _decoder.decode(data)
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -38,7 +38,7 @@
         try:
             decoded = encoding.decode_change(self.fleet, change.base, change.version, change.data)
             table = apply_change(current, decoded)
-            self._take(table, encoding.digest_after(self.digest, current, decoded), change.digest)
+            self._replace_table(table, encoding.digest_after(self.digest, current, decoded), change.digest)
         except TableError as fault:
             raise DocumentError("invalid change") from fault
 
@@ -46,7 +46,7 @@
         """Takes over a complete table. Errors: DocumentError."""
         try:
             table = encoding.decode_table(self.fleet, version, data)
-            self._take(table, encoding.cells_digest(table.cells), digest)
+            self._replace_table(table, encoding.cells_digest(table.cells), digest)
         except TableError as fault:
             raise DocumentError("invalid table") from fault
 
@@ -56,8 +56,8 @@
             raise DocumentError("no table")
         return encoding.encode_table(self.holder.table)
 
-    def _take(self, table: CellTable, digest: int, expected: int) -> None:
-        if digest != expected:
+    def _replace_table(self, table: CellTable, digest: int, expected_digest: int) -> None:
+        if digest != expected_digest:
             raise DocumentError("digest")
         self.holder.replace(table)
         self.digest = digest
--- a/gaproute/peers/tables/encoding.py
+++ b/gaproute/peers/tables/encoding.py
@@ -16,8 +16,8 @@
 from gaproute.decisions.cells.table import Cell, CellTable, EntryGateway, PointRange, validate
 from gaproute.decisions.cells.version import Version
 
-MAX_TABLE = 16 << 20  # bytes of a table, uncompressed
-MODULUS = 1 << 64
+MAX_TABLE_BYTES = 16 << 20  # bytes of a table, uncompressed
+DIGEST_MODULUS = 1 << 64
 
 
 class Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -44,13 +44,13 @@
 _decode_change = msgspec.msgpack.Decoder(ChangeBody).decode
 
 
-def _row(cell: Cell) -> Row:
+def _to_row(cell: Cell) -> Row:
     points = [(each.origin, each.first, each.size) for each in cell.points]
     entries = [(entry.name, entry.address) for entry in cell.entries]
     return Row(cell.name, cell.region, cell.zone, float(cell.capacity), cell.hosts, points, entries)
 
 
-def _cell(row: Row) -> Cell:
+def _to_cell(row: Row) -> Cell:
     points = tuple(PointRange(*points) for points in row.points)
     entries = tuple(EntryGateway(*entry) for entry in row.entries)
     return Cell(row.name, row.region, row.zone, row.capacity, row.hosts, points, entries)
@@ -58,37 +58,37 @@
 
 def cells_digest(cells: Iterable[Cell]) -> int:
     """The digest of these rows, whatever their order."""
-    return sum(xxh3_64_intdigest(_encode(_row(cell))) for cell in cells) % MODULUS
+    return sum(xxh3_64_intdigest(_encode(_to_row(cell))) for cell in cells) % DIGEST_MODULUS
 
 
 def digest_after(digest: int, before: CellTable, change: TableChange) -> int:
     """The digest of a table after that change."""
     names = [*change.removed, *(cell.name for cell in change.rows)]
-    gone = [before.by_name[name] for name in names if name in before.by_name]
-    return (digest - cells_digest(gone) + cells_digest(change.rows)) % MODULUS
+    replaced = [before.by_name[name] for name in names if name in before.by_name]
+    return (digest - cells_digest(replaced) + cells_digest(change.rows)) % DIGEST_MODULUS
 
 
 def encode_table(table: CellTable) -> bytes:
     """Encodes the rows of a table."""
-    return zlib.compress(_encode([_row(cell) for cell in table.cells]))
+    return zlib.compress(_encode([_to_row(cell) for cell in table.cells]))
 
 
 def decode_table(fleet: str, version: Version, data: bytes) -> CellTable:
     """Decodes and checks a table. Errors: TableError."""
     inflater = zlib.decompressobj()
     try:
-        plain = inflater.decompress(data, MAX_TABLE)
+        uncompressed = inflater.decompress(data, MAX_TABLE_BYTES)
         if not inflater.eof or inflater.unused_data:
             raise TableError("the table is cut short, too long or followed by something else")
-        rows = _decode_rows(plain)
+        rows = _decode_rows(uncompressed)
     except (zlib.error, msgspec.DecodeError, RecursionError) as fault:
         raise TableError(f"the table cannot be read: {fault}") from None
-    return validate(fleet, version, map(_cell, rows))
+    return validate(fleet, version, map(_to_cell, rows))
 
 
 def encode_change(change: TableChange) -> bytes:
     """Encodes a change without its versions."""
-    return _encode(ChangeBody([_row(cell) for cell in change.rows], list(change.removed)))
+    return _encode(ChangeBody([_to_row(cell) for cell in change.rows], list(change.removed)))
 
 
 def decode_change(fleet: str, base: Version, version: Version, data: bytes) -> TableChange:
@@ -99,4 +99,4 @@
         raise TableError(f"the change cannot be read: {fault}") from None
     if len(body.rows) > MAX_CELLS or len(body.removed) > MAX_CELLS:
         raise TableError(f"a change of more than {MAX_CELLS} cells")
-    return TableChange(fleet, base, version, tuple(map(_cell, body.rows)), tuple(body.removed))
+    return TableChange(fleet, base, version, tuple(map(_to_cell, body.rows)), tuple(body.removed))
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -13,10 +13,10 @@
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
 from gaproute.shared.dissemination.messages import Pull
 
-TARGET = b"/tables"
-MAX_HEAD_BYTES = 4_096
-MESSAGE_PACK = (b"Content-Type", b"application/msgpack")
-OK, METHOD_NOT_ALLOWED = 200, 405  # HTTP status
+HTTP_TARGET = b"/tables"
+MAX_RESPONSE_HEAD_BYTES = 4_096
+MESSAGE_PACK_HEADER = (b"Content-Type", b"application/msgpack")
+HTTP_OK, HTTP_METHOD_NOT_ALLOWED = 200, 405  # HTTP status
 
 
 class PullClient:
@@ -24,43 +24,45 @@
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.exchange: Exchange | None = None  # the open one
+        self.open_exchange: Exchange | None = None  # the open one
         self._timer: Timer | None = None
 
-    def ask(self, where: str, pull: Pull, done: PullCallback) -> None:
-        """Sends a pull; `done(answer)` is called once, later; with None if no answer came.
+    def send_pull(self, address: str, pull: Pull, on_answer: PullCallback) -> None:
+        """Sends a pull; `on_answer(answer)` is called once, later; with None if no answer came.
 
         It is not called for a pull that is replaced or dropped.
         """
-        self.drop()
+        self.cancel_pull()
         body = wire.encode_pull(pull)
-        head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % TARGET
+        head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % HTTP_TARGET
         data = head + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
         try:
-            target = parse_address(where)
+            target = parse_address(address)
         except ValueError:
-            self._timer = self.loop.call_later(0, done, None)
+            self._timer = self.loop.call_later(0, on_answer, None)
             return
         exchange: Exchange = Exchange(
-            self.loop, data, lambda response, fault: self._end(exchange, response, done)
+            self.loop, data, lambda response, fault: self._finish(exchange, response, on_answer)
         )
-        self.exchange = exchange
-        self._timer = self.loop.call_later(EXCHANGE_TIME, self._end, exchange, None, done)
-        exchange.connect(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
+        self.open_exchange = exchange
+        self._timer = self.loop.call_later(EXCHANGE_TIME, self._finish, exchange, None, on_answer)
+        exchange.connect(target, EXCHANGE_TIME, MAX_RESPONSE_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
 
-    def drop(self) -> None:
+    def cancel_pull(self) -> None:
         """Ends the open pull."""
         if self._timer is not None:
             self._timer.cancel()
-        if self.exchange is not None:
-            self.exchange.cancel()
-        self.exchange = self._timer = None
+        if self.open_exchange is not None:
+            self.open_exchange.cancel()
+        self.open_exchange = self._timer = None
 
-    def _end(self, exchange: Exchange, response: Response | None, done: PullCallback) -> None:
-        if self.exchange is not exchange:
+    def _finish(self, exchange: Exchange, response: Response | None, on_answer: PullCallback) -> None:
+        if self.open_exchange is not exchange:
             return
-        self.drop()
-        done(wire.decode_answer(response.body) if response is not None and response.status == OK else None)
+        self.cancel_pull()
+        on_answer(
+            wire.decode_answer(response.body) if response is not None and response.status == HTTP_OK else None
+        )
 
 
 class HttpPullListener:
@@ -79,14 +81,14 @@
 
         def answer(server: Server, request: Request) -> None:
             if request.method != b"POST":
-                server.answer(request, METHOD_NOT_ALLOWED, (), b"POST /tables\n")
+                server.answer(request, HTTP_METHOD_NOT_ALLOWED, (), b"POST /tables\n")
                 return
             reply = handler(request.body)
-            headers = (MESSAGE_PACK,) if reply.status == OK else ()
+            headers = (MESSAGE_PACK_HEADER,) if reply.status == HTTP_OK else ()
             server.answer(request, reply.status, headers, reply.body)
 
-        self._peer_server.routes[TARGET] = answer
+        self._peer_server.routes[HTTP_TARGET] = answer
 
     def stop(self) -> None:
         """From now on the address answers no pulls."""
-        self._peer_server.routes.pop(TARGET, None)
+        self._peer_server.routes.pop(HTTP_TARGET, None)
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -24,15 +24,15 @@
         report: Callable[[str], object],
     ) -> None:
         self.file = None if path is None else CellTableFile(path, fleet, report)
-        self.written = NOTHING  # the version on disk
-        self.write_at = clock()  # when `write` is to be called next
+        self.written_version = NOTHING  # the version on disk
+        self.next_write_at = clock()  # when `write` is to be called next
         self._clock = clock
 
     def restore(self, disseminator: Disseminator) -> None:
         """Reads the table of the file, if there is a usable one."""
         stored = None if self.file is None else self.file.read(disseminator.document.version)
         if stored is not None:
-            self._take(disseminator, stored)
+            self._publish_stored(disseminator, stored)
 
     def write(self, disseminator: Disseminator) -> None:
         """Writes the current table if it is newer than that on disk.
@@ -42,29 +42,29 @@
         if self.file is None:
             return
         if self.file.failed_reads:
-            self._restore_late(disseminator, self.file)
+            self._retry_restore(disseminator, self.file)
         if self.file.failed_reads:
-            self.write_at = self._clock() + RETRY_INTERVAL
+            self.next_write_at = self._clock() + RETRY_INTERVAL
             return
         document = disseminator.document
-        if document.version <= self.written:
+        if document.version <= self.written_version:
             return  # a table that comes after a quiet time is written in the next turn
-        self.write_at = self._clock() + WRITE_INTERVAL
+        self.next_write_at = self._clock() + WRITE_INTERVAL
         term, number = document.version
         if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.whole())):
-            self.written = document.version
+            self.written_version = document.version
         else:
-            self.write_at = self._clock() + RETRY_INTERVAL
+            self.next_write_at = self._clock() + RETRY_INTERVAL
 
-    def _restore_late(self, disseminator: Disseminator, file: CellTableFile) -> None:
+    def _retry_restore(self, disseminator: Disseminator, file: CellTableFile) -> None:
         """Reads the table that could not be read at the start, and takes it if it is newer than the current
         one.
         """
         stored = file.read()
         if stored is not None and (stored.term, stored.number) > disseminator.document.version:
-            self._take(disseminator, stored)
+            self._publish_stored(disseminator, stored)
 
-    def _take(self, disseminator: Disseminator, stored: StoredTable) -> None:
+    def _publish_stored(self, disseminator: Disseminator, stored: StoredTable) -> None:
         version = Version(stored.term, stored.number)
         try:
             disseminator.publish_whole(self._clock(), version, stored.digest, stored.data)
@@ -72,4 +72,4 @@
             if self.file is not None:
                 self.file.quarantine(str(reason))
             return
-        self.written = version
+        self.written_version = version
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -34,13 +34,13 @@
 from gaproute.units import SECOND
 
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
-LIST_INTERVAL = 5 * SECOND  # between two reads of the members
-ANSWERED, INVALID, BUSY = 200, 400, 503  # HTTP status of replies to pulls
+CANDIDATE_UPDATE_INTERVAL = 5 * SECOND  # between two reads of the members
+HTTP_OK, HTTP_BAD_REQUEST, HTTP_SERVICE_UNAVAILABLE = 200, 400, 503  # HTTP status of replies to pulls
 
 TableCallback = Callable[[CellTable], object]
 
 
-class _Listed(NamedTuple):
+class _CandidateSources(NamedTuple):
     """The state from which the candidates were computed."""
 
     neighbours: tuple[Peer, ...]
@@ -82,12 +82,12 @@
         self.holder = TableHolder(settings.fleet)
         self.disseminator = Disseminator(self.name, TableDocument(self.holder), random, loop.now())
         self.configured: tuple[Peer, ...] = ()
-        self.storage = TableStorage(loop.now, settings.path, settings.fleet, self._report_storage)
+        self.storage = TableStorage(loop.now, settings.path, settings.fleet, self._report_storage_fault)
         self.timer: Timer | None = None
         self._callbacks: list[TableCallback] = []
         self._reported_version = NOTHING  # the version for which the callbacks were called last
-        self._listed: _Listed | None = None
-        self._list_at = loop.now()
+        self._candidate_sources: _CandidateSources | None = None
+        self._next_candidate_update_at = loop.now()
         self._logged_rejections: set[str] = set()
 
     # For the gateway
@@ -95,9 +95,9 @@
     def start(self) -> None:
         """Reads the table on disk, then begins to receive and send."""
         self.storage.restore(self.disseminator)
-        self.payloads.register(PayloadKind.CELL_TABLE, self._received)
+        self.payloads.register(PayloadKind.CELL_TABLE, self._handle_payload)
         self.pull_listener.serve(self._answer_pull)
-        self._list_candidates()
+        self._update_candidates()
         self._finish_turn(())
 
     def stop(self) -> None:
@@ -105,7 +105,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.pull_client.drop()
+        self.pull_client.cancel_pull()
         self.payloads.unregister(PayloadKind.CELL_TABLE)
         self.pull_listener.stop()
         self.storage.write(self.disseminator)
@@ -114,14 +114,14 @@
         """The last good table, None before the first."""
         return self.holder.table
 
-    def on_table(self, callback: TableCallback) -> None:
+    def add_table_callback(self, callback: TableCallback) -> None:
         """Has the callback called with each newer table from now on."""
         self._callbacks.append(callback)
 
     def set_peers(self, configured: Iterable[Peer]) -> None:
         """Takes over configured peers, beside the members and the gateways in the table."""
         self.configured = tuple(configured)
-        self._list_candidates()
+        self._update_candidates()
 
     def publish(self, table: CellTable) -> None:
         """Publishes a complete table that was made here. Errors: DocumentError, also for a version that is
@@ -142,13 +142,13 @@
         """How far that version has spread, by the reports received here."""
         return self.disseminator.version_reports.propagation(self.loop.now(), version)
 
-    def candidates(self, near: tuple[Peer, ...]) -> Candidates:
-        """The peers to exchange with, by the current table; `near`: members that are up."""
-        return candidates(self.holder.table, self.cell, near, self.configured)
+    def candidates(self, neighbours: tuple[Peer, ...]) -> Candidates:
+        """The peers to exchange with, by the current table; `neighbours`: members that are up."""
+        return candidates(self.holder.table, self.cell, neighbours, self.configured)
 
     # Received messages
 
-    def _received(self, sender: str, data: bytes) -> None:
+    def _handle_payload(self, sender: str, data: bytes) -> None:
         now = self.loop.now()
         if sender == self.name or not self.disseminator.admits(now, sender):
             return
@@ -159,26 +159,26 @@
         peer = Peer(sender, datagram.address)
         self._finish_turn(self.disseminator.receive(now, peer, datagram.message))
 
-    def _receive_answer(self, peer: Peer, answer: PullAnswer | None) -> None:
+    def _handle_pull_answer(self, peer: Peer, answer: PullAnswer | None) -> None:
         self._finish_turn(self.disseminator.receive_answer(self.loop.now(), peer, answer))
 
     def _answer_pull(self, data: bytes) -> PullReply:
         now = self.loop.now()
         if not self.disseminator.admits(now, ""):
-            return PullReply(BUSY, b"")
+            return PullReply(HTTP_SERVICE_UNAVAILABLE, b"")
         answer = self.disseminator.answer(now, wire.decode_pull(data))
         if answer is None:
-            return PullReply(INVALID, b"not a pull of this fleet\n")
-        return PullReply(ANSWERED, wire.encode_answer(answer))
+            return PullReply(HTTP_BAD_REQUEST, b"not a pull of this fleet\n")
+        return PullReply(HTTP_OK, wire.encode_answer(answer))
 
     def _tick(self) -> None:
         self.timer = None
         now = self.loop.now()
         sends: Iterable[Send] = ()
         try:
-            if now >= self._list_at:
-                self._list_candidates()
-            if now >= self.storage.write_at:
+            if now >= self._next_candidate_update_at:
+                self._update_candidates()
+            if now >= self.storage.next_write_at:
                 self.storage.write(self.disseminator)
             sends = self.disseminator.tick(now)
         finally:  # an error in one turn is logged by the loop and must not end the later turns
@@ -198,32 +198,34 @@
         self._report_table()
 
     def _send(self, send: Send) -> None:
-        to, message = send
+        peer, message = send
         if isinstance(message, Pull):
-            self.pull_client.ask(to.address, message, lambda answer: self._receive_answer(to, answer))
+            self.pull_client.send_pull(
+                peer.address, message, lambda answer: self._handle_pull_answer(peer, answer)
+            )
         else:
             data = wire.encode_datagram(message, self.pull_listener.address)
-            self.payloads.send_payload(to.address, PayloadKind.CELL_TABLE, data)
+            self.payloads.send_payload(peer.address, PayloadKind.CELL_TABLE, data)
 
     def _report_table(self) -> None:
         table = self.holder.table
         if table is None or table.version <= self._reported_version:
             return
         if self._reported_version == NOTHING:
-            self._list_candidates()  # for later tables by the timer only, as it costs a millisecond
+            self._update_candidates()  # for later tables by the timer only, as it costs a millisecond
         self._reported_version = table.version
         for callback in self._callbacks:
             callback(table)
 
-    def _list_candidates(self) -> None:
+    def _update_candidates(self) -> None:
         """Computes the peers to exchange with, if something has changed."""
-        self._list_at = self.loop.now() + LIST_INTERVAL
+        self._next_candidate_update_at = self.loop.now() + CANDIDATE_UPDATE_INTERVAL
         membership = self.payloads.membership
         up = sorted([name for name in membership.members if name in membership.table.alive])
         neighbours = tuple([Peer(name, membership.members[name].address) for name in up])
-        listed = _Listed(neighbours, self.configured, self.holder.table)
-        if listed != self._listed:
-            self._listed = listed
+        sources = _CandidateSources(neighbours, self.configured, self.holder.table)
+        if sources != self._candidate_sources:
+            self._candidate_sources = sources
             self.disseminator.set_candidates(self.candidates(neighbours))
 
     def _log_rejections(self) -> None:
@@ -233,5 +235,5 @@
                 self._logged_rejections.add(reason)
                 self.record.event("warning", "peer_cell_table_rejected", error=reason)
 
-    def _report_storage(self, text: str) -> None:
+    def _report_storage_fault(self, text: str) -> None:
         self.record.event("warning", "cell_table_file_fault", message=text)
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -76,10 +76,10 @@
     wait: Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
 
 
-_encode = msgspec.msgpack.Encoder().encode
-_datagram = msgspec.msgpack.Decoder(_Announcement | _Push).decode
-_pull = msgspec.msgpack.Decoder(_Pull).decode
-_answer = msgspec.msgpack.Decoder(_Changes | _Part | _Busy).decode
+_encode_bytes = msgspec.msgpack.Encoder().encode
+_decode_datagram_bytes = msgspec.msgpack.Decoder(_Announcement | _Push).decode
+_decode_pull_bytes = msgspec.msgpack.Decoder(_Pull).decode
+_decode_answer_bytes = msgspec.msgpack.Decoder(_Changes | _Part | _Busy).decode
 
 
 class Datagram(NamedTuple):
@@ -92,13 +92,13 @@
 def encode_datagram(message: Announcement | Push, address: str) -> bytes:
     """Encodes a datagram; `address`: where its sender is reached."""
     if isinstance(message, Push):
-        return _encode(_Push(message.fleet, address, _encode_changes(message.changes)))
-    return _encode(_Announcement(message.fleet, address, message.version, message.digest))
+        return _encode_bytes(_Push(message.fleet, address, _encode_changes(message.changes)))
+    return _encode_bytes(_Announcement(message.fleet, address, message.version, message.digest))
 
 
 def decode_datagram(data: bytes) -> Datagram | None:
     """Decodes a datagram; None if it cannot be decoded."""
-    decoded = _read(_datagram, data, MAX_DATAGRAM_BYTES)
+    decoded = _decode_bounded(_decode_datagram_bytes, data, MAX_DATAGRAM_BYTES)
     if isinstance(decoded, _Push):
         return Datagram(decoded.address, Push(decoded.fleet, _decode_changes(decoded.changes)))
     if isinstance(decoded, _Announcement):
@@ -109,12 +109,12 @@
 
 def encode_pull(pull: Pull) -> bytes:
     """Encodes a pull."""
-    return _encode(_Pull(pull.fleet, pull.current, pull.whole, pull.target, pull.offset))
+    return _encode_bytes(_Pull(pull.fleet, pull.current, pull.whole, pull.target, pull.offset))
 
 
 def decode_pull(data: bytes) -> Pull | None:
     """Decodes a pull; None if it cannot be."""
-    decoded = _read(_pull, data, MAX_DATAGRAM_BYTES)
+    decoded = _decode_bounded(_decode_pull_bytes, data, MAX_DATAGRAM_BYTES)
     if decoded is None:
         return None
     current, target = Version(*decoded.current), Version(*decoded.target)
@@ -124,16 +124,16 @@
 def encode_answer(answer: Changes | Part | Busy) -> bytes:
     """Encodes an answer to a pull."""
     if isinstance(answer, Changes):
-        return _encode(_Changes(answer.fleet, _encode_changes(answer.changes)))
+        return _encode_bytes(_Changes(answer.fleet, _encode_changes(answer.changes)))
     if isinstance(answer, Part):
         part = _Part(answer.fleet, answer.version, answer.digest, answer.size, answer.offset, answer.data)
-        return _encode(part)
-    return _encode(_Busy(answer.fleet, answer.wait))
+        return _encode_bytes(part)
+    return _encode_bytes(_Busy(answer.fleet, answer.wait))
 
 
 def decode_answer(data: bytes) -> Changes | Part | Busy | None:
     """Decodes an answer; None if it cannot be."""
-    decoded = _read(_answer, data, MAX_ANSWER_BYTES)
+    decoded = _decode_bounded(_decode_answer_bytes, data, MAX_ANSWER_BYTES)
     if isinstance(decoded, _Changes):
         return Changes(decoded.fleet, _decode_changes(decoded.changes))
     if isinstance(decoded, _Part):
@@ -154,7 +154,7 @@
     return Change(Version(*change.base), Version(*change.version), change.digest, change.data)
 
 
-def _read(decode: Callable[[bytes], Decoded], data: bytes, max_bytes: int) -> Decoded | None:
+def _decode_bounded(decode: Callable[[bytes], Decoded], data: bytes, max_bytes: int) -> Decoded | None:
     """Decodes the bytes; None if they are too long or cannot be decoded."""
     if len(data) > max_bytes:
         return None
--- a/tests/decisions/reports/test_observation_exchange.py
+++ b/tests/decisions/reports/test_observation_exchange.py
@@ -30,7 +30,7 @@
     answer = gateway.wait(gateway.ask("lamp", "first"))
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_host
     assert len(gateway.seen("loaded")) == loads
-    assert gateway.gate.peers.peer_server.transfers.encoded >= 1
+    assert gateway.gate.peers.peer_server.transfers.encoded_observations >= 1
     assert second.peers.observation_client.state_by_peer["g"].startswith("told ")
     assert not second.core.gateway.load_order_limiter.open_orders
     assert not second.core.gateway.load_order_limiter.ends
@@ -87,5 +87,5 @@
     gateway.gate.peers.peer_server.cpu_budget.deduct(gateway.loop.now(), 11 * MILLI)
     second = start()
     gateway.until(lambda: second.peers.observation_client.state_by_peer["g"].startswith("told"))
-    assert gateway.gate.peers.peer_server.put_off >= 1
+    assert gateway.gate.peers.peer_server.postponed_requests >= 1
     assert second.peers.observation_client.hints_taken >= 1
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -58,7 +58,7 @@
 
 def test_what_is_no_table_is_refused():
     good = encoding.encode_table(BASE)
-    bomb = zlib.compress(bytes(encoding.MAX_TABLE * 4))
+    bomb = zlib.compress(bytes(encoding.MAX_TABLE_BYTES * 4))
     for data in (
         b"",
         b"noise",
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -70,7 +70,7 @@
             self.record,
         )
         self.taken = []
-        self.transport.on_table(lambda taken: self.taken.append(taken.version))
+        self.transport.add_table_callback(lambda taken: self.taken.append(taken.version))
 
     @property
     def peer(self):
@@ -278,8 +278,8 @@
     published(fleet)
     answers = []
     for pull in (Pull("south", Version(0, 1)), Pull(FLEET, Version(0, 1), True), Pull(FLEET, Version(0, 1))):
-        one.transport.pull_client.ask(one.peer_server.address, pull, answers.append)
-        fleet.until(lambda: one.transport.pull_client.exchange is None)
+        one.transport.pull_client.send_pull(one.peer_server.address, pull, answers.append)
+        fleet.until(lambda: one.transport.pull_client.open_exchange is None)
     assert answers[0] is None
     assert answers[1].version == Version(1, 1)
     assert answers[2].changes == ()
@@ -306,7 +306,7 @@
     newer = table(cells(26, entries=0), number=5)
     before = fleet.add("one", path=path)
     before.transport.publish(newer)
-    fleet.until(lambda: before.transport.storage.written == newer.version)
+    fleet.until(lambda: before.transport.storage.written_version == newer.version)
     fleet.remove(before)
     fleet.add("two").transport.publish(FIRST)
     disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*[("read", each, IO_ERROR) for each in range(1, 4)])))
@@ -327,7 +327,7 @@
         one = fleet.add("one", path=path)
         fleet.add("two")
         published(fleet)
-        fleet.until(lambda: one.transport.storage.written == FIRST.version)
+        fleet.until(lambda: one.transport.storage.written_version == FIRST.version)
     assert len(disk.plan.log) == 4
     assert disk.open_descriptors == 0
     assert [what for what, _ in one.record.events].count("cell_table_file_fault") == 1
@@ -340,10 +340,10 @@
     ends = fleet.loop.now() + SECOND // 2
     fleet.until(lambda: fleet.loop.now() > ends)  # several turns without a table
     published(fleet)
-    fleet.until(lambda: one.transport.storage.written == FIRST.version, within=5 * SECOND)
-    assert one.transport.storage.write_at > fleet.loop.now() + 50 * SECOND
+    fleet.until(lambda: one.transport.storage.written_version == FIRST.version, within=5 * SECOND)
+    assert one.transport.storage.next_write_at > fleet.loop.now() + 50 * SECOND
     one.transport.publish_change(next_change(FIRST, capacity=7.5))
     ends = fleet.loop.now() + 2 * SECOND
     fleet.until(lambda: fleet.loop.now() > ends)
-    assert one.transport.storage.written == FIRST.version
+    assert one.transport.storage.written_version == FIRST.version
     assert one.transport.storage.file.counts.written == 1
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -17,7 +17,7 @@
     RaftTransport,
     wire,
 )
-from gaproute.peers.raft.transport import BURST
+from gaproute.peers.raft.transport import MAX_MESSAGE_BURST
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft.messages import (
     AppendEntries,
@@ -109,7 +109,7 @@
 
 
 def test_a_lease_survives_the_failure_and_the_restart_of_the_leader(group):
-    client = group.hosted_nodes["h"].client
+    client = group.hosted_nodes["h"].lease_client
     lease = client.acquire(group.loop.now(), "host-7", 10 * SECOND)
     group.hosted_nodes["h"].run_due()
     group.run_until(lambda: lease.state == "held")
@@ -195,20 +195,20 @@
 
 def test_the_rate_of_messages_and_the_queue_to_an_unreachable_peer_are_bounded(group):
     group.run_until(lambda: group.leader)
-    full_batch = wire.encode_batch("h", [wire.encode_message(Reply(1, 1, "busy"))] * wire.MAX_MESSAGES)
-    statuses = [post(group, "a", full_batch) for _ in range(BURST // wire.MAX_MESSAGES + 2)]
+    full_batch = wire.encode_batch("h", [wire.encode_message(Reply(1, 1, "busy"))] * wire.MAX_BATCH_MESSAGES)
+    statuses = [post(group, "a", full_batch) for _ in range(MAX_MESSAGE_BURST // wire.MAX_BATCH_MESSAGES + 2)]
     assert statuses[0] == 204
     assert statuses[-1] == 429
     transport = group.hosted_nodes["h"].transport
     group.peers["dead"] = "127.0.0.1:1"
     for _ in range(1000):
         transport.send("dead", BootstrapProbe(1, 0, True))
-    assert len(transport.states["dead"].queue) == 256
+    assert len(transport.peer_states["dead"].queue) == 256
     assert transport.counts["lost"] >= 744
     full_message = AppendEntries(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
     for _ in range(100):
         transport.send("dead", full_message)
-    assert transport.states["dead"].queued_bytes <= 2 * wire.MAX_BATCH_BYTES
+    assert transport.peer_states["dead"].queued_bytes <= 2 * wire.MAX_BATCH_BYTES
 
 
 def test_encoded_messages_decode_to_equal_messages():
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -127,7 +127,7 @@
         assert node.is_leader
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in range(1, 4)]))
-        request = part.leases.hosted_node.client.acquire(part.loop.now(), "host-7", SECOND)
+        request = part.leases.hosted_node.lease_client.acquire(part.loop.now(), "host-7", SECOND)
         part.leases._run_due()
         part.run(SECOND)
         assert node.storage_failure
