--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -12,7 +12,13 @@
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView, RaftTransport
+from gaproute.peers.raft import (
+    ConfiguredRaftGroup,
+    NodeEnvironment,
+    NodeStorage,
+    RaftNodeRunner,
+    RaftTransport,
+)
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
     OperatorCommand,
@@ -46,9 +52,9 @@
         self.disk: RaftLogFile | None = None
         if name in line.names and line.votes is not None:
             self.disk = self._open_raft_log(line.votes, record)
-        self.hosted_node = HostedNode(
+        self.hosted_node = RaftNodeRunner(
             NodeEnvironment(loop, record, chance, partial(RaftTransport, loop, name, self.peers)),
-            RaftGroupView(name, line.names),
+            ConfiguredRaftGroup(name, line.names),
             NodeStorage(LeaseTable(max_duration=line.longest), self.disk, time.time_ns() // MILLI),
         )
         last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -7,7 +7,7 @@
 
 from gaproute.hollow.environment import GatewayEnvironment, RandomStream
 from gaproute.hollow.parts import ConfiguredGateway, ControlPart, Parts
-from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView
+from gaproute.peers.raft import ConfiguredRaftGroup, NodeEnvironment, NodeStorage, RaftNodeRunner
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
 from gaproute.units import MILLI, SECOND
@@ -28,14 +28,14 @@
         line = environment.configuration.raft_group
         assert line is not None
         self._peer_addresses: dict[str, str] = {}  # changed in place: the transport holds it too
-        self.hosted_node = HostedNode(
+        self.hosted_node = RaftNodeRunner(
             NodeEnvironment(
                 self._loop,
                 environment.record,
                 environment.random(RandomStream.LEASES),
                 partial(environment.open_raft_transport, self._loop, self._name, self._peer_addresses),
             ),
-            RaftGroupView(self._name, line.names),
+            ConfiguredRaftGroup(self._name, line.names),
             NodeStorage(
                 LeaseTable(initial_wait=False),
                 disk=environment.open_raft_disk(self._name) if self._name in line.names else None,
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/node_runner.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RaftGroupView:
+class ConfiguredRaftGroup:
     """A Raft group as one gateway is configured with it, which may be a member or a client only."""
 
     name: str  # of this gateway
@@ -58,11 +58,11 @@
     fencing_base: int = 0
 
 
-class HostedNode(Generic[Transport]):
+class RaftNodeRunner(Generic[Transport]):
     """Runs the `lease_client` and, if there is a disk and this gateway is a member, the `node`."""
 
     def __init__(
-        self, environment: NodeEnvironment[Transport], group: RaftGroupView, storage: NodeStorage
+        self, environment: NodeEnvironment[Transport], group: ConfiguredRaftGroup, storage: NodeStorage
     ) -> None:
         self.loop, self.record = environment.loop, environment.record
         self.name, self.machine = group.name, storage.machine
@@ -74,7 +74,7 @@
         self._reschedule_timer()
 
     def _create_node(
-        self, random: RandomSource, group: RaftGroupView, storage: NodeStorage
+        self, random: RandomSource, group: ConfiguredRaftGroup, storage: NodeStorage
     ) -> RaftNode | None:
         if storage.disk is None or group.name not in group.members:
             return None
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -10,10 +10,10 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import parse_address
 from gaproute.peers.raft import (
-    HostedNode,
+    ConfiguredRaftGroup,
     NodeEnvironment,
     NodeStorage,
-    RaftGroupView,
+    RaftNodeRunner,
     RaftTransport,
     wire,
 )
@@ -47,14 +47,14 @@
 
     def start(self, name, number=9):
         disk = RaftLogFile(self.folder / name, lambda text: None).open() if name in self.names else None
-        hosted = HostedNode(
+        hosted = RaftNodeRunner(
             NodeEnvironment(
                 self.loop,
                 EventRecord(),
                 Chance(number),
                 partial(RaftTransport, self.loop, name, self.peers),
             ),
-            RaftGroupView(name, self.names),
+            ConfiguredRaftGroup(name, self.names),
             NodeStorage(LeaseTable(initial_wait=False), disk),
         )
         hosted.disk = disk
