--- a/gaproute/peers/__init__.py
+++ b/gaproute/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Communication with other gateways: the server for their requests, and datagrams between all gateways."""
+"""Communication between gateways: an HTTP server for requests of other gateways, and datagrams."""
 
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.observation_client import ObservationClient
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -1,7 +1,7 @@
-"""Membership by datagrams.
+"""Sends and receives membership messages as datagrams.
 
-The address for datagrams follows from the address for peers: for UDP it is the same one, for Unix sockets
-`.words` is appended to the path.
+A gateway's datagram address is derived from the address at which it listens for its peers: a UDP socket uses
+the same host and port, and a Unix datagram socket appends `.words` to the path.
 """
 
 import time
@@ -22,21 +22,21 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI, SECOND
 
-# Decoded in one second: 20 times the usual number at 1,000 gateways. A flood beyond it also costs messages of
-# other members, as the sender is known only after decoding
+# Datagrams that are decoded in one second: 20 times the usual number in a fleet of 1,000 gateways. Further
+# datagrams are dropped undecoded, whoever sent them, because the sender is known only after decoding.
 MAX_DATAGRAMS_PER_SECOND = 2000
-UNIX_DATAGRAM_SUFFIX = ".words"  # appended to the path of the Unix socket
+UNIX_DATAGRAM_SUFFIX = ".words"  # appended to the path of the Unix socket for peers
 
 
 def datagram_address(address: str) -> str:
-    """The address for datagrams of the gateway that has this address for peers."""
+    """The datagram address of the gateway that listens for its peers at `address`."""
     return address + UNIX_DATAGRAM_SUFFIX if address.startswith("unix:") else address
 
 
 class MembershipTransport:
-    """Sends and receives the messages of `Membership`, and the payloads of other parts.
+    """Sends and receives the messages of `Membership`, and the payloads of other components.
 
-    `wall_clock` returns ns since 1970. Errors: OSError where the address cannot be bound.
+    `wall_clock` returns ns since 1970. Raises OSError if the address cannot be bound.
     """
 
     def __init__(
@@ -54,39 +54,39 @@
         self.datagram_socket = open_datagrams(datagram_address(address), self._handle_datagram)
         self.sent_datagrams = self.sent_bytes = 0
         self.undecodable_datagrams = self.rate_limited_datagrams = 0
-        self.datagrams_in_second = 0  # datagrams received in the present second
-        self.second_started_at = 0  # ns
-        self.payload_handlers: dict[PayloadKind, PayloadHandler] = {}  # by kind of payload
+        self.datagrams_in_second = 0  # datagrams received in the current second
+        self.second_started_at = 0  # when the current second started, ns on the loop's clock
+        self.payload_handlers: dict[PayloadKind, PayloadHandler] = {}
         self._timer: Timer | None = None
         self._reschedule_timer()
 
     def set_configured_peers(self, peers: Iterable[Peer]) -> None:
-        """Takes over the configured gateways, which are never forgotten."""
+        """Replaces the configured gateways; these stay in the member table even while unreachable."""
         self.membership.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
         self._log_member_changes()
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
-        """Has the handler called with each payload of that kind from now on."""
+        """Calls the handler with each payload of that kind that arrives from now on."""
         self.payload_handlers[kind] = handler
 
     def unregister(self, kind: PayloadKind) -> None:
-        """From now on payloads of that kind count as undecodable."""
+        """Removes the handler; later payloads of that kind are counted as undecodable datagrams."""
         self.payload_handlers.pop(kind, None)
 
     def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> None:
-        """Sends a payload of another part to the gateway at that address."""
+        """Sends a payload of another component to the gateway at that address."""
         self._send_datagram(address, encode_payload(kind, self.membership.name, data))
 
     def member_rows(self) -> list[dict[str, object]]:
-        """All members as the operators' address shows them, by name."""
+        """The members in the form that the operators' HTTP address shows, sorted by name."""
         return [self._member_row(member) for _, member in sorted(self.membership.members.items())]
 
     def stop(self) -> None:
-        """Announces to a few members that this gateway shuts down."""
+        """Tells a few members that this gateway is shutting down."""
         self._send_messages(self.membership.leave())
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Cancels the timer and closes the socket."""
         if self._timer is not None:
             self._timer.cancel()
         self.datagram_socket.close()
--- a/gaproute/peers/membership_wire.py
+++ b/gaproute/peers/membership_wire.py
@@ -1,4 +1,4 @@
-"""Encodes the datagrams of membership as protobuf, and payloads of other parts in the same envelope."""
+"""Encodes membership messages and payloads of other components as datagrams in one protobuf envelope."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -12,27 +12,27 @@
 
 
 class PayloadKind(IntEnum):
-    """The other parts whose payloads use the same datagrams; numbered as on the wire, after `MessageKind`."""
+    """The kinds of payloads of other components; their wire numbers continue those of `MessageKind`."""
 
     GOSSIP = 6
     CELL_TABLE = 7
 
 
-# By number: a look-up costs less than a call of the Enum.
+# Looking a number up in a dict costs less than calling the Enum class.
 MESSAGE_KINDS_BY_NUMBER = {kind.value: kind for kind in MessageKind}
 PAYLOAD_KINDS_BY_NUMBER = {kind.value: kind for kind in PayloadKind}
 
 
 class Payload(NamedTuple):
-    """A payload of another part."""
+    """A payload of another component, such as gossip."""
 
     kind: PayloadKind
-    sender: str  # the name of a gateway
+    sender: str  # name of the gateway that sent the datagram
     data: bytes
 
 
 def encode_message(message: MembershipMessage) -> bytes:
-    """The datagram of a message."""
+    """Encodes a membership message as a datagram."""
     envelope = word_pb2.Word(
         version=PROTOCOL_VERSION, kind=message.kind, number=message.sequence, target=message.target
     )
@@ -44,16 +44,16 @@
 
 
 def encode_payload(kind: PayloadKind, sender: str, data: bytes) -> bytes:
-    """The datagram of another part's payload."""
+    """Encodes a payload of another component as a datagram."""
     envelope = word_pb2.Word(version=PROTOCOL_VERSION, kind=kind, weak=data)
     envelope.sender.name = sender
     return bytes(envelope.SerializeToString())
 
 
 def decode_datagram(data: bytes) -> MembershipMessage | Payload | None:
-    """The content of a datagram; None if it cannot be decoded.
+    """Decodes a datagram; None if it is malformed, of an unknown kind or of an unsupported version.
 
-    A message of a version one above or below this one's can be decoded; one of an unknown kind cannot.
+    Protocol versions one below and one above `PROTOCOL_VERSION` are supported too.
     """
     try:
         envelope = word_pb2.Word.FromString(data)
@@ -75,6 +75,6 @@
 
 
 def decode_message(data: bytes) -> MembershipMessage | None:
-    """The message of membership in the datagram; None for any other datagram."""
+    """Decodes a datagram with a membership message; None for any other datagram."""
     message = decode_datagram(data)
     return message if isinstance(message, MembershipMessage) else None
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -1,7 +1,7 @@
-"""Requests observations from peers: after the start a snapshot, chunk by chunk, then the changes.
+"""Fetches observations from peers: first a snapshot, chunk by chunk, then the changes since the snapshot.
 
-Observations stay usable if the peer that sent them fails. Each chunk is used as it arrives: the first one has
-the instances that were used last, so it helps before the others have come. Times are ns.
+Observations stay usable if the peer that sent them fails. Each chunk is used as soon as it arrives: the first
+chunk has the most recently used instances, so it helps before the other chunks arrive. Times are ns.
 """
 
 from collections.abc import Callable, Collection, Generator, Iterable
@@ -29,37 +29,37 @@
 from gaproute.peers.ports import EventLog, Peer
 from gaproute.units import MILLI, SECOND
 
-HTTP_SERVICE_UNAVAILABLE = 503  # HTTP status of a peer that has no CPU time left for the answer
-DEFAULT_RETRY_DELAY = 100 * MILLI  # until the next request, if the peer does not say when
+HTTP_SERVICE_UNAVAILABLE = 503  # HTTP status of a peer whose CPU budget for answers is spent
+DEFAULT_RETRY_DELAY = 100 * MILLI  # if the peer's 503 response has no valid retry header
 MAX_RETRY_DELAY = SECOND
 RETRY_AFTER_HEADER = b"gaproute-retry-after-ms"
-MAX_RESPONSE_HEAD_BYTES = 16_384  # of an answer
-FETCHING_STATE = "asked"  # the state of a peer that has not sent all observations yet, as operators see it
+MAX_RESPONSE_HEAD_BYTES = 16_384
+FETCHING_STATE = "asked"  # state shown to operators while a peer's snapshot is incomplete
 
 
 @dataclass
 class FetchProgress:
-    """How much one peer has sent so far."""
+    """How much of its observations one peer has sent so far."""
 
-    cursor: int = 0  # of the next chunk; 0 before the first one and after the last one
-    run_id: int = 0  # of the peer's process; its marks are valid for this process only
-    mark: int = 0  # the changes after this mark are requested; 0 before the first complete snapshot
-    received_observations: int = 0  # number of observations
+    cursor: int = 0  # cursor of the next chunk; 0 before the first chunk and after the last one
+    run_id: int = 0  # identifies the run of the peer's process; `mark` is valid in that run only
+    mark: int = 0  # changes after this mark are requested; 0 until the first snapshot is complete
+    received_observations: int = 0
     retries: int = 0
 
 
 class _ExchangeResult(NamedTuple):
-    """The end of one request to a peer."""
+    """How one request to a peer ended."""
 
-    response: Response | None  # None: none came
+    response: Response | None  # None if the request failed or timed out
     timed_out: bool
 
 
 class ObservationClient:
-    """Gets observations from peers.
+    """Fetches observations from peers.
 
-    `apply_observations(subjects)` hands the decisions the observations of these subjects as hints,
-    and returns how many hints they use; `on_snapshot_complete()` is called at the end of each snapshot.
+    `apply_observations(subjects)` passes the observations of these subjects to the routing decisions as hints
+    and returns how many hints were used; `on_snapshot_complete()` is called at the end of each snapshot.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
     ) -> None:
         self.observations = observations
         self.hints_taken = 0
-        self.state_by_peer: dict[str, str] = {}  # by peer, for operators
+        self.state_by_peer: dict[str, str] = {}  # by name of the peer, as shown to operators
         self._loop, self._record = loop, record
         self._apply_observations, self._on_snapshot_complete = apply_observations, on_snapshot_complete
         self._fetching_ends_at = loop.now() + FETCH_PERIOD
@@ -81,10 +81,10 @@
         self.set_peers(peers)
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Takes over the configured peers.
+        """Starts to fetch observations from peers that are new in the configuration.
 
-        Observations are requested of new peers for `FETCH_PERIOD` after the start, of `MAX_PEERS_AT_A_TIME`
-        at a time.
+        Fetching ends `FETCH_PERIOD` after the start of this gateway. At most `MAX_PEERS_AT_A_TIME` snapshots
+        are fetched at the same time.
         """
         for peer in peers:
             if peer.name in self.state_by_peer or self._loop.now() >= self._fetching_ends_at:
@@ -95,22 +95,22 @@
             self._fetch_tasks.append(self._loop.spawn(self._fetch_observations(peer)))
 
     def close(self) -> None:
-        """Ends all requests."""
+        """Stops fetching and cancels all requests."""
         for task in self._fetch_tasks:
             task.cancel()
 
     def merge_answer(self, origin: str, requested_at: int, answer: ObservationAnswer) -> int:
-        """Merges an answer and uses its observations; returns how many it had."""
+        """Merges and applies the observations of an answer; returns how many it had."""
         received = SharedObservations()
         observation_wire.read_observations(answer, requested_at, origin, received)
         self.observations.merge(received)
-        # Only the subjects of this answer are used, but with the observations of all peers: a host is gone if
-        # any of them reports it as gone.
+        # Only the subjects of this answer are applied, but with the observations of all peers: a host is gone
+        # if any peer reports it as gone.
         self.hints_taken += self._apply_observations(received.by_subject)
         return len(received.by_subject)
 
     def _fetch_observations(self, peer: Peer) -> Generator[Promise, _ExchangeResult, None]:
-        """Requests a snapshot of one peer, then its changes until the time is up."""
+        """Fetches a snapshot from one peer, then its changes until the fetch period ends."""
         progress = FetchProgress()
         for _ in range(MAX_CHUNKS_PER_PEER):
             requested_at = self._loop.now()
@@ -132,11 +132,11 @@
                 continue
             self._finish_transfer(peer, progress, answer)
             if not progress.mark:
-                return  # a peer of version 1 sends no changes
+                return  # a peer with protocol version 1 sends no changes
             yield self._loop.sleep(POLL_INTERVAL)
 
     def _finish_transfer(self, peer: Peer, progress: FetchProgress, answer: ObservationAnswer) -> None:
-        """Handles the last chunk of a snapshot or of changes."""
+        """Handles the last chunk of a snapshot, or of the changes since one."""
         if not progress.mark:
             self._on_snapshot_complete()
             self._record.event(
@@ -160,7 +160,7 @@
         )
 
     def _send_request(self, peer: Peer, progress: FetchProgress) -> Promise:
-        """Sends the next request to the peer; a promise of its `_ExchangeResult`."""
+        """Sends the next request to the peer; returns a promise of its `_ExchangeResult`."""
         body = observation_wire.encode_request(progress.cursor, progress.run_id, progress.mark)
         head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % observation_wire.HTTP_TARGET
         data = head + b"Content-Length: %d\r\n\r\n" % len(body) + body
@@ -182,14 +182,14 @@
 
 
 def _retry_delay(progress: FetchProgress, result: _ExchangeResult) -> int | None:
-    """How long to wait before the same request is repeated; None if it is not."""
+    """How long to wait before the same request is sent again; None if it is not sent again."""
     response = result.response
     if response is not None and response.status == HTTP_SERVICE_UNAVAILABLE:
         wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
         return min(MAX_RETRY_DELAY, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_RETRY_DELAY
     no_response = response is None and not result.timed_out and not progress.received_observations
     if no_response and progress.retries < MAX_RETRIES:
-        progress.retries += 1  # the peer may be starting as well
+        progress.retries += 1  # the peer may still be starting
         return RETRY_INTERVAL
     return None
 
--- a/gaproute/peers/observation_messages.py
+++ b/gaproute/peers/observation_messages.py
@@ -1,6 +1,6 @@
-"""The types of the messages in `lore.proto`, for which protoc makes classes without types.
+"""Static types for the messages in `lore.proto`, since protoc generates classes without type annotations.
 
-Ages are microseconds; starts of hosts are ns since 1970, 0 if unknown.
+Ages are in microseconds. Start times of hosts are in ns since 1970; 0 means unknown.
 """
 
 from collections.abc import Iterator, Sequence
@@ -10,32 +10,32 @@
 
 
 class ObservationRequest(Protocol):
-    """`Ask`: the request for the next observations of a peer."""
+    """`Ask`: requests the next chunk of a peer's observations."""
 
-    cursor: int  # of the chunk that is requested; 0: the first one
-    life: int  # the run id of the peer's process that sent the mark
-    mark: int  # the changes after this mark are requested; 0: everything
+    cursor: int  # cursor of the requested chunk; 0 requests the first chunk
+    life: int  # identifies the run of the peer's process that sent `mark`
+    mark: int  # requests only the changes after this mark; 0 requests a snapshot
 
 
 class WarmInstanceMessage(Protocol):
-    """`Warm`: an instance of a function that is loaded at a host."""
+    """`Warm`: an instance of a function that is loaded on a host."""
 
-    worker: str  # the host
+    worker: str  # name of the host
     function: str
     lanes: int
-    started_ns: int  # of the host
+    started_ns: int  # when the host started
     age_us: int
 
 
 class GoneHostMessage(Protocol):
-    """`Gone`: a host that left the list."""
+    """`Gone`: a host that left the peer's host list."""
 
     worker: str
     age_us: int
 
 
 class ListedHostMessage(Protocol):
-    """`Listed`: the state of a host by the list of the peer."""
+    """`Listed`: the state of a host in the peer's host list."""
 
     worker: str
     state: str
@@ -44,16 +44,16 @@
 
 
 class RepeatedField(Protocol[Item]):
-    """The elements of a repeated field."""
+    """A repeated field of a protobuf message."""
 
     def add(self, **fields: object) -> Item:
-        """Appends an element with these fields."""
+        """Appends an element that has these fields."""
 
     def __iter__(self) -> Iterator[Item]: ...
 
 
 class FigureMessage(Protocol):
-    """`Figure`: names, and one number of the kind in whose field it is."""
+    """`Figure`: names and one number; its meaning depends on the field of the answer that contains it."""
 
     names: Sequence[str]
     value: float
@@ -61,22 +61,25 @@
 
 
 class ObservationAnswer(Protocol):
-    """`Told`: one chunk of observations. Each kind with one number has a field of its own by its text."""
+    """`Told`: one chunk of observations.
+
+    Each `ObservationKind` that is sent as a figure has a repeated field that is named after the kind's value.
+    """
 
     version: int
-    next: int  # the cursor of the next chunk; 0 after the last one
-    life: int  # the run id of the peer's process
-    mark: int  # to be sent back to get the changes after it
-    held_us: int  # since the chunk was built: adds to each age in it
+    next: int  # cursor of the next chunk; 0 in the last chunk
+    life: int  # identifies the run of the peer's process
+    mark: int  # sent back with `life` to request the changes after it
+    held_us: int  # time since the chunk was built; is added to each age in it
 
     @property
     def warm(self) -> RepeatedField[WarmInstanceMessage]:
-        """Instances."""
+        """The warm instances."""
 
     @property
     def gone(self) -> RepeatedField[GoneHostMessage]:
-        """Hosts that left the list."""
+        """The hosts that left the peer's host list."""
 
     @property
     def listed(self) -> RepeatedField[ListedHostMessage]:
-        """Hosts that are listed."""
+        """The hosts in the peer's host list."""
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -1,7 +1,8 @@
-"""Sends the observations of this gateway to others, in chunks.
+"""Sends the observations of this gateway to other gateways, in chunks.
 
-A snapshot is read in parts, each from where the last answer stopped, so that no answer takes longer than its
-slice of CPU time. Later changes are requested by the mark in the snapshot's last answer. Times are ns.
+A snapshot is read lazily: each answer continues where the previous one stopped, so that no answer takes
+longer than its slice of CPU time. A peer requests later changes with the mark that the answers carry. Times
+are ns.
 """
 
 import secrets
@@ -21,42 +22,42 @@
 from gaproute.peers.observation_messages import ObservationRequest
 from gaproute.units import MICRO, MILLI
 
-MAX_STORED_TRANSFERS = 16  # stored for peers; a peer that asks for an older one must begin again
-MAX_STORED_CHUNK_BYTES = 4 << 20  # of all stored chunks
-# For so long after its begin, a snapshot is also sent to other gateways that have just started: after a
-# restart of all gateways these are many
+MAX_STORED_TRANSFERS = 16  # a peer that requests a chunk of a dropped transfer gets a new transfer
+MAX_STORED_CHUNK_BYTES = 4 << 20  # encoded size of the chunks of all stored transfers
+# A snapshot is shared by all peers that request one within this time after it was started, because many
+# gateways request a snapshot at once after a restart of the whole fleet.
 SNAPSHOT_SHARING_TIME = 250 * MILLI
-CURSORS_PER_TRANSFER = 1 << 20  # a cursor is the transfer's number times this, plus the number of the chunk
+CURSORS_PER_TRANSFER = 1 << 20  # a cursor is the transfer number times this, plus the chunk number
 RUN_ID_BITS = 63
 
 
 class Chunk(NamedTuple):
-    """Some observations, encoded."""
+    """Observations that are encoded together, and the time at which they were encoded."""
 
     built_at: int
     data: bytes
 
 
 class Transfer:
-    """A snapshot, or the changes since a mark, read as far as it was requested."""
+    """A snapshot, or the changes since a mark; chunks are encoded when they are first requested."""
 
     def __init__(self, started_at: int, observations: Iterator[OwnObservation], *, is_snapshot: bool) -> None:
         self.started_at, self.observations, self.is_snapshot = started_at, observations, is_snapshot
         self.chunks: list[Chunk] = []
-        self.chunk_bytes = 0  # of all chunks
-        self.fully_read = False  # whether everything was read
+        self.chunk_bytes = 0  # encoded size of all chunks
+        self.fully_read = False  # whether `observations` is exhausted
 
     def has_chunk_after(self, position: int) -> bool:
         """Whether another chunk follows the one at the position."""
         return not self.fully_read or position + 1 < len(self.chunks)
 
     def can_serve(self, position: int) -> bool:
-        """Whether the chunk at the position exists, or is the next one to read."""
+        """Whether the chunk at the position is stored, or is the next one to be read."""
         is_next = position == len(self.chunks) and not self.fully_read
         return position < len(self.chunks) or is_next
 
     def append(self, chunk: Chunk) -> None:
-        """Stores a chunk."""
+        """Stores the next chunk."""
         self.chunks.append(chunk)
         self.chunk_bytes += len(chunk.data)
 
@@ -64,8 +65,8 @@
 class ObservationTransfers:
     """Answers requests for observations, chunk by chunk.
 
-    `gateway`: the decisions whose observations are sent; `request_classes`: their names; `cpu_clock`: CPU
-    time so far, ns.
+    `gateway` supplies the observations of this gateway's decisions, `request_classes` has the names of the
+    request classes, and `cpu_clock` returns the CPU time used so far.
     """
 
     def __init__(
@@ -75,17 +76,17 @@
         request_classes: Sequence[str],
         cpu_clock: Callable[[], int],
     ) -> None:
-        self.run_id = secrets.randbits(RUN_ID_BITS) | 1  # the marks are times of this process's clock
-        self.transfers: dict[int, Transfer] = {}  # by number
-        self.encoded_observations = 0  # number of observations
+        self.run_id = secrets.randbits(RUN_ID_BITS) | 1  # marks are times on this process's clock
+        self.transfers: dict[int, Transfer] = {}  # by transfer number
+        self.encoded_observations = 0  # number of observations encoded so far
         self.gateway, self._history, self._request_classes = gateway, history, request_classes
         self._cpu_clock = cpu_clock
         self._last_transfer_number = 0
 
     def answer(self, now: int, request: ObservationRequest, cpu_time_at_start: int) -> bytes:
-        """The requested chunk, encoded, with what the requesting gateway needs for the next request.
+        """Encodes the requested chunk, with the time since it was built and the cursor of the next chunk.
 
-        `cpu_time_at_start`: when work on the request began, by the CPU clock.
+        `cpu_time_at_start`: reading of `cpu_clock` when work on the request started.
         """
         number, position = divmod(request.cursor, CURSORS_PER_TRANSFER)
         transfer = self.transfers.get(number)
@@ -101,12 +102,12 @@
             next=number * CURSORS_PER_TRANSFER + position + 1 if more else 0,
             held_us=(now - chunk.built_at) // MICRO,
         )
-        # Protobuf messages that follow one another are one message, so the chunk need not be encoded again.
+        # Concatenated protobuf messages decode as one merged message, so the chunk need not be encoded again.
         data: bytes = chunk.data + tail.SerializeToString()
         return data
 
     def _find_or_start_transfer(self, now: int, since: int) -> int:
-        """Returns the number of a transfer of the changes since that time, or of a snapshot."""
+        """Returns the number of a transfer of the changes since that time; of a snapshot for `SINCE_EVER`."""
         is_snapshot = since == SINCE_EVER
         if is_snapshot:
             recent = self._shareable_snapshot(now)
@@ -119,14 +120,14 @@
         return self._last_transfer_number
 
     def _shareable_snapshot(self, now: int) -> int | None:
-        """The number of a snapshot that began so lately that other gateways get it too; None if none did."""
+        """The number of a snapshot recent enough to be shared with another peer; None if there is none."""
         for number, transfer in self.transfers.items():
             if transfer.is_snapshot and now - transfer.started_at <= SNAPSHOT_SHARING_TIME:
                 return number
         return None
 
     def _drop_oldest_transfers(self) -> None:
-        """Drops the oldest transfers above the limits, but never the newest."""
+        """Drops the oldest transfers until the limits are met, but never the newest transfer."""
         while len(self.transfers) > 1 and (
             len(self.transfers) > MAX_STORED_TRANSFERS
             or sum(transfer.chunk_bytes for transfer in self.transfers.values()) > MAX_STORED_CHUNK_BYTES
@@ -134,7 +135,7 @@
             del self.transfers[next(iter(self.transfers))]
 
     def _read_chunk(self, now: int, transfer: Transfer, cpu_time_at_start: int) -> None:
-        """Reads observations until the chunk is full or the slice of CPU time is spent."""
+        """Encodes the next chunk, until it is full or the slice of CPU time is spent."""
         answer = lore_pb2.Told(
             version=observation_wire.PROTOCOL_VERSION, life=self.run_id, mark=transfer.started_at
         )
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes shared observations as protobuf messages; no I/O. Ages are sent in microseconds."""
+"""Encodes and decodes shared observations as protobuf; does no I/O. Ages are sent in microseconds."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -19,36 +19,39 @@
 from gaproute.units import MICRO
 
 PROTOCOL_VERSION = 2
-HTTP_TARGET = b"/lore"  # of HTTP requests for observations
-PEER_HOPS = 1
-INVALID_TIME = -1  # stands for a time that is not finite, and is rejected as any invalid time
-FIGURE_KINDS = (  # kinds that are sent as names and one number
+HTTP_TARGET = b"/lore"  # request target of requests for observations
+PEER_HOPS = 1  # hops of an observation that came straight from the peer that made it
+INVALID_TIME = -1  # replaces a decoded time that is not finite; later checks reject it like any invalid time
+FIGURE_KINDS = (  # kinds that are sent as `Figure`: names and one number
     ObservationKind.FAILURE,
     ObservationKind.SLOWDOWN,
     ObservationKind.USUAL_TIME,
     ObservationKind.LOAD_TIME,
     ObservationKind.REQUEST_SHARE,
 )
-TIME_KINDS = (ObservationKind.USUAL_TIME, ObservationKind.LOAD_TIME)  # whole ns
+TIME_KINDS = (
+    ObservationKind.USUAL_TIME,
+    ObservationKind.LOAD_TIME,
+)  # kinds whose number is a whole number of ns
 
-# Is called with subject, value and age in microseconds
+# Takes the subject, the value and the age in microseconds.
 AddObservation = Callable[[Subject, Value, int], None]
 
 
 def encode_request(cursor: int = 0, run_id: int = 0, mark: int = 0) -> bytes:
-    """The bytes of a request for observations."""
+    """Encodes a request for observations."""
     request = lore_pb2.Ask(version=PROTOCOL_VERSION, cursor=cursor, life=run_id, mark=mark)
     return bytes(request.SerializeToString())
 
 
 def decode_request(data: bytes) -> ObservationRequest:
-    """Decodes a request. Errors: DecodeError."""
+    """Decodes a request. Raises DecodeError if it is malformed."""
     request: ObservationRequest = lore_pb2.Ask.FromString(data)
     return request
 
 
 def decode_answer(data: bytes) -> ObservationAnswer | None:
-    """Decodes an answer; None if its version is not supported or it cannot be decoded."""
+    """Decodes an answer; None if it is malformed, too long or of an unsupported version."""
     if len(data) > MAX_ANSWER_BYTES:
         return None
     try:
@@ -59,7 +62,7 @@
 
 
 def add_observation(answer: ObservationAnswer, subject: Subject, value: Value, age: int) -> int:
-    """Appends an observation to the answer; `age`: ns. Returns the length of its names."""
+    """Appends an observation to the answer; `age` is in ns. Returns the total length of its names."""
     kind, *names = subject
     age_us = max(0, age) // MICRO
     if kind == ObservationKind.WARM_INSTANCE:
@@ -83,7 +86,7 @@
 def read_observations(
     answer: ObservationAnswer, requested_at: int, origin: str, observations: SharedObservations
 ) -> None:
-    """Adds the observations of an answer that was requested at that time (ns) from the peer `origin`."""
+    """Adds the observations of an answer that was requested from the peer `origin` at `requested_at` (ns)."""
 
     def add(subject: Subject, value: Value, age_us: int) -> None:
         observed_at = observations.earliest_observation_time(requested_at, (age_us + answer.held_us) * MICRO)
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -1,7 +1,7 @@
-"""The server for requests of other gateways.
+"""The HTTP server for requests from other gateways.
 
-It answers requests for observations in chunks, within a budget of CPU time and bytes; other parts register
-further routes.
+It answers requests for observations in chunks, within a budget of CPU time and bytes. Other components add
+routes of their own.
 """
 
 import time
@@ -19,20 +19,20 @@
 from gaproute.peers.observation_transfers import ObservationTransfers
 from gaproute.units import MILLI
 
-FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded requests begin with
+FORWARDED_PREFIX = b"/v2/"  # prefix of the targets of requests that gateways forward
 PROTOBUF_HEADER = (b"Content-Type", b"application/x-protobuf")
 RETRY_AFTER_HEADER = b"Gaproute-Retry-After-Ms"
-# Connections for observations: after a restart of all gateways, hundreds ask at the same time.
+# After a restart of the whole fleet, hundreds of gateways connect for observations at the same time.
 HTTP_LIMITS = Limits(max_body_bytes=4096, max_pipelined=1, max_connections=1024)
 
-RouteHandler = Callable[[Server, Request], None]  # answers the request at the server
+RouteHandler = Callable[[Server, Request], None]  # answers the request through the server
 
 
 class PeerServer:
-    """Serves other gateways.
+    """Serves requests from other gateways.
 
-    `gateway`: the decisions whose observations are sent; `cpu_clock`: CPU time of this thread, ns. Errors:
-    OSError where it cannot listen.
+    `gateway` supplies the observations that are sent; `cpu_clock` returns the CPU time of this thread in ns.
+    Raises OSError if it cannot listen at the address.
     """
 
     def __init__(
@@ -45,19 +45,19 @@
         limits: Limits = HTTP_LIMITS,
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
-        self.routes: dict[bytes, RouteHandler] = {}  # by target: the routes of other parts
-        # Takes the requests that other gateways forward; None while none are accepted
+        self.routes: dict[bytes, RouteHandler] = {}  # by request target: routes of other components
+        # Handles requests that other gateways forward; None while forwarded requests are not accepted.
         self.forwarded_request_handler: Callable[[Request], None] | None = None
         self.transfers = ObservationTransfers(gateway, history, request_classes, cpu_clock)
         self.cpu_budget = CpuBudget(loop.now())
-        self.postponed_requests = 0  # requests for observations that were put off
-        self.spent = 0  # CPU time for observations, ns
+        self.postponed_requests = 0  # requests for observations that were answered with a retry delay
+        self.spent = 0  # CPU time used to answer requests for observations, ns
         self.loop, self._cpu_clock = loop, cpu_clock
         self.server = Server(loop, address, self.handle, limits)
         self.address = self.server.address
 
     def handle(self, request: Request) -> None:
-        """Answers one request, or passes it to the part that serves its target."""
+        """Answers a request, or passes it to the handler for its target."""
         route = self.routes.get(request.target)
         if route is not None:
             route(self.server, request)
@@ -69,7 +69,7 @@
             self._handle_observations(request)
 
     def close(self) -> None:
-        """Closes the address."""
+        """Stops listening and closes all connections."""
         self.server.close()
 
     def _handle_observations(self, request: Request) -> None:
--- a/gaproute/peers/ports.py
+++ b/gaproute/peers/ports.py
@@ -1,6 +1,6 @@
-"""What the parts that communicate with other gateways need of their neighbours.
+"""Interfaces that `gaproute.peers` requires of the components that it uses.
 
-Simulations and tests hand in neighbours of their own. Times are ns.
+Simulations and tests pass implementations of their own. Times are ns.
 """
 
 from collections import Counter
@@ -15,7 +15,7 @@
 from gaproute.shared.raft.messages import RaftMessage
 
 DatagramHandler = Callable[[bytes], None]
-PayloadHandler = Callable[[str, bytes], None]  # takes the sender's name and the data
+PayloadHandler = Callable[[str, bytes], None]  # takes the sender's name and the payload
 RaftMessageHandler = Callable[[str, RaftMessage], None]  # takes the sender's name and the message
 PullAnswer = Changes | Part | Busy
 PullCallback = Callable[[PullAnswer | None], object]  # takes None if no answer came
@@ -26,82 +26,82 @@
 
     @property
     def name(self) -> str:
-        """The name by which other gateways know it."""
+        """The gateway's name."""
 
     @property
     def where(self) -> str:
-        """The address at which other gateways reach it."""
+        """The address at which the gateway listens for its peers."""
 
 
 class EventLog(Protocol):
-    """The log of events for operators: `gaproute.telemetry.record.GatewayRecord`."""
+    """Logs events for operators; implemented by `gaproute.telemetry.record.GatewayRecord`."""
 
     def event(self, level: str, name: str, /, **fields: object) -> None:
-        """Logs one event; `level`: "info", "warning" or "error"."""
+        """Logs one event; `level` is "info", "warning" or "error"."""
 
 
 class TimerLoop(Protocol):
-    """The clock and the timers of an event loop: `gaproute.loop.Loop`."""
+    """The clock and timers of an event loop; implemented by `gaproute.loop.Loop`."""
 
     def now(self) -> int:
-        """The time."""
+        """The time on the loop's monotonic clock."""
 
     def call_at(self, when: int, call: Callback, /, *args: object) -> Timer:
-        """Calls `call(*args)` at the time `when`; returns the timer."""
+        """Schedules `call(*args)` for the time `when`; returns the timer."""
 
 
 class CallbackLoop(TimerLoop, Protocol):
-    """A loop that also calls back in its present or next turn."""
+    """A loop that can also schedule a callback without a timer."""
 
     def call_soon(self, call: Callback, /, *args: object) -> object:
-        """Calls `call(*args)` after the callbacks that are due now."""
+        """Schedules `call(*args)` to run after the callbacks that are already due."""
 
 
 class DatagramSocket(Protocol):
-    """An open socket for datagrams: `gaproute.loop.datagrams.DatagramSocket`."""
+    """An open datagram socket; implemented by `gaproute.loop.datagrams.DatagramSocket`."""
 
     def send(self, data: bytes, address: str, /) -> None:
-        """Sends one datagram to the address, or drops it."""
+        """Sends a datagram to the address; drops it if it cannot be sent."""
 
     def close(self) -> None:
         """Closes the socket."""
 
 
-# Opens a socket at an address, and has the handler called with each datagram. Errors: OSError
+# Opens a socket that is bound to the address and calls the handler with each datagram. Raises OSError.
 OpenDatagrams = Callable[[str, DatagramHandler], DatagramSocket]
 
 
 class PayloadTransport(Protocol):
-    """The part of `MembershipTransport` that sends and receives payloads of other parts."""
+    """The part of `MembershipTransport` that sends and receives the payloads of other components."""
 
     @property
     def membership(self) -> Membership:
         """The members and their states."""
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
-        """Has the handler called with each payload of that kind."""
+        """Calls the handler with each payload of that kind that arrives from now on."""
 
     def unregister(self, kind: PayloadKind) -> None:
-        """From now on payloads of that kind are ignored."""
+        """Removes the handler; later payloads of that kind are ignored."""
 
     def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> None:
         """Sends a payload to the gateway with that address."""
 
 
 class RaftMessageTransport(Protocol):
-    """Sends Raft messages to peers: `gaproute.peers.raft.RaftTransport`."""
+    """Sends Raft messages to peers; implemented by `gaproute.peers.raft.RaftTransport`."""
 
-    counts: Counter[str]  # messages by what became of them
+    counts: Counter[str]  # number of messages, by what became of them
 
     def send(self, peer: str, message: RaftMessage, /) -> None:
-        """Sends a message to the peer of that name, or drops it."""
+        """Sends a message to the peer of that name; drops it if it cannot be sent."""
 
     def close(self) -> None:
-        """Ends sending and receiving."""
+        """Stops sending and receiving."""
 
 
 class HostWithAttempts(Protocol):
-    """A host of which the number of attempts in flight is read."""
+    """A host whose number of attempts in flight is gossiped."""
 
     @property
     def in_flight(self) -> Sized:
@@ -109,28 +109,28 @@
 
 
 class GossipSource(ObservationSource, Protocol):
-    """Decisions whose attempts in flight and warm instances are sent to other gateways."""
+    """The routing decisions, whose attempts in flight and warm instances are gossiped to other gateways."""
 
     @property
     def hosts_by_id(self) -> Mapping[str, HostWithAttempts]:
-        """All hosts by name."""
+        """All hosts, by name."""
 
 
 class PullSender(Protocol):
-    """Requests the cell table of other gateways, one pull at a time."""
+    """Pulls the cell table from other gateways, one pull at a time."""
 
     def send_pull(self, address: str, pull: Pull, on_answer: PullCallback, /) -> None:
-        """Sends a pull to the gateway with that address, in place of the one that is open.
+        """Sends a pull to the gateway at that address and cancels the open pull, if any.
 
-        `on_answer` is called once, later; it is not called for a pull that is replaced or dropped.
+        `on_answer` is called once, after this method returns, unless the pull is cancelled or replaced first.
         """
 
     def cancel_pull(self) -> None:
-        """Ends the open pull."""
+        """Cancels the open pull, if any."""
 
 
 class PullReply(NamedTuple):
-    """The reply to one pull; `status`: of HTTP."""
+    """The reply to one pull; `status` is an HTTP status code."""
 
     status: int
     body: bytes
@@ -144,10 +144,10 @@
 
     @property
     def address(self) -> str:
-        """The address to which other gateways send their pulls."""
+        """The address to which other gateways send pulls."""
 
     def serve(self, handler: PullHandler, /) -> None:
-        """From now on pulls are answered with what the handler returns."""
+        """Answers pulls from now on with the replies of the handler."""
 
     def stop(self) -> None:
-        """From now on pulls are rejected."""
+        """Rejects pulls from now on."""
