--- a/gaproute/peers/gossip/__init__.py
+++ b/gaproute/peers/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip by datagrams: `GossipTransport` sends and receives on the membership's socket; `wire` encodes."""
+"""Gossip over the datagrams of the membership transport: `GossipTransport` and the wire format."""
 
 from gaproute.peers.gossip.transport import GossipTransport
 from gaproute.peers.gossip.wire import decode, encode
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -1,7 +1,7 @@
-"""Sends and receives gossip by the membership's datagrams.
+"""Sends and receives gossip over the datagrams of the membership transport.
 
-The members that are up are read from the membership once a second at most. What this gateway observes is read
-from its decisions at intervals, outside the path of requests.
+The peers to gossip with are read from the membership at most once a second. The observations of this gateway
+are read from its routing decisions at intervals, outside the request path.
 """
 
 from collections.abc import Mapping
@@ -15,17 +15,17 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-# Between two reads of the decisions: as often as a message is sent to one peer
+# Between two reads of the observations: the interval at which one peer is sent a message.
 OBSERVATION_INTERVAL = SECOND // 2
-MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
-# Between two reads of the members, so that many updates of members do not cause as many reads
+MIN_TURN_INTERVAL = SECOND // 200  # between two runs of the timer callback
+# Between two reads of the members; bounds the reads when the membership changes often.
 PEER_UPDATE_INTERVAL = SECOND
 
 
 class GossipTransport:
-    """Feeds a `GossipNode` with observations and carries its messages.
+    """Records observations in a `GossipNode`, and sends and receives its messages.
 
-    `gateway`: the decisions that are observed; `rate`: bytes per second that may be sent.
+    `gateway` supplies the observations of the routing decisions; `rate` limits the bytes sent per second.
     """
 
     def __init__(
@@ -40,31 +40,29 @@
         now = loop.now()
         self.loop, self.transport, self.gateway = loop, transport, gateway
         self.node = GossipNode(name, transport.membership.incarnation, random, now, rate)
-        self._recorded_in_flight: dict[
-            str, int
-        ] = {}  # by host: the number of requests that was recorded last
+        self._recorded_in_flight: dict[str, int] = {}  # by host: last recorded number of requests
         self._next_observation_at = self._next_peer_update_at = now
-        self._warm_instances_read_at = now  # the time until which warm instances are recorded
+        self._warm_instances_read_at = now  # warm instances up to this time are recorded
         transport.register(PayloadKind.GOSSIP, self._handle_payload)
         self._timer = loop.call_at(now, self._tick)
 
     def record_arrival(self, now: int, function: str, request_class: int) -> None:
-        """Records a request that arrived."""
+        """Records the arrival of a request."""
         self.node.record_arrival(now, function, request_class)
 
     def set_hosts(self, hosts: Mapping[str, object]) -> None:
-        """Takes over the listed hosts: by name, their start."""
+        """Replaces the listed hosts; `hosts` has their start times by name."""
         self.node.set_hosts(self.loop.now(), hosts)
 
     def close(self) -> None:
-        """Ends sending and receiving."""
+        """Cancels the timer, so that nothing more is sent."""
         self._timer.cancel()
 
     def _tick(self) -> None:
         now = self.loop.now()
         try:
             self._run_turn(now)
-        finally:  # an error in one turn is logged by the loop and must not end the later turns
+        finally:  # the loop logs an error in one turn; the following turns must still run
             self._timer = self.loop.call_at(max(self.node.due, now + MIN_TURN_INTERVAL), self._tick)
 
     def _run_turn(self, now: int) -> None:
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes gossip messages, little-endian; bytes that are not exactly one message are rejected.
+"""Encodes and decodes gossip messages, little-endian. Data that is not exactly one message is rejected.
 
     message: version u8 (1), incarnation u64, sets u8, then each set
     set:     kind u8, partition u8, sequence u32, age u16 (10 ms), remainder u8 (scale), entries u16
@@ -7,8 +7,8 @@
                      deviation u16 (hundredths of the rate)
              warm instances: host u32, function u32, age u16 (10 ms)
 
-The scale: code c stands for the amount 2^(c/12) - 1. Rates and their remainder are sent in hundredths, so
-that a rate of three requests a second is decoded as three.
+Scale: code c stands for the amount 2^(c/12) - 1. Rates and the remainder of a demand set are sent in
+hundredths, so that a rate of three requests per second is decoded as three.
 """
 
 import struct
@@ -33,32 +33,32 @@
 )
 
 PROTOCOL_VERSION = 1
-AGE_UNIT = 10_000_000  # ns; the longest age is 655 s, twice that at which any set expires
+AGE_UNIT = 10_000_000  # ns; the longest age is 655 s, twice the age at which any set expires
 MAX_AGE_UNITS = 65_535
-RATE_UNITS = 100  # rates are sent in hundredths of a request a second
-MAX_RELATIVE_DEVIATION = 655.0  # of the rate
+RATE_UNITS = 100  # rates are sent in hundredths of a request per second
+MAX_RELATIVE_DEVIATION = 655.0  # as a multiple of the rate
 MAX_WARM_AGE = LIMITS[EntryKind.WARM_INSTANCES].max_age
-MAX_MESSAGE_BYTES = 1200  # fits in one unfragmented datagram on every usual network
+MAX_MESSAGE_BYTES = 1200  # fits in one unfragmented datagram on all common networks
 
 MESSAGE_HEADER, SET_HEADER = Struct("<BQB"), Struct("<BBIHBH")
 HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY = Struct("<IB"), Struct("<IBBH"), Struct("<IIH")
-ENTRY_STRUCTS = (HOST_ENTRY, HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY)  # by kind
+ENTRY_STRUCTS = (HOST_ENTRY, HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY)  # by `EntryKind`
 
-# For each two successive codes, the amount above which the greater code is the nearer one.
+# For each pair of consecutive codes, the amount above which the greater code is nearer.
 CODE_BOUNDS = [(low * high) ** 0.5 if low else high / 2 for low, high in pairwise(AMOUNT_SCALE)]
 
 
 class MalformedGossipError(GaprouteError, ValueError):
-    """The bytes are not a message of this version."""
+    """The data is not a gossip message of this protocol version."""
 
 
 def amount_code(amount: float) -> int:
-    """The code whose amount is the nearest."""
+    """The code whose amount is nearest to the given one."""
     return bisect(CODE_BOUNDS, amount)
 
 
 def encode(message: GossipMessage) -> bytes:
-    """Bytes of a message."""
+    """Encodes a message."""
     parts = [MESSAGE_HEADER.pack(PROTOCOL_VERSION, message.incarnation, len(message.sets))]
     for entries in message.sets:
         parts.append(_encode_set_header(entries))
@@ -67,7 +67,7 @@
 
 
 def decode(data: bytes) -> GossipMessage | None:
-    """The message; None if the bytes cannot be decoded."""
+    """Decodes a message; None if the data is malformed."""
     try:
         return _decode_message(data)
     except (struct.error, MalformedGossipError):
@@ -107,35 +107,35 @@
 
 
 def _age_units(age: int) -> int:
-    """The age as it is sent; rounded up, as an age must never seem lower than it is."""
+    """The age in units of `AGE_UNIT`; rounded up, so that data never seems newer than it is."""
     return min(MAX_AGE_UNITS, -(-age // AGE_UNIT))
 
 
 def _decode_message(data: bytes) -> GossipMessage:
     if len(data) > MAX_MESSAGE_BYTES:
-        raise MalformedGossipError("too long")
+        raise MalformedGossipError("the message is longer than MAX_MESSAGE_BYTES")
     version, incarnation, count = MESSAGE_HEADER.unpack_from(data)
     if version != PROTOCOL_VERSION or count > MAX_SETS:
-        raise MalformedGossipError("another version, or too many sets")
+        raise MalformedGossipError("the message has an unsupported version or more than MAX_SETS sets")
     sets: list[EntrySet] = []
     position = MESSAGE_HEADER.size
     for _ in range(count):
         entries, position = _decode_set(data, position)
         sets.append(entries)
     if position != len(data):
-        raise MalformedGossipError("followed by something else")
+        raise MalformedGossipError("the message is followed by further bytes")
     return GossipMessage(incarnation, tuple(sets))
 
 
 def _decode_set(data: bytes, position: int) -> tuple[EntrySet, int]:
-    """The set that begins at the position, and where it ends."""
+    """Decodes the set that starts at the position; returns it with the position of its end."""
     kind, partition, sequence, age, remainder, count = SET_HEADER.unpack_from(data, position)
     if kind >= len(LIMITS) or count > LIMITS[kind].max_entries:
-        raise MalformedGossipError("another kind, or too many entries")
+        raise MalformedGossipError("a set has an unknown kind or more entries than its kind allows")
     begin = position + SET_HEADER.size
     end = begin + count * ENTRY_STRUCTS[kind].size
     if end > len(data):
-        raise MalformedGossipError("cut short")
+        raise MalformedGossipError("the message ends within the entries of a set")
     unit = RATE_UNITS if kind == EntryKind.DEMAND else 1
     entries = _decode_entries(kind, data[begin:end])
     decoded = EntrySet(kind, partition, sequence, age * AGE_UNIT, AMOUNT_SCALE[remainder] / unit, entries)
--- a/gaproute/peers/raft/__init__.py
+++ b/gaproute/peers/raft/__init__.py
@@ -1,7 +1,7 @@
-"""Raft messages and lease requests between gateways.
+"""Runs the Raft group and its lease clients, and carries their messages between gateways.
 
-`RaftNodeRunner` runs a gateway's lease client and, if the configuration names the gateway as a member, its
-`RaftNode`. `RaftTransport` sends their messages to other gateways and receives those.
+`RaftNodeRunner` runs a gateway's lease client and, if the gateway is a configured member of the group, its
+`RaftNode`. `RaftTransport` exchanges their messages with other gateways.
 """
 
 from gaproute.peers.raft.node_runner import ConfiguredRaftGroup, NodeEnvironment, NodeStorage, RaftNodeRunner
--- a/gaproute/peers/raft/node_runner.py
+++ b/gaproute/peers/raft/node_runner.py
@@ -1,5 +1,6 @@
-"""Runs a gateway's lease client and its node of the Raft group: clock, transport and log lines, no
-decisions.
+"""Runs a gateway's lease client and its node of the Raft group.
+
+It supplies the clock, the transport and the event log; all decisions are made in `gaproute.shared`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -15,21 +16,20 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI
 
-# Between log lines about rejected messages, so that a flood of them is not a flood of lines
+# Between two log events about rejected messages, so that a flood of messages does not flood the log.
 REJECTION_LOG_INTERVAL = 60_000 * MILLI
-SLOW_TURN_DURATION = (
-    50 * MILLI
-)  # duration of a turn of the node above which its disk delays the gateway's requests
-NO_NODE_COUNTER = "refused: no keeper here"
+# A longer turn of the node is logged, because its disk writes delay the gateway's requests.
+SLOW_TURN_DURATION = 50 * MILLI
+NO_NODE_COUNTER = "refused: no keeper here"  # messages for a Raft node at a gateway that has none
 
 Transport = TypeVar("Transport", bound=RaftMessageTransport)
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEnvironment(Generic[Transport]):
-    """What a hosted node runs on; a simulation has parts of its own.
+    """What a `RaftNodeRunner` runs on; simulations pass implementations of their own.
 
-    `open_transport(receive)` makes the transport, which calls `receive` for each message that comes.
+    `open_transport(receive)` creates the transport, which calls `receive` for each message that arrives.
     """
 
     loop: CallbackLoop
@@ -40,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfiguredRaftGroup:
-    """A Raft group as one gateway is configured with it, which may be a member or a client only."""
+    """A Raft group in the configuration of one gateway, which is a member of it or only its client."""
 
-    name: str  # of this gateway
-    members: tuple[str, ...]  # the names of the group
+    name: str  # name of this gateway
+    members: tuple[str, ...]  # names of the members
 
 
 @dataclass(frozen=True, slots=True)
 class NodeStorage:
-    """What a node's log is applied to, and where it is stored.
+    """The state machine to which a node's log is applied, and the disk that stores the log.
 
-    `disk` is opened; None at a gateway that stores no log. `fencing_base`: as of `RaftNode`.
+    `disk` is open already; None at a gateway that stores no log. `fencing_base` is passed to `RaftNode`.
     """
 
     machine: LeaseTable
@@ -59,7 +59,7 @@
 
 
 class RaftNodeRunner(Generic[Transport]):
-    """Runs the `lease_client` and, if there is a disk and this gateway is a member, the `node`."""
+    """Runs the `lease_client` and, if this gateway is a member and has a disk for the log, the `node`."""
 
     def __init__(
         self, environment: NodeEnvironment[Transport], group: ConfiguredRaftGroup, storage: NodeStorage
@@ -95,14 +95,14 @@
         return [self.lease_client] if self.node is None else [self.lease_client, self.node]
 
     def set_configured_members(self, members: Iterable[str]) -> None:
-        """Takes over the names of the members in the configuration."""
+        """Replaces the configured names of the group's members."""
         members = tuple(members)
         for part in self._client_and_node():
             part.set_configured_members(self.loop.now(), members)
         self.run_due()
 
     def receive(self, sender: str, message: RaftMessage) -> None:
-        """Handles a message from a peer, or from this gateway."""
+        """Passes a message from a peer or from this gateway to the lease client or the node."""
         part = self.lease_client if isinstance(message, Reply) else self.node
         if part is None:
             self.transport.counts[NO_NODE_COUNTER] += 1
@@ -112,7 +112,7 @@
         self._finish_turn(started_at)
 
     def run_due(self) -> None:
-        """Runs what is due now; is called after every call of the client."""
+        """Runs what is due now; must be called after every call of a method of the lease client."""
         started_at = self.loop.now()
         for part in self._client_and_node():
             if part.due is not None and part.due <= started_at:
@@ -138,7 +138,7 @@
             self.event_logger.log_turn(self.node, started_at, self.loop.now(), self.transport.counts)
 
     def status(self) -> dict[str, object]:
-        """The status at the operators' address, with its JSON keys."""
+        """The status that the operators' HTTP address shows, under its JSON keys."""
         return {
             "holds": [
                 {
@@ -167,29 +167,29 @@
         }
 
     def stop(self) -> None:
-        """Releases all leases; call `close` afterwards."""
+        """Releases all leases; `close` must be called afterwards."""
         self.lease_client.release_all(self.loop.now())
         self.run_due()
 
     def close(self) -> None:
-        """Ends sending and receiving."""
+        """Cancels the timer and closes the transport."""
         if self.timer is not None:
             self.timer.cancel()
         self.transport.close()
 
 
 class NodeEventLogger:
-    """Logs changes of a node that an operator should know, each once."""
+    """Logs the changes of a node that concern operators, each once."""
 
     def __init__(self, record: EventLog, now: int) -> None:
         self.record = record
-        self.last_logged: dict[str, object] = {}  # by name of the figure: the last logged value
+        self.last_logged: dict[str, object] = {}  # last logged value, by its name
         self.logged_rejections: dict[str, int] = {}
         self.rejections_logged_at = now
-        self.logged_violations = 0  # how many were logged so far
+        self.logged_violations = 0  # number of `RaftNode.violations` that are logged already
 
     def log_turn(self, node: RaftNode, started_at: int, now: int, counts: Mapping[str, int]) -> None:
-        """Logs after a turn of the node from `started_at` to `now`; `counts`: those of the transport."""
+        """Logs what changed in a turn of the node; `counts` are those of the transport."""
         if now - started_at > SLOW_TURN_DURATION:
             self.record.event("warning", "raft_turn_slow", took_ms=(now - started_at) // MILLI)
         self._log_changes(node)
@@ -204,7 +204,7 @@
             self._log_rejections({**node.rejections, **rejected})
 
     def _log_changes(self, node: RaftNode) -> None:
-        """Logs the role, failures of the disk, and the members, each if it has changed."""
+        """Logs the role, a storage failure and the members, each if it has changed."""
         role, failure = node.role.value, node.storage_failure
         members = [member.name for member in node.members]
         if node.role in (Role.LEADER, Role.FOLLOWER) and self._replace_logged_value("role", role):
@@ -218,10 +218,10 @@
                 "info", "raft_members_changed", members=members, term=node.term, leader=node.leader
             )
 
-    def _replace_logged_value(self, figure: str, value: object) -> bool:
-        """Whether a value is not empty and differs from that of the last call."""
-        changed = self.last_logged.get(figure) != value
-        self.last_logged[figure] = value
+    def _replace_logged_value(self, name: str, value: object) -> bool:
+        """Stores the value; returns whether it is not empty and differs from the previous one."""
+        changed = self.last_logged.get(name) != value
+        self.last_logged[name] = value
         return changed and bool(value)
 
     def _log_rejections(self, by_reason: dict[str, int]) -> None:
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -1,11 +1,11 @@
-"""Sends and receives batches of messages between gateways, by HTTP: `POST /keepers`.
+"""Sends and receives batches of Raft messages between gateways over HTTP: `POST /keepers`.
 
-They are sent to the address where a gateway listens for its peers, or to one of their own. There is one
-exchange at a time with each peer, on a connection that stays open. A message is dropped if the queue is full
-or the peer cannot be reached, which Raft tolerates.
+Batches are sent to the address at which a gateway listens for its peers, or to a separate address. There is
+one exchange at a time with each peer, on a connection that stays open. A message is dropped if the queue is
+full or the peer cannot be reached, which Raft tolerates.
 
-The name of a sender is not verified, as in all exchanges between gateways (they need a private network, see
-docs/operators.md); a batch under a name that is no peer's is rejected.
+A batch is rejected if its sender's name is not the name of a peer. The name is not verified otherwise:
+exchanges between gateways need a private network (see docs/operators.md).
 """
 
 from collections import Counter, deque
@@ -20,34 +20,34 @@
 from gaproute.shared.raft.messages import RaftMessage
 from gaproute.units import MILLI, SECOND
 
-# Messages that wait for one peer; above it the oldest is dropped, which is the most outdated
+# Messages queued for one peer; beyond the limit the oldest message is dropped, as it is the most outdated.
 MAX_QUEUED_MESSAGES = 256
 MAX_QUEUED_BYTES = 2 * wire.MAX_BATCH_BYTES
-# Enough for a snapshot over a slow link; a peer that is down costs one attempt in that time
+# Long enough for a snapshot over a slow link; a peer that is down costs one exchange in this time.
 EXCHANGE_TIMEOUT = 2 * SECOND
-RETRY_DELAY = 200 * MILLI  # after a failed exchange: about a heartbeat interval
-MAX_MESSAGES_PER_SECOND = 500  # messages per second that one peer may send: ten times those of a busy leader
-MAX_MESSAGE_BURST = 1000  # messages above that at one moment
+RETRY_DELAY = 200 * MILLI  # after a failed exchange; about one heartbeat interval
+MAX_MESSAGES_PER_SECOND = 500  # accepted from one peer: ten times the rate of a busy leader
+MAX_MESSAGE_BURST = 1000  # capacity of the token bucket for one peer
 MAX_CONNECTIONS = 256
-MAX_RESPONSE_BYTES = 4096  # of headers, and of the body
+MAX_RESPONSE_BYTES = 4096  # separate limits for the head and for the body
 HTTP_TARGET = b"/keepers"
 
 
 class PeerState:
-    """The queue for one peer, the exchange with it, and the token bucket for what it sends."""
+    """The message queue for one peer, the exchange with it, and the token bucket for its messages."""
 
     def __init__(self, now: int) -> None:
         self.queue: deque[bytes] = deque()
         self.queued_bytes = 0
         self.connection: ClientConnection | None = None
         self.exchange: Exchange | None = None
-        self.timer: Timer | None = None  # for the next batch, or for the timeout of the exchange
+        self.timer: Timer | None = None  # starts the next batch, or ends the exchange by timeout
         self.retry_at = now  # nothing is sent before this time, ns
         self.tokens: float = MAX_MESSAGE_BURST
         self.refilled_at = now
 
     def queue_message(self, data: bytes) -> int:
-        """Queues a message; returns how many older ones were dropped for it."""
+        """Queues a message; returns how many older messages were dropped to make room."""
         self.queue.append(data)
         self.queued_bytes += len(data)
         dropped = 0
@@ -57,7 +57,7 @@
         return dropped
 
     def pop_batch(self) -> list[bytes]:
-        """The messages that are sent together next."""
+        """Removes the next batch from the queue and returns its messages."""
         messages: list[bytes] = []
         size = 0
         while self.queue and len(messages) < wire.MAX_BATCH_MESSAGES:
@@ -69,7 +69,7 @@
         return messages
 
     def spend_tokens(self, now: int, messages: int) -> bool:
-        """Whether the peer may send that many messages now."""
+        """Spends one token for each message; returns False and spends none if there are too few."""
         self.tokens = min(
             MAX_MESSAGE_BURST, self.tokens + (now - self.refilled_at) * MAX_MESSAGES_PER_SECOND / SECOND
         )
@@ -80,11 +80,11 @@
         return True
 
     def set_connection(self, connection: ClientConnection) -> None:
-        """Stores the connection for the next exchanges."""
+        """Stores the connection for the following exchanges."""
         self.connection = connection
 
     def close(self) -> None:
-        """Ends the exchange and closes the connection."""
+        """Cancels the exchange and the timer, and closes the connection."""
         if self.timer is not None:
             self.timer.cancel()
         if self.exchange is not None:
@@ -94,10 +94,10 @@
 
 
 class RaftTransport:
-    """Sends messages to peers and passes on theirs.
+    """Sends messages to peers and receives messages from them.
 
-    `peers`: addresses as text by name, may be changed in place; `receive(sender, message)` is called for each
-    message. `counts`: messages that were sent, received or lost, and those rejected, by reason.
+    `peers` has addresses by name and may be changed in place. `receive(sender, message)` is called for each
+    received message. `counts` has the number of messages sent, received, lost, and rejected by reason.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
     # Receiving
 
     def listen(self, address: str) -> str:
-        """Listens at an address of its own, which is returned as text. Errors: OSError."""
+        """Listens at a separate address; returns that address as text. Raises OSError."""
         limits = Limits(
             max_body_bytes=wire.MAX_BATCH_BYTES,
             max_pipelined=1,
@@ -126,7 +126,7 @@
         return server.address
 
     def handle(self, server: Server, request: Request) -> None:
-        """Answers a request that a server received."""
+        """Answers a request with a batch of messages and passes its messages to `receive`."""
         if request.target != HTTP_TARGET or request.method != b"POST":
             server.answer(request, 404, (), b"POST /keepers\n")
             return
@@ -152,7 +152,7 @@
     # Sending
 
     def _peer_state(self, name: str) -> PeerState:
-        """The state of a peer; a new one also drops those of gateways that are no peers any more."""
+        """The state of a peer; creating one also removes the states of former peers."""
         if name not in self.peer_states:
             for removed in [each for each in self.peer_states if each not in self.peers]:
                 self.peer_states.pop(removed).close()
@@ -167,13 +167,13 @@
         state = self._peer_state(peer)
         self.counts["lost"] += state.queue_message(wire.encode_message(message))
         if state.exchange is None and state.timer is None:
-            # After the present callbacks, so that all messages of one turn are sent in one batch.
+            # A timer runs after the current callbacks, so that all messages of one turn go into one batch.
             state.timer = self.loop.call_at(
                 max(self.loop.now(), state.retry_at), self._send_batch, peer, state
             )
 
     def _send_batch(self, peer: str, state: PeerState) -> None:
-        """Sends the messages that are queued, in one exchange."""
+        """Sends a batch of queued messages in one exchange."""
         state.timer = None
         if not state.queue or state.exchange is not None or peer not in self.peers or self.closed:
             return
@@ -202,7 +202,7 @@
         )
 
     def _finish_exchange(self, peer: str, state: PeerState, messages: int, answer: Response | None) -> None:
-        """Handles the end of an exchange; `answer` is None if its time was up."""
+        """Handles the end of an exchange; `answer` is None if it failed or timed out."""
         exchange, state.exchange = state.exchange, None
         if state.timer is not None:
             state.timer.cancel()
@@ -221,7 +221,7 @@
             state.timer = self.loop.call_at(state.retry_at, self._send_batch, peer, state)
 
     def close(self) -> None:
-        """Ends sending and listening."""
+        """Stops sending and listening."""
         self.closed = True
         for state in self.peer_states.values():
             state.close()
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -1,7 +1,7 @@
-"""Encodes messages of a Raft group and its clients as MessagePack, and decodes them strictly and bounded.
+"""Encodes the messages of a Raft group and its clients as MessagePack; decodes them strictly, within limits.
 
-A batch is [version, sender's name, [messages]]. One malformed message makes the whole batch malformed, as no
-working peer sends one.
+A batch is [version, sender's name, [messages]]. One malformed message makes the whole batch malformed,
+because a correct peer never sends one.
 """
 
 from collections.abc import Sequence
@@ -15,11 +15,11 @@
 from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, RaftMessage
 
 PROTOCOL_VERSION = 1
-MAX_BATCH_MESSAGES = 64  # in a batch: those of a few heartbeats
-FULL_BATCH_BYTES = 512 << 10  # above which no further message joins a batch
-# One snapshot and the messages that were sent with it
+MAX_BATCH_MESSAGES = 64  # the messages of a few heartbeat intervals
+FULL_BATCH_BYTES = 512 << 10  # a batch of this size gets no further message
+# A batch with one snapshot and the messages that are sent with it.
 MAX_BATCH_BYTES = MAX_SNAPSHOT_BYTES + FULL_BATCH_BYTES
-ARRAY_OF_THREE = b"\x93"  # the first byte of such an array in MessagePack
+ARRAY_OF_THREE = b"\x93"  # first byte of an array of three elements in MessagePack
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(
@@ -32,14 +32,14 @@
 
 
 class Batch(NamedTuple):
-    """The messages that a gateway sent together."""
+    """The messages that a gateway sent in one batch."""
 
     sender: str
     messages: list[RaftMessage]
 
 
 class MalformedBatchError(GaprouteError, ValueError):
-    """Bytes that are no batch; the text is the reason by which the transport counts them."""
+    """The data is not a valid batch; the transport counts rejected batches by the text of this error."""
 
 
 def encode_message(message: RaftMessage) -> bytes:
@@ -48,12 +48,12 @@
 
 
 def encode_batch(sender: str, messages: Sequence[bytes]) -> bytes:
-    """Encodes a batch of messages that are encoded already."""
+    """Encodes a batch of messages that are already encoded."""
     return _encoder.encode((PROTOCOL_VERSION, sender, [msgspec.Raw(message) for message in messages]))
 
 
 def decode_batch(data: bytes) -> Batch:
-    """Decodes a batch. Errors: MalformedBatchError."""
+    """Decodes a batch. Raises MalformedBatchError."""
     if len(data) > MAX_BATCH_BYTES:
         raise MalformedBatchError("too long")
     if data[:1] != ARRAY_OF_THREE:
--- a/gaproute/peers/tables/__init__.py
+++ b/gaproute/peers/tables/__init__.py
@@ -1,6 +1,7 @@
-"""The cell table between gateways, see `CellTableTransport`.
+"""Disseminates the cell table between gateways; see `CellTableTransport`.
 
-It is announced and pushed by the membership's datagrams, and pulled by HTTP from the peers' server.
+The table is announced and pushed over the datagrams of the membership transport, and pulled over HTTP from
+the peer server.
 """
 
 from gaproute.peers.tables.transport import CellTableChannels, CellTableSettings, CellTableTransport
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -1,4 +1,4 @@
-"""The cell table as a document that is disseminated."""
+"""The cell table as a document for `gaproute.shared.dissemination`."""
 
 from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
@@ -12,13 +12,15 @@
 class TableDocument:
     """Stores the current table in a holder, which nothing else may change.
 
-    The holder must not trim rows: other gateways are served from it, and all digests are of complete rows.
-    Callers that need smaller rows get the table in callbacks.
+    The holder must not trim rows, because other gateways are served from it and digests cover complete rows.
+    Code that needs trimmed rows trims the table that it gets in a callback.
     """
 
     def __init__(self, holder: TableHolder) -> None:
         if holder.trim is not None:
-            raise ValueError("a holder that trims has no whole rows to serve")
+            raise ValueError(
+                "TableDocument requires a TableHolder with complete rows, but the given one trims its rows"
+            )
         self.holder = holder
         self.fleet = holder.fleet
         self.digest = 0
@@ -31,7 +33,7 @@
         return NOTHING if self.holder.table is None else self.holder.table.version
 
     def apply(self, change: Change) -> None:
-        """Applies a change. Errors: DocumentError."""
+        """Applies a change. Raises DocumentError."""
         current = self.holder.table
         if current is None:
             raise DocumentError("a change without a table")
@@ -43,7 +45,7 @@
             raise DocumentError("invalid change") from fault
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
-        """Takes over a complete table. Errors: DocumentError."""
+        """Replaces the table with a complete one. Raises DocumentError."""
         try:
             table = encoding.decode_table(self.fleet, version, data)
             self._replace_table(table, encoding.cells_digest(table.cells), digest)
@@ -51,7 +53,7 @@
             raise DocumentError("invalid table") from fault
 
     def whole(self) -> bytes:
-        """The complete table, encoded. Errors: DocumentError if there is none."""
+        """Encodes the complete table. Raises DocumentError if there is none."""
         if self.holder.table is None:
             raise DocumentError("no table")
         return encoding.encode_table(self.holder.table)
@@ -64,12 +66,12 @@
 
 
 def encode_table_change(current: CellTable | None, digest: int, change: TableChange) -> Change:
-    """Encodes a change of the current table, which has that digest.
+    """Encodes a change of the table `current`, whose digest is `digest`.
 
-    Errors: TableError where it cannot be applied.
+    Raises TableError if the change cannot be applied.
     """
     if current is None:
-        raise TableError("a change without a table")
+        raise TableError("cannot encode a change: there is no current table to apply it to")
     apply_change(current, change)
     digest_after = encoding.digest_after(digest, current, change)
     return Change(change.base, change.version, digest_after, encoding.encode_change(change))
--- a/gaproute/peers/tables/encoding.py
+++ b/gaproute/peers/tables/encoding.py
@@ -1,7 +1,8 @@
-"""Encodes cell tables and their changes as MessagePack, a complete table compressed; strict and bounded.
+"""Encodes cell tables and changes as MessagePack; a complete table is also compressed.
 
-The digest of a table is the sum of its rows' hashes, so that the cost of updating it is that of the change.
-It detects tables that differ by mistake; it is no protection against forgery.
+Decoding is strict, within size limits. The digest of a table is the sum of the hashes of its rows, so that
+updating it costs only as much as hashing the changed rows. It detects accidental differences between tables,
+but does not protect against forgery.
 """
 
 import zlib
@@ -16,12 +17,12 @@
 from gaproute.decisions.cells.table import Cell, CellTable, EntryGateway, PointRange, validate
 from gaproute.decisions.cells.version import Version
 
-MAX_TABLE_BYTES = 16 << 20  # bytes of a table, uncompressed
+MAX_TABLE_BYTES = 16 << 20  # size of a table before compression
 DIGEST_MODULUS = 1 << 64
 
 
 class Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A cell as it is encoded."""
+    """The encoded form of a cell."""
 
     name: str
     region: str
@@ -33,7 +34,7 @@
 
 
 class ChangeBody(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """The content of a change; its versions are sent beside it."""
+    """The encoded form of a change, without its versions, which are sent separately."""
 
     rows: list[Row]
     removed: list[str]
@@ -57,12 +58,12 @@
 
 
 def cells_digest(cells: Iterable[Cell]) -> int:
-    """The digest of these rows, whatever their order."""
+    """The digest of these cells; does not depend on their order."""
     return sum(xxh3_64_intdigest(_encode(_to_row(cell))) for cell in cells) % DIGEST_MODULUS
 
 
 def digest_after(digest: int, before: CellTable, change: TableChange) -> int:
-    """The digest of a table after that change."""
+    """The digest of the table `before`, whose digest is `digest`, after the change is applied."""
     names = [*change.removed, *(cell.name for cell in change.rows)]
     replaced = [before.by_name[name] for name in names if name in before.by_name]
     return (digest - cells_digest(replaced) + cells_digest(change.rows)) % DIGEST_MODULUS
@@ -74,15 +75,18 @@
 
 
 def decode_table(fleet: str, version: Version, data: bytes) -> CellTable:
-    """Decodes and checks a table. Errors: TableError."""
+    """Decodes and validates a table. Raises TableError."""
     inflater = zlib.decompressobj()
     try:
         uncompressed = inflater.decompress(data, MAX_TABLE_BYTES)
         if not inflater.eof or inflater.unused_data:
-            raise TableError("the table is cut short, too long or followed by something else")
+            raise TableError(
+                "cannot decode a table: its compressed data is truncated, has trailing bytes or is "
+                "larger than MAX_TABLE_BYTES when uncompressed"
+            )
         rows = _decode_rows(uncompressed)
     except (zlib.error, msgspec.DecodeError, RecursionError) as fault:
-        raise TableError(f"the table cannot be read: {fault}") from None
+        raise TableError(f"cannot decode a table: {fault}") from None
     return validate(fleet, version, map(_to_cell, rows))
 
 
@@ -92,11 +96,11 @@
 
 
 def decode_change(fleet: str, base: Version, version: Version, data: bytes) -> TableChange:
-    """Decodes a change, which is not checked against a table yet. Errors: TableError."""
+    """Decodes a change without checking it against a table. Raises TableError."""
     try:
         body = _decode_change(data)
     except (msgspec.DecodeError, RecursionError) as fault:
-        raise TableError(f"the change cannot be read: {fault}") from None
+        raise TableError(f"cannot decode a change: {fault}") from None
     if len(body.rows) > MAX_CELLS or len(body.removed) > MAX_CELLS:
-        raise TableError(f"a change of more than {MAX_CELLS} cells")
+        raise TableError(f"a change has more than {MAX_CELLS} changed or removed cells")
     return TableChange(fleet, base, version, tuple(map(_to_cell, body.rows)), tuple(body.removed))
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -1,6 +1,7 @@
-"""Pulls of the cell table by HTTP.
+"""Pulls the cell table over HTTP.
 
-`PullClient` sends one at a time; `HttpPullListener` receives those of other gateways at the peers' server.
+`PullClient` sends pulls, one at a time; `HttpPullListener` receives pulls of other gateways at the peer
+server.
 """
 
 from gaproute.http1 import Exchange, Request, Response, Server
@@ -16,21 +17,22 @@
 HTTP_TARGET = b"/tables"
 MAX_RESPONSE_HEAD_BYTES = 4_096
 MESSAGE_PACK_HEADER = (b"Content-Type", b"application/msgpack")
-HTTP_OK, HTTP_METHOD_NOT_ALLOWED = 200, 405  # HTTP status
+HTTP_OK, HTTP_METHOD_NOT_ALLOWED = 200, 405  # HTTP status codes
 
 
 class PullClient:
-    """Sends a pull to one peer at a time; a new one replaces the one before."""
+    """Sends a pull to one peer at a time; a new pull replaces the open one."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.open_exchange: Exchange | None = None  # the open one
+        self.open_exchange: Exchange | None = None  # exchange of the open pull
         self._timer: Timer | None = None
 
     def send_pull(self, address: str, pull: Pull, on_answer: PullCallback) -> None:
-        """Sends a pull; `on_answer(answer)` is called once, later; with None if no answer came.
+        """Sends a pull to the gateway at that address and cancels the open pull, if any.
 
-        It is not called for a pull that is replaced or dropped.
+        `on_answer(answer)` is called once, after this method returns, with None if the pull failed. It is not
+        called if the pull is cancelled or replaced first.
         """
         self.cancel_pull()
         body = wire.encode_pull(pull)
@@ -49,7 +51,7 @@
         exchange.connect(target, EXCHANGE_TIME, MAX_RESPONSE_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
 
     def cancel_pull(self) -> None:
-        """Ends the open pull."""
+        """Cancels the open pull, if any."""
         if self._timer is not None:
             self._timer.cancel()
         if self.open_exchange is not None:
@@ -66,18 +68,18 @@
 
 
 class HttpPullListener:
-    """Receives pulls at the address of the peers' server."""
+    """Receives pulls at the address of the peer server."""
 
     def __init__(self, peer_server: PeerServer) -> None:
         self._peer_server = peer_server
 
     @property
     def address(self) -> str:
-        """The address of the peers' server."""
+        """The address of the peer server."""
         return self._peer_server.address
 
     def serve(self, handler: PullHandler) -> None:
-        """From now on pulls are answered with what the handler returns."""
+        """Answers pulls from now on with the replies of the handler."""
 
         def answer(server: Server, request: Request) -> None:
             if request.method != b"POST":
@@ -90,5 +92,5 @@
         self._peer_server.routes[HTTP_TARGET] = answer
 
     def stop(self) -> None:
-        """From now on the address answers no pulls."""
+        """Removes the route, so that later pulls are answered with 404."""
         self._peer_server.routes.pop(HTTP_TARGET, None)
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -1,4 +1,4 @@
-"""Stores a gateway's cell table on disk: reads it at the start, writes newer tables. Times are ns."""
+"""Stores a gateway's cell table on disk: reads it at startup and writes newer versions. Times are ns."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -9,12 +9,15 @@
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 from gaproute.units import SECOND
 
-WRITE_INTERVAL = 60 * SECOND  # between two writes, as each waits for the disk
-RETRY_INTERVAL = 5 * SECOND  # until a failed read or write is tried again
+WRITE_INTERVAL = 60 * SECOND  # between two writes, each of which blocks until the disk is done
+RETRY_INTERVAL = 5 * SECOND  # before a failed read or write is repeated
 
 
 class TableStorage:
-    """`path`: the file, None for none; `report(text)` is called with messages for operators."""
+    """Reads and writes the table file at `path`; None disables storage.
+
+    `report(text)` is called with messages for operators.
+    """
 
     def __init__(
         self,
@@ -24,20 +27,20 @@
         report: Callable[[str], object],
     ) -> None:
         self.file = None if path is None else CellTableFile(path, fleet, report)
-        self.written_version = NOTHING  # the version on disk
-        self.next_write_at = clock()  # when `write` is to be called next
+        self.written_version = NOTHING  # version of the table on disk
+        self.next_write_at = clock()  # when `write` must be called next
         self._clock = clock
 
     def restore(self, disseminator: Disseminator) -> None:
-        """Reads the table of the file, if there is a usable one."""
+        """Publishes the table from the file, if the file has a usable one."""
         stored = None if self.file is None else self.file.read(disseminator.document.version)
         if stored is not None:
             self._publish_stored(disseminator, stored)
 
     def write(self, disseminator: Disseminator) -> None:
-        """Writes the current table if it is newer than that on disk.
+        """Writes the current table if it is newer than the table on disk.
 
-        A file that could not be read at the start is read before it is overwritten.
+        A file that could not be read at startup is read before it is overwritten, as its table may be newer.
         """
         if self.file is None:
             return
@@ -48,7 +51,7 @@
             return
         document = disseminator.document
         if document.version <= self.written_version:
-            return  # a table that comes after a quiet time is written in the next turn
+            return  # `next_write_at` stays in the past, so a newer table is written in the next turn
         self.next_write_at = self._clock() + WRITE_INTERVAL
         term, number = document.version
         if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.whole())):
@@ -57,8 +60,8 @@
             self.next_write_at = self._clock() + RETRY_INTERVAL
 
     def _retry_restore(self, disseminator: Disseminator, file: CellTableFile) -> None:
-        """Reads the table that could not be read at the start, and takes it if it is newer than the current
-        one.
+        """Reads the file that could not be read at startup, and publishes its table if that is newer than the
+        current one.
         """
         stored = file.read()
         if stored is not None and (stored.term, stored.number) > disseminator.document.version:
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -1,7 +1,7 @@
-"""Disseminates the cell table on sockets, by the membership's datagrams and by pulls.
+"""Disseminates the cell table over the datagrams of the membership transport and by pulls.
 
-The gateway does not depend on it: while no peer answers, the last table stays in use. The members in the
-membership count as the gateways of the own cell. Times are ns.
+The gateway does not depend on it: while no peer answers, the last table stays in use. The members of the
+membership are taken as the gateways of this gateway's own cell. Times are ns.
 """
 
 from collections.abc import Callable, Iterable
@@ -33,15 +33,15 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
-CANDIDATE_UPDATE_INTERVAL = 5 * SECOND  # between two reads of the members
-HTTP_OK, HTTP_BAD_REQUEST, HTTP_SERVICE_UNAVAILABLE = 200, 400, 503  # HTTP status of replies to pulls
+MIN_TURN_INTERVAL = SECOND // 200  # between two runs of the timer callback
+CANDIDATE_UPDATE_INTERVAL = 5 * SECOND  # between two updates of the peers to exchange with
+HTTP_OK, HTTP_BAD_REQUEST, HTTP_SERVICE_UNAVAILABLE = 200, 400, 503  # status of replies to pulls
 
 TableCallback = Callable[[CellTable], object]
 
 
 class _CandidateSources(NamedTuple):
-    """The state from which the candidates were computed."""
+    """The inputs from which the dissemination candidates were computed."""
 
     neighbours: tuple[Peer, ...]
     configured: tuple[Peer, ...]
@@ -49,24 +49,24 @@
 
 
 class CellTableSettings(NamedTuple):
-    """Whose table is disseminated, by which gateway, and where it is stored."""
+    """Which gateway disseminates the table of which fleet, and where it stores the table."""
 
-    gateway: str  # the own name
+    gateway: str  # name of this gateway
     fleet: str
-    cell: str = ""  # the own one; "": its entries count as those of any other cell
-    path: str | Path | None = None  # the file for the table; None: it is not stored
+    cell: str = ""  # cell of this gateway; with "", no cell is treated as its own
+    path: str | Path | None = None  # file that stores the table; None disables storage
 
 
 class CellTableChannels(NamedTuple):
-    """How the table reaches other gateways and comes from them."""
+    """The channels that carry the table between gateways."""
 
-    payloads: PayloadTransport  # announcements and pushes by datagrams
+    payloads: PayloadTransport  # carries announcements and pushes as datagrams
     pull_listener: PullListener
     pull_client: PullSender
 
 
 class CellTableTransport:
-    """Disseminates the cell table of a fleet. `record` takes events for operators."""
+    """Disseminates the cell table of a fleet. `record` logs events for operators."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         self.storage = TableStorage(loop.now, settings.path, settings.fleet, self._report_storage_fault)
         self.timer: Timer | None = None
         self._callbacks: list[TableCallback] = []
-        self._reported_version = NOTHING  # the version for which the callbacks were called last
+        self._reported_version = NOTHING  # version that was last passed to the callbacks
         self._candidate_sources: _CandidateSources | None = None
         self._next_candidate_update_at = loop.now()
         self._logged_rejections: set[str] = set()
@@ -93,7 +93,7 @@
     # For the gateway
 
     def start(self) -> None:
-        """Reads the table on disk, then begins to receive and send."""
+        """Restores the table from disk, then starts to receive and send."""
         self.storage.restore(self.disseminator)
         self.payloads.register(PayloadKind.CELL_TABLE, self._handle_payload)
         self.pull_listener.serve(self._answer_pull)
@@ -101,7 +101,7 @@
         self._finish_turn(())
 
     def stop(self) -> None:
-        """Ends receiving and sending; a table that is newer than that on disk is written."""
+        """Stops receiving and sending, and writes the table if it is newer than the one on disk."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -111,21 +111,22 @@
         self.storage.write(self.disseminator)
 
     def table(self) -> CellTable | None:
-        """The last good table, None before the first."""
+        """The newest valid table; None before the first one."""
         return self.holder.table
 
     def add_table_callback(self, callback: TableCallback) -> None:
-        """Has the callback called with each newer table from now on."""
+        """Calls the callback with each newer table from now on."""
         self._callbacks.append(callback)
 
     def set_peers(self, configured: Iterable[Peer]) -> None:
-        """Takes over configured peers, beside the members and the gateways in the table."""
+        """Replaces the configured peers, which are used in addition to members and gateways in the table."""
         self.configured = tuple(configured)
         self._update_candidates()
 
     def publish(self, table: CellTable) -> None:
-        """Publishes a complete table that was made here. Errors: DocumentError, also for a version that is
-        not new.
+        """Publishes a complete table that was made at this gateway.
+
+        Raises DocumentError, for example if the version is not newer than the current one.
         """
         if table.fleet != self.holder.fleet:
             raise DocumentError("other fleet")
@@ -134,16 +135,16 @@
         self._finish_turn(self.disseminator.publish_whole(self.loop.now(), table.version, digest, data))
 
     def publish_change(self, change: TableChange) -> None:
-        """Publishes a change of the current table that was made here. Errors: TableError, DocumentError."""
+        """Publishes a change of the current table that was made here. Raises TableError or DocumentError."""
         encoded = encode_table_change(self.holder.table, self.disseminator.document.digest, change)
         self._finish_turn(self.disseminator.publish(self.loop.now(), encoded))
 
     def propagation(self, version: Version) -> Propagation:
-        """How far that version has spread, by the reports received here."""
+        """How far that version has spread, according to the reports that this gateway has received."""
         return self.disseminator.version_reports.propagation(self.loop.now(), version)
 
     def candidates(self, neighbours: tuple[Peer, ...]) -> Candidates:
-        """The peers to exchange with, by the current table; `neighbours`: members that are up."""
+        """The peers to exchange with, by the current table; `neighbours` are the members that are up."""
         return candidates(self.holder.table, self.cell, neighbours, self.configured)
 
     # Received messages
@@ -153,7 +154,7 @@
         if sender == self.name or not self.disseminator.admits(now, sender):
             return
         datagram = wire.decode_datagram(data)
-        if datagram is None:  # the disseminator counts it
+        if datagram is None:  # malformed; the disseminator counts it
             self._finish_turn(self.disseminator.receive(now, Peer(sender, ""), None))
             return
         peer = Peer(sender, datagram.address)
@@ -181,13 +182,13 @@
             if now >= self.storage.next_write_at:
                 self.storage.write(self.disseminator)
             sends = self.disseminator.tick(now)
-        finally:  # an error in one turn is logged by the loop and must not end the later turns
+        finally:  # the loop logs an error in one turn; the following turns must still run
             self._finish_turn(sends)
 
     # The end of a turn
 
     def _finish_turn(self, sends: Iterable[Send]) -> None:
-        """Sends messages, reports a new table, and sets the timer."""
+        """Sends the messages, sets the timer and passes a new table to the callbacks."""
         for send in sends:
             self._send(send)
         self._log_rejections()
@@ -212,13 +213,13 @@
         if table is None or table.version <= self._reported_version:
             return
         if self._reported_version == NOTHING:
-            self._update_candidates()  # for later tables by the timer only, as it costs a millisecond
+            self._update_candidates()  # for later tables only by the timer, as this takes a millisecond
         self._reported_version = table.version
         for callback in self._callbacks:
             callback(table)
 
     def _update_candidates(self) -> None:
-        """Computes the peers to exchange with, if something has changed."""
+        """Updates the peers to exchange with if members, configured peers or the table have changed."""
         self._next_candidate_update_at = self.loop.now() + CANDIDATE_UPDATE_INTERVAL
         membership = self.payloads.membership
         up = sorted([name for name in membership.members if name in membership.table.alive])
@@ -229,7 +230,7 @@
             self.disseminator.set_candidates(self.candidates(neighbours))
 
     def _log_rejections(self) -> None:
-        """Logs each reason for rejections once."""
+        """Logs each reason for which a message was rejected once."""
         for reason in self.disseminator.rejections:
             if reason not in self._logged_rejections:
                 self._logged_rejections.add(reason)
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes messages of the dissemination as MessagePack, strict and bounded; no sockets."""
+"""Encodes dissemination messages as MessagePack; decodes them strictly, within size limits. Does no I/O."""
 
 from collections.abc import Callable
 from typing import Annotated, NamedTuple, TypeVar
@@ -83,21 +83,21 @@
 
 
 class Datagram(NamedTuple):
-    """A decoded datagram; `address`: where other gateways reach its sender."""
+    """A decoded datagram; `address` is where other gateways can reach its sender."""
 
     address: str
     message: Announcement | Push
 
 
 def encode_datagram(message: Announcement | Push, address: str) -> bytes:
-    """Encodes a datagram; `address`: where its sender is reached."""
+    """Encodes a datagram; `address` is where other gateways can reach its sender."""
     if isinstance(message, Push):
         return _encode_bytes(_Push(message.fleet, address, _encode_changes(message.changes)))
     return _encode_bytes(_Announcement(message.fleet, address, message.version, message.digest))
 
 
 def decode_datagram(data: bytes) -> Datagram | None:
-    """Decodes a datagram; None if it cannot be decoded."""
+    """Decodes a datagram; None if it is malformed or too long."""
     decoded = _decode_bounded(_decode_datagram_bytes, data, MAX_DATAGRAM_BYTES)
     if isinstance(decoded, _Push):
         return Datagram(decoded.address, Push(decoded.fleet, _decode_changes(decoded.changes)))
@@ -113,7 +113,7 @@
 
 
 def decode_pull(data: bytes) -> Pull | None:
-    """Decodes a pull; None if it cannot be."""
+    """Decodes a pull; None if it is malformed or too long."""
     decoded = _decode_bounded(_decode_pull_bytes, data, MAX_DATAGRAM_BYTES)
     if decoded is None:
         return None
@@ -132,7 +132,7 @@
 
 
 def decode_answer(data: bytes) -> Changes | Part | Busy | None:
-    """Decodes an answer; None if it cannot be."""
+    """Decodes an answer to a pull; None if it is malformed or too long."""
     decoded = _decode_bounded(_decode_answer_bytes, data, MAX_ANSWER_BYTES)
     if isinstance(decoded, _Changes):
         return Changes(decoded.fleet, _decode_changes(decoded.changes))
@@ -155,7 +155,7 @@
 
 
 def _decode_bounded(decode: Callable[[bytes], Decoded], data: bytes, max_bytes: int) -> Decoded | None:
-    """Decodes the bytes; None if they are too long or cannot be decoded."""
+    """Decodes the data; None if it is malformed or longer than `max_bytes`."""
     if len(data) > max_bytes:
         return None
     try:
