--- a/tests/peers/test_observation_transfers.py
+++ b/tests/peers/test_observation_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of observations to gateways that learn: chunks, resumption, bounds, versions one apart."""
+"""How the peer server sends observations: chunks, resumption, limits and protocol versions one apart."""
 
 import pytest
 from helpers import MILLI, SECOND, gateway, row
@@ -33,18 +33,18 @@
 @pytest.fixture
 def server():
     loop = Loop()
-    made = gateway(*[row(f"w{number}") for number in range(50)])
+    decisions = gateway(*[row(f"w{number}") for number in range(50)])
     for name in range(60):
-        function = made.functions.find_or_add(f"f{name}", 4)
+        function = decisions.functions.find_or_add(f"f{name}", 4)
         function.answered_at = loop.now() - name * MILLI
         function.proven_at = {f"w{number}": function.answered_at for number in range(50)}
-    server = PeerServer(loop, parse_address("127.0.0.1:0"), made, HostHistory(), ("t",))
+    server = PeerServer(loop, parse_address("127.0.0.1:0"), decisions, HostHistory(), ("t",))
     yield server
     server.close()
     loop.close()
 
 
-def test_versions_one_apart_understand_each_other():
+def test_answers_of_adjacent_protocol_versions_are_decoded():
     older = Told(version=1)
     older.warm.add(worker="x", function="f", lanes=4, age_us=5)
     observations = SharedObservations()
@@ -54,13 +54,13 @@
     assert list(observations.by_subject) == [("warm", "x", "f")]
     newer = Told(version=3)
     newer.warm.add(worker="x", function="f", lanes=4, age_us=5)
-    data = newer.SerializeToString() + b"\xfa\x01\x03abc"  # field 31, which nobody knows
+    data = newer.SerializeToString() + b"\xfa\x01\x03abc"  # field 31, which is unknown to this version
     observation_wire.read_observations(observation_wire.decode_answer(data), SECOND, "g", observations)
     assert observations.rejections == {}
     assert observation_wire.decode_answer(Told(version=4).SerializeToString()) is None
 
 
-def test_a_snapshot_comes_in_chunks_that_take_no_more_than_a_slice(server):
+def test_a_snapshot_is_sent_in_chunks_of_bounded_size(server):
     instances, cursor, chunks = set(), 0, 0
     while cursor or not chunks:
         refill_cpu_budget(server)
@@ -72,7 +72,7 @@
     assert chunks >= 12
 
 
-def test_clients_that_begin_at_one_moment_share_a_transfer_and_its_ages_grow(server):
+def test_peers_that_start_at_the_same_time_share_a_transfer_and_get_larger_ages_later(server):
     first, second = request_observations(server), None
     encoded = server.transfers.encoded_observations
     refill_cpu_budget(server)
@@ -91,13 +91,13 @@
     }
 
 
-def test_who_comes_back_for_a_transfer_that_has_ended_begins_anew(server):
+def test_a_cursor_of_an_unknown_transfer_starts_a_new_transfer(server):
     answer = request_observations(server, cursor=77 << 20)
     assert answer.warm
     assert answer.next >> 20 == 1
 
 
-def test_a_snapshot_goes_on_while_functions_and_hosts_come_and_go(server):
+def test_a_snapshot_continues_after_functions_and_hosts_are_removed(server):
     first = request_observations(server)
     server.transfers.gateway.functions.by_name.clear()
     server.transfers.gateway.update_hosts(2 * SECOND, [row("w0")], complete=True)
@@ -105,7 +105,7 @@
     assert not request_observations(server, cursor=first.next).next
 
 
-def test_a_mark_of_another_run_brings_a_complete_snapshot(server):
+def test_a_mark_of_another_run_is_answered_with_a_complete_snapshot(server):
     answer = request_observations(server, life=server.transfers.run_id ^ 1, mark=1 << 62)
     assert answer.warm
     assert answer.life == server.transfers.run_id
@@ -113,7 +113,7 @@
     assert not request_observations(server, life=server.transfers.run_id, mark=1 << 62).warm
 
 
-def test_transfers_are_bounded(server):
+def test_the_number_and_size_of_stored_transfers_are_bounded(server):
     for number in range(40):
         refill_cpu_budget(server)
         request_observations(server, life=server.transfers.run_id, mark=number + 1)
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Gateways beside each other on sockets: what they share, who is up, lists of them."""
+"""Gateways on sockets that share observations and membership, and the configuration of their peers."""
 
 import json
 import socket
@@ -15,199 +15,203 @@
 from gaproute.peers.lore_pb2 import Told
 
 
-def where(appliance):
+def peer_address(appliance):
     return appliance.peers.peer_server.address
 
 
-def front(appliance):
+def front_address(appliance):
     return parse_address(appliance.fronts[0].address)
 
 
-def test_gateways_find_each_other_and_one_that_leaves_is_known_to_have(fleet):
-    made, start = fleet
-    second = start("second", f"peer g {where(made.gate)}")
-    third = start("third", f"peer second {where(second)}")
-    made.until(
+def test_gateways_discover_each_other_and_show_a_stopped_one_as_left(fleet):
+    rig, start_gateway = fleet
+    second = start_gateway("second", f"peer g {peer_address(rig.gate)}")
+    third = start_gateway("third", f"peer second {peer_address(second)}")
+    rig.until(
         lambda: (
-            [each.peers.membership_transport.membership.live_count() for each in (made.gate, second, third)]
+            [each.peers.membership_transport.membership.live_count() for each in (rig.gate, second, third)]
             == [3, 3, 3]
         )
     )
     third.peers.membership_transport.stop()
-    made.until(lambda: made.gate.peers.membership_transport.membership.live_count() == 2)
-    states = {row["name"]: row["state"] for row in peer_table(made.gate)}
+    rig.until(lambda: rig.gate.peers.membership_transport.membership.live_count() == 2)
+    states = {row["name"]: row["state"] for row in peer_table(rig.gate)}
     assert states == {"second": "alive", "third": "left"}
-    assert status(made.gate)["gateways"] == 2
+    assert status(rig.gate)["gateways"] == 2
 
 
-def test_what_changes_after_the_snapshot_comes_as_well(fleet):
-    made, start = fleet
-    second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.peers.observation_client.state_by_peer["g"].startswith("told"))
+def test_changes_after_the_snapshot_are_fetched_too(fleet):
+    rig, start_gateway = fleet
+    second = start_gateway("second", f"peer g {peer_address(rig.gate)}")
+    rig.until(lambda: second.peers.observation_client.state_by_peer["g"].startswith("told"))
     assert "lamp" not in second.core.gateway.functions_by_name
-    assert made.wait(made.ask("lamp", "w1")).status == 200
-    made.until(lambda: "lamp" in second.core.gateway.functions_by_name)
+    assert rig.wait(rig.ask("lamp", "w1")).status == 200
+    rig.until(lambda: "lamp" in second.core.gateway.functions_by_name)
     assert second.core.gateway.functions_by_name["lamp"].hinted_at
 
 
-def test_a_peer_that_comes_up_late_is_asked_again(fleet):
-    made, start = fleet
+def test_a_peer_that_starts_late_is_asked_again(fleet):
+    rig, start_gateway = fleet
     for number in range(2):
-        assert made.wait(made.ask("lamp", f"w{number}")).status == 200
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        late = f"127.0.0.1:{taken.getsockname()[1]}"
-    second = start("second", f"peer late {late}")
-    made.rest(100 * MILLI)
+        assert rig.wait(rig.ask("lamp", f"w{number}")).status == 200
+    with socket.socket() as free_socket:
+        free_socket.bind(("127.0.0.1", 0))
+        late_address = f"127.0.0.1:{free_socket.getsockname()[1]}"
+    second = start_gateway("second", f"peer late {late_address}")
+    rig.rest(100 * MILLI)
     assert second.peers.observation_client.state_by_peer["late"] == "asked"
-    peers = made.gate.peers
+    peers = rig.gate.peers
     server = PeerServer(
-        made.loop, parse_address(late), peers.gateway, peers.host_history, peers.request_classes
+        rig.loop, parse_address(late_address), peers.gateway, peers.host_history, peers.request_classes
     )
-    made.until(lambda: second.peers.observation_client.state_by_peer["late"].startswith("told"))
+    rig.until(lambda: second.peers.observation_client.state_by_peer["late"].startswith("told"))
     server.close()
     assert second.peers.observation_client.hints_taken
 
 
-def test_a_list_of_gateways_is_watched_and_names_this_one_without_harm(fleet):
-    made, start = fleet
-    peers = made.folder / "peers.list"
-    peers.write_text("peer second 127.0.0.1:9\n")
-    second = start("second", f"peers-file {peers} look 5ms")
+def test_the_peers_file_is_watched_and_may_name_the_gateway_itself(fleet):
+    rig, start_gateway = fleet
+    peers_list = rig.folder / "peers.list"
+    peers_list.write_text("peer second 127.0.0.1:9\n")
+    second = start_gateway("second", f"peers-file {peers_list} look 5ms")
     assert second.peers.membership_transport.membership.members == {}
     assert second.peers.observation_client.state_by_peer == {}
-    fresh = made.folder / "fresh"
-    fresh.write_text(f"peer second 127.0.0.1:9\npeer g {where(made.gate)}\n")
-    fresh.replace(peers)
-    made.until(lambda: second.peers.observation_client.state_by_peer.get("g", "").startswith("told"))
-    fresh.write_text("peer g nowhere\n")
-    fresh.replace(peers)
-    made.until(lambda: any(what == "peer_list_rejected" for what, _ in second.record.events))
+    new_list = rig.folder / "fresh"
+    new_list.write_text(f"peer second 127.0.0.1:9\npeer g {peer_address(rig.gate)}\n")
+    new_list.replace(peers_list)
+    rig.until(lambda: second.peers.observation_client.state_by_peer.get("g", "").startswith("told"))
+    new_list.write_text("peer g nowhere\n")
+    new_list.replace(peers_list)
+    rig.until(lambda: any(what == "peer_list_rejected" for what, _ in second.record.events))
     assert second.peers.membership_transport.membership.members["g"].configured
 
 
-def test_both_sides_started_at_once_learn_from_each_other_what_came_since(fleet):
-    made, start = fleet
+def test_gateways_started_together_fetch_each_others_later_observations(fleet):
+    rig, start_gateway = fleet
     ports = []
     for _ in range(2):
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))
-            ports.append(f"127.0.0.1:{taken.getsockname()[1]}")
-    one = start("one", f"listen peers {ports[0]}", f"peer two {ports[1]}", listen=False)
-    two = start("two", f"listen peers {ports[1]}", f"peer one {ports[0]}", listen=False)
-    made.at = front(one)
-    assert made.wait(made.ask("lamp", "w1")).status == 200
-    made.until(
+        with socket.socket() as free_socket:
+            free_socket.bind(("127.0.0.1", 0))
+            ports.append(f"127.0.0.1:{free_socket.getsockname()[1]}")
+    one = start_gateway("one", f"listen peers {ports[0]}", f"peer two {ports[1]}", listen=False)
+    two = start_gateway("two", f"listen peers {ports[1]}", f"peer one {ports[0]}", listen=False)
+    rig.at = front_address(one)
+    assert rig.wait(rig.ask("lamp", "w1")).status == 200
+    rig.until(
         lambda: (
             "lamp" in two.core.gateway.functions_by_name
             and two.core.gateway.functions_by_name["lamp"].hinted_at
         )
     )
-    loads = len(made.seen("loaded"))
-    made.at = front(two)
-    assert made.wait(made.ask("lamp", "w2")).status == 200
-    assert len(made.seen("loaded")) == loads
+    loads = len(rig.seen("loaded"))
+    rig.at = front_address(two)
+    assert rig.wait(rig.ask("lamp", "w2")).status == 200
+    assert len(rig.seen("loaded")) == loads
 
 
-def test_a_peer_that_dies_in_the_middle_leaves_what_came(fleet):
-    made, start = fleet
+def test_observations_of_a_peer_that_fails_between_chunks_stay_in_use(fleet):
+    rig, start_gateway = fleet
     answer = Told(version=2, next=5, life=1, mark=1)
     answer.warm.add(worker="h1", function="lamp", lanes=4, age_us=1000)
     body = answer.SerializeToString()
-    asks = []
+    requests = []
 
-    def act(stream, data):
-        asks.append(data)
-        if len(asks) > 1:
+    def respond(stream, data):
+        requests.append(data)
+        if len(requests) > 1:
             stream.close()
         else:
             stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-    listener = scripted_host(made.loop, act)
-    second = start("second", f"peer half {listener.address}")
-    made.until(lambda: second.peers.observation_client.state_by_peer["half"] == "dropped after 1 facts")
+    listener = scripted_host(rig.loop, respond)
+    second = start_gateway("second", f"peer half {listener.address}")
+    rig.until(lambda: second.peers.observation_client.state_by_peer["half"] == "dropped after 1 facts")
     listener.close()
     assert set(second.core.gateway.functions_by_name["lamp"].hinted_at) == {"h1"}
 
 
-def test_a_host_gone_between_two_chunks_gets_nothing(fleet):
-    made, start = fleet
-    first, second_answer = Told(version=2, next=5, life=1, mark=1), Told(version=2, life=1, mark=1)
-    first.warm.add(worker="h1", function="lamp", lanes=4, age_us=2000)
+def test_a_host_that_leaves_the_list_between_two_chunks_gets_no_requests(fleet):
+    rig, start_gateway = fleet
+    first_answer, second_answer = Told(version=2, next=5, life=1, mark=1), Told(version=2, life=1, mark=1)
+    first_answer.warm.add(worker="h1", function="lamp", lanes=4, age_us=2000)
     second_answer.warm.add(worker="h1", function="crew", lanes=4, age_us=2000)
     second_answer.gone.add(worker="h1", age_us=10)
-    bodies = [first.SerializeToString(), second_answer.SerializeToString()]
-    held = []
+    bodies = [first_answer.SerializeToString(), second_answer.SerializeToString()]
+    waiting_streams = []
 
-    def act(stream, data):
-        if len(bodies) == 1 and not held:
-            held.append(stream)  # the second chunk is held back until the list has changed
+    def respond(stream, data):
+        if len(bodies) == 1 and not waiting_streams:
+            waiting_streams.append(stream)  # the second chunk is delayed until the host list has changed
         elif bodies:
             body = bodies.pop(0)
             stream.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-    listener = scripted_host(made.loop, act)
-    other = start("second", f"peer half {listener.address}")
-    made.until(lambda: held)
-    rows = made.list.read_text().splitlines()
-    made.relist(*[row for row in rows if not row.startswith("host h1 ")])
-    made.until(lambda: "h1" not in other.rows)
+    listener = scripted_host(rig.loop, respond)
+    second = start_gateway("second", f"peer half {listener.address}")
+    rig.until(lambda: waiting_streams)
+    rows = rig.list.read_text().splitlines()
+    rig.relist(*[row for row in rows if not row.startswith("host h1 ")])
+    rig.until(lambda: "h1" not in second.rows)
     body = bodies.pop(0)
-    held[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    made.until(lambda: other.peers.observations.rejections["not listed"])
-    made.at = front(other)
+    waiting_streams[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+    rig.until(lambda: second.peers.observations.rejections["not listed"])
+    rig.at = front_address(second)
     for model in ("lamp", "crew"):
-        assert made.wait(made.ask(model, f"t-{model}")).status == 200
+        assert rig.wait(rig.ask(model, f"t-{model}")).status == 200
     listener.close()
-    assert not [event for event in made.taps[1].events if event["what"] == "task"]
-    assert len(made.seen("task")) == 2
-
-
-def test_a_third_gateway_that_still_believes_in_a_host_does_not_bring_it_back(fleet):
-    made, start = fleet
-    assert made.wait(made.ask("lamp", "w1")).status == 200
-    (host,) = made.gate.core.gateway.functions_by_name["lamp"].proven_at
-    second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.peers.observation_client.hints_taken)
-    third = start("third", f"peer second {where(second)}")
-    made.until(lambda: third.peers.observation_client.state_by_peer["second"].startswith("told"))
-    assert "lamp" not in third.core.gateway.functions_by_name, "a hint was passed on"
-    rows = made.list.read_text().splitlines()
-    made.relist(*[row for row in rows if not row.startswith(f"host {host} ")])
-    made.until(lambda: all(host not in each.rows for each in (made.gate, second, third)))
-    fourth = start("fourth", f"peer g {where(made.gate)}", f"peer second {where(second)}")
-    made.until(
+    assert not [event for event in rig.taps[1].events if event["what"] == "task"]
+    assert len(rig.seen("task")) == 2
+
+
+def test_hints_are_not_passed_on_and_do_not_restore_a_host_that_left(fleet):
+    rig, start_gateway = fleet
+    assert rig.wait(rig.ask("lamp", "w1")).status == 200
+    (host,) = rig.gate.core.gateway.functions_by_name["lamp"].proven_at
+    second = start_gateway("second", f"peer g {peer_address(rig.gate)}")
+    rig.until(lambda: second.peers.observation_client.hints_taken)
+    third = start_gateway("third", f"peer second {peer_address(second)}")
+    rig.until(lambda: third.peers.observation_client.state_by_peer["second"].startswith("told"))
+    assert "lamp" not in third.core.gateway.functions_by_name, (
+        "a gateway passed on a hint that it got from a peer"
+    )
+    rows = rig.list.read_text().splitlines()
+    rig.relist(*[row for row in rows if not row.startswith(f"host {host} ")])
+    rig.until(lambda: all(host not in each.rows for each in (rig.gate, second, third)))
+    fourth = start_gateway(
+        "fourth", f"peer g {peer_address(rig.gate)}", f"peer second {peer_address(second)}"
+    )
+    rig.until(
         lambda: all(
             state.startswith("told") for state in fourth.peers.observation_client.state_by_peer.values()
         )
     )
     assert host not in fourth.core.gateway.hosts_by_id
-    made.until(lambda: fourth.peers.observations.by_subject["listed", host].value[0] == "gone")
-
-
-def test_a_host_back_with_a_new_start_does_not_inherit_its_old_copies(fleet):
-    made, start = fleet
-    rows = made.list.read_text().splitlines()
-    made.relist(*[f"{row} started 1000" for row in rows])
-    made.until(lambda: all(row.listed.started is not None for row in made.gate.rows.values()))
-    assert made.wait(made.ask("lamp", "w1")).status == 200
-    second = start("second")
-    made.relist(*[f"{row} started 2000" for row in rows])
-    made.until(lambda: second.peers.host_history.active_start_times()["h0"] == 2000 * SECOND)
-    made.gate.host_list.watch.close()  # the peer's own list is late
+    rig.until(lambda: fourth.peers.observations.by_subject["listed", host].value[0] == "gone")
+
+
+def test_a_host_that_restarted_does_not_keep_its_old_instances(fleet):
+    rig, start_gateway = fleet
+    rows = rig.list.read_text().splitlines()
+    rig.relist(*[f"{row} started 1000" for row in rows])
+    rig.until(lambda: all(row.listed.started is not None for row in rig.gate.rows.values()))
+    assert rig.wait(rig.ask("lamp", "w1")).status == 200
+    second = start_gateway("second")
+    rig.relist(*[f"{row} started 2000" for row in rows])
+    rig.until(lambda: second.peers.host_history.active_start_times()["h0"] == 2000 * SECOND)
+    rig.gate.host_list.watch.close()  # the peer's own host list is late
     answer = Told(version=2)
     answer.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
     observations = SharedObservations()
-    observation_wire.read_observations(answer, made.loop.now(), "g", observations)
+    observation_wire.read_observations(answer, rig.loop.now(), "g", observations)
     second.peers.observations.merge(observations)
     assert second.peers.apply_observations(observations.by_subject) == 0
     assert second.peers.observations.rejections == {"another life": 1}
 
 
-def test_a_list_of_gateways_that_is_wrong_is_rejected_completely():
-    with pytest.raises(ConfigurationError) as wrong:
+def test_an_invalid_peers_file_is_rejected_completely():
+    with pytest.raises(ConfigurationError) as error:
         read_peers("peers", "peer a 127.0.0.1:1\npeer a 127.0.0.1:2\nhost b 127.0.0.1:3\n")
-    assert len(wrong.value.mistakes) == 2
+    assert len(error.value.mistakes) == 2
 
 
 @pytest.mark.parametrize(
@@ -217,20 +221,20 @@
         ("peers-file x", "which peer is this gateway"),
     ],
 )
-def test_lines_about_peers_that_do_not_fit_are_rejected(lines, text):
+def test_contradictory_or_incomplete_peer_directives_are_rejected(lines, text):
     configuration = CONFIGURATION.replace("name g\n", "") if "which" in text else CONFIGURATION
     with pytest.raises(ConfigurationError, match=text):
         read_configuration("c", f"{configuration}host a 127.0.0.1:1\n{lines}\n")
 
 
-def test_an_operator_sees_the_peers(fleet):
-    made, start = fleet
-    second = start("second", f"peer g {where(made.gate)}", "listen operator 127.0.0.1:0")
-    made.until(lambda: peer_table(second)[0]["learnt"] != "asked")
-    made.at = parse_address(
+def test_operators_see_the_peers_and_their_states(fleet):
+    rig, start_gateway = fleet
+    second = start_gateway("second", f"peer g {peer_address(rig.gate)}", "listen operator 127.0.0.1:0")
+    rig.until(lambda: peer_table(second)[0]["learnt"] != "asked")
+    rig.at = parse_address(
         next(each.address for each in second.fronts if type(each).__name__ == "OperatorFront")
     )
-    (peer,) = json.loads(made.wait(made.get("/peers")).body)
+    (peer,) = json.loads(rig.wait(rig.get("/peers")).body)
     assert peer["name"] == "g"
     assert peer["state"] == "alive"
     assert peer["learnt"].startswith("told")
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -1,12 +1,11 @@
-"""Cell tables and the messages that carry them as bytes: what comes back, what is refused."""
+"""Encodes and decodes cell tables and the messages that carry them; rejects malformed data."""
 
 import zlib
 from dataclasses import replace
 
 import pytest
 from cells_tables import FLEET, cells, table
-from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import given, settings, strategies
 
 from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
@@ -35,38 +34,38 @@
 )
 
 
-def document(held=BASE):
+def document(current=BASE):
     holder = TableHolder(FLEET)
-    if held is not None:
-        holder.replace(held)
+    if current is not None:
+        holder.replace(current)
     return TableDocument(holder)
 
 
 # Tables
 
 
-def test_a_table_comes_back_as_it_was():
+def test_a_decoded_table_equals_the_encoded_one():
     assert encoding.decode_table(FLEET, BASE.version, encoding.encode_table(BASE)) == BASE
 
 
-def test_the_digest_follows_the_rows_whichever_way_they_came():
+def test_the_digest_after_a_change_equals_the_digest_of_the_rows_in_any_order():
     after = apply_change(BASE, CHANGE)
     before = encoding.cells_digest(BASE.cells)
     assert encoding.digest_after(before, BASE, CHANGE) == encoding.cells_digest(after.cells)
     assert encoding.cells_digest(reversed(BASE.cells)) == before != encoding.cells_digest(after.cells)
 
 
-def test_what_is_no_table_is_refused():
-    good = encoding.encode_table(BASE)
-    bomb = zlib.compress(bytes(encoding.MAX_TABLE_BYTES * 4))
+def test_malformed_tables_and_changes_are_rejected():
+    valid = encoding.encode_table(BASE)
+    decompression_bomb = zlib.compress(bytes(encoding.MAX_TABLE_BYTES * 4))
     for data in (
         b"",
         b"noise",
-        good[:-5],
-        good + b"x",
+        valid[:-5],
+        valid + b"x",
         zlib.compress(b"noise"),
         zlib.compress(b"\x90"),
-        bomb,
+        decompression_bomb,
     ):
         with pytest.raises(TableError):
             encoding.decode_table(FLEET, BASE.version, data)
@@ -75,64 +74,74 @@
             encoding.decode_change(FLEET, BASE.version, Version(1, 5), data)
 
 
-def test_a_document_takes_a_change_and_a_whole_table_and_nothing_wrong():
-    one, other = document(), document(None)
-    change = encode_table_change(one.holder.table, one.digest, CHANGE)
+def test_a_document_applies_changes_and_complete_tables_and_rejects_invalid_ones():
+    first, second = document(), document(None)
+    change = encode_table_change(first.holder.table, first.digest, CHANGE)
     with pytest.raises(DocumentError, match="without a table"):
-        other.apply(change)
-    other.replace(one.version, one.digest, one.whole())
-    for wrong in (
+        second.apply(change)
+    second.replace(first.version, first.digest, first.whole())
+    for invalid in (
         replace(change, digest=change.digest ^ 1),
         replace(change, data=b"noise"),
         replace(change, base=Version(1, 3)),
         replace(change, version=Version(1, 4)),
     ):
         with pytest.raises(DocumentError):
-            other.apply(wrong)
-        assert (other.version, other.digest) == (one.version, one.digest)
-    one.apply(change)
-    other.apply(change)
-    assert one.digest == other.digest
-    assert one.holder.table == other.holder.table == apply_change(BASE, CHANGE)
+            second.apply(invalid)
+        assert (second.version, second.digest) == (first.version, first.digest)
+    first.apply(change)
+    second.apply(change)
+    assert first.digest == second.digest
+    assert first.holder.table == second.holder.table == apply_change(BASE, CHANGE)
     with pytest.raises(DocumentError):
-        other.replace(Version(1, 6), 0, one.whole())
+        second.replace(Version(1, 6), 0, first.whole())
     with pytest.raises(DocumentError):
-        other.replace(Version(1, 1), one.digest, one.whole())
+        second.replace(Version(1, 1), first.digest, first.whole())
     assert document(None).version == NOTHING
 
 
-def test_a_holder_that_trims_is_refused():
+def test_a_holder_that_trims_rows_is_rejected():
     with pytest.raises(ValueError, match="trims"):
         TableDocument(TableHolder(FLEET, lambda cell: replace(cell, entries=())))
 
 
-def test_a_change_of_one_cell_is_small():
+def test_an_encoded_change_of_one_cell_is_small():
     assert len(encoding.encode_change(replace(CHANGE, removed=()))) < 200
 
 
 # Messages
 
-PARTS = some.integers(-1, (1 << 63) - 1)
-VERSIONS = some.builds(Version, PARTS, PARTS)
-DIGESTS = some.integers(0, (1 << 64) - 1)
-FLEETS = some.text(some.characters(codec="utf-8", exclude_categories=("C",)), min_size=1, max_size=128)
-CHANGES = some.builds(Change, VERSIONS, VERSIONS, DIGESTS, some.binary(max_size=300))
-SOME_CHANGES = some.lists(CHANGES, min_size=1, max_size=3).map(tuple)
-DATAGRAMS = some.one_of(
-    some.builds(Announcement, FLEETS, VERSIONS, DIGESTS), some.builds(Push, FLEETS, SOME_CHANGES)
+VERSION_PARTS = strategies.integers(-1, (1 << 63) - 1)
+VERSIONS = strategies.builds(Version, VERSION_PARTS, VERSION_PARTS)
+DIGESTS = strategies.integers(0, (1 << 64) - 1)
+FLEETS = strategies.text(
+    strategies.characters(codec="utf-8", exclude_categories=("C",)), min_size=1, max_size=128
 )
-PULLS = some.builds(Pull, FLEETS, VERSIONS, some.booleans(), VERSIONS, some.integers(0, 1 << 22))
-ANSWERS = some.one_of(
-    some.builds(Changes, FLEETS, some.lists(CHANGES, max_size=3).map(tuple)),
-    some.builds(
-        Part, FLEETS, VERSIONS, DIGESTS, some.integers(0, 1 << 22), some.integers(0, 1 << 22), some.binary()
+CHANGES = strategies.builds(Change, VERSIONS, VERSIONS, DIGESTS, strategies.binary(max_size=300))
+CHANGE_LISTS = strategies.lists(CHANGES, min_size=1, max_size=3).map(tuple)
+DATAGRAMS = strategies.one_of(
+    strategies.builds(Announcement, FLEETS, VERSIONS, DIGESTS), strategies.builds(Push, FLEETS, CHANGE_LISTS)
+)
+PULLS = strategies.builds(
+    Pull, FLEETS, VERSIONS, strategies.booleans(), VERSIONS, strategies.integers(0, 1 << 22)
+)
+ANSWERS = strategies.one_of(
+    strategies.builds(Changes, FLEETS, strategies.lists(CHANGES, max_size=3).map(tuple)),
+    strategies.builds(
+        Part,
+        FLEETS,
+        VERSIONS,
+        DIGESTS,
+        strategies.integers(0, 1 << 22),
+        strategies.integers(0, 1 << 22),
+        strategies.binary(),
     ),
-    some.builds(Busy, FLEETS, some.integers(0, (1 << 63) - 1)),
+    strategies.builds(Busy, FLEETS, strategies.integers(0, (1 << 63) - 1)),
 )
 
 
 @given(DATAGRAMS, PULLS, ANSWERS)
-def test_messages_come_back_as_they_were(datagram, pull, answer):
+def test_decoded_messages_equal_the_encoded_ones(datagram, pull, answer):
     data = wire.encode_datagram(datagram, "127.0.0.1:80")
     if len(data) <= wire.MAX_DATAGRAM_BYTES:
         assert wire.decode_datagram(data) == ("127.0.0.1:80", datagram)
@@ -141,37 +150,42 @@
 
 
 @settings(max_examples=300)
-@given(some.binary(max_size=200), DATAGRAMS, some.integers(0, 100))
-def test_noise_is_no_message(noise, datagram, place):
+@given(strategies.binary(max_size=200), DATAGRAMS, strategies.integers(0, 100))
+def test_noise_raises_no_error_and_too_long_data_is_not_decoded(noise, datagram, position):
     data = wire.encode_datagram(datagram, "127.0.0.1:80")
-    for text in (noise, data[:place] + noise + data[place:], data[:place]):
-        for read in (wire.decode_datagram, wire.decode_pull, wire.decode_answer):
-            read(text)  # nothing is raised
+    for altered in (noise, data[:position] + noise + data[position:], data[:position]):
+        for decode in (wire.decode_datagram, wire.decode_pull, wire.decode_answer):
+            decode(altered)  # must not raise
     assert wire.decode_datagram(b"x" * 5_000) is None
     assert wire.decode_answer(b"x" * 50_000) is None
 
 
-USUAL = some.builds(Version, some.integers(0, 60_000), some.integers(0, 60_000))
-USUAL_CHANGES = some.lists(some.builds(Change, USUAL, USUAL, DIGESTS, some.binary(max_size=300)), min_size=1)
+TYPICAL_VERSIONS = strategies.builds(Version, strategies.integers(0, 60_000), strategies.integers(0, 60_000))
+TYPICAL_CHANGES = strategies.lists(
+    strategies.builds(Change, TYPICAL_VERSIONS, TYPICAL_VERSIONS, DIGESTS, strategies.binary(max_size=300)),
+    min_size=1,
+)
 
 
-def wire_length(message, name, where):
-    """Bytes of a datagram on the wire, headers included."""
+def datagram_length(message, name, address):
+    """Bytes of a datagram on the network, headers included."""
     datagram = word_pb2.Word(
-        version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, where)
+        version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, address)
     )
     datagram.sender.name = name
     return len(datagram.SerializeToString()) + DATAGRAM_HEADERS
 
 
 @given(
-    some.builds(Announcement, some.just("north"), USUAL, DIGESTS)
-    | some.builds(Push, some.just("north"), USUAL_CHANGES.map(tuple))
+    strategies.builds(Announcement, strategies.just("north"), TYPICAL_VERSIONS, DIGESTS)
+    | strategies.builds(Push, strategies.just("north"), TYPICAL_CHANGES.map(tuple))
 )
-def test_a_datagram_is_not_longer_than_it_is_counted_but_for_long_names(message):
-    assert wire_length(message, "gateway12345", "10.12.34.56:7000") <= wire_size(message)
-    long_name, long_where = "g" * 128, "unix:" + "w" * 107
-    assert wire_length(message, long_name, long_where) <= wire_size(message) + len(long_name + long_where)
+def test_a_datagram_exceeds_its_computed_size_only_by_long_names(message):
+    assert datagram_length(message, "gateway12345", "10.12.34.56:7000") <= wire_size(message)
+    long_name, long_address = "g" * 128, "unix:" + "w" * 107
+    assert datagram_length(message, long_name, long_address) <= wire_size(message) + len(
+        long_name + long_address
+    )
 
 
 def test_the_longest_push_fits_an_unfragmented_datagram():
