--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -107,7 +107,7 @@
 
 
 def _age_units(age: int) -> int:
-    """The age in units of `AGE_UNIT`; rounded up, so that data never seems newer than it is."""
+    """The age in units of `AGE_UNIT`; rounded up, because an age must never be sent too low."""
     return min(MAX_AGE_UNITS, -(-age // AGE_UNIT))
 
 
--- a/gaproute/peers/membership_wire.py
+++ b/gaproute/peers/membership_wire.py
@@ -36,9 +36,9 @@
     envelope = word_pb2.Word(
         version=PROTOCOL_VERSION, kind=message.kind, number=message.sequence, target=message.target
     )
-    filled = [(envelope.sender, message.sender)]
-    filled += [(envelope.news.add(), update) for update in message.updates]
-    for fields, update in filled:
+    fields_and_updates = [(envelope.sender, message.sender)]
+    fields_and_updates += [(envelope.news.add(), update) for update in message.updates]
+    for fields, update in fields_and_updates:
         fields.name, fields.where, fields.state, fields.incarnation = update
     return bytes(envelope.SerializeToString())
 
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -187,8 +187,8 @@
     if response is not None and response.status == HTTP_SERVICE_UNAVAILABLE:
         wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
         return min(MAX_RETRY_DELAY, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_RETRY_DELAY
-    no_response = response is None and not result.timed_out and not progress.received_observations
-    if no_response and progress.retries < MAX_RETRIES:
+    never_responded = response is None and not result.timed_out and not progress.received_observations
+    if never_responded and progress.retries < MAX_RETRIES:
         progress.retries += 1  # the peer may still be starting
         return RETRY_INTERVAL
     return None
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -90,7 +90,7 @@
         self._next_candidate_update_at = loop.now()
         self._logged_rejections: set[str] = set()
 
-    # For the gateway
+    # Methods for the gateway
 
     def start(self) -> None:
         """Restores the table from disk, then starts to receive and send."""
@@ -230,7 +230,7 @@
             self.disseminator.set_candidates(self.candidates(neighbours))
 
     def _log_rejections(self) -> None:
-        """Logs each reason for which a message was rejected once."""
+        """Logs each reason for which messages were rejected, only once."""
         for reason in self.disseminator.rejections:
             if reason not in self._logged_rejections:
                 self._logged_rejections.add(reason)
