--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -100,7 +100,7 @@
             task.cancel()
 
     def merge_answer(self, origin: str, requested_at: int, answer: ObservationAnswer) -> int:
-        """Merges and applies the observations of an answer; returns how many it had."""
+        """Merges and applies the observations of an answer; returns their number."""
         received = SharedObservations()
         observation_wire.read_observations(answer, requested_at, origin, received)
         self.observations.merge(received)
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -54,7 +54,7 @@
     def __init__(self, loop, name, seed, fleet=FLEET, path=None):
         self.record, self.name = EventRecord(), name
         self.peer_server = PeerServer(loop, parse_address("127.0.0.1:0"), None, None, ())
-        self.membership = MembershipTransport(
+        self.membership_transport = MembershipTransport(
             loop,
             name,
             self.peer_server.address,
@@ -65,7 +65,9 @@
         self.transport = CellTableTransport(
             loop,
             CellTableSettings(name, fleet, path=path),
-            CellTableChannels(self.membership, HttpPullListener(self.peer_server), PullClient(loop)),
+            CellTableChannels(
+                self.membership_transport, HttpPullListener(self.peer_server), PullClient(loop)
+            ),
             RandomGenerator(seed + 100),
             self.record,
         )
@@ -81,7 +83,7 @@
 
     def close(self):
         self.transport.stop()
-        self.membership.close()
+        self.membership_transport.close()
         self.peer_server.close()
 
 
@@ -182,14 +184,14 @@
     fleet.add("two")
     fleet.wait_until_all_have(current)
     two = fleet.gateways[1]
-    handler = two.membership.payload_handlers.pop(PayloadKind.CELL_TABLE)
+    handler = two.membership_transport.payload_handlers.pop(PayloadKind.CELL_TABLE)
     for number in range(40):
         change = next_change(current, capacity=10.0 + number)
         current = apply_change(current, change)
         one.transport.publish_change(change)
         fleet.loop.run(fleet.loop.sleep(2 * MILLI))
     assert two.transport.table() == FIRST
-    two.membership.payload_handlers[PayloadKind.CELL_TABLE] = handler
+    two.membership_transport.payload_handlers[PayloadKind.CELL_TABLE] = handler
     fleet.wait_until_all_have(current)
     assert [snapshot.version for snapshot in one.transport.disseminator.pull_server.snapshots] == [
         FIRST.version
