--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -62,7 +62,7 @@
 
     def set_configured_peers(self, peers: Iterable[Peer]) -> None:
         """Replaces the configured gateways; these stay in the member table even while unreachable."""
-        self.membership.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
+        self.membership.set_configured_members(self.loop.now(), {peer.name: peer.where for peer in peers})
         self._log_member_changes()
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
@@ -133,7 +133,7 @@
         self.datagram_socket.send(data, datagram_address(address))
 
     def _log_member_changes(self) -> None:
-        for name in self.membership.table.changed:
+        for name in self.membership.table.changed_names:
             member = self.membership.members.get(name)
             if member is not None:
                 self.record.event(
@@ -143,7 +143,7 @@
                     state=member.state.label,
                     incarnation=member.incarnation,
                 )
-        self.membership.table.changed.clear()
+        self.membership.table.changed_names.clear()
 
     def _member_row(self, member: Member) -> dict[str, object]:
         now = self.loop.now()
