--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -21,8 +21,8 @@
 from gaproute.errors import GaprouteError
 from gaproute.shared.gossip.messages import (
     AMOUNT_SCALE,
-    LIMITS,
-    MAX_SETS,
+    KIND_LIMITS,
+    MAX_SETS_PER_GATEWAY,
     DemandEntry,
     Entries,
     EntryKind,
@@ -37,7 +37,7 @@
 MAX_AGE_UNITS = 65_535
 RATE_UNITS = 100  # rates are sent in hundredths of a request per second
 MAX_RELATIVE_DEVIATION = 655.0  # as a multiple of the rate
-MAX_WARM_AGE = LIMITS[EntryKind.WARM_INSTANCES].max_age
+MAX_WARM_AGE = KIND_LIMITS[EntryKind.WARM_INSTANCES].max_age
 MAX_MESSAGE_BYTES = 1200  # fits in one unfragmented datagram on all common networks
 
 MESSAGE_HEADER, SET_HEADER = Struct("<BQB"), Struct("<BBIHBH")
@@ -115,7 +115,7 @@
     if len(data) > MAX_MESSAGE_BYTES:
         raise MalformedGossipError("the message is longer than MAX_MESSAGE_BYTES")
     version, incarnation, count = MESSAGE_HEADER.unpack_from(data)
-    if version != PROTOCOL_VERSION or count > MAX_SETS:
+    if version != PROTOCOL_VERSION or count > MAX_SETS_PER_GATEWAY:
         raise MalformedGossipError("the message has an unsupported version or more than MAX_SETS sets")
     sets: list[EntrySet] = []
     position = MESSAGE_HEADER.size
@@ -130,7 +130,7 @@
 def _decode_set(data: bytes, position: int) -> tuple[EntrySet, int]:
     """Decodes the set that starts at the position; returns it with the position of its end."""
     kind, partition, sequence, age, remainder, count = SET_HEADER.unpack_from(data, position)
-    if kind >= len(LIMITS) or count > LIMITS[kind].max_entries:
+    if kind >= len(KIND_LIMITS) or count > KIND_LIMITS[kind].max_entries:
         raise MalformedGossipError("a set has an unknown kind or more entries than its kind allows")
     begin = position + SET_HEADER.size
     end = begin + count * ENTRY_STRUCTS[kind].size
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -11,7 +11,7 @@
 from gaproute.peers.peer_server import PeerServer
 from gaproute.peers.ports import PullCallback, PullHandler
 from gaproute.peers.tables import wire
-from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
+from gaproute.shared.dissemination.bounds import EXCHANGE_TIMEOUT
 from gaproute.shared.dissemination.messages import Pull
 
 HTTP_TARGET = b"/tables"
@@ -47,8 +47,8 @@
             self.loop, data, lambda response, fault: self._finish(exchange, response, on_answer)
         )
         self.open_exchange = exchange
-        self._timer = self.loop.call_later(EXCHANGE_TIME, self._finish, exchange, None, on_answer)
-        exchange.connect(target, EXCHANGE_TIME, MAX_RESPONSE_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
+        self._timer = self.loop.call_later(EXCHANGE_TIMEOUT, self._finish, exchange, None, on_answer)
+        exchange.connect(target, EXCHANGE_TIMEOUT, MAX_RESPONSE_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
 
     def cancel_pull(self) -> None:
         """Cancels the open pull, if any."""
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -5,7 +5,7 @@
 
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import Disseminator, DocumentError
-from gaproute.shared.dissemination.messages import NOTHING
+from gaproute.shared.dissemination.messages import NO_VERSION
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 from gaproute.units import SECOND
 
@@ -27,7 +27,7 @@
         report: Callable[[str], object],
     ) -> None:
         self.file = None if path is None else CellTableFile(path, fleet, report)
-        self.written_version = NOTHING  # version of the table on disk
+        self.written_version = NO_VERSION  # version of the table on disk
         self.next_write_at = clock()  # when `write` must be called next
         self._clock = clock
 
@@ -54,7 +54,7 @@
             return  # `next_write_at` stays in the past, so a newer table is written in the next turn
         self.next_write_at = self._clock() + WRITE_INTERVAL
         term, number = document.version
-        if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.whole())):
+        if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.encode())):
             self.written_version = document.version
         else:
             self.next_write_at = self._clock() + RETRY_INTERVAL
@@ -70,7 +70,7 @@
     def _publish_stored(self, disseminator: Disseminator, stored: StoredTable) -> None:
         version = Version(stored.term, stored.number)
         try:
-            disseminator.publish_whole(self._clock(), version, stored.digest, stored.data)
+            disseminator.publish_document(self._clock(), version, stored.digest, stored.data)
         except DocumentError as reason:
             if self.file is not None:
                 self.file.quarantine(str(reason))
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -15,14 +15,14 @@
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encode_table_change
 from gaproute.shared.dissemination import Change, DocumentError
-from gaproute.shared.dissemination.bounds import PUSH_BYTES
+from gaproute.shared.dissemination.bounds import MAX_PUSH_BYTES
 from gaproute.shared.dissemination.messages import (
-    DATAGRAM_HEADERS,
-    NOTHING,
+    DATAGRAM_HEADER_BYTES,
+    NO_VERSION,
     Announcement,
-    Busy,
-    Changes,
-    Part,
+    BusyAnswer,
+    ChangesAnswer,
+    PartAnswer,
     Pull,
     Push,
     wire_size,
@@ -79,7 +79,7 @@
     change = encode_table_change(first.holder.table, first.digest, CHANGE)
     with pytest.raises(DocumentError, match="without a table"):
         second.apply(change)
-    second.replace(first.version, first.digest, first.whole())
+    second.replace(first.version, first.digest, first.encode())
     for invalid in (
         replace(change, digest=change.digest ^ 1),
         replace(change, data=b"noise"),
@@ -94,10 +94,10 @@
     assert first.digest == second.digest
     assert first.holder.table == second.holder.table == apply_change(BASE, CHANGE)
     with pytest.raises(DocumentError):
-        second.replace(Version(1, 6), 0, first.whole())
+        second.replace(Version(1, 6), 0, first.encode())
     with pytest.raises(DocumentError):
-        second.replace(Version(1, 1), first.digest, first.whole())
-    assert document(None).version == NOTHING
+        second.replace(Version(1, 1), first.digest, first.encode())
+    assert document(None).version == NO_VERSION
 
 
 def test_a_holder_that_trims_rows_is_rejected():
@@ -126,9 +126,9 @@
     Pull, FLEETS, VERSIONS, strategies.booleans(), VERSIONS, strategies.integers(0, 1 << 22)
 )
 ANSWERS = strategies.one_of(
-    strategies.builds(Changes, FLEETS, strategies.lists(CHANGES, max_size=3).map(tuple)),
+    strategies.builds(ChangesAnswer, FLEETS, strategies.lists(CHANGES, max_size=3).map(tuple)),
     strategies.builds(
-        Part,
+        PartAnswer,
         FLEETS,
         VERSIONS,
         DIGESTS,
@@ -136,7 +136,7 @@
         strategies.integers(0, 1 << 22),
         strategies.binary(),
     ),
-    strategies.builds(Busy, FLEETS, strategies.integers(0, (1 << 63) - 1)),
+    strategies.builds(BusyAnswer, FLEETS, strategies.integers(0, (1 << 63) - 1)),
 )
 
 
@@ -173,7 +173,7 @@
         version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, address)
     )
     datagram.sender.name = name
-    return len(datagram.SerializeToString()) + DATAGRAM_HEADERS
+    return len(datagram.SerializeToString()) + DATAGRAM_HEADER_BYTES
 
 
 @given(
@@ -189,5 +189,5 @@
 
 
 def test_the_longest_push_fits_an_unfragmented_datagram():
-    change = Change(Version(1, 1), Version(1, 2), 1, bytes(PUSH_BYTES))
+    change = Change(Version(1, 1), Version(1, 2), 1, bytes(MAX_PUSH_BYTES))
     assert len(wire.encode_datagram(Push("f" * 60, (change,)), "255.255.255.255:65535")) < 1_300
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -30,7 +30,7 @@
 )
 from gaproute.peers.tables.pull_exchange import HttpPullListener, PullClient
 from gaproute.shared.dissemination import DocumentError, Peer
-from gaproute.shared.dissemination.bounds import PART_BYTES
+from gaproute.shared.dissemination.bounds import MAX_PART_BYTES
 from gaproute.shared.dissemination.messages import Announcement, Pull
 from gaproute.storage import files
 
@@ -174,7 +174,7 @@
     one.transport.publish(large)
     fleet.add("two")
     fleet.wait_until_all_have(large)
-    assert one.transport.disseminator.pull_server.bytes > 2 * PART_BYTES
+    assert one.transport.disseminator.pull_server.answer_bytes > 2 * MAX_PART_BYTES
 
 
 def test_a_gateway_that_missed_many_datagrams_catches_up_by_changes(fleet):
