--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -116,7 +116,9 @@
         raise MalformedGossipError("the message is longer than MAX_MESSAGE_BYTES")
     version, incarnation, count = MESSAGE_HEADER.unpack_from(data)
     if version != PROTOCOL_VERSION or count > MAX_SETS_PER_GATEWAY:
-        raise MalformedGossipError("the message has an unsupported version or more than MAX_SETS sets")
+        raise MalformedGossipError(
+            "the message has an unsupported version or more than MAX_SETS_PER_GATEWAY sets"
+        )
     sets: list[EntrySet] = []
     position = MESSAGE_HEADER.size
     for _ in range(count):
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -175,22 +175,22 @@
     def _tick(self) -> None:
         self.timer = None
         now = self.loop.now()
-        sends: Iterable[OutgoingMessage] = ()
+        messages: Iterable[OutgoingMessage] = ()
         try:
             if now >= self._next_candidate_update_at:
                 self._update_candidates()
             if now >= self.storage.next_write_at:
                 self.storage.write(self.disseminator)
-            sends = self.disseminator.tick(now)
+            messages = self.disseminator.tick(now)
         finally:  # the loop logs an error in one turn; the following turns must still run
-            self._finish_turn(sends)
+            self._finish_turn(messages)
 
     # The end of a turn
 
-    def _finish_turn(self, sends: Iterable[OutgoingMessage]) -> None:
+    def _finish_turn(self, messages: Iterable[OutgoingMessage]) -> None:
         """Sends the messages, sets the timer and passes a new table to the callbacks."""
-        for send in sends:
-            self._send(send)
+        for outgoing in messages:
+            self._send(outgoing)
         self._log_rejections()
         due = max(self.disseminator.due, self.loop.now() + MIN_TURN_INTERVAL)
         if self.timer is not None:
@@ -198,8 +198,8 @@
         self.timer = self.loop.call_at(due, self._tick)
         self._report_table()
 
-    def _send(self, send: OutgoingMessage) -> None:
-        peer, message = send
+    def _send(self, outgoing: OutgoingMessage) -> None:
+        peer, message = outgoing
         if isinstance(message, Pull):
             self.pull_client.send_pull(
                 peer.address, message, lambda answer: self._handle_pull_answer(peer, answer)
