--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -92,7 +92,7 @@
         if server is None or membership_transport is None:
             raise ValueError("cells need the address for other gateways, which is not open")
         front = EntryFront(server.server, self.core, self.configuration, ready, self._load_report)
-        server.forwarded = front.handle
+        server.forwarded_request_handler = front.handle
         transport = CellTableTransport(
             self.loop,
             CellTableSettings(
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -12,7 +12,13 @@
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView, RaftTransport
+from gaproute.peers.raft import (
+    ConfiguredRaftGroup,
+    NodeEnvironment,
+    NodeStorage,
+    RaftNodeRunner,
+    RaftTransport,
+)
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
     OperatorCommand,
@@ -47,13 +53,13 @@
         self.log_file: RaftLogFile | None = None
         if name in line.names and line.votes is not None:
             self.log_file = self._open_raft_log(line.votes, record)
-        self.hosted_node = HostedNode(
+        self.hosted_node = RaftNodeRunner(
             NodeEnvironment(loop, record, random_source, partial(RaftTransport, loop, name, self.peers)),
-            RaftGroupView(name, line.names),
+            ConfiguredRaftGroup(name, line.names),
             NodeStorage(LeaseTable(max_duration=line.longest), self.log_file, time.time_ns() // MILLI),
         )
         last_number = secrets.randbits(RUN_NUMBER_BITS) << REQUEST_NUMBER_BITS
-        self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
+        self.requests = OperatorRequests(self.hosted_node.lease_client, line.longest, last_number)
         self.timer: Timer | None = None
 
     @staticmethod
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -31,8 +31,8 @@
 from gaproute.loop.datagrams import DatagramSocket
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
-from gaproute.peers.peer_server import LIMITS
-from gaproute.peers.raft.transport import TARGET
+from gaproute.peers.peer_server import HTTP_LIMITS
+from gaproute.peers.raft.transport import HTTP_TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import GatewayRecord
@@ -147,7 +147,7 @@
         others = [peer for peer in peers if peer.name != self.configuration.name]
         addresses = {peer.name: peer.where for peer in others}
         if self.membership_transport is not None:
-            self.membership_transport.configure(others)
+            self.membership_transport.set_configured_peers(others)
         if self.leases is not None:
             self.leases.update_peers(addresses)
         if self.cells is not None:
@@ -224,14 +224,14 @@
         if line is not None:
             random_source = RandomGenerator(self.seed + SeedOffset.LEASES)
             self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, random_source)
-            server.routes[TARGET] = self.leases.handle_messages
+            server.routes[HTTP_TARGET] = self.leases.handle_messages
 
     def _make_gossip(self, transport: MembershipTransport) -> GossipTransport:
         random_source = RandomGenerator(self.seed + SeedOffset.GOSSIP)
         return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, random_source)
 
     def _limits(self) -> Limits:
-        limits = LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
+        limits = HTTP_LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
         if self.configuration.cells is None:
             return limits
         return _raise_limits_for_forwarding(limits, self.configuration.client_limits)
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -37,28 +37,28 @@
 
     def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> int:
         """Send another part's payload; its bytes with headers."""
-        before = self.transport.bytes
+        before = self.transport.sent_bytes
         self.transport.send_payload(address, kind, data)
-        size = self.transport.bytes - before
+        size = self.transport.sent_bytes - before
         self._payloads += 1
         self._payload_bytes += size
         return size + DATAGRAM_HEADERS
 
     def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
         """Configure the members, which are never forgotten."""
-        self.transport.configure(gateways)
+        self.transport.set_configured_peers(gateways)
 
     def counters(self) -> dict[str, int]:
         """`entries`: members held; `refused`: members beyond the bound, and updates that make no sense."""
         transport, membership = self.transport, self.membership
-        messages = transport.sent - self._payloads
+        messages = transport.sent_datagrams - self._payloads
         return {
             "messages": messages,
-            "bytes": transport.bytes - self._payload_bytes + messages * DATAGRAM_HEADERS,
+            "bytes": transport.sent_bytes - self._payload_bytes + messages * DATAGRAM_HEADERS,
             "entries": len(membership.members),
             "news": len(membership.table.pending_updates),
             "refused": membership.rejected_count,
-            "flood": transport.rate_limited,
+            "flood": transport.rate_limited_datagrams,
             "suspicions": membership.suspicion_count,
         }
 
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -1,4 +1,4 @@
-"""Stores a gateway's cell table on disk: reads it at the start, writes newer tables. Times are ns."""
+"""Stores a gateway's cell table on disk: reads it at startup and writes newer versions. Times are ns."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -9,12 +9,15 @@
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 from gaproute.units import SECOND
 
-WRITE_INTERVAL = 60 * SECOND  # between two writes, as each waits for the disk
-RETRY_INTERVAL = 5 * SECOND  # until a failed read or write is tried again
+WRITE_INTERVAL = 60 * SECOND  # between two writes, each of which blocks until the disk is done
+RETRY_INTERVAL = 5 * SECOND  # before a failed read or write is repeated
 
 
 class TableStorage:
-    """`path`: the file, None for none; `report(text)` is called with messages for operators."""
+    """Reads and writes the table file at `path`; None disables storage.
+
+    `report(text)` is called with messages for operators.
+    """
 
     def __init__(
         self,
@@ -24,47 +27,47 @@
         report: Callable[[str], object],
     ) -> None:
         self.file = None if path is None else CellTableFile(path, fleet, report)
-        self.written = NO_VERSION  # the version on disk
-        self.write_at = clock()  # when `write` is to be called next
+        self.written_version = NO_VERSION  # version of the table on disk
+        self.next_write_at = clock()  # when `write` must be called next
         self._clock = clock
 
     def restore(self, disseminator: Disseminator) -> None:
-        """Reads the table of the file, if there is a usable one."""
+        """Publishes the table from the file, if the file has a usable one."""
         stored = None if self.file is None else self.file.read(disseminator.document.version)
         if stored is not None:
-            self._take(disseminator, stored)
+            self._publish_stored(disseminator, stored)
 
     def write(self, disseminator: Disseminator) -> None:
-        """Writes the current table if it is newer than that on disk.
+        """Writes the current table if it is newer than the table on disk.
 
-        A file that could not be read at the start is read before it is overwritten.
+        A file that could not be read at startup is read before it is overwritten, as its table may be newer.
         """
         if self.file is None:
             return
         if self.file.failed_reads:
-            self._restore_late(disseminator, self.file)
+            self._retry_restore(disseminator, self.file)
         if self.file.failed_reads:
-            self.write_at = self._clock() + RETRY_INTERVAL
+            self.next_write_at = self._clock() + RETRY_INTERVAL
             return
         document = disseminator.document
-        if document.version <= self.written:
-            return  # a table that comes after a quiet time is written in the next turn
-        self.write_at = self._clock() + WRITE_INTERVAL
+        if document.version <= self.written_version:
+            return  # `next_write_at` stays in the past, so a newer table is written in the next turn
+        self.next_write_at = self._clock() + WRITE_INTERVAL
         term, number = document.version
         if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.encode())):
-            self.written = document.version
+            self.written_version = document.version
         else:
-            self.write_at = self._clock() + RETRY_INTERVAL
+            self.next_write_at = self._clock() + RETRY_INTERVAL
 
-    def _restore_late(self, disseminator: Disseminator, file: CellTableFile) -> None:
-        """Reads the table that could not be read at the start, and takes it if it is newer than the current
-        one.
+    def _retry_restore(self, disseminator: Disseminator, file: CellTableFile) -> None:
+        """Reads the file that could not be read at startup, and publishes its table if that is newer than the
+        current one.
         """
         stored = file.read()
         if stored is not None and (stored.term, stored.number) > disseminator.document.version:
-            self._take(disseminator, stored)
+            self._publish_stored(disseminator, stored)
 
-    def _take(self, disseminator: Disseminator, stored: StoredTable) -> None:
+    def _publish_stored(self, disseminator: Disseminator, stored: StoredTable) -> None:
         version = Version(stored.term, stored.number)
         try:
             disseminator.publish_document(self._clock(), version, stored.digest, stored.data)
@@ -72,4 +75,4 @@
             if self.file is not None:
                 self.file.quarantine(str(reason))
             return
-        self.written = version
+        self.written_version = version
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -37,7 +37,10 @@
     sender.sendto(b"\xff" * 1400, (host, int(port)))
     sender.close()
     rig.until(
-        lambda: node.table.rejections["nonsense"] == 3 and second.peers.membership_transport.undecodable == 1
+        lambda: (
+            node.table.rejections["nonsense"] == 3
+            and second.peers.membership_transport.undecodable_datagrams == 1
+        )
     )
 
 
