--- a/gaproute/maintenance/capacity_estimate.py
+++ b/gaproute/maintenance/capacity_estimate.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Sequence
 
 from gaproute.maintenance import capacity_floor, warm_capacity
-from gaproute.maintenance.capacity_floor import DEMAND_UNKNOWN, FleetCapacity, Lanes, Shortfall
+from gaproute.maintenance.capacity_floor import DEMAND_UNKNOWN, FleetCapacity, LanesByKey, Shortfall
 from gaproute.maintenance.fleet_status import FleetStatus
 from gaproute.maintenance.host_progress import HostIncarnations
 from gaproute.maintenance.round_spec import RoundSpec
@@ -24,29 +24,31 @@
     def __init__(self, spec: RoundSpec, other_rounds: Sequence[RoundSpec], observer: str) -> None:
         self.spec, self.other_rounds, self.observer = spec, tuple(other_rounds), observer
         self.incarnations = HostIncarnations()
-        self.warm: WarmLanes = {}
-        self.required: Lanes = {}
+        self.warm_lanes: WarmLanes = {}
+        self.required_lanes: LanesByKey = {}
         self.shortfalls: list[Shortfall] = []
 
-    def update(self, now: int, turn_began: int, status: FleetStatus, away: Collection[str]) -> None:
+    def update(self, now: int, turn_held_since: int, status: FleetStatus, away: Collection[str]) -> None:
         """Estimates anew from what was observed since the turn began. `away`: the round's hosts that are."""
-        counted_since = self.incarnations.counted_since(now, turn_began, status)
-        self.warm = warm_capacity.warm_lanes(now, status, observer=self.observer, counted_since=counted_since)
-        self.required = capacity_floor.strictest_floor(
+        counted_since = self.incarnations.counted_since(now, turn_held_since, status)
+        self.warm_lanes = warm_capacity.estimate_warm_lanes(
+            now, status, observer=self.observer, counted_since=counted_since
+        )
+        self.required_lanes = capacity_floor.strictest_floor(
             (self.spec, *self.other_rounds), status.demand, status.zones
         )
         if not status.demand or status.demand_age > MAX_DEMAND_AGE:
             self.shortfalls = DEMAND_UNKNOWN
         else:
             self.shortfalls = capacity_floor.find_shortfalls(
-                self.capacity(status), self.spec.survivable_failure, away
+                self.fleet_capacity(status), self.spec.survivable_failure, away
             )
 
-    def capacity(self, status: FleetStatus) -> FleetCapacity:
+    def fleet_capacity(self, status: FleetStatus) -> FleetCapacity:
         """The estimate together with the hosts that are listed."""
-        return FleetCapacity(status.fleet, self.warm, self.required)
+        return FleetCapacity(status.fleet, self.warm_lanes, self.required_lanes)
 
-    def has_all(self, host: str, functions: Collection[str]) -> bool:
+    def has_all_warm(self, host: str, functions: Collection[str]) -> bool:
         """Whether the host is believed to have all these functions warm."""
-        warm = self.warm.get(host, {})
+        warm = self.warm_lanes.get(host, {})
         return all(warm.get(function) for function in functions)
--- a/gaproute/maintenance/capacity_floor.py
+++ b/gaproute/maintenance/capacity_floor.py
@@ -24,7 +24,7 @@
     scope: str
 
 
-Lanes = dict[CapacityKey, int]
+LanesByKey = dict[CapacityKey, int]
 
 
 class Shortfall(NamedTuple):
@@ -33,7 +33,7 @@
     key: CapacityKey
     required: int
     available: int
-    failure: str = ""
+    assumed_failure: str = ""
 
 
 # If no gateway reports demand.
@@ -45,28 +45,30 @@
     """The hosts of the fleet, the lanes that functions have warm there, and the lanes required."""
 
     fleet: Fleet
-    warm: Mapping[str, Mapping[str, int]]
-    required: Mapping[CapacityKey, int]
+    warm_lanes: Mapping[str, Mapping[str, int]]
+    required_lanes: Mapping[CapacityKey, int]
 
 
-def required_lanes(spec: RoundSpec, demand: Mapping[str, int], zones: Collection[str]) -> Lanes:
+def required_lanes(spec: RoundSpec, demand: Mapping[str, int], zones: Collection[str]) -> LanesByKey:
     """The floor of one round. `demand`: by function, the lanes in use at its peak."""
     peaks = {name: demand.get(name, 0) for name in spec.functions or tuple(demand)}
-    lanes: Lanes = {}
+    lanes: LanesByKey = {}
     for name, peak in (*peaks.items(), (ALL_FUNCTIONS, sum(demand.values()))):
-        lanes[CapacityKey(name, WHOLE_FLEET)] = _divide_up(peak * (1000 + spec.margin), 1000)
+        lanes[CapacityKey(name, WHOLE_FLEET)] = _divide_rounding_up(peak * (1000 + spec.margin), 1000)
         for zone in zones if spec.zone_share else ():
-            lanes[CapacityKey(name, zone)] = _divide_up(peak * spec.zone_share, 1000 * len(zones))
+            lanes[CapacityKey(name, zone)] = _divide_rounding_up(peak * spec.zone_share, 1000 * len(zones))
     return {key: count for key, count in lanes.items() if count > 0}
 
 
-def _divide_up(dividend: int, divisor: int) -> int:
+def _divide_rounding_up(dividend: int, divisor: int) -> int:
     return -(-dividend // divisor)
 
 
-def strictest_floor(specs: Iterable[RoundSpec], demand: Mapping[str, int], zones: Collection[str]) -> Lanes:
+def strictest_floor(
+    specs: Iterable[RoundSpec], demand: Mapping[str, int], zones: Collection[str]
+) -> LanesByKey:
     """The floor of several rounds that may run at once: the most of each row."""
-    strictest: Lanes = {}
+    strictest: LanesByKey = {}
     for spec in specs:
         for key, lanes in required_lanes(spec, demand, zones).items():
             strictest[key] = max(lanes, strictest.get(key, 0))
@@ -79,7 +81,7 @@
     return msgspec.structs.replace(spec, survivable_failure=max(levels, key=FAILURE_LEVELS.index))
 
 
-def host_lanes(host: MaintenanceHost, functions: Mapping[str, int]) -> Lanes:
+def host_lanes(host: MaintenanceHost, functions: Mapping[str, int]) -> LanesByKey:
     """What one host adds to each row. `functions`: its warm lanes by function."""
     if not functions:
         return {}
@@ -90,69 +92,73 @@
 
 
 def available_lanes(
-    fleet: Fleet, warm: Mapping[str, Mapping[str, int]], without: Collection[str] = ()
-) -> Lanes:
+    fleet: Fleet, warm_lanes: Mapping[str, Mapping[str, int]], excluded_hosts: Collection[str] = ()
+) -> LanesByKey:
     """The lanes of all hosts but those in `without`."""
-    total: Lanes = {}
-    for name, functions in _hosts_in_service(warm, without):
-        _add(total, host_lanes(fleet[name], functions))
+    total: LanesByKey = {}
+    for name, functions in _hosts_in_service(warm_lanes, excluded_hosts):
+        _add_lanes(total, host_lanes(fleet[name], functions))
     return total
 
 
 def possible_failures(
-    capacity: FleetCapacity, level: str, without: Collection[str] = ()
-) -> list[tuple[str, Lanes]]:
+    capacity: FleetCapacity, failure_level: str, excluded_hosts: Collection[str] = ()
+) -> list[tuple[str, LanesByKey]]:
     """Each host, rack or zone that has anything warm, with the lanes that are lost if it fails."""
-    if not level:
+    if not failure_level:
         return []
-    lost: dict[str, Lanes] = {}
-    for name, functions in _hosts_in_service(capacity.warm, without):
+    lost: dict[str, LanesByKey] = {}
+    for name, functions in _hosts_in_service(capacity.warm_lanes, excluded_hosts):
         host = capacity.fleet[name]
-        unit = name if level == "host" else getattr(host, level)
-        _add(lost.setdefault(unit, {}), host_lanes(host, functions))
+        failed_domain = name if failure_level == "host" else getattr(host, failure_level)
+        _add_lanes(lost.setdefault(failed_domain, {}), host_lanes(host, functions))
     return list(lost.items())
 
 
-def find_shortfalls(capacity: FleetCapacity, level: str, without: Collection[str] = ()) -> list[Shortfall]:
+def find_shortfalls(
+    capacity: FleetCapacity, failure_level: str, excluded_hosts: Collection[str] = ()
+) -> list[Shortfall]:
     """The rows that fall short without these hosts, now or if any one host, rack or zone (`level`) fails.
 
     An empty list if the floor is met. If a zone fails, nothing is required within that zone.
     """
-    available = available_lanes(capacity.fleet, capacity.warm, without)
+    available = available_lanes(capacity.fleet, capacity.warm_lanes, excluded_hosts)
     shortfalls = [
         Shortfall(key, required, available.get(key, 0))
-        for key, required in capacity.required.items()
+        for key, required in capacity.required_lanes.items()
         if available.get(key, 0) < required
     ]
     if shortfalls:
         return shortfalls
-    for unit, lost in possible_failures(capacity, level, without):
+    for failed_domain, lost in possible_failures(capacity, failure_level, excluded_hosts):
         for key, lanes in lost.items():
-            required = capacity.required.get(key, 0)
-            if available[key] - lanes < required and not (level == "zone" and key.scope == unit):
-                shortfalls.append(Shortfall(key, required, available[key] - lanes, unit))
+            required = capacity.required_lanes.get(key, 0)
+            if available[key] - lanes < required and not (
+                failure_level == "zone" and key.scope == failed_domain
+            ):
+                shortfalls.append(Shortfall(key, required, available[key] - lanes, failed_domain))
     return shortfalls
 
 
-def describe(shortfalls: list[Shortfall]) -> str:
+def describe_first_shortfall(shortfalls: list[Shortfall]) -> str:
     """A text about the first shortfall."""
     if shortfalls == DEMAND_UNKNOWN:
         return "demand: no gateway reports it"
-    (function, scope), required, available, failure = shortfalls[0]
+    (function, scope), required, available, assumed_failure = shortfalls[0]
     where = f"in zone {scope}" if scope else "in the fleet"
     name = "all functions together" if function == ALL_FUNCTIONS else function
-    condition = f" if {failure} fails" if failure else ""
+    condition = f" if {assumed_failure} fails" if assumed_failure else ""
     return f"floor: {name} {where} needs {required} warm lanes, has {available}{condition}"
 
 
 def _hosts_in_service(
-    warm: Mapping[str, Mapping[str, int]], without: Collection[str]
+    warm_lanes: Mapping[str, Mapping[str, int]], excluded_hosts: Collection[str]
 ) -> Iterator[tuple[str, Mapping[str, int]]]:
-    for name, functions in warm.items():
-        if functions and name not in without:
+    for name, functions in warm_lanes.items():
+        if functions and name not in excluded_hosts:
             yield name, functions
 
 
-def _add(total: Lanes, lanes: Lanes) -> None:
+def _add_lanes(total: LanesByKey, lanes: LanesByKey) -> None:
     for key, count in lanes.items():
         total[key] = total.get(key, 0) + count
--- a/gaproute/maintenance/controller.py
+++ b/gaproute/maintenance/controller.py
@@ -41,7 +41,7 @@
 from gaproute.maintenance.fleet_status import FleetStatus
 from gaproute.maintenance.host_progress import HostProgress, HostState
 from gaproute.maintenance.host_selection import HostSelector, select_hosts
-from gaproute.maintenance.host_transitions import HostTransitions, RoundParts
+from gaproute.maintenance.host_transitions import HostTransitions, RoundContext
 from gaproute.maintenance.orders import GrantRejection, HostGrant, HostOrder
 from gaproute.maintenance.progress_planner import ProgressPlanner
 from gaproute.maintenance.round_log import RoundLog, RoundStage
@@ -51,9 +51,15 @@
 from gaproute.shared.leases import LeaseClient
 from gaproute.units import SECOND
 
-OBSERVATION_TIME = 4 * SECOND  # after a turn is granted: hosts have to be seen anew before anything is judged
-JUDGMENT_TIME = 20 * SECOND  # of a turn, until an infeasible round is rejected: the estimate fills first
-REPEATED_GRANT_TIME = 10 * SECOND  # a crew that asks again so soon is answered again: its answer may be lost
+MIN_OBSERVATION_TIME = (
+    4 * SECOND
+)  # after a turn is granted: hosts have to be seen anew before anything is judged
+FEASIBILITY_TIMEOUT = (
+    20 * SECOND
+)  # of a turn, until an infeasible round is rejected: the estimate fills first
+REPEATED_GRANT_WINDOW = (
+    10 * SECOND
+)  # a crew that asks again so soon is answered again: its answer may be lost
 DEFAULT_BOUNDS, DEFAULT_ESTIMATES = DrainBounds(), SchedulingEstimates()
 
 
@@ -78,13 +84,13 @@
         selector: HostSelector = select_hosts,
     ) -> None:
         self.spec = capacity_floor.with_strictest_failure(spec, other_rounds)
-        self.began, self.withdrawn = now, False
+        self.started_at, self.withdrawn = now, False
         self.log = RoundLog()
         self.turn = MaintenanceTurn(client, lease_duration, now)
         self.estimate = CapacityEstimate(self.spec, other_rounds, client.name)
-        parts = RoundParts(self.spec, client, lease_duration, bounds, self.turn, self.estimate, self.log)
-        self.transitions = HostTransitions(parts)
-        self.planner = ProgressPlanner(parts, self.transitions, estimates, selector)
+        context = RoundContext(self.spec, client, lease_duration, bounds, self.turn, self.estimate, self.log)
+        self.transitions = HostTransitions(context)
+        self.planner = ProgressPlanner(context, self.transitions, estimates, selector)
 
     @property
     def hosts(self) -> dict[str, HostProgress]:
@@ -101,25 +107,25 @@
 
     def tick(self, now: int, status: FleetStatus) -> list[HostOrder]:
         """The orders that hosts are to be given now."""
-        if self.log.is_over or not self.hosts and not self._begin(status):
+        if self.log.is_over or not self.hosts and not self._start_round(status):
             return []
-        self.planner.recent.expire(now)
+        self.planner.recent_orders.expire(now)
         restarted = self.estimate.incarnations.update(status)
-        self.turn.tick(now, hosts_away=bool(self.transitions.names_away()))
+        self.turn.tick(now, any_host_away=bool(self.transitions.away_host_names()))
         self._update_estimate(now, status)
         orders = [
             order
             for host in self.hosts.values()
-            for order in self.transitions.follow(
+            for order in self.transitions.process_report(
                 now, host, status.reports.get(host.name), restarted=host.name in restarted
             )
         ]
-        return orders + self._advance(now, status)
+        return orders + self._advance_round(now, status)
 
     def request_host(self, now: int, name: str, status: FleetStatus) -> HostGrant | GrantRejection:
         """The crew wants to begin its work at a host."""
         host = self.hosts.get(name)
-        if host is None or not self._can_be_given(now, host):
+        if host is None or not self._can_be_handed_over(now, host):
             return GrantRejection(f"{name} is not ready")
         if not (self.holds_turn(now) and host.holds_lease(now)):  # rules 1, 6
             return GrantRejection("no lease")
@@ -127,30 +133,30 @@
             report = status.reports.get(name)
             if (
                 report is None
-                or not self.transitions.proof(host, report)
+                or not self.transitions.find_drain_proof(host, report)
                 or report.incarnation != host.incarnation
             ):
                 return GrantRejection("not drained")
             self._update_estimate(now, status)
             if self.estimate.shortfalls:  # rule 6: judged again at the last moment
-                return GrantRejection(capacity_floor.describe(self.estimate.shortfalls))
-            self.transitions.give_out(now, host)
-        return self._grant(now, host)
+                return GrantRejection(capacity_floor.describe_first_shortfall(self.estimate.shortfalls))
+            self.transitions.hand_over(now, host)
+        return self._make_grant(now, host)
 
     @staticmethod
-    def _can_be_given(now: int, host: HostProgress) -> bool:
-        if host.state == HostState.OUT:
-            return host.time_in_state(now) <= REPEATED_GRANT_TIME
+    def _can_be_handed_over(now: int, host: HostProgress) -> bool:
+        if host.state == HostState.HANDED_OVER:
+            return host.time_in_state(now) <= REPEATED_GRANT_WINDOW
         return host.state == HostState.READY
 
-    def _grant(self, now: int, host: HostProgress) -> HostGrant:
+    def _make_grant(self, now: int, host: HostProgress) -> HostGrant:
         lease_end = host.lease.expires_at or 0 if host.lease is not None else 0
         time_left = min(self.turn.expires_at, lease_end) - now
-        latest_begin = now + time_left + drain_proof.allow_for_clock_error(time_left)
-        host.grant_expires_at = max(host.grant_expires_at, latest_begin)
+        latest_start = now + time_left + drain_proof.clock_error_allowance(time_left)
+        host.grant_expires_at = max(host.grant_expires_at, latest_start)
         return HostGrant(host.fencing_token, host.drain_mark, time_left)
 
-    def _begin(self, status: FleetStatus) -> bool:
+    def _start_round(self, status: FleetStatus) -> bool:
         mistakes = find_mistakes(self.spec, status.fleet, status.demand)
         if mistakes:
             self.log.enter_stage(RoundStage.REJECTED, "; ".join(mistakes))
@@ -160,44 +166,44 @@
         return True
 
     def _update_estimate(self, now: int, status: FleetStatus) -> None:
-        turn_began = self.turn.held_since if self.turn.is_held(now) else None
-        away = self.transitions.names_away()
-        self.estimate.update(now, now if turn_began is None else turn_began, status, away)
+        turn_held_since = self.turn.held_since if self.turn.is_held(now) else None
+        away = self.transitions.away_host_names()
+        self.estimate.update(now, now if turn_held_since is None else turn_held_since, status, away)
 
-    def _advance(self, now: int, status: FleetStatus) -> list[HostOrder]:
+    def _advance_round(self, now: int, status: FleetStatus) -> list[HostOrder]:
         """Ends the round, calls off what was begun, or takes the next steps."""
-        if self.withdrawn or now - self.began > self.spec.deadline:  # rule 10
+        if self.withdrawn or now - self.started_at > self.spec.deadline:  # rule 10
             reason = "withdrawn" if self.withdrawn else "by is over"
-            orders = self.transitions.revoke(now, reason)
-            if all(self.hosts[name].state == HostState.LOST for name in self.transitions.names_away()):
-                self._end(now, reason)
+            orders = self.transitions.revoke_departures(now, reason)
+            if all(self.hosts[name].state == HostState.LOST for name in self.transitions.away_host_names()):
+                self._end_round(now, reason)
             return orders
         if all(host.state == HostState.DONE for host in self.hosts.values()):
-            self._end(now, "")
+            self._end_round(now, "")
             return []
         if not self.holds_turn(now):
-            orders = self.transitions.revoke(now, "no turn")  # rule 3
-            away = self.transitions.names_away()
+            orders = self.transitions.revoke_departures(now, "no turn")  # rule 3
+            away = self.transitions.away_host_names()
             self.log.enter_stage(RoundStage.PAUSED if away else RoundStage.REQUESTING_TURN, "no turn")
             return orders
-        if self.turn.time_held(now) < OBSERVATION_TIME:
+        if self.turn.time_held(now) < MIN_OBSERVATION_TIME:
             return []
-        return self._proceed(now, status)
+        return self._advance_under_turn(now, status)
 
-    def _proceed(self, now: int, status: FleetStatus) -> list[HostOrder]:
+    def _advance_under_turn(self, now: int, status: FleetStatus) -> list[HostOrder]:
         """The next steps under the turn; a round that is not feasible is rejected before the first one."""
-        orders = self.planner.serve_after_old_orders(now, status)
+        orders = self.planner.end_drains_of_earlier_turns(now, status)
         obstacle = self.planner.find_obstacle(status)
         if not obstacle:
             return orders + self.planner.next_orders(now, status)
-        if self.turn.time_held(now) > JUDGMENT_TIME:
-            self._end(now, obstacle)
+        if self.turn.time_held(now) > FEASIBILITY_TIMEOUT:
+            self._end_round(now, obstacle)
             self.log.enter_stage(RoundStage.REJECTED, obstacle)
         else:
             self.log.enter_stage(RoundStage.REQUESTING_TURN, obstacle)
         return orders
 
-    def _end(self, now: int, reason: str) -> None:
+    def _end_round(self, now: int, reason: str) -> None:
         self.turn.release(now)
         self.transitions.release_leases(now)
         self.log.enter_stage(RoundStage.ENDED, reason)
--- a/gaproute/maintenance/drain_proof.py
+++ b/gaproute/maintenance/drain_proof.py
@@ -9,7 +9,7 @@
   new one within a poll interval. One that does not drops hosts whose entry was not renewed within the entry's
   lifetime; the platform has to promise this lifetime, otherwise this proof never holds. What was sent until
   then has ended after the hard limit of a request. All three are lengthened for clocks that go wrong by up to
-  `CLOCK_ERROR` on either side. After this time the host must report that it runs nothing.
+  `CLOCK_ERROR_PER_MILLE` on either side. After this time the host must report that it runs nothing.
 
 The end of a lease proves nothing here: a lease limits how long a host's restart may be begun, not who sends
 requests.
@@ -22,7 +22,7 @@
 from gaproute.maintenance.host_report import HostReport
 from gaproute.units import SECOND
 
-CLOCK_ERROR = 10  # per mille by which a clock may be wrong, the same as for leases
+CLOCK_ERROR_PER_MILLE = 10  # per mille by which a clock may be wrong, the same as for leases
 
 
 class DrainBounds(msgspec.Struct, frozen=True):
@@ -41,13 +41,13 @@
     """By what a host is proved drained."""
 
     NONE = ""
-    HOST = "host"
-    LIST = "list"
+    HOST_REPORT = "host"
+    HOST_LIST = "list"
 
 
-def allow_for_clock_error(duration: int) -> int:
+def clock_error_allowance(duration: int) -> int:
     """What is added to a duration, in ns, that clocks of several machines measure; rounded down."""
-    return duration * 3 * CLOCK_ERROR // 1000
+    return duration * 3 * CLOCK_ERROR_PER_MILLE // 1000
 
 
 def list_drain_time(bounds: DrainBounds) -> int | None:
@@ -55,19 +55,19 @@
     if not bounds.entry_lifetime:
         return None
     duration = max(bounds.poll_interval, bounds.entry_lifetime) + bounds.hard_limit
-    return duration - (-duration * 3 * CLOCK_ERROR // 1000)  # rounded up
+    return duration - (-duration * 3 * CLOCK_ERROR_PER_MILLE // 1000)  # rounded up
 
 
-def find_proof(report: HostReport | None, ordered_at: int, bounds: DrainBounds) -> DrainProof:
+def find_drain_proof(report: HostReport | None, drain_ordered_at: int, bounds: DrainBounds) -> DrainProof:
     """The proof that the host is drained, if there is one yet.
 
-    `report`: its last one; `ordered_at`: when it was ordered to drain.
+    `report`: its last one; `drain_ordered_at`: when it was ordered to drain.
     """
     if report is None or report.in_flight:
         return DrainProof.NONE
-    if report.draining and report.asked_at > ordered_at:
-        return DrainProof.HOST
+    if report.draining and report.asked_at > drain_ordered_at:
+        return DrainProof.HOST_REPORT
     list_time = list_drain_time(bounds)
-    if list_time is not None and report.asked_at >= ordered_at + list_time:
-        return DrainProof.LIST
+    if list_time is not None and report.asked_at >= drain_ordered_at + list_time:
+        return DrainProof.HOST_LIST
     return DrainProof.NONE
--- a/gaproute/maintenance/feasibility.py
+++ b/gaproute/maintenance/feasibility.py
@@ -8,16 +8,16 @@
 from gaproute.maintenance.capacity_floor import (
     FleetCapacity,
     Shortfall,
-    describe,
+    describe_first_shortfall,
     find_shortfalls,
     host_lanes,
 )
 from gaproute.maintenance.host_selection import (
     BlockedHost,
-    Ordering,
+    HostOrdering,
     RoundHosts,
     Selection,
-    by_urgency,
+    order_by_urgency,
     select_hosts,
 )
 from gaproute.maintenance.load_planning import FunctionLoad, LoadSituation, plan_loads
@@ -59,12 +59,12 @@
     hosts: Sequence[str],
     free_slots: Mapping[str, int],
     estimates: SchedulingEstimates,
-    ordering: Ordering = by_urgency,
+    ordering: HostOrdering = order_by_urgency,
 ) -> RoundForecast:
     """Plays the round through. If it cannot be carried out, the first obstacle is named."""
     excess = _above_total_capacity(capacity)
     if excess:
-        return RoundForecast((), 0, f"{describe(excess)}: above all capacity")
+        return RoundForecast((), 0, f"{describe_first_shortfall(excess)}: above all capacity")
     return _ForecastRun(spec, capacity, hosts, free_slots, estimates, ordering).run()
 
 
@@ -72,12 +72,12 @@
     """The rows that would fall short even if every host had every function warm."""
     total: dict[tuple[str, str], int] = {}
     for host in capacity.fleet.values():
-        functions = dict.fromkeys([key.function for key in capacity.required], host.lanes)
+        functions = dict.fromkeys([key.function for key in capacity.required_lanes], host.lanes)
         for key, lanes in host_lanes(host, functions).items():
             total[key] = total.get(key, 0) + lanes
     return [
         Shortfall(key, required, total.get(key, 0))
-        for key, required in capacity.required.items()
+        for key, required in capacity.required_lanes.items()
         if required > total.get(key, 0)
     ]
 
@@ -92,72 +92,80 @@
         hosts: Sequence[str],
         free_slots: Mapping[str, int],
         estimates: SchedulingEstimates,
-        ordering: Ordering,
+        ordering: HostOrdering,
     ) -> None:
         self.spec, self.estimates, self.ordering = spec, estimates, ordering
-        self.warm = {name: dict(functions) for name, functions in capacity.warm.items()}
-        self.capacity = FleetCapacity(capacity.fleet, self.warm, capacity.required)
+        self.warm_lanes = {name: dict(functions) for name, functions in capacity.warm_lanes.items()}
+        self.capacity = FleetCapacity(capacity.fleet, self.warm_lanes, capacity.required_lanes)
         self.initial_shortfalls = find_shortfalls(self.capacity, spec.survivable_failure)
-        self.absence = estimates.drain_time + spec.max_absence + estimates.detection_time
+        self.absence_duration = estimates.drain_time + spec.max_absence + estimates.detection_time
         self.now = 0
-        self.waiting, self.free_slots = list(hosts), dict(free_slots)
-        self.away: dict[str, int] = {}
-        self.loading: dict[FunctionLoad, int] = {}
-        self.previous: dict[str, tuple[str, ...]] = {}
+        self.waiting_hosts, self.free_slots = list(hosts), dict(free_slots)
+        self.away_until: dict[str, int] = {}
+        self.loading_until: dict[FunctionLoad, int] = {}
+        self.previous_functions: dict[str, tuple[str, ...]] = {}
         self.departures: list[Departure] = []
 
     def run(self) -> RoundForecast:
         """Until all hosts are back, or nothing can go on."""
         while True:
-            selection = self._depart()
-            self._load()
-            ends = [*self.away.values(), *self.loading.values()]
+            selection = self._start_departures()
+            self._start_loads()
+            ends = [*self.away_until.values(), *self.loading_until.values()]
             if not ends:
-                return self._blocked(selection.first_blocked) if self.waiting else self._completed()
-            self._advance(min(ends))
-
-    def _depart(self) -> Selection:
-        hosts = RoundHosts(self.waiting, self.away)
+                return (
+                    self._blocked_forecast(selection.first_blocked)
+                    if self.waiting_hosts
+                    else self._completed_forecast()
+                )
+            self._advance_time(min(ends))
+
+    def _start_departures(self) -> Selection:
+        hosts = RoundHosts(self.waiting_hosts, self.away_until)
         selection = select_hosts(self.spec, self.capacity, hosts, self.ordering)
         for name in selection.hosts:
-            self.waiting.remove(name)
+            self.waiting_hosts.remove(name)
             self.departures.append(Departure(self.now, name))
-            self.away[name] = self.now + self.absence
-            self.previous[name] = tuple(self.warm[name])
-            self.warm[name] = {}
+            self.away_until[name] = self.now + self.absence_duration
+            self.previous_functions[name] = tuple(self.warm_lanes[name])
+            self.warm_lanes[name] = {}
         return selection
 
-    def _load(self) -> None:
+    def _start_loads(self) -> None:
         situation = LoadSituation(
-            free_slots={name: slots for name, slots in self.free_slots.items() if name not in self.away},
-            loading=list(self.loading),
-            to_restore={name: had for name, had in self.previous.items() if name not in self.away},
+            free_slots={
+                name: slots for name, slots in self.free_slots.items() if name not in self.away_until
+            },
+            loads_in_progress=list(self.loading_until),
+            functions_to_reload={
+                name: had for name, had in self.previous_functions.items() if name not in self.away_until
+            },
             max_loads=self.estimates.max_loads,
         )
-        hosts = RoundHosts(self.waiting, self.away)
+        hosts = RoundHosts(self.waiting_hosts, self.away_until)
         for load in plan_loads(self.spec, self.capacity, hosts, situation):
-            self.loading[load] = self.now + self.estimates.load_time + self.estimates.detection_time
+            self.loading_until[load] = self.now + self.estimates.load_time + self.estimates.detection_time
             self.free_slots[load.host] -= 1
 
-    def _advance(self, now: int) -> None:
+    def _advance_time(self, now: int) -> None:
         """Goes on to when the next host is back or the next load has ended."""
         self.now = now
-        for name in [name for name, end in self.away.items() if end <= now]:
-            del self.away[name]
+        for name in [name for name, end in self.away_until.items() if end <= now]:
+            del self.away_until[name]
             self.free_slots[name] = self.capacity.fleet[name].slots
-        for load in [load for load, end in self.loading.items() if end <= now]:
-            del self.loading[load]
-            self.warm[load.host][load.function] = self.capacity.fleet[load.host].lanes
+        for load in [load for load, end in self.loading_until.items() if end <= now]:
+            del self.loading_until[load]
+            self.warm_lanes[load.host][load.function] = self.capacity.fleet[load.host].lanes
 
-    def _blocked(self, blocked: BlockedHost | None) -> RoundForecast:
+    def _blocked_forecast(self, blocked: BlockedHost | None) -> RoundForecast:
         if blocked is None:
-            obstacle = describe(self.initial_shortfalls)
+            obstacle = describe_first_shortfall(self.initial_shortfalls)
         else:
             obstacle = f"{blocked.reason}, when {blocked.name} is to go"
         return RoundForecast(tuple(self.departures), self.now, obstacle)
 
-    def _completed(self) -> RoundForecast:
-        end = max((departure.at + self.absence for departure in self.departures), default=0)
+    def _completed_forecast(self) -> RoundForecast:
+        end = max((departure.at + self.absence_duration for departure in self.departures), default=0)
         obstacle = ""
         if end > self.spec.deadline:
             obstacle = f"by: it takes {end / SECOND:g} s, by is {self.spec.deadline / SECOND:g} s"
--- a/gaproute/maintenance/host_progress.py
+++ b/gaproute/maintenance/host_progress.py
@@ -26,15 +26,15 @@
     DRAINING = "draining"
     REQUESTING_LEASE = "asking"
     READY = "ready"
-    OUT = "out"
+    HANDED_OVER = "out"
     LOST = "lost"
-    BACK = "back"
+    RELOADING = "back"
     DONE = "done"
 
 
 # Not begun by the crew: can still be returned to service.
 REVOCABLE_STATES = frozenset({HostState.DRAINING, HostState.REQUESTING_LEASE, HostState.READY})
-AWAY_STATES = REVOCABLE_STATES | {HostState.OUT, HostState.LOST}
+AWAY_STATES = REVOCABLE_STATES | {HostState.HANDED_OVER, HostState.LOST}
 
 
 class HostProgress:
@@ -66,7 +66,7 @@
         self.previous_functions: tuple[str, ...] = ()
         self.grant_expires_at = 0
 
-    def enter(self, now: int, state: HostState) -> None:
+    def enter_state(self, now: int, state: HostState) -> None:
         """The host is in this state from now on."""
         self.state, self.state_since = state, now
 
@@ -98,34 +98,34 @@
     """The incarnation of each host, and since when what is seen of it concerns this incarnation."""
 
     def __init__(self) -> None:
-        self.current: dict[str, int] = {}
-        self.seen_since: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}
+        self.first_probed_at: dict[str, int] = {}
 
     def update(self, status: FleetStatus) -> list[str]:
         """Takes in the reports; returns the hosts that have restarted since the last call."""
         restarted = []
         for name in status.fleet:
             report = status.reports.get(name)
-            if report is not None and self.current.get(name) != report.incarnation:
-                if name in self.current:
+            if report is not None and self.incarnations.get(name) != report.incarnation:
+                if name in self.incarnations:
                     restarted.append(name)
-                self.current[name], self.seen_since[name] = report.incarnation, report.asked_at
-        for name in [name for name in self.current if name not in status.fleet]:
-            del self.current[name], self.seen_since[name]
+                self.incarnations[name], self.first_probed_at[name] = report.incarnation, report.asked_at
+        for name in [name for name in self.incarnations if name not in status.fleet]:
+            del self.incarnations[name], self.first_probed_at[name]
         return restarted
 
-    def counted_since(self, now: int, turn_began: int, status: FleetStatus) -> dict[str, int]:
+    def counted_since(self, now: int, turn_held_since: int, status: FleetStatus) -> dict[str, int]:
         """For each host whose warm functions count: the time after which observations of it count.
 
         A host counts only if it has answered since the turn began and does not drain: the previous holder
         of the turn may have given it to a crew until then.
         """
         return {
-            name: max(turn_began, self.seen_since[name])
+            name: max(turn_held_since, self.first_probed_at[name])
             for name in status.fleet
-            if name in self.seen_since and _counts(now, turn_began, status.reports.get(name))
+            if name in self.first_probed_at and _is_counted(now, turn_held_since, status.reports.get(name))
         }
 
 
-def _counts(now: int, turn_began: int, report: HostReport | None) -> bool:
-    return is_responsive(report, now) and report.asked_at > turn_began and not report.draining
+def _is_counted(now: int, turn_held_since: int, report: HostReport | None) -> bool:
+    return is_responsive(report, now) and report.asked_at > turn_held_since and not report.draining
--- a/gaproute/maintenance/host_selection.py
+++ b/gaproute/maintenance/host_selection.py
@@ -9,17 +9,19 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from gaproute.maintenance.capacity_floor import FleetCapacity, describe, find_shortfalls
+from gaproute.maintenance.capacity_floor import FleetCapacity, describe_first_shortfall, find_shortfalls
 from gaproute.maintenance.round_spec import Fleet, RoundSpec
 
-Ordering = Callable[[RoundSpec, Fleet, Sequence[str]], list[str]]  # of waiting hosts: those to try, in order
+HostOrdering = Callable[
+    [RoundSpec, Fleet, Sequence[str]], list[str]
+]  # of waiting hosts: those to try, in order
 
 
 class ExclusiveGroup(NamedTuple):
     """Hosts of which one at a time may be away: a list of the round, or all of one rack or zone."""
 
     kind: str
-    identity: int | str
+    identifier: int | str
 
 
 @dataclass(frozen=True)
@@ -74,7 +76,7 @@
     return ""
 
 
-def by_urgency(spec: RoundSpec, fleet: Fleet, waiting: Sequence[str]) -> list[str]:
+def order_by_urgency(spec: RoundSpec, fleet: Fleet, waiting: Sequence[str]) -> list[str]:
     """The waiting hosts, the most urgent first."""
     groups = {name: exclusive_groups(spec, fleet, name) for name in waiting}
     sizes: dict[ExclusiveGroup, int] = {}
@@ -90,7 +92,7 @@
 
 
 def select_hosts(
-    spec: RoundSpec, capacity: FleetCapacity, hosts: RoundHosts, ordering: Ordering = by_urgency
+    spec: RoundSpec, capacity: FleetCapacity, hosts: RoundHosts, ordering: HostOrdering = order_by_urgency
 ) -> Selection:
     """Those of the waiting hosts that may be taken out now, together with those away."""
     selected: list[str] = []
@@ -100,7 +102,7 @@
         reason = find_conflict(spec, capacity.fleet, name, away, hosts.unavailable)
         if not reason:
             shortfalls = find_shortfalls(capacity, spec.survivable_failure, (*away, name))
-            reason = describe(shortfalls) if shortfalls else ""
+            reason = describe_first_shortfall(shortfalls) if shortfalls else ""
         if not reason:
             selected.append(name)
             away.append(name)
--- a/gaproute/maintenance/invariants.py
+++ b/gaproute/maintenance/invariants.py
@@ -9,13 +9,13 @@
 from gaproute.maintenance.host_report import is_responsive
 from gaproute.maintenance.host_selection import ExclusiveGroup, exclusive_groups
 from gaproute.maintenance.orders import GrantRejection, HostGrant
-from gaproute.maintenance.progress_planner import ORDER_MEMORY
+from gaproute.maintenance.progress_planner import ORDER_EFFECT_TIMEOUT
 from gaproute.maintenance.round_log import RoundStage
 from gaproute.maintenance.round_spec import Fleet
-from gaproute.maintenance.warm_capacity import GOSSIP_DELAY, MIN_WITNESSES, age_weight
+from gaproute.maintenance.warm_capacity import GOSSIP_DELAY, MIN_ORIGINS, age_weight
 
 MAX_RECENT_ORDERS = 4096
-STATES_WITH_LEASE = (HostState.REQUESTING_LEASE, HostState.READY, HostState.OUT)
+STATES_WITH_LEASE = (HostState.REQUESTING_LEASE, HostState.READY, HostState.HANDED_OVER)
 
 
 def check_round(controller: RoundController, now: int, fleet: Fleet) -> list[str]:
@@ -28,7 +28,7 @@
 
 
 def _check_limits(controller: RoundController, fleet: Fleet) -> Iterator[str]:
-    away, spec = controller.transitions.names_away(), controller.spec
+    away, spec = controller.transitions.away_host_names(), controller.spec
     if len(away) > spec.max_away:
         yield f"at most {spec.max_away} away at once: {away}"
     members: dict[ExclusiveGroup, str] = {}
@@ -40,12 +40,12 @@
 
 
 def _check_bounds(controller: RoundController, now: int, fleet: Fleet) -> Iterator[str]:
-    recent = controller.planner.recent
-    away = controller.transitions.names_away()
-    orders = [*recent.serves.values(), *recent.loads.values()]
+    recent = controller.planner.recent_orders
+    away = controller.transitions.away_host_names()
+    orders = [*recent.serve_ordered_at.values(), *recent.load_ordered_at.values()]
     if len(controller.hosts) > len(fleet) + len(away) or len(orders) > MAX_RECENT_ORDERS:
         yield "maps are bounded: hosts and orders"
-    overdue = any(now - at > 2 * ORDER_MEMORY for at in orders)
+    overdue = any(now - at > 2 * ORDER_EFFECT_TIMEOUT for at in orders)
     if overdue and controller.log.stage == RoundStage.RUNNING:
         yield "maps are bounded: orders are forgotten in time"
 
@@ -64,7 +64,7 @@
         return []  # it is not updated any more
     return [
         violation
-        for name, functions in controller.estimate.warm.items()
+        for name, functions in controller.estimate.warm_lanes.items()
         for function, lanes in functions.items()
         for violation in _check_lanes(now, status, name, function, lanes)
     ]
@@ -78,7 +78,7 @@
         return
     if function in report.warm_functions:
         weight = age_weight(now - report.asked_at)
-    elif sighting is not None and len(sighting.origins) >= MIN_WITNESSES:
+    elif sighting is not None and len(sighting.origins) >= MIN_ORIGINS:
         weight = age_weight(sighting.age + GOSSIP_DELAY)
     else:
         yield f"nothing counts until it is seen warm: {function} at {name}"
--- a/gaproute/maintenance/load_planning.py
+++ b/gaproute/maintenance/load_planning.py
@@ -15,10 +15,10 @@
     Shortfall,
     find_shortfalls,
 )
-from gaproute.maintenance.host_selection import RoundHosts, by_urgency
+from gaproute.maintenance.host_selection import RoundHosts, order_by_urgency
 from gaproute.maintenance.round_spec import MaintenanceHost, RoundSpec
 
-NEVER = 1 << 30  # position of hosts that are not about to go
+NO_DEPARTURE = 1 << 30  # position of hosts that are not about to go
 
 
 class FunctionLoad(NamedTuple):
@@ -33,12 +33,13 @@
     """What limits loads now.
 
     `free_slots`: of the hosts that may load; `loading`: under way; `max_loads`: at once.
-    `to_restore`: by host that came back, the functions that it had before, to be loaded there again.
+    `functions_to_reload`: by host that came back, the functions that it had before, to be loaded there
+    again.
     """
 
     free_slots: Mapping[str, int]
-    loading: Collection[FunctionLoad]
-    to_restore: Mapping[str, Sequence[str]]
+    loads_in_progress: Collection[FunctionLoad]
+    functions_to_reload: Mapping[str, Sequence[str]]
     max_loads: int
 
 
@@ -47,13 +48,13 @@
 ) -> list[FunctionLoad]:
     """The loads to be ordered now, in order of importance."""
     planner = _LoadPlanner(spec, capacity, situation)
-    planner.restore()
+    planner.plan_reloads()
     candidates = [
         name
-        for name in by_urgency(spec, capacity.fleet, hosts.waiting)
+        for name in order_by_urgency(spec, capacity.fleet, hosts.waiting)
         if not host_selection.find_conflict(spec, capacity.fleet, name, hosts.away)
     ]
-    planner.prepare(hosts.away, candidates)
+    planner.plan_preparations(hosts.away, candidates)
     return planner.planned
 
 
@@ -61,88 +62,94 @@
     """Plans loads one after the other; `warm`: the lanes once all planned loads have ended."""
 
     def __init__(self, spec: RoundSpec, capacity: FleetCapacity, situation: LoadSituation) -> None:
-        self.spec, self.fleet, self.required = spec, capacity.fleet, capacity.required
+        self.spec, self.fleet, self.required_lanes = spec, capacity.fleet, capacity.required_lanes
         self.situation = situation
-        self.warm = {name: dict(functions) for name, functions in capacity.warm.items()}
-        for host, function in situation.loading:
-            self.warm[host][function] = self.fleet[host].lanes
-        self.remaining = situation.max_loads - len(situation.loading)
-        self.busy = {host for host, _ in situation.loading}
+        self.warm_lanes = {name: dict(functions) for name, functions in capacity.warm_lanes.items()}
+        for host, function in situation.loads_in_progress:
+            self.warm_lanes[host][function] = self.fleet[host].lanes
+        self.remaining_loads = situation.max_loads - len(situation.loads_in_progress)
+        self.busy_hosts = {host for host, _ in situation.loads_in_progress}
         self.planned: list[FunctionLoad] = []
-        self.departure_order: dict[str, int] = {}  # of the hosts that go next
+        self.departure_positions: dict[str, int] = {}  # of the hosts that go next
 
-    def restore(self) -> None:
+    def plan_reloads(self) -> None:
         """Loads again what hosts had before they were taken out."""
-        for host, functions in self.situation.to_restore.items():
+        for host, functions in self.situation.functions_to_reload.items():
             for function in functions:
-                if self.remaining > 0 and self._can_load(host) and function not in self.warm[host]:
-                    self._load(FunctionLoad(host, function))
-
-    def prepare(self, away: Collection[str], candidates: Sequence[str]) -> None:
+                if (
+                    self.remaining_loads > 0
+                    and self._can_load(host)
+                    and function not in self.warm_lanes[host]
+                ):
+                    self._add_load(FunctionLoad(host, function))
+
+    def plan_preparations(self, away: Collection[str], candidates: Sequence[str]) -> None:
         """Loads what is missing now, or else what would be missing without the next host."""
-        self.departure_order = {name: position for position, name in enumerate(candidates)}
+        self.departure_positions = {name: position for position, name in enumerate(candidates)}
         for leaving in ((), *((name,) for name in candidates)):
-            self._fill(tuple((*away, *leaving)))
-            if self.planned or self.situation.loading:
+            self._plan_against_shortfalls(tuple((*away, *leaving)))
+            if self.planned or self.situation.loads_in_progress:
                 break  # one host after the other is prepared for
 
-    def _fill(self, without: tuple[str, ...]) -> None:
-        while self.remaining > 0:
-            capacity = FleetCapacity(self.fleet, self.warm, self.required)
-            shortfalls = find_shortfalls(capacity, self.spec.survivable_failure, without)
-            load = self._most_useful_load(shortfalls, without)
+    def _plan_against_shortfalls(self, excluded_hosts: tuple[str, ...]) -> None:
+        while self.remaining_loads > 0:
+            capacity = FleetCapacity(self.fleet, self.warm_lanes, self.required_lanes)
+            shortfalls = find_shortfalls(capacity, self.spec.survivable_failure, excluded_hosts)
+            load = self._most_useful_load(shortfalls, excluded_hosts)
             if load is None:
                 return
-            self._load(load)
+            self._add_load(load)
 
-    def _load(self, load: FunctionLoad) -> None:
-        self.remaining -= 1
-        self.busy.add(load.host)
-        self.warm[load.host][load.function] = self.fleet[load.host].lanes
+    def _add_load(self, load: FunctionLoad) -> None:
+        self.remaining_loads -= 1
+        self.busy_hosts.add(load.host)
+        self.warm_lanes[load.host][load.function] = self.fleet[load.host].lanes
         self.planned.append(load)
 
     def _can_load(self, host: str) -> bool:
-        return host not in self.busy and self.situation.free_slots.get(host, 0) > 0
+        return host not in self.busy_hosts and self.situation.free_slots.get(host, 0) > 0
 
     def _most_useful_load(
-        self, shortfalls: Sequence[Shortfall], without: Collection[str]
+        self, shortfalls: Sequence[Shortfall], excluded_hosts: Collection[str]
     ) -> FunctionLoad | None:
         """Of the first shortfall that any load helps: by a host that leaves late and has many lanes."""
         for shortfall in shortfalls:
             loads = [
                 FunctionLoad(name, function)
                 for name in self.situation.free_slots
-                if self._can_load(name) and name not in without and _helps(self.fleet[name], shortfall)
+                if self._can_load(name)
+                and name not in excluded_hosts
+                and _reduces_shortfall(self.fleet[name], shortfall)
                 if (function := self._function_for(name, shortfall, shortfalls)) is not None
             ]
             if loads:
-                return min(loads, key=self._preference)
+                return min(loads, key=self._preference_key)
         return None
 
-    def _preference(self, load: FunctionLoad) -> tuple[int, int, FunctionLoad]:
-        departure = self.departure_order.get(load.host, NEVER)
+    def _preference_key(self, load: FunctionLoad) -> tuple[int, int, FunctionLoad]:
+        departure = self.departure_positions.get(load.host, NO_DEPARTURE)
         return -departure, -self.fleet[load.host].lanes, load
 
     def _function_for(self, host: str, shortfall: Shortfall, shortfalls: Sequence[Shortfall]) -> str | None:
         """What the host would have to load against the shortfall; None if that is of no use."""
         function: str | None = shortfall.key.function
         if function == ALL_FUNCTIONS:
-            if self.warm[host]:
+            if self.warm_lanes[host]:
                 return None  # it counts there already
             missing = (other.key.function for other in shortfalls if other.key.function != ALL_FUNCTIONS)
             function = next(missing, None) or self._most_common_function()
-        return None if function is None or function in self.warm[host] else function
+        return None if function is None or function in self.warm_lanes[host] else function
 
     def _most_common_function(self) -> str | None:
         """The function with most instances: the likeliest to be requested."""
         counts: dict[str, int] = {}
-        for functions in self.warm.values():
+        for functions in self.warm_lanes.values():
             for name in functions:
                 counts[name] = counts.get(name, 0) + 1
         return max(counts, key=lambda name: (counts[name], name), default=None)
 
 
-def _helps(host: MaintenanceHost, shortfall: Shortfall) -> bool:
+def _reduces_shortfall(host: MaintenanceHost, shortfall: Shortfall) -> bool:
     """Whether lanes of this host count where they are missing, also in the failure that is considered."""
     in_scope = shortfall.key.scope in (WHOLE_FLEET, host.zone)
-    return in_scope and shortfall.failure not in (host.name, host.rack, host.zone)
+    return in_scope and shortfall.assumed_failure not in (host.name, host.rack, host.zone)
--- a/gaproute/maintenance/progress_planner.py
+++ b/gaproute/maintenance/progress_planner.py
@@ -3,33 +3,37 @@
 Rule numbers refer to the docstring of `controller.py`.
 """
 
-from gaproute.maintenance.capacity_floor import DEMAND_UNKNOWN, describe
+from gaproute.maintenance.capacity_floor import DEMAND_UNKNOWN, describe_first_shortfall
 from gaproute.maintenance.feasibility import SchedulingEstimates, forecast_round
 from gaproute.maintenance.fleet_status import FleetStatus
 from gaproute.maintenance.host_progress import HostState
 from gaproute.maintenance.host_report import is_responsive
 from gaproute.maintenance.host_selection import HostSelector, RoundHosts
-from gaproute.maintenance.host_transitions import HostTransitions, RoundParts
+from gaproute.maintenance.host_transitions import HostTransitions, RoundContext
 from gaproute.maintenance.load_planning import FunctionLoad, LoadSituation, plan_loads
 from gaproute.maintenance.orders import HostOrder, LoadOrder, ServeOrder
 from gaproute.maintenance.round_log import RoundStage
-from gaproute.maintenance.turn import MAX_HOLD_TIME
+from gaproute.maintenance.turn import MAX_TURN_HOLD_TIME
 from gaproute.units import SECOND
 
-ORDER_MEMORY = 10 * SECOND  # an order whose effect was not seen by then counts as lost
+ORDER_EFFECT_TIMEOUT = 10 * SECOND  # an order whose effect was not seen by then counts as lost
 
 
 class RecentOrders:
     """Orders given lately: by host (to serve) or load, when."""
 
     def __init__(self) -> None:
-        self.serves: dict[str, int] = {}
-        self.loads: dict[FunctionLoad, int] = {}
+        self.serve_ordered_at: dict[str, int] = {}
+        self.load_ordered_at: dict[FunctionLoad, int] = {}
 
     def expire(self, now: int) -> None:
         """Forgets what was ordered too long ago."""
-        self.serves = {host: at for host, at in self.serves.items() if now - at < ORDER_MEMORY}
-        self.loads = {load: at for load, at in self.loads.items() if now - at < ORDER_MEMORY}
+        self.serve_ordered_at = {
+            host: at for host, at in self.serve_ordered_at.items() if now - at < ORDER_EFFECT_TIMEOUT
+        }
+        self.load_ordered_at = {
+            load: at for load, at in self.load_ordered_at.items() if now - at < ORDER_EFFECT_TIMEOUT
+        }
 
 
 class ProgressPlanner:
@@ -40,17 +44,22 @@
 
     def __init__(
         self,
-        parts: RoundParts,
+        context: RoundContext,
         transitions: HostTransitions,
         estimates: SchedulingEstimates,
         selector: HostSelector,
     ) -> None:
-        self.spec, self.turn, self.estimate, self.log = parts.spec, parts.turn, parts.estimate, parts.log
+        self.spec, self.turn, self.estimate, self.log = (
+            context.spec,
+            context.turn,
+            context.estimate,
+            context.log,
+        )
         self.transitions, self.estimates, self.selector = transitions, estimates, selector
-        self.recent = RecentOrders()
-        self.feasible = False
+        self.recent_orders = RecentOrders()
+        self.known_feasible = False
 
-    def serve_after_old_orders(self, now: int, status: FleetStatus) -> list[HostOrder]:
+    def end_drains_of_earlier_turns(self, now: int, status: FleetStatus) -> list[HostOrder]:
         """Orders other hosts to serve that still drain for an earlier holder of the turn (rule 2)."""
         orders: list[HostOrder] = []
         for name, report in status.reports.items():
@@ -59,26 +68,26 @@
                 and report.draining
                 and 0 < report.last_order.fencing_token < self.turn.fencing_token
                 and is_responsive(report, now)
-                and name not in self.recent.serves
+                and name not in self.recent_orders.serve_ordered_at
             ):
-                self.recent.serves[name] = now
-                orders.append(ServeOrder(name, self.transitions.next_mark()))
+                self.recent_orders.serve_ordered_at[name] = now
+                orders.append(ServeOrder(name, self.transitions.take_next_order_mark()))
         return orders
 
     def find_obstacle(self, status: FleetStatus) -> str:
         """What forbids to begin the round; "" if nothing does, or if it has begun already."""
-        if self.feasible or self._has_begun():
-            self.feasible = True
+        if self.known_feasible or self._has_begun():
+            self.known_feasible = True
             return ""
         if self.estimate.shortfalls == DEMAND_UNKNOWN:
-            return describe(self.estimate.shortfalls)
+            return describe_first_shortfall(self.estimate.shortfalls)
         free_slots = {
             name: report.free_slots for name, report in status.reports.items() if name in status.fleet
         }
-        capacity = self.estimate.capacity(status)
+        capacity = self.estimate.fleet_capacity(status)
         names = list(self.transitions.hosts)
         forecast = forecast_round(self.spec, capacity, names, free_slots, self.estimates)
-        self.feasible = not forecast.obstacle
+        self.known_feasible = not forecast.obstacle
         return forecast.obstacle
 
     def _has_begun(self) -> bool:
@@ -90,17 +99,17 @@
         orders: list[HostOrder] = []
         shortfalls = self.estimate.shortfalls
         if shortfalls:  # rule 4
-            orders += self.transitions.revoke(now, describe(shortfalls))
-            self.log.enter_stage(RoundStage.PAUSED, describe(shortfalls))
-        waiting = self._serving_hosts(now, status)
+            orders += self.transitions.revoke_departures(now, describe_first_shortfall(shortfalls))
+            self.log.enter_stage(RoundStage.PAUSED, describe_first_shortfall(shortfalls))
+        waiting = self._waiting_hosts_in_service(now, status)
         selected: list[str] = []
-        if not shortfalls and self.turn.time_held(now) <= MAX_HOLD_TIME:  # rules 1, 5
-            selected = self._select(now, status, waiting)
+        if not shortfalls and self.turn.time_held(now) <= MAX_TURN_HOLD_TIME:  # rules 1, 5
+            selected = self._select_hosts(now, status, waiting)
         orders += [self._start_draining(now, status, name) for name in selected]
         waiting = [name for name in waiting if name not in selected]
-        return orders + self._load(now, status, waiting)
+        return orders + self._order_loads(now, status, waiting)
 
-    def _serving_hosts(self, now: int, status: FleetStatus) -> list[str]:
+    def _waiting_hosts_in_service(self, now: int, status: FleetStatus) -> list[str]:
         """The hosts still to go that are in service."""
         names = []
         for host in self.transitions.hosts.values():
@@ -109,22 +118,22 @@
                 names.append(host.name)
         return names
 
-    def _select(self, now: int, status: FleetStatus, waiting: list[str]) -> list[str]:
-        away = self.transitions.names_away()
+    def _select_hosts(self, now: int, status: FleetStatus, waiting: list[str]) -> list[str]:
+        away = self.transitions.away_host_names()
         hosts = RoundHosts(waiting, away, status.unresponsive_hosts(now))
-        selection = self.selector(self.spec, self.estimate.capacity(status), hosts)
+        selection = self.selector(self.spec, self.estimate.fleet_capacity(status), hosts)
         blocked = selection.first_blocked
         stuck = blocked is not None and not selection.hosts and not away
         self.log.enter_stage(RoundStage.RUNNING, blocked.reason if blocked is not None and stuck else "")
         return selection.hosts
 
     def _start_draining(self, now: int, status: FleetStatus, name: str) -> HostOrder:
-        functions = tuple(function for function, lanes in self.estimate.warm[name].items() if lanes)
+        functions = tuple(function for function, lanes in self.estimate.warm_lanes[name].items() if lanes)
         host = self.transitions.hosts[name]
         return self.transitions.start_draining(now, host, status.reports[name].incarnation, functions)
 
-    def _load(self, now: int, status: FleetStatus, waiting: list[str]) -> list[HostOrder]:
-        away = self.transitions.names_away()
+    def _order_loads(self, now: int, status: FleetStatus, waiting: list[str]) -> list[HostOrder]:
+        away = self.transitions.away_host_names()
         situation = LoadSituation(
             free_slots={
                 name: report.free_slots
@@ -134,25 +143,29 @@
                 and name in status.fleet
                 and name not in away
             },
-            loading=self._loads_under_way(status),
-            to_restore={
+            loads_in_progress=self._loads_in_progress(status),
+            functions_to_reload={
                 host.name: host.previous_functions
                 for host in self.transitions.hosts.values()
-                if host.state == HostState.BACK
+                if host.state == HostState.RELOADING
             },
             max_loads=self.estimates.max_loads,
         )
-        capacity = self.estimate.capacity(status)
+        capacity = self.estimate.fleet_capacity(status)
         loads = plan_loads(self.spec, capacity, RoundHosts(waiting, away), situation)
-        self.recent.loads.update(dict.fromkeys(loads, now))
+        self.recent_orders.load_ordered_at.update(dict.fromkeys(loads, now))
         return [LoadOrder(load.host, load.function) for load in loads]
 
-    def _loads_under_way(self, status: FleetStatus) -> list[FunctionLoad]:
+    def _loads_in_progress(self, status: FleetStatus) -> list[FunctionLoad]:
         """Loads that hosts report, and those ordered lately that are not seen warm yet."""
         reported = {
             FunctionLoad(name, function)
             for name, report in status.reports.items()
             for function in report.loading_functions
         }
-        ordered = {load for load in self.recent.loads if not self.estimate.warm[load.host].get(load.function)}
+        ordered = {
+            load
+            for load in self.recent_orders.load_ordered_at
+            if not self.estimate.warm_lanes[load.host].get(load.function)
+        }
         return sorted(reported | ordered)
--- a/gaproute/maintenance/round_log.py
+++ b/gaproute/maintenance/round_log.py
@@ -39,7 +39,7 @@
 
     def enter_state(self, now: int, host: HostProgress, state: HostState, reason: str) -> None:
         """The host is in this state from now on."""
-        host.enter(now, state)
+        host.enter_state(now, state)
         self.events.append(RoundEvent(state, host.name, reason))
 
     def take_events(self) -> list[RoundEvent]:
--- a/gaproute/maintenance/spec_validation.py
+++ b/gaproute/maintenance/spec_validation.py
@@ -12,7 +12,7 @@
 )
 from gaproute.units import SECOND
 
-SELECTORS = ("kind", "zone", "rack")  # keys by which hosts are selected other than by name
+SELECTOR_KEYS = ("kind", "zone", "rack")  # keys by which hosts are selected other than by name
 
 
 def find_mistakes(spec: RoundSpec, fleet: Fleet, demand: Mapping[str, int]) -> list[str]:
@@ -22,7 +22,7 @@
     """
     selected = selected_hosts(spec, fleet)
     mistakes = list(_selection_mistakes(spec, fleet))
-    selectors = [key for key in SELECTORS if getattr(spec, key)]
+    selectors = [key for key in SELECTOR_KEYS if getattr(spec, key)]
     if selectors and not spec.hosts and not selected and not mistakes:
         mistakes.append(f"hosts: none is of all of {', '.join(selectors)}")
     mistakes += _group_mistakes(spec, fleet)
@@ -32,7 +32,7 @@
 
 
 def _selection_mistakes(spec: RoundSpec, fleet: Fleet) -> Iterator[str]:
-    selectors = [key for key in SELECTORS if getattr(spec, key)]
+    selectors = [key for key in SELECTOR_KEYS if getattr(spec, key)]
     if spec.hosts and selectors:
         yield f"hosts: named one by one and by {selectors[0]}"
     if not spec.hosts and not selectors:
--- a/gaproute/maintenance/turn.py
+++ b/gaproute/maintenance/turn.py
@@ -8,10 +8,10 @@
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
 from gaproute.units import SECOND
 
-RESOURCE = "maintenance turn"
-MAX_HOLD_TIME = 300 * SECOND  # while another round may wait for the turn
-RETRY_PAUSE = 2 * SECOND  # until a lease that was lost or rejected is requested again
-YIELD_PAUSE = 3 * SECOND  # after the turn was released for others; longer than their `RETRY_PAUSE`
+TURN_RESOURCE = "maintenance turn"
+MAX_TURN_HOLD_TIME = 300 * SECOND  # while another round may wait for the turn
+LEASE_RETRY_PAUSE = 2 * SECOND  # until a lease that was lost or rejected is requested again
+TURN_YIELD_PAUSE = 3 * SECOND  # after the turn was released for others; longer than their `LEASE_RETRY_PAUSE`
 
 
 class MaintenanceTurn:
@@ -44,18 +44,18 @@
         """When the lease ends unless it is renewed; 0 before it was granted."""
         return self.lease.expires_at or 0 if self.lease is not None else 0
 
-    def tick(self, now: int, *, hosts_away: bool) -> None:
+    def tick(self, now: int, *, any_host_away: bool) -> None:
         """Requests the turn, notices that it is held or lost, and releases it after long."""
         held = self._is_valid(now)
         if held and self.held_since is None:
             self.held_since = now
-        if held and self.time_held(now) > MAX_HOLD_TIME and not hosts_away:
+        if held and self.time_held(now) > MAX_TURN_HOLD_TIME and not any_host_away:
             self.release(now)
-            self._drop(now + YIELD_PAUSE)
+            self._forget_lease(now + TURN_YIELD_PAUSE)
         elif not held and self.lease is not None and self.lease.state != LeaseState.REQUESTED:
-            self._drop(now + RETRY_PAUSE)
+            self._forget_lease(now + LEASE_RETRY_PAUSE)
         if self.lease is None and now >= self.next_request_at:
-            self.lease = self.client.acquire(now, RESOURCE, self.lease_duration)
+            self.lease = self.client.acquire(now, TURN_RESOURCE, self.lease_duration)
 
     def release(self, now: int) -> None:
         """Gives the turn back, if it is held or requested."""
@@ -65,5 +65,5 @@
     def _is_valid(self, now: int) -> bool:
         return self.lease is not None and self.lease.valid_at(now)
 
-    def _drop(self, next_request_at: int) -> None:
+    def _forget_lease(self, next_request_at: int) -> None:
         self.lease, self.held_since, self.next_request_at = None, None, next_request_at
--- a/gaproute/maintenance/warm_capacity.py
+++ b/gaproute/maintenance/warm_capacity.py
@@ -14,9 +14,11 @@
 from gaproute.units import SECOND
 
 FULL_WEIGHT_AGE = 5 * SECOND  # until this age an observation counts in full: some probes of one host
-MAX_AGE = 20 * SECOND  # from this age on it counts for nothing: a failed host is noticed within it
+MAX_OBSERVATION_AGE = (
+    20 * SECOND
+)  # from this age on it counts for nothing: a failed host is noticed within it
 GOSSIP_DELAY = 5 * SECOND  # added to the age of sightings by others: they may have been under way so long
-MIN_WITNESSES = 2  # other gateways that must have seen an instance: a single one may be wrong
+MIN_ORIGINS = 2  # other gateways that must have seen an instance: a single one may be wrong
 
 WarmLanes = dict[str, dict[str, int]]  # lanes by host and function
 
@@ -27,7 +29,7 @@
         return 0
     if age <= FULL_WEIGHT_AGE:
         return 1000
-    return max(0, 1000 * (MAX_AGE - age) // (MAX_AGE - FULL_WEIGHT_AGE))
+    return max(0, 1000 * (MAX_OBSERVATION_AGE - age) // (MAX_OBSERVATION_AGE - FULL_WEIGHT_AGE))
 
 
 def instance_weight(
@@ -47,14 +49,14 @@
         return age_weight(now - report.asked_at) if report.asked_at > counted_since else 0
     if sighting is None:
         return 0
-    witnesses = sum(name != observer for name in sighting.origins)
+    other_origins = sum(name != observer for name in sighting.origins)
     age = sighting.age + GOSSIP_DELAY
     seen_at = now - age
-    counts = witnesses >= MIN_WITNESSES and seen_at > counted_since and seen_at > report.asked_at
+    counts = other_origins >= MIN_ORIGINS and seen_at > counted_since and seen_at > report.asked_at
     return age_weight(age) if counts else 0
 
 
-def warm_lanes(
+def estimate_warm_lanes(
     now: int, status: FleetStatus, *, observer: str, counted_since: Mapping[str, int]
 ) -> WarmLanes:
     """The lanes that are believed warm now, by host and function.
--- a/gaproute/simulation/rounds/baselines.py
+++ b/gaproute/simulation/rounds/baselines.py
@@ -36,7 +36,7 @@
             other_rounds=other_rounds,
             selector=_next_group,
         )
-        self.planner.feasible = True
+        self.planner.known_feasible = True
 
     @staticmethod
     def _adapted(spec: RoundSpec) -> RoundSpec:
@@ -45,7 +45,7 @@
 
     def _update_estimate(self, now: int, status: FleetStatus) -> None:
         super()._update_estimate(now, status)
-        self.estimate.shortfalls, self.estimate.required = [], {}
+        self.estimate.shortfalls, self.estimate.required_lanes = [], {}
 
 
 class OneAtATime(_WithoutFloor):
--- a/gaproute/simulation/rounds/scheduler.py
+++ b/gaproute/simulation/rounds/scheduler.py
@@ -127,7 +127,7 @@
     def _hand_over(self, now: int, worker: str, number: int) -> OutgoingMessages:
         outgoing = []
         for controller in self.rounds:
-            given = (HostState.READY, HostState.OUT)
+            given = (HostState.READY, HostState.HANDED_OVER)
             ready = [host.name for host in controller.hosts.values() if host.state in given]
             for host in ready:
                 answer = controller.request_host(now, host, self.status(now))
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -98,9 +98,9 @@
     def update_estimate(self, now, status):
         real(self, now, status)
         for host in self.hosts.values():
-            if host.state == HostState.BACK:
+            if host.state == HostState.RELOADING:
                 lanes = status.fleet[host.name].lanes
-                self.estimate.warm[host.name] = dict.fromkeys(host.previous_functions, lanes)
+                self.estimate.warm_lanes[host.name] = dict.fromkeys(host.previous_functions, lanes)
 
     put(RoundController, "_update_estimate", update_estimate)
 
@@ -123,8 +123,8 @@
 def drain_not_awaited(put):
     put(
         drain_proof,
-        "find_proof",
-        lambda report, ordered_at, bounds: DrainProof.HOST if report else DrainProof.NONE,
+        "find_drain_proof",
+        lambda report, ordered_at, bounds: DrainProof.HOST_REPORT if report else DrainProof.NONE,
     )
 
 
@@ -132,12 +132,12 @@
     """The turn is not one lease of the fleet, but one of each scheduler."""
     real = MaintenanceTurn.tick
 
-    def tick(self, now, *, hosts_away):
-        before, turn.RESOURCE = turn.RESOURCE, f"turn of {self.client.name}"
+    def tick(self, now, *, any_host_away):
+        before, turn.TURN_RESOURCE = turn.TURN_RESOURCE, f"turn of {self.client.name}"
         try:
-            return real(self, now, hosts_away=hosts_away)
+            return real(self, now, any_host_away=any_host_away)
         finally:
-            turn.RESOURCE = before
+            turn.TURN_RESOURCE = before
 
     put(MaintenanceTurn, "tick", tick)
 
--- a/tests/maintenance/test_parts.py
+++ b/tests/maintenance/test_parts.py
@@ -19,7 +19,7 @@
 from gaproute.maintenance.host_report import HostReport
 from gaproute.maintenance.host_selection import RoundHosts
 from gaproute.maintenance.load_planning import LoadSituation, plan_loads
-from gaproute.maintenance.warm_capacity import FULL_WEIGHT_AGE, GOSSIP_DELAY, MAX_AGE
+from gaproute.maintenance.warm_capacity import FULL_WEIGHT_AGE, GOSSIP_DELAY, MAX_OBSERVATION_AGE
 from gaproute.shared.gossip.fleet_view import WarmSighting
 
 SECOND = 1_000_000_000
@@ -91,7 +91,7 @@
     seen = HostReport(99 * SECOND, 1, warm_functions=("f",))
     assert weight(seen, None) == 1000
     assert weight(seen, None, 99 * SECOND) == 0  # seen before the incarnation or the turn began
-    ages = (FULL_WEIGHT_AGE, (FULL_WEIGHT_AGE + MAX_AGE) // 2, MAX_AGE, -1)
+    ages = (FULL_WEIGHT_AGE, (FULL_WEIGHT_AGE + MAX_OBSERVATION_AGE) // 2, MAX_OBSERVATION_AGE, -1)
     assert [warm_capacity.age_weight(age) for age in ages] == [1000, 500, 0, 0]
     cold = HostReport(90 * SECOND, 1)
     assert weight(cold, WarmSighting(SECOND, ("a",))) == 0  # a single witness may be wrong
@@ -111,7 +111,7 @@
         "h3": HostReport(0, 1, warm_functions=("f",)),
     }
     status = FleetStatus(FLEET, reports, {}, {}, 0)
-    found = warm_capacity.warm_lanes(
+    found = warm_capacity.estimate_warm_lanes(
         SECOND, status, observer="me", counted_since=dict.fromkeys(("h0", "h1", "h2"), -1)
     )
     assert found == {"h0": {"f": 4}, "h1": {"f": 2}, "h2": {}, "h3": {}}
@@ -134,7 +134,7 @@
     assert shortfalls(floor, "") == [] == shortfalls(floor, "host")
     assert shortfalls(floor, "", ("h0",)) == []
     assert (
-        capacity_floor.describe(shortfalls(floor, "host", ("h0",)))
+        capacity_floor.describe_first_shortfall(shortfalls(floor, "host", ("h0",)))
         == "floor: f in the fleet needs 12 warm lanes, has 8 if h1 fails"
     )
     zones = floor_of(3, "x") | floor_of(3, "y")
@@ -203,5 +203,5 @@
         (HostReport(5 + 41 * SECOND, 1), ""),
         (HostReport(4 + drain_proof.list_drain_time(with_lifetime), 1), "list"),
     ):
-        assert drain_proof.find_proof(report, 4, with_lifetime) == proof
-    assert drain_proof.find_proof(HostReport(1 << 60, 1), 4, bounds) == ""
+        assert drain_proof.find_drain_proof(report, 4, with_lifetime) == proof
+    assert drain_proof.find_drain_proof(HostReport(1 << 60, 1), 4, bounds) == ""
