--- a/gaproute/maintenance/__init__.py
+++ b/gaproute/maintenance/__init__.py
@@ -1,9 +1,9 @@
-"""Rolling maintenance: hosts are taken out of service group by group, with enough warm capacity left in
+"""Rolling maintenance: hosts are taken out of service group by group, while enough warm capacity stays in
 service.
 
-A round of maintenance is described by a `RoundSpec` and carried out by a `RoundController`. The controller
-is given the state of the fleet and returns orders to hosts; it reads no clock, draws no random numbers and
-does no I/O. The gateway does not run rounds yet: only the simulation drives this package.
+A `RoundSpec` describes a maintenance round, and a `RoundController` carries it out. The controller receives
+the state of the fleet and returns orders to hosts; it reads no clock, draws no random numbers and does no
+I/O. The gateway does not run maintenance rounds yet: only the simulation drives this package.
 """
 
 from gaproute.maintenance.controller import RoundController
--- a/gaproute/maintenance/capacity_estimate.py
+++ b/gaproute/maintenance/capacity_estimate.py
@@ -1,4 +1,4 @@
-"""What a running round believes of the fleet's capacity, and whether it suffices."""
+"""The estimate of warm capacity that a running round relies on, compared to the capacity floor."""
 
 from collections.abc import Collection, Sequence
 
@@ -10,15 +10,17 @@
 from gaproute.maintenance.warm_capacity import WarmLanes
 from gaproute.units import SECOND
 
-MAX_DEMAND_AGE = 15 * SECOND  # without a report of demand for longer, no capacity is judged sufficient
+# Once the last report of demand is older, no capacity counts as sufficient.
+MAX_DEMAND_AGE = 15 * SECOND
 
 
 class CapacityEstimate:
-    """The estimate of one round, whose other rounds' floors are met as well.
+    """The estimated capacity of the fleet and the floor for one round.
 
-    `warm`: lanes believed warm by host and function; `required`: the floor; `shortfalls`: where it is not
-    met.
+    `other_rounds`: rounds that may run at the same time; the floor meets their requirements as well.
     `observer`: the name of this gateway in gossip.
+    `warm_lanes`: lanes estimated to be warm, by host and function; `required_lanes`: the capacity floor;
+    `shortfalls`: the rows of the floor that are not met.
     """
 
     def __init__(self, spec: RoundSpec, other_rounds: Sequence[RoundSpec], observer: str) -> None:
@@ -29,7 +31,10 @@
         self.shortfalls: list[Shortfall] = []
 
     def update(self, now: int, turn_held_since: int, status: FleetStatus, away: Collection[str]) -> None:
-        """Estimates anew from what was observed since the turn began. `away`: the round's hosts that are."""
+        """Estimates again from what was observed since the turn was granted.
+
+        `away`: the hosts of the round that are out of service.
+        """
         counted_since = self.incarnations.counted_since(now, turn_held_since, status)
         self.warm_lanes = warm_capacity.estimate_warm_lanes(
             now, status, observer=self.observer, counted_since=counted_since
@@ -45,10 +50,10 @@
             )
 
     def fleet_capacity(self, status: FleetStatus) -> FleetCapacity:
-        """The estimate together with the hosts that are listed."""
+        """The estimate together with the listed hosts."""
         return FleetCapacity(status.fleet, self.warm_lanes, self.required_lanes)
 
     def has_all_warm(self, host: str, functions: Collection[str]) -> bool:
-        """Whether the host is believed to have all these functions warm."""
+        """Whether the host is estimated to have all these functions warm."""
         warm = self.warm_lanes.get(host, {})
         return all(warm.get(function) for function in functions)
--- a/gaproute/maintenance/capacity_floor.py
+++ b/gaproute/maintenance/capacity_floor.py
@@ -1,8 +1,8 @@
-"""The capacity floor: warm lanes that each function requires, in the whole fleet and in each zone.
+"""The capacity floor: the warm lanes that each function requires, in the whole fleet and in each zone.
 
-A host's lanes count for every function that it has loaded. So that one lane is not relied on for all of
-them at once, the row `ALL_FUNCTIONS` compares the lanes of all hosts with anything loaded to the sum of all
-demand. Lanes are whole numbers, requirements rounded up.
+A host's lanes count for every function that the host has loaded. So that one lane is not relied on for
+several functions at once, the row `ALL_FUNCTIONS` compares the lanes of all hosts that have any function
+loaded to the sum of all demand. Lanes are whole numbers; requirements are rounded up.
 """
 
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -13,12 +13,12 @@
 
 from gaproute.maintenance.round_spec import FAILURE_LEVELS, Fleet, MaintenanceHost, RoundSpec
 
-ALL_FUNCTIONS = "*"  # no function may have this name
-WHOLE_FLEET = ""  # the scope beside the zones
+ALL_FUNCTIONS = "*"  # the row for all functions together; no function may have this name
+WHOLE_FLEET = ""  # the scope of a row that counts the lanes of all zones
 
 
 class CapacityKey(NamedTuple):
-    """A row of the floor. `scope`: a zone, or `WHOLE_FLEET`."""
+    """Identifies a row of the capacity floor. `scope`: a zone, or `WHOLE_FLEET`."""
 
     function: str
     scope: str
@@ -28,7 +28,11 @@
 
 
 class Shortfall(NamedTuple):
-    """A row with fewer lanes than required; `failure`: what would have to fail first, or ""."""
+    """A row of the capacity floor with fewer lanes than required.
+
+    `assumed_failure`: the host, rack or zone whose failure would cause the shortfall; "" if the row falls
+    short without a failure.
+    """
 
     key: CapacityKey
     required: int
@@ -36,13 +40,16 @@
     assumed_failure: str = ""
 
 
-# If no gateway reports demand.
+# The result where no gateway reports demand.
 DEMAND_UNKNOWN = [Shortfall(CapacityKey("demand", WHOLE_FLEET), 0, 0, "unknown")]
 
 
 @dataclass(frozen=True)
 class FleetCapacity:
-    """The hosts of the fleet, the lanes that functions have warm there, and the lanes required."""
+    """The hosts of the fleet, their warm lanes and the required lanes.
+
+    `warm_lanes`: by host and function; `required_lanes`: the capacity floor.
+    """
 
     fleet: Fleet
     warm_lanes: Mapping[str, Mapping[str, int]]
@@ -50,7 +57,7 @@
 
 
 def required_lanes(spec: RoundSpec, demand: Mapping[str, int], zones: Collection[str]) -> LanesByKey:
-    """The floor of one round. `demand`: by function, the lanes in use at its peak."""
+    """The capacity floor of one round. `demand`: lanes in use at the peak, by function."""
     peaks = {name: demand.get(name, 0) for name in spec.functions or tuple(demand)}
     lanes: LanesByKey = {}
     for name, peak in (*peaks.items(), (ALL_FUNCTIONS, sum(demand.values()))):
@@ -67,7 +74,7 @@
 def strictest_floor(
     specs: Iterable[RoundSpec], demand: Mapping[str, int], zones: Collection[str]
 ) -> LanesByKey:
-    """The floor of several rounds that may run at once: the most of each row."""
+    """The capacity floor of several rounds that may run at once: the highest requirement of each row."""
     strictest: LanesByKey = {}
     for spec in specs:
         for key, lanes in required_lanes(spec, demand, zones).items():
@@ -76,13 +83,13 @@
 
 
 def with_strictest_failure(spec: RoundSpec, others: Iterable[RoundSpec]) -> RoundSpec:
-    """The round, prepared for the worst failure that it or any of the others is to survive."""
+    """The round with the strictest failure level that this round or any of the others has to survive."""
     levels = [spec.survivable_failure, *(other.survivable_failure for other in others)]
     return msgspec.structs.replace(spec, survivable_failure=max(levels, key=FAILURE_LEVELS.index))
 
 
 def host_lanes(host: MaintenanceHost, functions: Mapping[str, int]) -> LanesByKey:
-    """What one host adds to each row. `functions`: its warm lanes by function."""
+    """The lanes that one host adds to each row. `functions`: the host's warm lanes by function."""
     if not functions:
         return {}
     rows = {**functions, ALL_FUNCTIONS: max(functions.values())}
@@ -94,7 +101,7 @@
 def available_lanes(
     fleet: Fleet, warm_lanes: Mapping[str, Mapping[str, int]], excluded_hosts: Collection[str] = ()
 ) -> LanesByKey:
-    """The lanes of all hosts but those in `without`."""
+    """The warm lanes of all hosts except `excluded_hosts`."""
     total: LanesByKey = {}
     for name, functions in _hosts_in_service(warm_lanes, excluded_hosts):
         _add_lanes(total, host_lanes(fleet[name], functions))
@@ -104,7 +111,10 @@
 def possible_failures(
     capacity: FleetCapacity, failure_level: str, excluded_hosts: Collection[str] = ()
 ) -> list[tuple[str, LanesByKey]]:
-    """Each host, rack or zone that has anything warm, with the lanes that are lost if it fails."""
+    """Each host, rack or zone that has any warm function, with the lanes that its failure would remove.
+
+    `failure_level`: "host", "rack" or "zone"; "" assumes no failure.
+    """
     if not failure_level:
         return []
     lost: dict[str, LanesByKey] = {}
@@ -118,9 +128,10 @@
 def find_shortfalls(
     capacity: FleetCapacity, failure_level: str, excluded_hosts: Collection[str] = ()
 ) -> list[Shortfall]:
-    """The rows that fall short without these hosts, now or if any one host, rack or zone (`level`) fails.
+    """The rows that fall short without the excluded hosts; an empty list if the capacity floor is met.
 
-    An empty list if the floor is met. If a zone fails, nothing is required within that zone.
+    If no row falls short now, each failure of one host, rack or zone (`failure_level`) is assumed in turn.
+    Within a zone that is assumed to fail, no lanes are required.
     """
     available = available_lanes(capacity.fleet, capacity.warm_lanes, excluded_hosts)
     shortfalls = [
@@ -141,7 +152,7 @@
 
 
 def describe_first_shortfall(shortfalls: list[Shortfall]) -> str:
-    """A text about the first shortfall."""
+    """A message about the first of the shortfalls."""
     if shortfalls == DEMAND_UNKNOWN:
         return "demand: no gateway reports it"
     (function, scope), required, available, assumed_failure = shortfalls[0]
--- a/gaproute/maintenance/drain_proof.py
+++ b/gaproute/maintenance/drain_proof.py
@@ -1,18 +1,20 @@
-"""Proofs that a host which was ordered to drain gets no more requests and runs none.
-
-There are two; either is enough:
-
-- By the host: it was ordered to drain and, probed afterwards, reports that it takes no new requests and
-  runs none. A gateway that did not hear of the order may still send; the host answers 'not ready', the
-  request did not run and goes elsewhere. This needs no clock and no message from gateways.
-- By the host list: for a host that cannot reject requests itself. A gateway that receives the list has the
-  new one within a poll interval. One that does not drops hosts whose entry was not renewed within the entry's
-  lifetime; the platform has to promise this lifetime, otherwise this proof never holds. What was sent until
-  then has ended after the hard limit of a request. All three are lengthened for clocks that go wrong by up to
-  `CLOCK_ERROR_PER_MILLE` on either side. After this time the host must report that it runs nothing.
-
-The end of a lease proves nothing here: a lease limits how long a host's restart may be begun, not who sends
-requests.
+"""Drain proofs: evidence that a host that was ordered to drain receives no more requests and runs none.
+
+There are two kinds of proof; either one suffices:
+
+- The host's report: a probe sent after the drain order shows that the host takes no new requests and runs
+  none. A gateway that does not know of the order may still send a request; the host then answers 'not
+  ready', the request does not run and is sent to another host. This proof needs no clock and no message
+  from gateways.
+- The host list, for a host that cannot reject requests itself. A gateway that receives the host list has
+  the new list within a poll interval. A gateway that does not receive it drops each host whose entry is not
+  renewed within the entry's lifetime; the platform has to guarantee this lifetime, otherwise this proof
+  never holds. Requests sent until then have ended after the hard limit of a request. All three times are
+  lengthened for clocks that are wrong by up to `CLOCK_ERROR_PER_MILLE` on either side. After this time the
+  host must report that it runs no requests.
+
+The expiry of a lease is no drain proof: a lease limits the time in which a restart of the host may begin,
+not which gateways send requests.
 """
 
 from enum import StrEnum
@@ -22,14 +24,16 @@
 from gaproute.maintenance.host_report import HostReport
 from gaproute.units import SECOND
 
-CLOCK_ERROR_PER_MILLE = 10  # per mille by which a clock may be wrong, the same as for leases
+CLOCK_ERROR_PER_MILLE = 10  # the largest error of a clock, the same as for leases
 
 
 class DrainBounds(msgspec.Struct, frozen=True):
-    """Times that bound how long a host may still get and run requests, in ns.
+    """Times in ns that bound how long a host may still receive and run requests.
 
-    `poll_interval`: between two reads of the host list; `entry_lifetime`: until an entry that is not
-    renewed is dropped, 0 if that is not promised; `hard_limit`: the longest that a request runs.
+    `poll_interval`: time between two reads of the host list.
+    `entry_lifetime`: time after which a gateway drops an entry of the host list that is not renewed; 0 if
+    the platform guarantees no such time.
+    `hard_limit`: the longest time that a request runs.
     """
 
     poll_interval: int = 2 * SECOND
@@ -38,7 +42,7 @@
 
 
 class DrainProof(StrEnum):
-    """By what a host is proved drained."""
+    """The evidence that proves a host drained."""
 
     NONE = ""
     HOST_REPORT = "host"
@@ -46,12 +50,12 @@
 
 
 def clock_error_allowance(duration: int) -> int:
-    """What is added to a duration, in ns, that clocks of several machines measure; rounded down."""
+    """The time to add to a duration, in ns, that clocks of several machines measure; rounded down."""
     return duration * 3 * CLOCK_ERROR_PER_MILLE // 1000
 
 
 def list_drain_time(bounds: DrainBounds) -> int | None:
-    """Nanoseconds until nothing sent by the old host list can still run; None: never proved."""
+    """Nanoseconds until no request sent by the old host list can still run; None if there is no bound."""
     if not bounds.entry_lifetime:
         return None
     duration = max(bounds.poll_interval, bounds.entry_lifetime) + bounds.hard_limit
@@ -59,9 +63,9 @@
 
 
 def find_drain_proof(report: HostReport | None, drain_ordered_at: int, bounds: DrainBounds) -> DrainProof:
-    """The proof that the host is drained, if there is one yet.
+    """The drain proof of the host, or `DrainProof.NONE`.
 
-    `report`: its last one; `drain_ordered_at`: when it was ordered to drain.
+    `report`: the host's last report; `drain_ordered_at`: when the host was ordered to drain.
     """
     if report is None or report.in_flight:
         return DrainProof.NONE
--- a/gaproute/maintenance/fleet_status.py
+++ b/gaproute/maintenance/fleet_status.py
@@ -1,4 +1,4 @@
-"""The state of the fleet at one moment, as a controller of maintenance is given it."""
+"""The state of the fleet at one moment, the input of a round controller."""
 
 from collections.abc import Mapping
 
@@ -12,11 +12,11 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
-    """What is known of the fleet now.
+    """What this gateway knows of the fleet at one moment.
 
-    `fleet`: the hosts that are listed; `reports`: each host's last report to this gateway.
-    `sightings`: warm instances seen by this gateway or reported by others, as gossip knows them.
-    `demand`: by function, the lanes in use at its peak; `demand_age`: ns since demand was last reported.
+    `fleet`: the listed hosts; `reports`: the last report of each host to this gateway.
+    `sightings`: warm instances that this gateway saw or that others reported by gossip.
+    `demand`: lanes in use at the peak, by function; `demand_age`: ns since demand was last reported.
     """
 
     fleet: Fleet
@@ -31,5 +31,5 @@
         return sorted({host.zone for host in self.fleet.values()})
 
     def unresponsive_hosts(self, now: int) -> list[str]:
-        """The listed hosts that have not answered lately."""
+        """The listed hosts that have answered no probe lately."""
         return [name for name in self.fleet if not is_responsive(self.reports.get(name), now)]
--- a/gaproute/maintenance/host_progress.py
+++ b/gaproute/maintenance/host_progress.py
@@ -1,15 +1,18 @@
-"""Progress of one host through a round of maintenance, and the incarnations of all hosts.
+"""Progress of one host through a maintenance round, and the incarnations of all hosts.
 
 | state | meaning | next states |
 | --- | --- | --- |
-| `waiting` | in service, to be taken out; also after it was called off | `draining` |
-| `draining` | ordered to take no new requests | `asking` if proved drained; `waiting` if called off |
-| `asking` | drained; a lease for it is requested | `ready` once held; `waiting` if called off |
-| `ready` | its crew may have it | `out` when the crew asks; `waiting` if called off |
-| `out` | given to the crew, which may begin for a while | `back`, `lost`; `waiting` if the crew never began |
-| `lost` | not back in time | `back` if it reports after all |
-| `back` | restarted; the functions that it had before are loaded again | `done` |
-| `done` | has again what it had, or that took too long | |
+| `waiting` | in service, still to be taken out, possibly after a revoked attempt | `draining`, `back` |
+| `draining` | ordered to take no new requests | `asking` once proved drained; `waiting` if revoked |
+| `asking` | drained; the host's lease is requested | `ready` once the lease is held; `waiting` if revoked |
+| `ready` | may be handed over to the crew | `out` when the crew asks for it; `waiting` if revoked |
+| `out` | handed over; the crew may start its work until the grant expires | `back`, `lost`, `waiting` |
+| `lost` | not back in time | `back` or `waiting` once the host reports a new incarnation |
+| `back` | restarted; its previous functions are loaded again | `done` |
+| `done` | all previous functions are warm again, or loading them took too long | |
+
+A host goes from `out` to `waiting` if the crew never started its work, or if the host restarted
+without the crew. A host goes from `waiting` to `back` if it reports the round as completed.
 """
 
 from enum import StrEnum
@@ -20,7 +23,7 @@
 
 
 class HostState(StrEnum):
-    """Where a host is in a round of maintenance; see the table above."""
+    """The states of a host in a maintenance round; the module's table describes them by their values."""
 
     WAITING = "waiting"
     DRAINING = "draining"
@@ -32,17 +35,20 @@
     DONE = "done"
 
 
-# Not begun by the crew: can still be returned to service.
+# Not handed over to the crew yet: the host can still be returned to service.
 REVOCABLE_STATES = frozenset({HostState.DRAINING, HostState.REQUESTING_LEASE, HostState.READY})
 AWAY_STATES = REVOCABLE_STATES | {HostState.HANDED_OVER, HostState.LOST}
 
 
 class HostProgress:
-    """One host of a round. Times are in ns of the controller's clock.
-
-    `state_since`: when its state began; `drain_ordered_at`, `drain_mark`: of the last order to drain.
-    `lease`: under which it is taken out; `incarnation`: the one that was drained.
-    `previous_functions`: those that it had warm before; `grant_expires_at`: until then the crew may begin.
+    """The progress of one host of a round. Times are in ns of the controller's clock.
+
+    `state_since`: when the host entered its state.
+    `drain_ordered_at`, `drain_mark`: time and mark of the last drain order.
+    `lease`: the lease under which the host is taken out of service.
+    `incarnation`: the incarnation that was ordered to drain.
+    `previous_functions`: the functions that were warm at the host before it drained.
+    `grant_expires_at`: until then the crew may start its work.
     """
 
     __slots__ = (
@@ -67,42 +73,46 @@
         self.grant_expires_at = 0
 
     def enter_state(self, now: int, state: HostState) -> None:
-        """The host is in this state from now on."""
+        """Records that the host is in this state from now on."""
         self.state, self.state_since = state, now
 
     def time_in_state(self, now: int) -> int:
-        """Nanoseconds since its state began."""
+        """Nanoseconds since the host entered its state."""
         return now - self.state_since
 
     def holds_lease(self, now: int) -> bool:
-        """Whether the lease for taking it out is held."""
+        """Whether the lease for taking the host out of service is held."""
         return self.lease is not None and self.lease.valid_at(now)
 
     @property
     def fencing_token(self) -> int:
-        """Of its lease; 0 without one."""
+        """The fencing token of the host's lease; 0 without a lease."""
         return self.lease.fencing_token if self.lease is not None else 0
 
     @property
     def is_away(self) -> bool:
-        """Whether it counts as out of service."""
+        """Whether the host counts as out of service."""
         return self.state in AWAY_STATES
 
     @property
     def is_revocable(self) -> bool:
-        """Whether it is being taken out, but was not given to the crew yet."""
+        """Whether the host is being taken out of service but is not handed over to the crew yet."""
         return self.state in REVOCABLE_STATES
 
 
 class HostIncarnations:
-    """The incarnation of each host, and since when what is seen of it concerns this incarnation."""
+    """The incarnation of each host.
+
+    `first_probed_at`: when the first probe was sent that the present incarnation answered; what is observed
+    of the host from then on concerns this incarnation.
+    """
 
     def __init__(self) -> None:
         self.incarnations: dict[str, int] = {}
         self.first_probed_at: dict[str, int] = {}
 
     def update(self, status: FleetStatus) -> list[str]:
-        """Takes in the reports; returns the hosts that have restarted since the last call."""
+        """Records the reported incarnations; returns the hosts that have restarted since the last call."""
         restarted = []
         for name in status.fleet:
             report = status.reports.get(name)
@@ -115,10 +125,10 @@
         return restarted
 
     def counted_since(self, now: int, turn_held_since: int, status: FleetStatus) -> dict[str, int]:
-        """For each host whose warm functions count: the time after which observations of it count.
+        """For each host whose warm functions count: the time after which observations of the host count.
 
-        A host counts only if it has answered since the turn began and does not drain: the previous holder
-        of the turn may have given it to a crew until then.
+        A host counts only if it has answered since the turn was granted and does not drain: until then, the
+        previous holder of the turn may have handed the host over to a crew.
         """
         return {
             name: max(turn_held_since, self.first_probed_at[name])
--- a/gaproute/maintenance/host_report.py
+++ b/gaproute/maintenance/host_report.py
@@ -1,4 +1,4 @@
-"""What a host reports of itself when it is probed."""
+"""The report of a host in answer to a probe, and the marks of orders to hosts."""
 
 from typing import NamedTuple, TypeGuard
 
@@ -6,13 +6,15 @@
 
 from gaproute.units import SECOND
 
-RESPONSE_TIMEOUT = 6 * SECOND  # a host that has not answered for so long, some probes, counts as absent
+# A host counts as absent once its last answered probe is older. Several probes are sent within this time.
+RESPONSE_TIMEOUT = 6 * SECOND
 
 
 class OrderMark(NamedTuple):
-    """Identifies an order to drain or to serve: a host takes only orders with a greater mark than its last.
+    """Identifies an order to drain or to serve. A host accepts only a greater mark than its last one.
 
-    `fencing_token`: of the lease under which the order was given; `number`: counts the orders under it.
+    `fencing_token`: token of the lease under which the order was given; `number`: counts the orders of one
+    controller.
     """
 
     fencing_token: int
@@ -25,14 +27,17 @@
 class HostReport(msgspec.Struct, frozen=True):
     """A host's last answer to a probe.
 
-    `asked_at`: when it was probed, by the prober's clock, ns; what it says was true at that time or later.
-    `incarnation`: of its process: another number after each restart.
-    `draining`: whether it takes no new requests; `last_order`: the last order to drain or serve that it took.
-    `in_flight`: how many requests it runs.
-    `capacity`: per mille of its full pace that it has now; less while it warms up after a start.
-    `free_slots`: how many more functions it could load.
-    `warm_functions`, `loading_functions`: those that are loaded, and those being loaded.
-    `completed_round`: the last round of maintenance in which it was restarted.
+    `asked_at`: when the probe was sent, in ns of the prober's clock; the report was true at that time or
+    later.
+    `incarnation`: of the host's process; the number changes with each restart.
+    `draining`: whether the host takes no new requests.
+    `last_order`: mark of the last order to drain or to serve that the host accepted.
+    `in_flight`: number of requests that the host runs.
+    `capacity`: the host's present speed, per mille of its full speed; below 1000 while it warms up after a
+    start.
+    `free_slots`: number of functions that the host could load in addition.
+    `warm_functions`, `loading_functions`: functions that are loaded, and functions that are being loaded.
+    `completed_round`: name of the last maintenance round in which the host was restarted.
     """
 
     asked_at: int
@@ -48,5 +53,5 @@
 
 
 def is_responsive(report: HostReport | None, now: int) -> TypeGuard[HostReport]:
-    """Whether the host has answered lately."""
+    """Whether the host has answered a probe lately."""
     return report is not None and now - report.asked_at < RESPONSE_TIMEOUT
--- a/gaproute/maintenance/load_planning.py
+++ b/gaproute/maintenance/load_planning.py
@@ -1,6 +1,6 @@
-"""Which functions are loaded where, so that the capacity suffices while hosts are away.
+"""Plans which functions are loaded at which hosts, so that the capacity suffices while hosts are away.
 
-A host loads one function at a time. Hosts that will go soon load nothing for others if that can be helped.
+A host loads one function at a time. Hosts that will be taken out soon are the last choice for loads.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -18,11 +18,11 @@
 from gaproute.maintenance.host_selection import RoundHosts, order_by_urgency
 from gaproute.maintenance.round_spec import MaintenanceHost, RoundSpec
 
-NO_DEPARTURE = 1 << 30  # position of hosts that are not about to go
+NO_DEPARTURE = 1 << 30  # position of hosts that will not be taken out next
 
 
 class FunctionLoad(NamedTuple):
-    """A function that a host loads, or is to load."""
+    """A load of a function at a host, planned or in progress."""
 
     host: str
     function: str
@@ -30,11 +30,10 @@
 
 @dataclass(frozen=True)
 class LoadSituation:
-    """What limits loads now.
+    """The loads that are possible and the loads that are due.
 
-    `free_slots`: of the hosts that may load; `loading`: under way; `max_loads`: at once.
-    `functions_to_reload`: by host that came back, the functions that it had before, to be loaded there
-    again.
+    `free_slots`: by host, for the hosts that may load; `max_loads`: the number of loads in progress at once.
+    `functions_to_reload`: for each host that is back, the functions that it had before it was taken out.
     """
 
     free_slots: Mapping[str, int]
@@ -46,7 +45,7 @@
 def plan_loads(
     spec: RoundSpec, capacity: FleetCapacity, hosts: RoundHosts, situation: LoadSituation
 ) -> list[FunctionLoad]:
-    """The loads to be ordered now, in order of importance."""
+    """The loads to order now, the most important first."""
     planner = _LoadPlanner(spec, capacity, situation)
     planner.plan_reloads()
     candidates = [
@@ -55,11 +54,15 @@
         if not host_selection.find_conflict(spec, capacity.fleet, name, hosts.away)
     ]
     planner.plan_preparations(hosts.away, candidates)
-    return planner.planned
+    return planner.planned_loads
 
 
 class _LoadPlanner:
-    """Plans loads one after the other; `warm`: the lanes once all planned loads have ended."""
+    """Plans loads one after the other.
+
+    `warm_lanes`: the lanes once all planned loads and those in progress have ended.
+    `departure_positions`: positions of the hosts that are taken out next, in their order.
+    """
 
     def __init__(self, spec: RoundSpec, capacity: FleetCapacity, situation: LoadSituation) -> None:
         self.spec, self.fleet, self.required_lanes = spec, capacity.fleet, capacity.required_lanes
@@ -69,11 +72,11 @@
             self.warm_lanes[host][function] = self.fleet[host].lanes
         self.remaining_loads = situation.max_loads - len(situation.loads_in_progress)
         self.busy_hosts = {host for host, _ in situation.loads_in_progress}
-        self.planned: list[FunctionLoad] = []
-        self.departure_positions: dict[str, int] = {}  # of the hosts that go next
+        self.planned_loads: list[FunctionLoad] = []
+        self.departure_positions: dict[str, int] = {}
 
     def plan_reloads(self) -> None:
-        """Loads again what hosts had before they were taken out."""
+        """Plans to load again the functions that hosts had before they were taken out."""
         for host, functions in self.situation.functions_to_reload.items():
             for function in functions:
                 if (
@@ -84,12 +87,12 @@
                     self._add_load(FunctionLoad(host, function))
 
     def plan_preparations(self, away: Collection[str], candidates: Sequence[str]) -> None:
-        """Loads what is missing now, or else what would be missing without the next host."""
+        """Plans loads against present shortfalls, or else against those that a next departure causes."""
         self.departure_positions = {name: position for position, name in enumerate(candidates)}
         for leaving in ((), *((name,) for name in candidates)):
             self._plan_against_shortfalls(tuple((*away, *leaving)))
-            if self.planned or self.situation.loads_in_progress:
-                break  # one host after the other is prepared for
+            if self.planned_loads or self.situation.loads_in_progress:
+                break  # departures are prepared one host at a time
 
     def _plan_against_shortfalls(self, excluded_hosts: tuple[str, ...]) -> None:
         while self.remaining_loads > 0:
@@ -104,7 +107,7 @@
         self.remaining_loads -= 1
         self.busy_hosts.add(load.host)
         self.warm_lanes[load.host][load.function] = self.fleet[load.host].lanes
-        self.planned.append(load)
+        self.planned_loads.append(load)
 
     def _can_load(self, host: str) -> bool:
         return host not in self.busy_hosts and self.situation.free_slots.get(host, 0) > 0
@@ -112,7 +115,10 @@
     def _most_useful_load(
         self, shortfalls: Sequence[Shortfall], excluded_hosts: Collection[str]
     ) -> FunctionLoad | None:
-        """Of the first shortfall that any load helps: by a host that leaves late and has many lanes."""
+        """The best load against the first shortfall that a load can reduce; None if there is none.
+
+        Hosts that are taken out late are preferred, then hosts with many lanes.
+        """
         for shortfall in shortfalls:
             loads = [
                 FunctionLoad(name, function)
@@ -131,17 +137,17 @@
         return -departure, -self.fleet[load.host].lanes, load
 
     def _function_for(self, host: str, shortfall: Shortfall, shortfalls: Sequence[Shortfall]) -> str | None:
-        """What the host would have to load against the shortfall; None if that is of no use."""
+        """The function that the host would load against the shortfall; None if no load there reduces it."""
         function: str | None = shortfall.key.function
         if function == ALL_FUNCTIONS:
             if self.warm_lanes[host]:
-                return None  # it counts there already
+                return None  # the host counts for this row already
             missing = (other.key.function for other in shortfalls if other.key.function != ALL_FUNCTIONS)
             function = next(missing, None) or self._most_common_function()
         return None if function is None or function in self.warm_lanes[host] else function
 
     def _most_common_function(self) -> str | None:
-        """The function with most instances: the likeliest to be requested."""
+        """The function with the most instances, which is the most likely to be requested."""
         counts: dict[str, int] = {}
         for functions in self.warm_lanes.values():
             for name in functions:
@@ -150,6 +156,6 @@
 
 
 def _reduces_shortfall(host: MaintenanceHost, shortfall: Shortfall) -> bool:
-    """Whether lanes of this host count where they are missing, also in the failure that is considered."""
+    """Whether lanes of this host count for the row of the shortfall, also under its assumed failure."""
     in_scope = shortfall.key.scope in (WHOLE_FLEET, host.zone)
     return in_scope and shortfall.assumed_failure not in (host.name, host.rack, host.zone)
--- a/gaproute/maintenance/orders.py
+++ b/gaproute/maintenance/orders.py
@@ -1,4 +1,4 @@
-"""Orders that a controller of maintenance gives to hosts, and its answers to a maintenance crew."""
+"""Orders of a round controller to hosts, and its answers to a maintenance crew."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainOrder:
-    """The host shall take no new requests."""
+    """Orders a host to take no new requests."""
 
     host: str
     mark: OrderMark
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServeOrder:
-    """The host shall take requests again."""
+    """Orders a host to take requests again."""
 
     host: str
     mark: OrderMark
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """The host shall load the function."""
+    """Orders a host to load a function."""
 
     host: str
     function: str
@@ -34,10 +34,10 @@
 
 
 class HostGrant(NamedTuple):
-    """A host is given to a maintenance crew.
+    """Hands a host over to a maintenance crew.
 
-    The crew may begin its work within `time_left` ns from when it asked. The host accepts a restart only
-    under a greater `fencing_token` than it saw, and while it drains by the order `mark`.
+    The crew may start its work within `time_left` ns from when it asked. The host accepts a restart only
+    under a greater `fencing_token` than it has seen, and while it drains by the order `mark`.
     """
 
     fencing_token: int
@@ -47,6 +47,6 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRejection:
-    """Why a host is not given to a maintenance crew now."""
+    """The answer to a maintenance crew that a host is not handed over now, with the reason."""
 
     reason: str
--- a/gaproute/maintenance/progress_planner.py
+++ b/gaproute/maintenance/progress_planner.py
@@ -1,4 +1,4 @@
-"""The next steps of a running round: hosts to be taken out, functions to be loaded.
+"""Plans the next steps of a running round: hosts to take out of service, functions to load.
 
 Rule numbers refer to the docstring of `controller.py`.
 """
@@ -16,18 +16,18 @@
 from gaproute.maintenance.turn import MAX_TURN_HOLD_TIME
 from gaproute.units import SECOND
 
-ORDER_EFFECT_TIMEOUT = 10 * SECOND  # an order whose effect was not seen by then counts as lost
+ORDER_EFFECT_TIMEOUT = 10 * SECOND  # an order without a visible effect by then counts as lost
 
 
 class RecentOrders:
-    """Orders given lately: by host (to serve) or load, when."""
+    """The times of recent orders to serve, by host, and of recent load orders, by load."""
 
     def __init__(self) -> None:
         self.serve_ordered_at: dict[str, int] = {}
         self.load_ordered_at: dict[FunctionLoad, int] = {}
 
     def expire(self, now: int) -> None:
-        """Forgets what was ordered too long ago."""
+        """Removes orders older than `ORDER_EFFECT_TIMEOUT`."""
         self.serve_ordered_at = {
             host: at for host, at in self.serve_ordered_at.items() if now - at < ORDER_EFFECT_TIMEOUT
         }
@@ -37,9 +37,9 @@
 
 
 class ProgressPlanner:
-    """Decides the next steps while the round has the turn.
+    """Decides the next steps while the round holds the maintenance turn.
 
-    `recent`: the orders given lately; `feasible`: the round was found to be feasible, or has begun.
+    `recent_orders`: orders given lately; `known_feasible`: the round was found feasible or has started.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.known_feasible = False
 
     def end_drains_of_earlier_turns(self, now: int, status: FleetStatus) -> list[HostOrder]:
-        """Orders other hosts to serve that still drain for an earlier holder of the turn (rule 2)."""
+        """Serve orders for hosts outside this round that still drain for an earlier turn (rule 2)."""
         orders: list[HostOrder] = []
         for name, report in status.reports.items():
             if (
@@ -75,8 +75,8 @@
         return orders
 
     def find_obstacle(self, status: FleetStatus) -> str:
-        """What forbids to begin the round; "" if nothing does, or if it has begun already."""
-        if self.known_feasible or self._has_begun():
+        """Why the round may not start; "" if it may, or if it has started already."""
+        if self.known_feasible or self._has_started():
             self.known_feasible = True
             return ""
         if self.estimate.shortfalls == DEMAND_UNKNOWN:
@@ -90,12 +90,12 @@
         self.known_feasible = not forecast.obstacle
         return forecast.obstacle
 
-    def _has_begun(self) -> bool:
-        """Whether hosts were taken out already, possibly by the process before this one."""
+    def _has_started(self) -> bool:
+        """Whether any host was taken out already, possibly by an earlier process of this controller."""
         return any(host.state != HostState.WAITING for host in self.transitions.hosts.values())
 
     def next_orders(self, now: int, status: FleetStatus) -> list[HostOrder]:
-        """Drain orders, as far as the floor allows, and load orders; calls off what it does not allow."""
+        """Drain orders as far as the floor allows, load orders, and serve orders if the floor is not met."""
         orders: list[HostOrder] = []
         shortfalls = self.estimate.shortfalls
         if shortfalls:  # rule 4
@@ -110,7 +110,7 @@
         return orders + self._order_loads(now, status, waiting)
 
     def _waiting_hosts_in_service(self, now: int, status: FleetStatus) -> list[str]:
-        """The hosts still to go that are in service."""
+        """The hosts in service that are still to be taken out."""
         names = []
         for host in self.transitions.hosts.values():
             report = status.reports.get(host.name)
@@ -157,7 +157,7 @@
         return [LoadOrder(load.host, load.function) for load in loads]
 
     def _loads_in_progress(self, status: FleetStatus) -> list[FunctionLoad]:
-        """Loads that hosts report, and those ordered lately that are not seen warm yet."""
+        """Loads that hosts report, and recently ordered loads whose function is not seen warm yet."""
         reported = {
             FunctionLoad(name, function)
             for name, report in status.reports.items()
--- a/gaproute/maintenance/round_spec.py
+++ b/gaproute/maintenance/round_spec.py
@@ -1,4 +1,4 @@
-"""A round of maintenance as an operator describes it, and the hosts that it concerns."""
+"""The description of a maintenance round by an operator, and the hosts that it selects."""
 
 from collections.abc import Mapping
 from typing import Annotated
@@ -8,8 +8,8 @@
 
 from gaproute.units import SECOND
 
-MAX_HOSTS = 4096  # of one round: as many as a fleet may list
-MAX_NAME_LENGTH = 128  # characters, the same as of a leased resource
+MAX_HOSTS = 4096  # of one round; a fleet lists at most as many
+MAX_NAME_LENGTH = 128  # characters; the same limit as for a leased resource
 MAX_DURATION = 24 * 3600 * SECOND  # of one host's absence, or of a whole round
 FAILURE_LEVELS = ("", "host", "rack", "zone")  # from the weakest to the strictest
 GROUPING_LEVELS = ("", "rack", "zone")
@@ -22,7 +22,7 @@
 class MaintenanceHost(msgspec.Struct, frozen=True):
     """One host as the host list describes it.
 
-    `lanes`: how many requests it serves at once; `slots`: how many loaded functions it holds at once.
+    `lanes`: number of requests that the host runs at once; `slots`: number of functions that it holds loaded.
     """
 
     name: str
@@ -33,9 +33,9 @@
     slots: int
 
 
-Fleet = Mapping[str, MaintenanceHost]  # by name, in the order of the host list
+Fleet = Mapping[str, MaintenanceHost]  # hosts by name, in the order of the host list
 
-# The keys of the operators' form, where they differ from the names here.
+# Keys of the operator's description that differ from the field names.
 _KEYS = {
     "max_absence": "out",
     "max_away": "together",
@@ -48,21 +48,22 @@
 
 
 class RoundSpec(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=_KEYS):
-    """What a round of maintenance shall do, and which limits it keeps. Times are in ns.
-
-    The hosts are named one by one in `hosts`, or are all of one `kind`, `zone` or `rack`; where two of these
-    are given, a host has to match both.
-
-    `max_absence`: how long one host is away at most.
-    `max_away`: how many hosts are away at once at most.
-    `deadline`: time from the beginning of the round until all hosts are back.
-    `exclusive_groups`: of each group, one host at a time may be away.
-    `one_away_per`: "rack" or "zone": of each of these, one host at a time may be away.
-    `margin`: per mille of warm lanes that are required above the peak demand of each function.
-    `zone_share`: per mille of an even share of the peak demand that each zone must serve by itself.
-    `survivable_failure`: "host", "rack" or "zone": the capacity must suffice even when any one of these
-    fails; "" requires nothing of the kind.
-    `functions`: those that are considered; all that have demand if it is empty.
+    """The hosts that a maintenance round takes out of service, and the limits that it keeps. Times are in ns.
+
+    `hosts` names the hosts one by one, or the round selects all hosts of one `kind`, `zone` or `rack`; where
+    several of these three are given, a host has to match all of them.
+
+    `max_absence`: the longest time that one host is away.
+    `max_away`: the most hosts that are away at once.
+    `deadline`: the time from the start of the round by which all hosts are back.
+    `exclusive_groups`: groups of hosts; at most one host of each group is away at a time.
+    `one_away_per`: "rack" or "zone": at most one host of each rack or zone is away at a time; "" sets no
+    such limit.
+    `margin`: warm lanes required above the peak demand of each function, per mille of the peak demand.
+    `zone_share`: per mille of an even share of the peak demand that each zone must be able to serve alone.
+    `survivable_failure`: "host", "rack" or "zone": the capacity must suffice even if any one of these fails;
+    "" assumes no failure.
+    `functions`: the functions that the floor considers; if empty, all functions with demand.
     """
 
     name: Name
--- a/gaproute/maintenance/turn.py
+++ b/gaproute/maintenance/turn.py
@@ -1,7 +1,7 @@
-"""The turn of a round: a lease that one round of the fleet holds at a time.
+"""The maintenance turn: a lease that one round of the fleet holds at a time.
 
-Two rounds therefore never rely on the same warm capacity. A round that has held the turn for long begins
-nothing new, waits until its hosts are back and releases the turn for a while, so that others get it.
+Two rounds therefore never rely on the same warm capacity. A round that has held the turn for long takes out
+no more hosts, waits until its hosts are back and releases the turn for a while, so that other rounds get it.
 """
 
 from gaproute.shared.leases import LeaseClient
@@ -9,15 +9,17 @@
 from gaproute.units import SECOND
 
 TURN_RESOURCE = "maintenance turn"
-MAX_TURN_HOLD_TIME = 300 * SECOND  # while another round may wait for the turn
-LEASE_RETRY_PAUSE = 2 * SECOND  # until a lease that was lost or rejected is requested again
-TURN_YIELD_PAUSE = 3 * SECOND  # after the turn was released for others; longer than their `LEASE_RETRY_PAUSE`
+MAX_TURN_HOLD_TIME = 300 * SECOND  # limited because another round may wait for the turn
+LEASE_RETRY_PAUSE = 2 * SECOND  # time before a lost or rejected lease is requested again
+# Time before the turn is requested again after its release for other rounds; longer than `LEASE_RETRY_PAUSE`,
+# so that the other rounds request the turn first.
+TURN_YIELD_PAUSE = 3 * SECOND
 
 
 class MaintenanceTurn:
-    """Requests, renews and releases the turn of one round. Times are in ns of the own clock.
+    """Requests, renews and releases the maintenance turn for one round. Times are in ns of the local clock.
 
-    `held_since`: when the lease was first seen held; None without one.
+    `held_since`: when `tick` first found the lease held; None while it is not held.
     """
 
     def __init__(self, client: LeaseClient, lease_duration: int, now: int) -> None:
@@ -27,25 +29,25 @@
         self.next_request_at = now
 
     def is_held(self, now: int) -> bool:
-        """Whether the turn is held and was noticed to be."""
+        """Whether the turn is held and an earlier `tick` found it held."""
         return self.held_since is not None and self._is_valid(now)
 
     def time_held(self, now: int) -> int:
-        """Nanoseconds since the turn was first seen held; 0 without it."""
+        """Nanoseconds since `tick` first found the turn held; 0 if it is not held."""
         return now - self.held_since if self.held_since is not None else 0
 
     @property
     def fencing_token(self) -> int:
-        """Of the lease; 0 before it was granted."""
+        """The fencing token of the lease; 0 before it is granted."""
         return self.lease.fencing_token if self.lease is not None else 0
 
     @property
     def expires_at(self) -> int:
-        """When the lease ends unless it is renewed; 0 before it was granted."""
+        """When the lease ends unless it is renewed; 0 before it is granted."""
         return self.lease.expires_at or 0 if self.lease is not None else 0
 
     def tick(self, now: int, *, any_host_away: bool) -> None:
-        """Requests the turn, notices that it is held or lost, and releases it after long."""
+        """Requests the turn, records whether it is held, and releases it after `MAX_TURN_HOLD_TIME`."""
         held = self._is_valid(now)
         if held and self.held_since is None:
             self.held_since = now
@@ -58,7 +60,7 @@
             self.lease = self.client.acquire(now, TURN_RESOURCE, self.lease_duration)
 
     def release(self, now: int) -> None:
-        """Gives the turn back, if it is held or requested."""
+        """Releases the turn if it is held or requested."""
         if self.lease is not None:
             self.client.release(now, self.lease)
 
--- a/gaproute/maintenance/warm_capacity.py
+++ b/gaproute/maintenance/warm_capacity.py
@@ -1,9 +1,10 @@
-"""How many warm lanes each host is believed to have: a lower bound of the truth.
+"""Estimates the warm lanes of each host: a lower bound of the true number.
 
 A warm function counts if the host itself reported it to this gateway, or if at least two other gateways saw
-it and the host has not reported otherwise since. What was seen before a host's last restart, or before this
-controller was granted its turn, does not count: it may be of an earlier incarnation of the host, or from
-before another round took the host out. With age an observation counts less and less.
+it and the host has not reported otherwise since. Observations from before the host's last restart, or from
+before this controller was granted the maintenance turn, do not count: they may concern an earlier
+incarnation of the host, or the time before another round took the host out. The weight of an observation
+decreases with its age.
 """
 
 from collections.abc import Mapping
@@ -13,18 +14,17 @@
 from gaproute.shared.gossip.fleet_view import WarmSighting
 from gaproute.units import SECOND
 
-FULL_WEIGHT_AGE = 5 * SECOND  # until this age an observation counts in full: some probes of one host
-MAX_OBSERVATION_AGE = (
-    20 * SECOND
-)  # from this age on it counts for nothing: a failed host is noticed within it
-GOSSIP_DELAY = 5 * SECOND  # added to the age of sightings by others: they may have been under way so long
-MIN_ORIGINS = 2  # other gateways that must have seen an instance: a single one may be wrong
+FULL_WEIGHT_AGE = 5 * SECOND  # up to this age an observation counts in full: several probes of one host
+# From this age on an observation has no weight; a failed host is detected within this time.
+MAX_OBSERVATION_AGE = 20 * SECOND
+GOSSIP_DELAY = 5 * SECOND  # added to the age of sightings by others, for the time they may travel
+MIN_ORIGINS = 2  # other gateways that must have seen an instance; a single one may be wrong
 
 WarmLanes = dict[str, dict[str, int]]  # lanes by host and function
 
 
 def age_weight(age: int) -> int:
-    """Per mille that an observation of this age, in ns, counts."""
+    """The weight, per mille, of an observation of this age in ns."""
     if age < 0:
         return 0
     if age <= FULL_WEIGHT_AGE:
@@ -41,9 +41,9 @@
     observer: str,
     counted_since: int,
 ) -> int:
-    """Per mille that a warm instance counts. What was seen up to `counted_since` counts for nothing.
+    """The weight, per mille, of a warm instance. Observations up to `counted_since` have no weight.
 
-    `observer`: the name of this gateway in gossip, which is no witness beside its own report.
+    `observer`: the name of this gateway in gossip; its own sighting does not count as one of another gateway.
     """
     if function in report.warm_functions:
         return age_weight(now - report.asked_at) if report.asked_at > counted_since else 0
@@ -59,9 +59,9 @@
 def estimate_warm_lanes(
     now: int, status: FleetStatus, *, observer: str, counted_since: Mapping[str, int]
 ) -> WarmLanes:
-    """The lanes that are believed warm now, by host and function.
+    """The lanes that are estimated to be warm now, by host and function.
 
-    `counted_since`: for each host that counts at all, the time up to which observations count for nothing.
+    `counted_since`: for each host that counts, the time up to which observations have no weight.
     """
     lanes: WarmLanes = {name: {} for name in status.fleet}
     for name, host in status.fleet.items():
