--- a/gaproute/maintenance/controller.py
+++ b/gaproute/maintenance/controller.py
@@ -1,35 +1,36 @@
-"""Carries out a round of maintenance: what it orders next, from reports and estimates, under leases.
-
-The rules, to which comments refer by number:
-
-1. Nothing is begun, and no host given out, without the turn: a lease that one round of the fleet holds at a
-   time. So two rounds never rely on the same warm capacity. A round that has held the turn for long begins
-   nothing new, waits until its hosts are back and releases the turn for a while.
-2. With a new turn the estimate of warm capacity begins anew: only hosts that answered after the turn was
-   granted count, with functions seen after it. The previous holder may have given hosts out until its end;
-   such a host drains, is gone or reports a new incarnation. Hosts that still drain by an older order are
-   ordered to serve.
-3. If the turn is lost (not renewed in time), hosts that have not been given out are returned to service;
-   those that are out are followed.
-4. If the estimated capacity falls below the floor, now or if one more failure is assumed, hosts that have
-   not been given out are returned to service and no new ones begin; functions are loaded. The round goes on
-   by itself once the floor is met again.
-5. A host is taken out when the floor is met without it and without all that are away. If it is not,
-   functions are loaded elsewhere.
-6. A host is given to its crew when it is proved drained, the turn and the host's own lease are held, and the
-   floor is met at that moment.
-7. A host that was given out and still reports its old incarnation after the time in which the crew had to
-   begin is returned to service: the crew never began.
-8. A host that is not back in time is lost. It counts as away until it reports again; the round goes on as
+"""Carries out a maintenance round: derives orders to hosts from reports and estimates, under leases.
+
+Comments refer to these rules by number:
+
+1. A round takes hosts out of service and hands them over to its crew only while it holds the maintenance
+   turn, a lease that one round of the fleet holds at a time. Two rounds therefore never rely on the same
+   warm capacity. A round that has held the turn for long takes out no more hosts, waits until its hosts are
+   back and releases the turn for a while.
+2. When the turn is granted, the estimate of warm capacity starts from nothing: only hosts that answered a
+   probe after the grant count, with the functions seen after the grant. The previous holder may have handed
+   hosts over until its lease ended; such a host drains, is absent or reports a new incarnation. Hosts that
+   still drain by an older order are ordered to serve.
+3. If the turn is lost (not renewed in time), hosts that are not handed over yet are returned to service;
+   hosts that are handed over are tracked further.
+4. If the estimated capacity falls below the floor, now or under one more assumed failure, hosts that are
+   not handed over yet are returned to service, no more hosts are taken out, and functions are loaded. The
+   round continues without intervention once the floor is met again.
+5. A host is taken out when the floor is met without this host and without all hosts that are away.
+   Otherwise functions are loaded at other hosts.
+6. A host is handed over to its crew when it is proved drained, the turn and the host's own lease are held,
+   and the floor is met at that moment.
+7. A host that was handed over is returned to service if it still reports its old incarnation after the
+   time in which the crew had to start its work: the crew never started.
+8. A host that is not back in time is lost. It counts as away until it reports again; the round continues as
    far as its limits and the floor allow.
-9. After a restart that this round's crew did not cause, what was known of a host is void; it is still to go.
-10. When the round is withdrawn or its deadline is over, nothing new begins, hosts that have not been given
-    out
-   are returned to service, and the round ends when all others are back.
+9. After a restart that this round's crew did not cause, the earlier knowledge of a host is void; the host
+   is still to be taken out.
+10. When the round is withdrawn or its deadline has passed, no more hosts are taken out, hosts that are not
+    handed over yet are returned to service, and the round ends when all others are back.
 
 After a restart of the controller's own process, hosts that report the round as completed are done, hosts
 that drain by old orders are ordered to serve, and hosts that are away report a new incarnation when they
-come back. The turn is requested anew; old leases expire.
+are back. The controller requests the turn again; its old leases expire.
 """
 
 from collections.abc import Sequence
@@ -51,24 +52,21 @@
 from gaproute.shared.leases import LeaseClient
 from gaproute.units import SECOND
 
-MIN_OBSERVATION_TIME = (
-    4 * SECOND
-)  # after a turn is granted: hosts have to be seen anew before anything is judged
-FEASIBILITY_TIMEOUT = (
-    20 * SECOND
-)  # of a turn, until an infeasible round is rejected: the estimate fills first
-REPEATED_GRANT_WINDOW = (
-    10 * SECOND
-)  # a crew that asks again so soon is answered again: its answer may be lost
+# No decision is made earlier after the turn is granted: the hosts have to answer new probes first.
+MIN_OBSERVATION_TIME = 4 * SECOND
+# An infeasible round is rejected once the turn is held for longer: until then the estimate is incomplete.
+FEASIBILITY_TIMEOUT = 20 * SECOND
+# A crew that repeats its request within this time gets another grant: the first answer may be lost.
+REPEATED_GRANT_WINDOW = 10 * SECOND
 DEFAULT_BOUNDS, DEFAULT_ESTIMATES = DrainBounds(), SchedulingEstimates()
 
 
 class RoundController:
-    """Carries out one round. Call `tick` regularly, and `request_host` when the crew wants a host.
+    """Carries out one round. Call `tick` regularly, and `request_host` when the crew asks for a host.
 
-    `client`: for leases, named as this gateway is in gossip; `lease_duration`: in ns.
-    `other_rounds`: all others that may run at the same time, whose floors are met as well.
-    `selector`: chooses the hosts that are taken out next.
+    `client`: the lease client, whose name is this gateway's name in gossip; `lease_duration`: in ns.
+    `other_rounds`: all rounds that may run at the same time; their floors are met as well.
+    `selector`: selects the hosts that are taken out next.
     """
 
     def __init__(
@@ -94,19 +92,19 @@
 
     @property
     def hosts(self) -> dict[str, HostProgress]:
-        """The hosts of the round by name; empty until it has begun."""
+        """The hosts of the round by name; empty until the round has started."""
         return self.transitions.hosts
 
     def withdraw(self) -> None:
-        """Ends the round as soon as the hosts that are out are back."""
+        """Ends the round as soon as the hosts that are handed over are back."""
         self.withdrawn = True
 
     def holds_turn(self, now: int) -> bool:
-        """Whether the round has the turn."""
+        """Whether the round holds the maintenance turn."""
         return self.turn.is_held(now)
 
     def tick(self, now: int, status: FleetStatus) -> list[HostOrder]:
-        """The orders that hosts are to be given now."""
+        """Advances the round; returns the orders to send to hosts now."""
         if self.log.is_over or not self.hosts and not self._start_round(status):
             return []
         self.planner.recent_orders.expire(now)
@@ -123,12 +121,12 @@
         return orders + self._advance_round(now, status)
 
     def request_host(self, now: int, name: str, status: FleetStatus) -> HostGrant | GrantRejection:
-        """The crew wants to begin its work at a host."""
+        """Answers the crew's request to start its work at a host."""
         host = self.hosts.get(name)
         if host is None or not self._can_be_handed_over(now, host):
-            return GrantRejection(f"{name} is not ready")
+            return GrantRejection(f"{name} is not ready to be handed over")
         if not (self.holds_turn(now) and host.holds_lease(now)):  # rules 1, 6
-            return GrantRejection("no lease")
+            return GrantRejection("the maintenance turn or the lease of the host is not held")
         if host.state == HostState.READY:
             report = status.reports.get(name)
             if (
@@ -136,9 +134,9 @@
                 or not self.transitions.find_drain_proof(host, report)
                 or report.incarnation != host.incarnation
             ):
-                return GrantRejection("not drained")
+                return GrantRejection("the host is not proved drained, or has restarted")
             self._update_estimate(now, status)
-            if self.estimate.shortfalls:  # rule 6: judged again at the last moment
+            if self.estimate.shortfalls:  # rule 6: the floor is checked again right before the handover
                 return GrantRejection(capacity_floor.describe_first_shortfall(self.estimate.shortfalls))
             self.transitions.hand_over(now, host)
         return self._make_grant(now, host)
@@ -171,9 +169,9 @@
         self.estimate.update(now, now if turn_held_since is None else turn_held_since, status, away)
 
     def _advance_round(self, now: int, status: FleetStatus) -> list[HostOrder]:
-        """Ends the round, calls off what was begun, or takes the next steps."""
+        """Ends the round, returns hosts to service, or takes the next steps."""
         if self.withdrawn or now - self.started_at > self.spec.deadline:  # rule 10
-            reason = "withdrawn" if self.withdrawn else "by is over"
+            reason = "withdrawn" if self.withdrawn else "by: the deadline of the round has passed"
             orders = self.transitions.revoke_departures(now, reason)
             if all(self.hosts[name].state == HostState.LOST for name in self.transitions.away_host_names()):
                 self._end_round(now, reason)
@@ -182,16 +180,18 @@
             self._end_round(now, "")
             return []
         if not self.holds_turn(now):
-            orders = self.transitions.revoke_departures(now, "no turn")  # rule 3
+            orders = self.transitions.revoke_departures(now, "the maintenance turn is not held")  # rule 3
             away = self.transitions.away_host_names()
-            self.log.enter_stage(RoundStage.PAUSED if away else RoundStage.REQUESTING_TURN, "no turn")
+            self.log.enter_stage(
+                RoundStage.PAUSED if away else RoundStage.REQUESTING_TURN, "the maintenance turn is not held"
+            )
             return orders
         if self.turn.time_held(now) < MIN_OBSERVATION_TIME:
             return []
         return self._advance_under_turn(now, status)
 
     def _advance_under_turn(self, now: int, status: FleetStatus) -> list[HostOrder]:
-        """The next steps under the turn; a round that is not feasible is rejected before the first one."""
+        """Takes the next steps while the turn is held; rejects an infeasible round before its first step."""
         orders = self.planner.end_drains_of_earlier_turns(now, status)
         obstacle = self.planner.find_obstacle(status)
         if not obstacle:
--- a/gaproute/maintenance/feasibility.py
+++ b/gaproute/maintenance/feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a round is feasible: before it begins, it is played through with estimated durations."""
+"""Checks the feasibility of a round: simulates the round with estimated durations before it starts."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -26,10 +26,10 @@
 
 
 class SchedulingEstimates(msgspec.Struct, frozen=True):
-    """How long steps of a round are expected to take, in ns.
+    """Expected durations of the steps of a round, in ns, and the limit of loads at once.
 
-    `drain_time`: until a host has drained; `load_time`: of one function; `detection_time`: until a change
-    at a host is noticed. `max_loads`: how many loads a round may cause at once.
+    `drain_time`: until a host has drained; `load_time`: to load one function; `detection_time`: until a
+    change at a host is noticed. `max_loads`: the number of loads that a round may have in progress.
     """
 
     drain_time: int = 6 * SECOND
@@ -39,14 +39,17 @@
 
 
 class Departure(NamedTuple):
-    """When a host is taken out, in ns from the beginning of the round."""
+    """The time at which a host is taken out of service, in ns from the start of the round."""
 
     at: int
     host: str
 
 
 class RoundForecast(msgspec.Struct, frozen=True):
-    """How a round is expected to go. `end`: when all are back; `obstacle`: what forbids it, or ""."""
+    """The expected course of a round.
+
+    `end`: when all hosts are back in service; `obstacle`: why the round cannot be carried out, or "".
+    """
 
     departures: tuple[Departure, ...]
     end: int
@@ -61,10 +64,15 @@
     estimates: SchedulingEstimates,
     ordering: HostOrdering = order_by_urgency,
 ) -> RoundForecast:
-    """Plays the round through. If it cannot be carried out, the first obstacle is named."""
+    """Simulates the round. The forecast of a round that cannot be carried out names the first obstacle.
+
+    `hosts`: the hosts of the round; `free_slots`: by host.
+    """
     excess = _above_total_capacity(capacity)
     if excess:
-        return RoundForecast((), 0, f"{describe_first_shortfall(excess)}: above all capacity")
+        return RoundForecast(
+            (), 0, f"{describe_first_shortfall(excess)}: more than the capacity of the whole fleet"
+        )
     return _ForecastRun(spec, capacity, hosts, free_slots, estimates, ordering).run()
 
 
@@ -83,7 +91,11 @@
 
 
 class _ForecastRun:
-    """One run. `away`, `loading`: by host or load, when each ends; `previous`: what hosts had before."""
+    """One simulated run of a round. Times are in ns from the start of the round.
+
+    `away_until`: when each host that is away is back; `loading_until`: when each load ends.
+    `previous_functions`: the functions that each host had warm before it was taken out of service.
+    """
 
     def __init__(
         self,
@@ -107,7 +119,7 @@
         self.departures: list[Departure] = []
 
     def run(self) -> RoundForecast:
-        """Until all hosts are back, or nothing can go on."""
+        """Runs until all hosts are back or no further step is possible."""
         while True:
             selection = self._start_departures()
             self._start_loads()
@@ -148,7 +160,7 @@
             self.free_slots[load.host] -= 1
 
     def _advance_time(self, now: int) -> None:
-        """Goes on to when the next host is back or the next load has ended."""
+        """Moves to the time `now` and ends the absences and loads that are due by then."""
         self.now = now
         for name in [name for name, end in self.away_until.items() if end <= now]:
             del self.away_until[name]
@@ -161,12 +173,14 @@
         if blocked is None:
             obstacle = describe_first_shortfall(self.initial_shortfalls)
         else:
-            obstacle = f"{blocked.reason}, when {blocked.name} is to go"
+            obstacle = f"{blocked.reason}, when {blocked.name} is to be taken out of service"
         return RoundForecast(tuple(self.departures), self.now, obstacle)
 
     def _completed_forecast(self) -> RoundForecast:
         end = max((departure.at + self.absence_duration for departure in self.departures), default=0)
         obstacle = ""
         if end > self.spec.deadline:
-            obstacle = f"by: it takes {end / SECOND:g} s, by is {self.spec.deadline / SECOND:g} s"
+            obstacle = (
+                f"by: the round takes {end / SECOND:g} s, the deadline is {self.spec.deadline / SECOND:g} s"
+            )
         return RoundForecast(tuple(self.departures), end, obstacle)
--- a/gaproute/maintenance/host_selection.py
+++ b/gaproute/maintenance/host_selection.py
@@ -1,8 +1,9 @@
-"""Which hosts are taken out next.
+"""Selects the hosts that are taken out of service next.
 
-The choice is greedy. First comes the host whose exclusive group has the most hosts still to go, as that group
-decides when the round ends; then the one with the most lanes, as it is the hardest to do without. Hosts
-that may not go now are passed over. `benchmarks/rounds.py` compares this to the best of all orders.
+The selection is greedy. The first host is the one whose exclusive group has the most waiting hosts, because
+that group determines when the round ends; among equals, the host with the most lanes is first, because its
+capacity is the hardest to replace. Hosts that may not be taken out now are skipped. `benchmarks/rounds.py`
+compares this order to the best of all orders.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -12,13 +13,16 @@
 from gaproute.maintenance.capacity_floor import FleetCapacity, describe_first_shortfall, find_shortfalls
 from gaproute.maintenance.round_spec import Fleet, RoundSpec
 
-HostOrdering = Callable[
-    [RoundSpec, Fleet, Sequence[str]], list[str]
-]  # of waiting hosts: those to try, in order
+# Returns those of the waiting hosts that are to be tried, in their order.
+HostOrdering = Callable[[RoundSpec, Fleet, Sequence[str]], list[str]]
 
 
 class ExclusiveGroup(NamedTuple):
-    """Hosts of which one at a time may be away: a list of the round, or all of one rack or zone."""
+    """Hosts of which at most one may be away: a listed group of the round, or all hosts of a rack or zone.
+
+    `kind`: "listed", "rack" or "zone"; `identifier`: position of the listed group, or name of the rack or
+    zone.
+    """
 
     kind: str
     identifier: int | str
@@ -26,7 +30,10 @@
 
 @dataclass(frozen=True)
 class RoundHosts:
-    """Names of the round's hosts, those to go and those away; `unavailable`: any that do not answer."""
+    """Names of the round's hosts that wait to be taken out, and of those that are away.
+
+    `unavailable`: names of hosts of the fleet that answer no probes.
+    """
 
     waiting: Sequence[str]
     away: Collection[str]
@@ -34,14 +41,14 @@
 
 
 class BlockedHost(NamedTuple):
-    """A host that may not be taken out now, and why."""
+    """A host that may not be taken out of service now, and the reason."""
 
     name: str
     reason: str
 
 
 class Selection(NamedTuple):
-    """The hosts that may be taken out now, and the first of the others."""
+    """The hosts that may be taken out of service now, and the first host that may not."""
 
     hosts: list[str]
     first_blocked: BlockedHost | None
@@ -51,7 +58,7 @@
 
 
 def exclusive_groups(spec: RoundSpec, fleet: Fleet, name: str) -> list[ExclusiveGroup]:
-    """The exclusive groups that the host is in."""
+    """The exclusive groups to which the host belongs."""
     groups = [
         ExclusiveGroup("listed", number)
         for number, members in enumerate(spec.exclusive_groups)
@@ -65,14 +72,14 @@
 def find_conflict(
     spec: RoundSpec, fleet: Fleet, name: str, away: Collection[str], unavailable: Collection[str] = ()
 ) -> str:
-    """Which limit of the round, the capacity aside, forbids to take this host out now; "" if none does."""
+    """The limit of the round, apart from capacity, that forbids taking this host out now; "" if none does."""
     if len(away) >= spec.max_away:
-        return f"together: {len(away)} are away"
+        return f"together: already {len(away)} hosts are away"
     own_groups = exclusive_groups(spec, fleet, name)
     for other in (*away, *unavailable) if own_groups else ():
         for group in exclusive_groups(spec, fleet, other):
             if other != name and group in own_groups:
-                return f"apart: {name} and {other}"
+                return f"apart: only one host may be away of {name} and {other}"
     return ""
 
 
@@ -94,7 +101,7 @@
 def select_hosts(
     spec: RoundSpec, capacity: FleetCapacity, hosts: RoundHosts, ordering: HostOrdering = order_by_urgency
 ) -> Selection:
-    """Those of the waiting hosts that may be taken out now, together with those away."""
+    """The waiting hosts that may be taken out now, in addition to the hosts that are away."""
     selected: list[str] = []
     first_blocked = None
     away = list(hosts.away)
--- a/gaproute/maintenance/invariants.py
+++ b/gaproute/maintenance/invariants.py
@@ -1,5 +1,7 @@
-"""What must always hold of a running round, by what its controller believes. Each check returns violations as
-texts that begin with the name of the invariant."""
+"""Invariants of a running round, checked against what its controller estimates.
+
+Each check returns a message for each violation; a message starts with the name of the invariant.
+"""
 
 from collections.abc import Iterator, MutableMapping
 
@@ -19,7 +21,7 @@
 
 
 def check_round(controller: RoundController, now: int, fleet: Fleet) -> list[str]:
-    """Of the whole round; cheap enough for every tick."""
+    """Violations in the state of the whole round; cheap enough to check at every tick."""
     return [
         *_check_limits(controller, fleet),
         *_check_bounds(controller, now, fleet),
@@ -30,12 +32,12 @@
 def _check_limits(controller: RoundController, fleet: Fleet) -> Iterator[str]:
     away, spec = controller.transitions.away_host_names(), controller.spec
     if len(away) > spec.max_away:
-        yield f"at most {spec.max_away} away at once: {away}"
+        yield f"at most {spec.max_away} hosts away at once: {away}"
     members: dict[ExclusiveGroup, str] = {}
     for name in away:
         for group in exclusive_groups(spec, fleet, name) if name in fleet else ():
             if group in members:
-                yield f"one host of a group away at once: {members[group]} and {name}"
+                yield f"no two hosts of an exclusive group away at once: {members[group]} and {name}"
             members[group] = name
 
 
@@ -44,24 +46,24 @@
     away = controller.transitions.away_host_names()
     orders = [*recent.serve_ordered_at.values(), *recent.load_ordered_at.values()]
     if len(controller.hosts) > len(fleet) + len(away) or len(orders) > MAX_RECENT_ORDERS:
-        yield "maps are bounded: hosts and orders"
+        yield "maps are bounded: more hosts or recent orders than allowed"
     overdue = any(now - at > 2 * ORDER_EFFECT_TIMEOUT for at in orders)
     if overdue and controller.log.stage == RoundStage.RUNNING:
-        yield "maps are bounded: orders are forgotten in time"
+        yield "maps are bounded: a recent order was not removed in time"
 
 
 def _check_leases(controller: RoundController) -> Iterator[str]:
     for host in controller.hosts.values():
         if host.lease is not None and not host.is_away:
-            yield f"a lease is for a host that goes: {host.name} is {host.state}"
+            yield f"only a host that is taken out has a lease: {host.name} is {host.state}"
         if host.lease is None and host.state in STATES_WITH_LEASE:
-            yield f"no host out without a lease: {host.name} is {host.state}"
+            yield f"no host out of service without a lease: {host.name} is {host.state}"
 
 
 def check_estimate(controller: RoundController, now: int, status: FleetStatus) -> list[str]:
-    """That the estimate of warm capacity is a lower bound of what was reported or seen lately."""
+    """Violations where the estimate of warm capacity exceeds what was reported or seen lately."""
     if controller.log.is_over:
-        return []  # it is not updated any more
+        return []  # the estimate is no longer updated
     return [
         violation
         for name, functions in controller.estimate.warm_lanes.items()
@@ -74,17 +76,17 @@
     report = status.reports.get(name)
     sighting = status.sightings.get(function, {}).get(name)
     if not is_responsive(report, now) or report.draining:
-        yield f"an absent host counts for nothing: {name}"
+        yield f"an absent or draining host has no warm lanes: {name}"
         return
     if function in report.warm_functions:
         weight = age_weight(now - report.asked_at)
     elif sighting is not None and len(sighting.origins) >= MIN_ORIGINS:
         weight = age_weight(sighting.age + GOSSIP_DELAY)
     else:
-        yield f"nothing counts until it is seen warm: {function} at {name}"
+        yield f"a function counts only after it is seen warm: {function} at {name}"
         return
     if lanes * 1000 > status.fleet[name].lanes * weight:
-        yield f"an estimate fades with its age: {name} counts {lanes} lanes at {weight} per mille"
+        yield f"an observation counts less with its age: {name} counts {lanes} lanes at {weight} per mille"
 
 
 def check_grant(
@@ -94,19 +96,24 @@
     answer: HostGrant | GrantRejection,
     greatest_tokens: MutableMapping[str, int],
 ) -> list[str]:
-    """Of one answer to a crew. `greatest_tokens`: by host; the caller's, over all rounds."""
+    """Violations of one answer to a crew.
+
+    `greatest_tokens`: the greatest fencing token granted so far, by host and over all rounds; updated here.
+    """
     if isinstance(answer, GrantRejection):
         return []
     host, violations = controller.hosts[name], []
     if not (controller.holds_turn(now) and host.holds_lease(now)):
-        violations.append(f"no host out without a lease: {name}")
+        violations.append(f"no host out of service without a lease: {name}")
     if answer.fencing_token < greatest_tokens.get(name, 0):
         violations.append(
-            f"no host out on an old fencing token: {name} by {answer.fencing_token}"
+            f"no host out of service on an old fencing token: {name} by {answer.fencing_token}"
             f" after {greatest_tokens[name]}"
         )
     shortfalls = controller.estimate.shortfalls
     if shortfalls and host.state_since == now:
-        violations.append(f"the floor is met as estimated: {shortfalls[0]} when {name} was given out")
+        violations.append(
+            f"the estimated capacity meets the floor: {shortfalls[0]} when {name} was handed over"
+        )
     greatest_tokens[name] = max(answer.fencing_token, greatest_tokens.get(name, 0))
     return violations
