--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -11,7 +11,7 @@
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.ports import GossipSource, PayloadTransport, TimerLoop
 from gaproute.shared.gossip import GossipNode
-from gaproute.shared.gossip.scheduler import RATE
+from gaproute.shared.gossip.scheduler import DEFAULT_BYTES_PER_SECOND
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
@@ -35,7 +35,7 @@
         transport: PayloadTransport,
         gateway: GossipSource,
         random: RandomSource,
-        rate: int = RATE,
+        rate: int = DEFAULT_BYTES_PER_SECOND,
     ) -> None:
         now = loop.now()
         self.loop, self.transport, self.gateway = loop, transport, gateway
@@ -78,7 +78,7 @@
     def _update_peers(self, now: int) -> None:
         membership = self.transport.membership
         self.node.raise_incarnation(membership.incarnation)
-        self.node.set_peers(now, [*membership.table.alive.names, *membership.table.suspects])
+        self.node.set_peers(now, [*membership.table.alive.names, *membership.table.suspected_since])
 
     def _observe_in_flight(self) -> None:
         hosts = self.gateway.hosts_by_id
--- a/gaproute/shared/dissemination/assembly.py
+++ b/gaproute/shared/dissemination/assembly.py
@@ -1,22 +1,22 @@
-"""Assembles a complete document that arrives in parts."""
+"""Assembles a complete document from the parts in which it arrives."""
 
 from gaproute.shared.dissemination.bounds import MAX_DOCUMENT_BYTES
-from gaproute.shared.dissemination.messages import NOTHING, Part
+from gaproute.shared.dissemination.messages import NO_VERSION, PartAnswer
 
 
-class Assembly:
-    """The parts of one version, taken in order; a part of another version starts again."""
+class DocumentAssembly:
+    """The parts of one version, which are added in order; the first part of another version replaces them."""
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
-        """Drops the parts."""
-        self.version, self.digest, self.size = NOTHING, 0, 0
+        """Drops all parts."""
+        self.version, self.digest, self.size = NO_VERSION, 0, 0
         self.data = bytearray()
 
-    def take(self, part: Part) -> bool:
-        """Takes a part; returns whether it was the next one."""
+    def add_part(self, part: PartAnswer) -> bool:
+        """Adds a part; returns False, and does not add it, if it is not the next one or is invalid."""
         if not 0 < part.size <= MAX_DOCUMENT_BYTES or not part.data:
             return False
         if (part.version, part.digest, part.size) != (self.version, self.digest, self.size):
@@ -30,11 +30,11 @@
         return True
 
     @property
-    def begun(self) -> bool:
-        """Whether some parts have come, but not all."""
+    def has_parts(self) -> bool:
+        """Whether at least one part has been added."""
         return bool(self.data)
 
     @property
-    def complete(self) -> bool:
-        """Whether the last part has come."""
+    def is_complete(self) -> bool:
+        """Whether all parts have been added."""
         return 0 < self.size == len(self.data)
--- a/gaproute/shared/gossip/peer_rounds.py
+++ b/gaproute/shared/gossip/peer_rounds.py
@@ -1,4 +1,4 @@
-"""Chooses the peer that gets the next message: each one once in a round, in random order."""
+"""Chooses the peer that gets the next message: in each round every peer once, in random order."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 class PeerRounds:
-    """The other gateways that are up, and those that are still to be sent to in this round."""
+    """The peers that are up, and those that have not yet been chosen in the current round."""
 
     def __init__(self, random: RandomSource) -> None:
         self.names: list[str] = []
-        self.remaining: list[str] = []  # of this round; the last one is next
-        self.round_length = 0  # peers at the beginning of this round
+        self.remaining: list[str] = []  # peers not yet chosen in this round; the last one is next
+        self.round_length = 0  # number of peers at the beginning of this round
         self._random = random
         self._members: dict[str, None] = {}
 
@@ -22,20 +22,20 @@
         return len(self.names)
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Takes over the peers that are up; the round goes on with those of its peers that still are."""
+        """Replaces the peers that are up. Lost peers leave the current round; new ones join the next."""
         self.names = list(names)
         self._members = dict.fromkeys(self.names)
 
-    def next(self) -> str | None:
-        """The next peer; None if there is none."""
+    def next_peer(self) -> str | None:
+        """The next peer; None if there are no peers."""
         for _ in range(2):
             while self.remaining:
                 name = self.remaining.pop()
                 if name in self._members:
                     return name
-            self._begin()
+            self._begin_round()
         return None
 
-    def _begin(self) -> None:
+    def _begin_round(self) -> None:
         self.remaining, self.round_length = list(self.names), len(self.names)
         shuffle(self.remaining, self._random)
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -113,7 +113,7 @@
     lease = client.acquire(group.loop.now(), "host-7", 10 * SECOND)
     group.hosted_nodes["h"].run_due()
     group.run_until(lambda: lease.state == "held")
-    assert lease.valid_at(group.loop.now())
+    assert lease.is_valid_at(group.loop.now())
     assert lease.fencing_token == 1
     stopped = group.leader
     commit_index, incarnation = (
@@ -124,7 +124,7 @@
     other_lease = client.acquire(group.loop.now(), "host-8", 10 * SECOND)
     group.hosted_nodes["h"].run_due()
     group.run_until(lambda: other_lease.state == "held")
-    assert lease.valid_at(group.loop.now())
+    assert lease.is_valid_at(group.loop.now())
     assert other_lease.fencing_token == 2
     group.start(stopped)
     node = group.hosted_nodes[stopped].node
