--- a/gaproute/maintenance/capacity_floor.py
+++ b/gaproute/maintenance/capacity_floor.py
@@ -82,7 +82,7 @@
     return strictest
 
 
-def with_strictest_failure(spec: RoundSpec, others: Iterable[RoundSpec]) -> RoundSpec:
+def with_strictest_failure_level(spec: RoundSpec, others: Iterable[RoundSpec]) -> RoundSpec:
     """The round with the strictest failure level that this round or any of the others has to survive."""
     levels = [spec.survivable_failure, *(other.survivable_failure for other in others)]
     return msgspec.structs.replace(spec, survivable_failure=max(levels, key=FAILURE_LEVELS.index))
--- a/gaproute/maintenance/controller.py
+++ b/gaproute/maintenance/controller.py
@@ -81,7 +81,7 @@
         estimates: SchedulingEstimates = DEFAULT_ESTIMATES,
         selector: HostSelector = select_hosts,
     ) -> None:
-        self.spec = capacity_floor.with_strictest_failure(spec, other_rounds)
+        self.spec = capacity_floor.with_strictest_failure_level(spec, other_rounds)
         self.started_at, self.withdrawn = now, False
         self.log = RoundLog()
         self.turn = MaintenanceTurn(client, lease_duration, now)
--- a/tests/maintenance/test_parts.py
+++ b/tests/maintenance/test_parts.py
@@ -144,7 +144,7 @@
     assert shortfalls(floor_for_f(9), "zone")
     strictest = capacity_floor.strictest_floor((make_spec(), make_spec(margin=500)), {"f": 8}, [])
     assert strictest[CapacityKey("f", "")] == 12
-    strictest_failure = capacity_floor.with_strictest_failure(make_spec(), [make_spec(survive="rack")])
+    strictest_failure = capacity_floor.with_strictest_failure_level(make_spec(), [make_spec(survive="rack")])
     assert strictest_failure.survivable_failure == "rack"
 
 
