--- a/benchmarks/campaign_ends.py
+++ b/benchmarks/campaign_ends.py
@@ -7,7 +7,7 @@
 from benchmarks.campaign_figures import HOST_LANES, Row, spare_course, spread
 from gaproute.rollouts.campaign import RolloutHost
 from gaproute.rollouts.completion import CompletionEstimate
-from gaproute.rollouts.forecast import DAY_FACTORS, SLOT, DemandReading, FleetForecast
+from gaproute.rollouts.forecast import DAY_FACTORS, SLOT_DURATION, DemandReading, FleetForecast
 from gaproute.units import SECOND
 
 END_HOSTS = 40
@@ -59,18 +59,18 @@
     def error(self) -> float:
         """By how many percent the predicted end is off."""
         forecast = FleetForecast({"p": self.day.course} if self.day.known else None)
-        work = int(sum(self.spare[self.first : self.first + CAMPAIGN_SLOTS]) * SLOT / (2 * SECOND))
+        work = int(sum(self.spare[self.first : self.first + CAMPAIGN_SLOTS]) * SLOT_DURATION / (2 * SECOND))
         estimate, done, now = CompletionEstimate(work, 0), 0.0, 0
         predicted: float | None = None
         for slot, demand in enumerate(self.demand):
-            now = (slot - self.first + 1) * SLOT
+            now = (slot - self.first + 1) * SLOT_DURATION
             if slot >= self.first:
                 lanes = self.spare[slot]
-                done += lanes * SLOT / (MEAN_TASK_SECONDS * SECOND) * self.random.uniform(0.9, 1.0)
+                done += lanes * SLOT_DURATION / (MEAN_TASK_SECONDS * SECOND) * self.random.uniform(0.9, 1.0)
                 if done >= work:
                     break
                 estimate.record(now, int(done), lanes)
-            forecast.record(slot * SLOT, {"p": DemandReading(demand, 0.0, 1.0)})
+            forecast.record(slot * SLOT_DURATION, {"p": DemandReading(demand, 0.0, 1.0)})
             if predicted is None and done >= work / 10:
                 predicted = self._predict(forecast, estimate, slot + 1)
         assert predicted is not None, "the campaign ended before its first tenth"
@@ -79,9 +79,9 @@
     def _predict(self, forecast: FleetForecast, estimate: CompletionEstimate, slot: int) -> float | None:
         lendable = {host.name: HOST_LANES for host in self.hosts}
         spare = forecast.spare_lanes(
-            slot * SLOT, self.hosts, lendable, slots=2 * CAMPAIGN_SLOTS, deviations=0.0
+            slot * SLOT_DURATION, self.hosts, lendable, slots=2 * CAMPAIGN_SLOTS, deviations=0.0
         )
-        return estimate.end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
+        return estimate.estimated_end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
 
 
 DAYS = (Day(0, False, 0), Day(0, False, 2), Day(0, False, 8), Day(0.5, True, 8), Day(0.5, False, 8))
--- a/gaproute/rollouts/__main__.py
+++ b/gaproute/rollouts/__main__.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from gaproute.rollouts.plan import PlanningProblem
-from gaproute.rollouts.solver import TIME_LIMIT, solve
+from gaproute.rollouts.solver import TIME_LIMIT_SECONDS, solve
 
 
 def main() -> int:
     """Solves one problem. The optional argument is the time limit in seconds."""
     try:
         problem = msgspec.json.decode(sys.stdin.buffer.read(), type=PlanningProblem)
-        plan = solve(problem, float(sys.argv[1]) if len(sys.argv) > 1 else TIME_LIMIT)
+        plan = solve(problem, float(sys.argv[1]) if len(sys.argv) > 1 else TIME_LIMIT_SECONDS)
     except (ImportError, ValueError) as error:
         print(f"no plan: {error}", file=sys.stderr)
         return 1
--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -8,7 +8,7 @@
 from gaproute.units import SECOND
 
 # A rollout that has not reached its host by then never does: its connection is closed.
-MAX_TRAVEL_TIME = SECOND
+MAX_TRANSIT_TIME = SECOND
 # Of a lease beside the rollouts under it: several attempts to reach the Raft nodes.
 RENEWAL_MARGIN = 2 * SECOND
 
@@ -60,7 +60,7 @@
 
         The host's clock may be slow while the lease holder's is fast.
         """
-        return expiry_wait(self.max_duration + MAX_TRAVEL_TIME)
+        return expiry_wait(self.max_duration + MAX_TRANSIT_TIME)
 
     @property
     def lease_duration(self) -> int:
--- a/gaproute/rollouts/campaign_validation.py
+++ b/gaproute/rollouts/campaign_validation.py
@@ -12,7 +12,7 @@
 MAX_ROLLOUTS = 10_000_000  # a step: counters and forecasts stay small numbers
 
 # Of each number of a campaign: the least and the most.
-RANGES = {
+VALUE_RANGES = {
     "rollouts_per_step": (1, MAX_ROLLOUTS),
     "steps": (1, MAX_STEPS),
     "max_version_lag": (0, MAX_STEPS),
@@ -40,14 +40,14 @@
     names = [campaign.name for campaign in campaigns]
     for campaign in campaigns:
         texts = [f"name: {campaign.name} twice"] if names.count(campaign.name) > 1 else []
-        texts += [*_contradictions(campaign), *_unknown_names(campaign, hosts, functions)]
-        texts = texts or list(_impossibilities(campaign, campaigns, hosts))
+        texts += [*_invalid_values(campaign), *_unknown_names(campaign, hosts, functions)]
+        texts = texts or list(_infeasible_demands(campaign, campaigns, hosts))
         mistakes += [f"campaign {campaign.name}: {text}" for text in texts]
     return mistakes
 
 
-def _contradictions(campaign: Campaign) -> Iterator[str]:
-    for key, (least, most) in RANGES.items():
+def _invalid_values(campaign: Campaign) -> Iterator[str]:
+    for key, (least, most) in VALUE_RANGES.items():
         value = getattr(campaign, key)
         if not least <= value <= most:
             yield f"{key}: {value}, from {least} to {most}"
@@ -88,7 +88,7 @@
     return usable * SECOND / campaign.typical_duration
 
 
-def _impossibilities(
+def _infeasible_demands(
     campaign: Campaign, campaigns: Sequence[Campaign], hosts: Sequence[RolloutHost]
 ) -> Iterator[str]:
     """What cannot be, however little production needs."""
--- a/gaproute/rollouts/completion.py
+++ b/gaproute/rollouts/completion.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Sequence
 
-from gaproute.rollouts.forecast import SLOT
+from gaproute.rollouts.forecast import SLOT_DURATION
 
-MIN_DONE = 0.02  # of a campaign: before that an estimate would be a guess
+MIN_COMPLETED_FRACTION = 0.02  # of a campaign: before that an estimate would be a guess
 MIN_LANES = 1e-9
 
 
@@ -14,32 +14,33 @@
     `lane_time`: lanes used so far, times ns.
     """
 
-    def __init__(self, work: int, began: int) -> None:
-        self.work, self.began = work, began
-        self.done, self.recorded_at = 0, began
+    def __init__(self, total_rollouts: int, started_at: int) -> None:
+        self.total_rollouts, self.started_at = total_rollouts, started_at
+        self.completed_rollouts, self.recorded_at = 0, started_at
         self.lane_time = 0.0
 
-    def record(self, now: int, done: int, lanes: float) -> None:
+    def record(self, now: int, completed_rollouts: int, lanes: float) -> None:
         """So many rollouts are done in all; `lanes`: the mean of those used since the last call."""
         self.lane_time += max(0, now - self.recorded_at) * lanes
-        self.done, self.recorded_at = max(self.done, done), now
+        self.completed_rollouts, self.recorded_at = max(self.completed_rollouts, completed_rollouts), now
 
-    def end(self, planned: Sequence[float] = ()) -> int | None:
+    def estimated_end(self, planned: Sequence[float] = ()) -> int | None:
         """When the campaign will end, or None while it is too early to say.
 
         `planned`: lanes in each of the next slots. After them, halfway between their mean and that of the
         past is assumed, as neither a burst nor a calm lasts.
         """
-        if self.done < MIN_DONE * self.work or not self.lane_time:
+        if self.completed_rollouts < MIN_COMPLETED_FRACTION * self.total_rollouts or not self.lane_time:
             return None
-        time_each = self.lane_time / self.done  # lane-ns a rollout, exchanges and waits included
-        past_lanes = self.lane_time / max(1, self.recorded_at - self.began)
-        remaining, now = (self.work - self.done) * time_each, self.recorded_at
+        # In lane-ns, exchanges and waits included.
+        time_per_rollout = self.lane_time / self.completed_rollouts
+        past_lanes = self.lane_time / max(1, self.recorded_at - self.started_at)
+        remaining, now = (self.total_rollouts - self.completed_rollouts) * time_per_rollout, self.recorded_at
         lanes = past_lanes
         for lanes in planned:
-            if lanes * SLOT >= remaining:
+            if lanes * SLOT_DURATION >= remaining:
                 break
-            remaining, now = remaining - lanes * SLOT, now + SLOT
+            remaining, now = remaining - lanes * SLOT_DURATION, now + SLOT_DURATION
         else:
             lanes = (sum(planned) / len(planned) + past_lanes) / 2 if planned else past_lanes
         return int(now + max(0.0, remaining) / max(lanes, MIN_LANES))
--- a/gaproute/rollouts/copy_exchange.py
+++ b/gaproute/rollouts/copy_exchange.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-EXCHANGE_FRACTION = 3  # one in so many copies may be under way: rollouts keep two thirds
+EXCHANGE_DIVISOR = 3  # one in so many copies may be under way: rollouts keep two thirds
 
 
 class CopyOrderKind(StrEnum):
@@ -49,7 +49,7 @@
 
     `versions`: those that may serve, the newest first.
     """
-    return _CopyExchange(copy_size, versions, placement).plan()
+    return _CopyExchange(copy_size, versions, placement).plan_orders()
 
 
 class _CopyExchange:
@@ -60,26 +60,26 @@
             CopyOrder(CopyOrderKind.DROP, host, version)
             for host, loaded in placement.copies.items()
             for version in loaded
-            if self._is_useless(host, version, loaded)
+            if self._is_unneeded(host, version, loaded)
         ]
 
-    def plan(self) -> list[CopyOrder]:
+    def plan_orders(self) -> list[CopyOrder]:
         """Orders loads as long as enough copies stay."""
         orders = list(self.drops)
         lacking = [host for host in self.placement.planned if self._lacks_newest(host)]
-        empty = [host for host in lacking if not self._remaining(host)]
-        under_way = len(self.placement.loading)
-        max_under_way = max(1, len(self.placement.planned) // EXCHANGE_FRACTION)
+        empty = [host for host in lacking if not self._remaining_versions(host)]
+        loads_in_progress = len(self.placement.loading)
+        max_loads_in_progress = max(1, len(self.placement.planned) // EXCHANGE_DIVISOR)
         for host in empty + [host for host in lacking if host not in empty]:
-            if under_way >= max_under_way and host not in empty:
+            if loads_in_progress >= max_loads_in_progress and host not in empty:
                 break  # a host without any copy loses nothing, others do
             kind = self._load_kind(host)
             if kind is not None:
                 orders.append(CopyOrder(kind, host, self.newest))
-                under_way += 1
+                loads_in_progress += 1
         return orders
 
-    def _is_useless(self, host: str, version: int, loaded: Sequence[int]) -> bool:
+    def _is_unneeded(self, host: str, version: int, loaded: Sequence[int]) -> bool:
         """Whether the copy serves nobody and nothing is lost without it."""
         if version not in self.versions:
             return True
@@ -88,7 +88,7 @@
     def _lacks_newest(self, host: str) -> bool:
         return self.newest not in self.placement.copies.get(host, ()) and host not in self.placement.loading
 
-    def _remaining(self, host: str) -> list[int]:
+    def _remaining_versions(self, host: str) -> list[int]:
         """The versions that stay loaded there after the drops."""
         dropped = {order.version for order in self.drops if order.host == host}
         return [version for version in self.placement.copies.get(host, ()) if version not in dropped]
@@ -97,6 +97,6 @@
         """How the newest copy can be loaded there; None if production's copies fill the host."""
         dropped = sum(order.host == host for order in self.drops)
         free = self.placement.free_capacity.get(host, 0) + self.copy_size * dropped
-        if free + self.copy_size * len(self._remaining(host)) < self.copy_size:
+        if free + self.copy_size * len(self._remaining_versions(host)) < self.copy_size:
             return None
         return CopyOrderKind.LOAD if free >= self.copy_size else CopyOrderKind.SWAP
--- a/gaproute/rollouts/dispatcher.py
+++ b/gaproute/rollouts/dispatcher.py
@@ -24,8 +24,8 @@
 # From when a host was asked until its report counts no more. The promise is 200 ms.
 MAX_REPORT_AGE = 150 * MILLI
 POLL_INTERVAL = 25 * MILLI  # of a host with an allotment: production waits so long for a cancellation
-MAX_HOSTS = 1024  # with an allotment: as many as a client may have lease requests
-MAX_IN_FLIGHT = 4096
+MAX_ALLOTMENTS = 1024  # with an allotment: as many as a client may have lease requests
+MAX_IN_FLIGHT_ROLLOUTS = 4096
 
 
 class RolloutDispatcher:
@@ -48,7 +48,7 @@
         `rates`: by campaign, rollouts a second; others keep theirs.
         """
         added = [host for host in targets if host not in self.allotments]
-        for host in added[: MAX_HOSTS - len(self.allotments)]:
+        for host in added[: MAX_ALLOTMENTS - len(self.allotments)]:
             self.allotments[host] = HostAllotment(host)
         for host, allotment in self.allotments.items():
             allotment.targets = {
@@ -67,19 +67,19 @@
             self.record_ended(rollout)
         for host in list(self.allotments):
             allotment = self.allotments[host]
-            allotment.forget_closed_leases(now)
-            self._adapt_leases(now, allotment)
+            allotment.remove_ended_leases(now)
+            self._adjust_leases(now, allotment)
             if not allotment.targets and not allotment.leases:
                 del self.allotments[host]
 
-    def _adapt_leases(self, now: int, allotment: HostAllotment) -> None:
+    def _adjust_leases(self, now: int, allotment: HostAllotment) -> None:
         open_leases = allotment.open_leases()
-        lanes = allotment.mark_surplus(open_leases)
-        for lease in allotment.take_empty_surplus():
+        lanes = allotment.mark_surplus_leases(open_leases)
+        for lease in allotment.pop_empty_surplus_leases():
             self.client.release(now, lease)
-        allotment.note_held(now, open_leases)
+        allotment.restore_lease_size(now, open_leases)
         target = sum(allotment.targets.values())
-        while lanes < target and now >= allotment.retry_at and len(self.client.requests) < MAX_HOSTS:
+        while lanes < target and now >= allotment.retry_at and len(self.client.requests) < MAX_ALLOTMENTS:
             duration = max(self.campaigns[name].lease_duration for name in allotment.targets)
             amount = min(allotment.max_lease_lanes, target - lanes)
             lease = self.client.acquire(now, pool_name(allotment.host), duration, amount)
@@ -93,12 +93,12 @@
     def record_report(self, now: int, host: str, report: HostAvailability) -> None:
         """Takes in a host's report; one that is outdated is ignored."""
         allotment = self.allotments.get(host)
-        if allotment is None or report.asked_at > now or not allotment.is_news(report):
+        if allotment is None or report.asked_at > now or not allotment.accepts_report(report):
             return
         sent_since = sum(
             sent.host == host and sent.sent_at >= report.asked_at for sent in self.in_flight.values()
         )
-        allotment.apply(report, sent_since)
+        allotment.apply_report(report, sent_since)
 
     def record_production_waiting(self, now: int, host: str) -> None:
         """Production found no lane: nothing is sent until the host, asked after this, reports free lanes."""
@@ -115,23 +115,23 @@
         ]
         return cancellable[::-1][: max(0, lanes)]
 
-    def find_lease(self, now: int, name: str, host: str) -> LeaseRequest | None:
-        """The lease under which a rollout of the campaign `name` may be sent to the host now, or None."""
-        campaign, allotment = self.campaigns.get(name), self.allotments.get(host)
-        if campaign is None or allotment is None or len(self.in_flight) >= MAX_IN_FLIGHT:
+    def find_lease(self, now: int, campaign_name: str, host: str) -> LeaseRequest | None:
+        """The lease under which a rollout of the campaign may be sent to the host now, or None."""
+        campaign, allotment = self.campaigns.get(campaign_name), self.allotments.get(host)
+        if campaign is None or allotment is None or len(self.in_flight) >= MAX_IN_FLIGHT_ROLLOUTS:
             return None
-        if not allotment.has_lane_for(name) or not allotment.has_free_lane(now, MAX_REPORT_AGE):
+        if not allotment.is_below_target(campaign_name) or not allotment.has_free_lane(now, MAX_REPORT_AGE):
             return None
-        if not self.rate_limits[name].allows(now):
+        if not self.rate_limits[campaign_name].allows(now):
             return None
-        return allotment.usable_lease(now + campaign.min_lease_time)
+        return allotment.find_usable_lease(now + campaign.min_lease_time)
 
-    def record_sent(self, now: int, rollout: str, name: str, host: str, lease: LeaseRequest) -> None:
-        """A rollout of the campaign `name` was sent under this lease."""
-        self.allotments[host].add(name, lease)
-        self.rate_limits[name].record_sent(now)
-        ends_by = now + self.campaigns[name].min_lease_time
-        self.in_flight[rollout] = InFlightRollout(name, host, lease, now, ends_by)
+    def record_sent(self, now: int, rollout: str, campaign_name: str, host: str, lease: LeaseRequest) -> None:
+        """A rollout of the campaign was sent under this lease."""
+        self.allotments[host].add_rollout(campaign_name, lease)
+        self.rate_limits[campaign_name].record_sent(now)
+        ends_by = now + self.campaigns[campaign_name].min_lease_time
+        self.in_flight[rollout] = InFlightRollout(campaign_name, host, lease, now, ends_by)
 
     def record_ended(self, rollout: str, *, host_full: bool = False) -> None:
         """A rollout was answered, which proves that its lane is free again, or its time is over.
@@ -140,7 +140,7 @@
         """
         sent = self.in_flight.pop(rollout, None)
         if sent is not None:
-            self.allotments[sent.host].remove(sent.campaign, sent.lease, host_full=host_full)
+            self.allotments[sent.host].remove_rollout(sent.campaign, sent.lease, host_full=host_full)
 
 
 def pool_name(host: str) -> str:
--- a/gaproute/rollouts/forecast.py
+++ b/gaproute/rollouts/forecast.py
@@ -10,10 +10,10 @@
 from gaproute.rollouts.campaign import RolloutHost
 from gaproute.units import SECOND
 
-SLOT = 30 * SECOND  # of a plan: as long as several loads, short beside the course of a day
+SLOT_DURATION = 30 * SECOND  # of a plan: as long as several loads, short beside the course of a day
 DEFAULT_SLOTS = 8  # minutes ahead that a plan looks
-SMOOTHING = 0.3  # weight of a new reading of the level: some average out, a rise shows in a minute
-PERSISTENCE = 0.8  # of the deviation of the level from the usual one, what is left a slot later
+SMOOTHING_FACTOR = 0.3  # weight of a new reading of the level: some average out, a rise shows in a minute
+DEVIATION_PERSISTENCE = 0.8  # of the deviation of the level from the usual one, what is left a slot later
 MAX_READINGS = 960  # in the usual level: the working hours of a day at one a slot
 DEFAULT_DEVIATIONS = (
     1.0  # standard deviations above the mean that are left to production; more stops rollouts
@@ -21,7 +21,7 @@
 DAY_FACTORS = 48  # of the course of a day: one each half hour
 MAX_FUNCTIONS = 4096
 DAY = 86_400 * SECOND
-MIN_FACTOR = 0.01
+MIN_DAY_FACTOR = 0.01
 NEGLIGIBLE_LANES = 0.01  # a function that is no longer reported is forgotten below
 
 
@@ -34,51 +34,51 @@
     duration: float
 
 
-FADED = DemandReading(0.0, 0.0, 0.0)
+NO_DEMAND = DemandReading(0.0, 0.0, 0.0)
 
 
 class DemandForecast:
     """Production's demand for one function, in lanes. `day_course`: `DAY_FACTORS` factors, from midnight.
 
-    `level`: smoothed; `usual_level`: mean of all readings; `error`: smoothed square of how far the last
+    `level`: smoothed; `mean_level`: mean of all readings; `error`: smoothed square of how far the last
     ones were off.
     """
 
     def __init__(self, day_course: Sequence[float] | None = None) -> None:
         self.day_course = day_course
-        self.readings = 0
-        self.level = self.usual_level = 0.0
-        self.deviation = self.error = 0.0
+        self.reading_count = 0
+        self.level = self.mean_level = 0.0
+        self.reading_deviation = self.squared_error = 0.0
 
     def record(self, time_of_day: int, reading: DemandReading) -> None:
         """Takes in a reading."""
-        lanes, factor = reading.arrival_rate * reading.duration, self._factor(time_of_day)
-        if not self.readings:
-            self.level = self.usual_level = lanes / factor
-        self.readings = min(MAX_READINGS, self.readings + 1)
-        self.usual_level += (lanes / factor - self.usual_level) / self.readings
+        lanes, factor = reading.arrival_rate * reading.duration, self._day_factor(time_of_day)
+        if not self.reading_count:
+            self.level = self.mean_level = lanes / factor
+        self.reading_count = min(MAX_READINGS, self.reading_count + 1)
+        self.mean_level += (lanes / factor - self.mean_level) / self.reading_count
         difference = lanes - self.level * factor
-        self.error += SMOOTHING * (difference * difference - self.error)
-        self.level += SMOOTHING * (lanes / factor - self.level)
-        self.deviation = reading.deviation * reading.duration
+        self.squared_error += SMOOTHING_FACTOR * (difference * difference - self.squared_error)
+        self.level += SMOOTHING_FACTOR * (lanes / factor - self.level)
+        self.reading_deviation = reading.deviation * reading.duration
 
-    def lanes(
+    def needed_lanes(
         self, time_of_day: int, *, deviations: float = DEFAULT_DEVIATIONS, slots_ahead: int = 0
     ) -> float:
         """The lanes needed at that time: the mean, and so many standard deviations above it."""
-        if not self.readings:
+        if not self.reading_count:
             return 0.0
-        level = self.usual_level + (self.level - self.usual_level) * PERSISTENCE**slots_ahead
-        deviation: float = (self.error + self.deviation**2) ** 0.5
-        return level * self._factor(time_of_day) + deviations * deviation
+        level = self.mean_level + (self.level - self.mean_level) * DEVIATION_PERSISTENCE**slots_ahead
+        deviation: float = (self.squared_error + self.reading_deviation**2) ** 0.5
+        return level * self._day_factor(time_of_day) + deviations * deviation
 
-    def _factor(self, time_of_day: int) -> float:
+    def _day_factor(self, time_of_day: int) -> float:
         if not self.day_course:
             return 1.0
         position = time_of_day / (DAY / DAY_FACTORS)
         first, part = int(position) % DAY_FACTORS, position % 1
         after = (first + 1) % DAY_FACTORS
-        return max(MIN_FACTOR, self.day_course[first] * (1 - part) + self.day_course[after] * part)
+        return max(MIN_DAY_FACTOR, self.day_course[first] * (1 - part) + self.day_course[after] * part)
 
 
 class FleetForecast:
@@ -92,8 +92,8 @@
         """Takes in one reading of each function; a function without one fades."""
         for name in list(self.functions):
             if name not in readings:
-                self.functions[name].record(time_of_day, FADED)
-                if self.functions[name].lanes(time_of_day) < NEGLIGIBLE_LANES:
+                self.functions[name].record(time_of_day, NO_DEMAND)
+                if self.functions[name].needed_lanes(time_of_day) < NEGLIGIBLE_LANES:
                     del self.functions[name]
         for name, reading in readings.items():
             if name not in self.functions and len(self.functions) >= MAX_FUNCTIONS:
@@ -118,9 +118,10 @@
         total = sum(host.lanes for host in hosts) or 1
         spare: dict[str, list[float]] = {host.name: [] for host in hosts}
         for slot in range(slots):
-            at = time_of_day + slot * SLOT
+            at = time_of_day + slot * SLOT_DURATION
             needed = sum(
-                each.lanes(at, deviations=deviations, slots_ahead=slot) for each in self.functions.values()
+                each.needed_lanes(at, deviations=deviations, slots_ahead=slot)
+                for each in self.functions.values()
             )
             for host in hosts:
                 lanes = min(float(lendable[host.name]), host.lanes - needed * host.lanes / total)
--- a/gaproute/rollouts/greedy.py
+++ b/gaproute/rollouts/greedy.py
@@ -31,13 +31,13 @@
     """A copy that could be added; the greatest one is."""
 
     net_gain: float
-    need: float
+    unmet_demand: float
     campaign: str
     host: str
 
 
 class _GreedyPlanner:
-    """`free_lanes`: by host and slot; `missing`: by campaign and slot, lanes below its share."""
+    """`free_lanes`: by host and slot; `unmet_lanes`: by campaign and slot, lanes below its share."""
 
     def __init__(self, problem: PlanningProblem) -> None:
         shares = [problem.shares(slot) for slot in range(problem.slots)]
@@ -46,7 +46,7 @@
         self.free_lanes = {
             host: [int(lanes) for lanes in by_slot] for host, by_slot in problem.spare_lanes.items()
         }
-        self.missing = {name: [share[name] for share in shares] for name in self.demands}
+        self.unmet_lanes = {name: [share[name] for share in shares] for name in self.demands}
         self.free_capacity = dict(problem.copy_capacity)
         self.lanes: dict[CopyPlace, list[int]] = {}
         self.copies: list[PlannedCopy] = []
@@ -60,11 +60,16 @@
         ]
         while loaded:
             campaign, host = max(
-                loaded, key=lambda place: (self._need(place[0]), self._gain(place[0], place[1], 0), place)
+                loaded,
+                key=lambda place: (
+                    self._unmet_demand(place[0]),
+                    self._gained_lanes(place[0], place[1], 0),
+                    place,
+                ),
             )
             loaded.remove((campaign, host))
-            if self._fits(campaign, host) and self._gain(campaign, host, 0) > 0:
-                self._place(campaign, host, 0)
+            if self._fits(campaign, host) and self._gained_lanes(campaign, host, 0) > 0:
+                self._add_copy(campaign, host, 0)
 
     def add_copies(self) -> None:
         """Adds copies slot by slot, as many as may be loaded in each."""
@@ -73,14 +78,14 @@
             best = max(self._candidates(slot), default=None)
             if best is None or best.net_gain <= self._load_cost(best.host):
                 return
-            self._place(best.campaign, best.host, slot)
+            self._add_copy(best.campaign, best.host, slot)
             loads += 1
             if loads % max(1, self.problem.max_loads) == 0:
                 slot += 1
 
     def _candidates(self, slot: int) -> list[_Candidate]:
         return [
-            _Candidate(self._net_gain(campaign, host, slot), self._need(campaign), campaign, host)
+            _Candidate(self._net_gain(campaign, host, slot), self._unmet_demand(campaign), campaign, host)
             for campaign in self.demands
             for host in self.free_lanes
             if (campaign, host) not in self.lanes and self._fits(campaign, host)
@@ -88,29 +93,29 @@
 
     def _net_gain(self, campaign: str, host: str, slot: int) -> float:
         """The gain without what is lost in the first slot while the copy is loaded."""
-        first_slot = min(self.free_lanes[host][slot], self.missing[campaign][slot])
-        return self._gain(campaign, host, slot) - self.problem.load_time * first_slot
+        first_slot = min(self.free_lanes[host][slot], self.unmet_lanes[campaign][slot])
+        return self._gained_lanes(campaign, host, slot) - self.problem.load_time * first_slot
 
     def _load_cost(self, host: str) -> float:
         return self.problem.load_time * max(1, min(self.free_lanes[host]))
 
-    def _need(self, campaign: str) -> float:
-        return sum(self.missing[campaign]) / self.demands[campaign].weight
+    def _unmet_demand(self, campaign: str) -> float:
+        return sum(self.unmet_lanes[campaign]) / self.demands[campaign].weight
 
-    def _gain(self, campaign: str, host: str, first_slot: int) -> int:
+    def _gained_lanes(self, campaign: str, host: str, first_slot: int) -> int:
         """The lanes that a copy brings, over the slots from this one on."""
         slots = range(first_slot, self.problem.slots)
-        return sum(min(self.free_lanes[host][slot], self.missing[campaign][slot]) for slot in slots)
+        return sum(min(self.free_lanes[host][slot], self.unmet_lanes[campaign][slot]) for slot in slots)
 
     def _fits(self, campaign: str, host: str) -> bool:
         return self.free_capacity[host] >= self.demands[campaign].copy_size
 
-    def _place(self, campaign: str, host: str, first_slot: int) -> None:
+    def _add_copy(self, campaign: str, host: str, first_slot: int) -> None:
         by_slot = [0] * self.problem.slots
         for slot in range(first_slot, self.problem.slots):
-            by_slot[slot] = min(self.free_lanes[host][slot], self.missing[campaign][slot])
+            by_slot[slot] = min(self.free_lanes[host][slot], self.unmet_lanes[campaign][slot])
             self.free_lanes[host][slot] -= by_slot[slot]
-            self.missing[campaign][slot] -= by_slot[slot]
+            self.unmet_lanes[campaign][slot] -= by_slot[slot]
         self.lanes[campaign, host] = by_slot
         self.free_capacity[host] -= self.demands[campaign].copy_size
         self.copies.append(PlannedCopy(campaign, host, first_slot))
--- a/gaproute/rollouts/groups.py
+++ b/gaproute/rollouts/groups.py
@@ -19,7 +19,7 @@
     UNKNOWN = "unknown"
 
 
-GroupEnd = GroupOutcome | VersionRejection
+GroupEndReason = GroupOutcome | VersionRejection
 
 
 class RolloutGroup:
@@ -46,24 +46,24 @@
 
 
 class RolloutGroups:
-    """The groups of one gateway: open ones, and how the last ones ended. `ends`: counts by outcome."""
+    """The groups of one gateway: open ones, and how the last ones ended. `outcome_counts`: by outcome."""
 
     def __init__(self, versions: WeightVersions) -> None:
         self.versions = versions
-        self.open: dict[str, RolloutGroup] = {}
-        self.ended: dict[str, GroupEnd] = {}
-        self.ends: Counter[str] = Counter()
+        self.open_groups: dict[str, RolloutGroup] = {}
+        self.ended_groups: dict[str, GroupEndReason] = {}
+        self.outcome_counts: Counter[str] = Counter()
 
     def admit(self, group: str, rollout: str, campaign: str, version: int, size: int) -> str | None:
         """Admits a rollout, or says why it is rejected. The first of a group sets the version for all."""
-        if group in self.ended:
-            return f"group {self.ended[group]}"
+        if group in self.ended_groups:
+            return f"group {self.ended_groups[group]}"
         rejection = self.versions.rejection(campaign, version)
-        existing = self.open.get(group)
+        existing = self.open_groups.get(group)
         if existing is None:
-            if rejection or len(self.open) >= MAX_OPEN_GROUPS:
+            if rejection or len(self.open_groups) >= MAX_OPEN_GROUPS:
                 return rejection or "too many groups"
-            existing = self.open[group] = RolloutGroup(campaign, version, size)
+            existing = self.open_groups[group] = RolloutGroup(campaign, version, size)
         elif rejection or (existing.campaign, existing.version, existing.size) != (campaign, version, size):
             self.discard(group, rejection or GroupOutcome.MIXED_VERSIONS)
             return rejection or "group of two versions"
@@ -72,42 +72,42 @@
         existing.answered.setdefault(rollout, False)
         return None
 
-    def record_answer(self, group: str, rollout: str, version: int | None) -> GroupEnd | None:
+    def record_answer(self, group: str, rollout: str, version: int | None) -> GroupEndReason | None:
         """Takes in an answer by a host that reports this version.
 
         Returns `DELIVERED` once for the whole group, None while others are missing, or else why all are
         discarded.
         """
-        existing = self.open.get(group)
+        existing = self.open_groups.get(group)
         if existing is None or rollout not in existing.answered:
-            return self.ended.get(group, GroupOutcome.UNKNOWN)
+            return self.ended_groups.get(group, GroupOutcome.UNKNOWN)
         if not self.versions.is_answer_usable(existing.version, version):
             return self.discard(group, GroupOutcome.OTHER_VERSION)
         existing.record_answer(rollout)
         complete = existing.answer_count == existing.size
-        return self._end(group, GroupOutcome.DELIVERED) if complete else None
+        return self._end_group(group, GroupOutcome.DELIVERED) if complete else None
 
-    def discard(self, group: str, reason: GroupEnd) -> GroupEnd:
+    def discard(self, group: str, reason: GroupEndReason) -> GroupEndReason:
         """Ends a group as a whole: answers that came count for nothing, what still runs may be cancelled."""
-        if group in self.open:
-            return self._end(group, reason)
-        return self.ended.get(group, GroupOutcome.UNKNOWN)
+        if group in self.open_groups:
+            return self._end_group(group, reason)
+        return self.ended_groups.get(group, GroupOutcome.UNKNOWN)
 
     def discard_outdated(self) -> list[OutdatedGroup]:
         """Discards the groups whose version is no longer accepted, and returns them."""
         outdated = [
             OutdatedGroup(name, list(group.answered))
-            for name, group in self.open.items()
+            for name, group in self.open_groups.items()
             if self.versions.rejection(group.campaign, group.version)
         ]
         for group in outdated:
             self.discard(group.name, VersionRejection.TOO_OLD)
         return outdated
 
-    def _end(self, group: str, outcome: GroupEnd) -> GroupEnd:
-        del self.open[group]
-        self.ended[group] = outcome
-        if len(self.ended) > MAX_ENDED_GROUPS:
-            del self.ended[next(iter(self.ended))]
-        self.ends[outcome] += 1
+    def _end_group(self, group: str, outcome: GroupEndReason) -> GroupEndReason:
+        del self.open_groups[group]
+        self.ended_groups[group] = outcome
+        if len(self.ended_groups) > MAX_ENDED_GROUPS:
+            del self.ended_groups[next(iter(self.ended_groups))]
+        self.outcome_counts[outcome] += 1
         return outcome
--- a/gaproute/rollouts/host_assignment.py
+++ b/gaproute/rollouts/host_assignment.py
@@ -39,7 +39,7 @@
         return HostAssignment(assigned, {})
     owners = _choose_owners(sorted(planned), pools, gateways, previous_owners, zones or {})
     for host, gateway in owners.items():
-        assigned[gateway][host] = _fill_pool(planned[host], pools.get(host, 0))
+        assigned[gateway][host] = _scale_to_pool(planned[host], pools.get(host, 0))
     return HostAssignment(assigned, owners)
 
 
@@ -72,11 +72,11 @@
     return owners
 
 
-def _fill_pool(planned: CampaignLanes, pool: int) -> CampaignLanes:
+def _scale_to_pool(planned: CampaignLanes, pool: int) -> CampaignLanes:
     """The pool divided in the proportion of the planned lanes, none without one while there are enough."""
     total = sum(planned.values())
     if total >= pool:
-        return _reduce(planned, pool)
+        return _reduce_to_pool(planned, pool)
     lanes = {name: count + (pool - total) * count // total for name, count in planned.items()}
     most_planned_first = sorted(planned, key=lambda name: (-planned[name], name))
     for name in most_planned_first[: pool - sum(lanes.values())]:
@@ -84,7 +84,7 @@
     return lanes
 
 
-def _reduce(planned: CampaignLanes, pool: int) -> CampaignLanes:
+def _reduce_to_pool(planned: CampaignLanes, pool: int) -> CampaignLanes:
     lanes = dict(planned)
     while sum(lanes.values()) > pool:
         lanes[max(lanes, key=lambda name: (lanes[name], name))] -= 1
--- a/gaproute/rollouts/invariants.py
+++ b/gaproute/rollouts/invariants.py
@@ -5,7 +5,12 @@
 from collections.abc import Mapping, Sequence
 
 from gaproute.rollouts.campaign import RolloutHost
-from gaproute.rollouts.dispatcher import MAX_HOSTS, MAX_IN_FLIGHT, MAX_REPORT_AGE, RolloutDispatcher
+from gaproute.rollouts.dispatcher import (
+    MAX_ALLOTMENTS,
+    MAX_IN_FLIGHT_ROLLOUTS,
+    MAX_REPORT_AGE,
+    RolloutDispatcher,
+)
 from gaproute.rollouts.groups import MAX_ENDED_GROUPS, MAX_OPEN_GROUPS, RolloutGroups
 from gaproute.rollouts.load_limiter import RolloutLoadLimiter
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
@@ -19,7 +24,7 @@
     for name, sent in dispatcher.in_flight.items():
         by_lease[sent.lease] += 1
         by_campaign[sent.host, sent.campaign] += 1
-        if sent.ends_by > now and not _outlasts(sent.lease, sent.ends_by):
+        if sent.ends_by > now and not _is_held_until(sent.lease, sent.ends_by):
             violations.append(f"nothing sent without a lease: {name} at {sent.host}, {sent.lease.state}")
     for lease, count in by_lease.items():
         if count > lease.amount:
@@ -31,12 +36,12 @@
         wrong_campaigns = any(by_campaign[host, name] != count for name, count in allotment.in_flight.items())
         if wrong_leases or wrong_campaigns:
             violations.append(f"counts are those of what is in flight: {host}")
-    if len(dispatcher.allotments) > MAX_HOSTS or len(dispatcher.in_flight) > MAX_IN_FLIGHT:
+    if len(dispatcher.allotments) > MAX_ALLOTMENTS or len(dispatcher.in_flight) > MAX_IN_FLIGHT_ROLLOUTS:
         violations.append("maps are bounded: rollouts in flight")
     return violations
 
 
-def _outlasts(lease: LeaseRequest, until: int) -> bool:
+def _is_held_until(lease: LeaseRequest, until: int) -> bool:
     return lease.state == LeaseState.HELD and lease.expires_at is not None and lease.expires_at >= until
 
 
@@ -51,10 +56,10 @@
 def check_groups(groups: RolloutGroups) -> list[str]:
     """Of one gateway's groups."""
     violations = []
-    for name, group in groups.open.items():
+    for name, group in groups.open_groups.items():
         if group.answer_count != sum(group.answered.values()) or len(group.answered) > group.size:
             violations.append(f"a group counts its own: {name}")
-    if len(groups.open) > MAX_OPEN_GROUPS or len(groups.ended) > MAX_ENDED_GROUPS:
+    if len(groups.open_groups) > MAX_OPEN_GROUPS or len(groups.ended_groups) > MAX_ENDED_GROUPS:
         violations.append("maps are bounded: groups")
     return violations
 
--- a/gaproute/rollouts/plan.py
+++ b/gaproute/rollouts/plan.py
@@ -9,7 +9,7 @@
 
 from gaproute.rollouts.weighted_shares import share_lanes
 
-LOAD_TIME = 0.5  # of a slot that the load of a copy takes: what a move costs
+LOAD_SLOT_FRACTION = 0.5  # of a slot that the load of a copy takes: what a move costs
 
 CopyPlace = tuple[str, str]  # campaign and host
 
@@ -35,7 +35,7 @@
     demands: list[CampaignDemand]
     loaded: list[CopyPlace]
     max_loads: int
-    load_time: float = LOAD_TIME
+    load_time: float = LOAD_SLOT_FRACTION
 
     @property
     def slots(self) -> int:
--- a/gaproute/rollouts/plan_distribution.py
+++ b/gaproute/rollouts/plan_distribution.py
@@ -9,7 +9,7 @@
 from gaproute.rollouts.plan import CopyPlan, PlanningProblem
 
 PLANNER_RESOURCE = "rollouts/plan"  # the lease that a planner holds
-MAX_MARK = 1 << 62
+MAX_PLAN_NUMBER = 1 << 62
 
 
 class GatewayPlan(NamedTuple):
@@ -39,28 +39,28 @@
 
     def accept(self, plan: GatewayPlan) -> bool:
         """Whether the plan is to be followed."""
-        mark = plan.fencing_token, plan.number
-        valid = all(type(part) is int and 0 <= part <= MAX_MARK for part in mark)
-        if not valid or mark <= (self.fencing_token, self.number):
+        order = plan.fencing_token, plan.number
+        valid = all(type(part) is int and 0 <= part <= MAX_PLAN_NUMBER for part in order)
+        if not valid or order <= (self.fencing_token, self.number):
             self.rejected += 1
             return False
-        self.fencing_token, self.number = mark
+        self.fencing_token, self.number = order
         return True
 
 
-class PendingPlan(NamedTuple):
+class PendingProblem(NamedTuple):
     """A problem that the solver works on, and the greedy plan that is followed if it fails."""
 
     problem: PlanningProblem
     fallback: CopyPlan
-    due: int
+    due_at: int
 
 
 class PlanSelector:
     """Chooses between two plans of a problem: the solver's if it is valid and in time, else the greedy one.
 
-    `find_violations`: what a plan breaks; `time_limit`: of the solver, ns. Counts `late` and `failed`
-    answers.
+    `find_violations`: what a plan breaks; `time_limit`: of the solver, ns.
+    `late_answers`, `failed_answers`: counts.
     """
 
     def __init__(
@@ -68,33 +68,33 @@
     ) -> None:
         self.find_violations, self.time_limit = find_violations, time_limit
         self.number: int | None = None  # of the last problem
-        self.pending: PendingPlan | None = None
-        self.late = self.failed = 0
+        self.pending: PendingProblem | None = None
+        self.late_answers = self.failed_answers = 0
 
-    def begin(self, now: int, number: int, problem: PlanningProblem, fallback: CopyPlan) -> None:
+    def start(self, now: int, number: int, problem: PlanningProblem, fallback: CopyPlan) -> None:
         """The solver was given a problem, with this number."""
-        self.number, self.pending = number, PendingPlan(problem, fallback, now + self.time_limit)
+        self.number, self.pending = number, PendingProblem(problem, fallback, now + self.time_limit)
 
-    def solver_answered(self, number: int, plan: CopyPlan | None) -> CopyPlan | None:
+    def handle_solver_answer(self, number: int, plan: CopyPlan | None) -> CopyPlan | None:
         """The plan to be followed now, or None if the answer is late or to another problem.
 
         `plan`: None if the solver found none.
         """
         if number != self.number or self.pending is None:
-            self.late += 1
+            self.late_answers += 1
             return None
         pending, self.pending = self.pending, None
         if plan is None or self.find_violations(pending.problem, plan):
-            self.failed += 1
+            self.failed_answers += 1
             return pending.fallback
         return plan
 
-    def overdue_plan(self, now: int) -> CopyPlan | None:
+    def take_overdue_plan(self, now: int) -> CopyPlan | None:
         """The greedy plan, once, if the solver has not answered in time."""
-        if self.pending is None or now < self.pending.due:
+        if self.pending is None or now < self.pending.due_at:
             return None
         pending, self.pending = self.pending, None
-        self.late += 1
+        self.late_answers += 1
         return pending.fallback
 
 
--- a/gaproute/rollouts/plan_evaluation.py
+++ b/gaproute/rollouts/plan_evaluation.py
@@ -5,7 +5,7 @@
 
 from gaproute.rollouts.plan import CopyPlace, CopyPlan, PlannedCopy, PlanningProblem
 
-TOLERANCE = 1e-6  # lanes
+LANE_TOLERANCE = 1e-6  # lanes
 
 
 def find_violations(problem: PlanningProblem, plan: CopyPlan) -> list[str]:
@@ -60,7 +60,7 @@
                 yield f"plan: lanes of {campaign} at {host} before its copy"
             used[host, slot] += lanes
     for (host, slot), lanes in used.items():
-        if lanes > problem.spare_lanes[host][slot] + TOLERANCE:
+        if lanes > problem.spare_lanes[host][slot] + LANE_TOLERANCE:
             yield f"plan: {lanes} lanes at {host} in {slot}"
 
 
--- a/gaproute/rollouts/rate_limit.py
+++ b/gaproute/rollouts/rate_limit.py
@@ -2,7 +2,7 @@
 
 from gaproute.units import SECOND
 
-BURST = 16  # rollouts at once at most: lanes that become free together are filled together
+MAX_BURST_ROLLOUTS = 16  # rollouts at once at most: lanes that become free together are filled together
 
 
 class RateLimit:
@@ -10,7 +10,7 @@
 
     def __init__(self, now: int) -> None:
         self.rate: float | None = None
-        self.tokens, self.updated_at = float(BURST), now
+        self.tokens, self.updated_at = float(MAX_BURST_ROLLOUTS), now
 
     def allows(self, now: int) -> bool:
         """Whether a rollout may be sent now."""
@@ -22,4 +22,4 @@
             self.tokens, self.updated_at = self._tokens_at(now, self.rate) - 1, now
 
     def _tokens_at(self, now: int, rate: float) -> float:
-        return min(float(BURST), self.tokens + (now - self.updated_at) * rate / SECOND)
+        return min(float(MAX_BURST_ROLLOUTS), self.tokens + (now - self.updated_at) * rate / SECOND)
--- a/gaproute/rollouts/solver.py
+++ b/gaproute/rollouts/solver.py
@@ -16,11 +16,11 @@
     PlanningProblem,
 )
 
-TIME_LIMIT = 2.0  # s of solving: a plan is for half a minute
+TIME_LIMIT_SECONDS = 2.0  # s of solving: a plan is for half a minute
 RELATIVE_GAP = 0.01  # of the value: a forecast is less exact than that
-LANE_TOLERANCE = 1e-4  # what a solver leaves of a whole lane
-KEEP_COST = 0.001  # of a lane: what a loaded copy costs that brings nothing
-FEASIBLE = 2  # status of the solution in HiGHS
+ROUNDING_TOLERANCE = 1e-4  # what a solver leaves of a whole lane
+LOADED_COPY_COST = 0.001  # of a lane: what a loaded copy costs that brings nothing
+FEASIBLE_STATUS = 2  # status of the solution in HiGHS
 
 # Objects of the package highspy, which has no type stubs.
 HighsModule: TypeAlias = Any
@@ -28,7 +28,7 @@
 HighsVariable: TypeAlias = Any
 
 
-def solve(problem: PlanningProblem, time_limit: float = TIME_LIMIT) -> CopyPlan | None:
+def solve(problem: PlanningProblem, time_limit: float = TIME_LIMIT_SECONDS) -> CopyPlan | None:
     """A plan, or None if none was found in time, in seconds. Raises ImportError without the solver."""
     model = _SolverModel(problem, time_limit)
     model.add_copies()
@@ -75,7 +75,7 @@
 
     def _copy_variable(self, place: CopyPlace, slot: int) -> HighsVariable:
         lost_lanes = self.problem.load_time * int(self.problem.spare_lanes[place[1]][slot])
-        value = -KEEP_COST if place in self.loaded else -lost_lanes
+        value = -LOADED_COPY_COST if place in self.loaded else -lost_lanes
         return self.model.addVariable(0, 1, value, type=self.highspy.HighsVarType.kInteger)
 
     def _add_lanes(self, place: CopyPlace) -> None:
@@ -126,7 +126,7 @@
         """The plan, if one was found."""
         self.model.changeObjectiveSense(self.highspy.ObjSense.kMaximize)
         self.model.run()
-        if self.model.getInfo().primal_solution_status != FEASIBLE:
+        if self.model.getInfo().primal_solution_status != FEASIBLE_STATUS:
             return None
         return self._read_plan(self.model.getSolution().col_value)
 
@@ -142,4 +142,4 @@
 
     def _read_lanes(self, values: Sequence[float], place: CopyPlace) -> list[int]:
         slots = range(self.problem.slots)
-        return [int(values[self.lanes[place, slot].index] + LANE_TOLERANCE) for slot in slots]
+        return [int(values[self.lanes[place, slot].index] + ROUNDING_TOLERANCE) for slot in slots]
--- a/gaproute/rollouts/weight_versions.py
+++ b/gaproute/rollouts/weight_versions.py
@@ -23,16 +23,16 @@
     def __init__(self, campaigns: Mapping[str, Campaign]) -> None:
         self.campaigns = campaigns
         self.current = {name: campaign.version for name, campaign in campaigns.items()}
-        self.rejected: Counter[str] = Counter()  # reports, by reason
+        self.rejected_reports: Counter[str] = Counter()  # reports, by reason
 
     def record(self, campaign: str, version: object) -> bool:
         """Takes in a version that the trainer or a peer reports; returns whether it is newer."""
         current = self.current.get(campaign)
         if current is None:
-            self.rejected["unknown campaign"] += 1
+            self.rejected_reports["unknown campaign"] += 1
             return False
         if type(version) is not int or not 0 <= version <= current + MAX_VERSION_JUMP:
-            self.rejected["version"] += 1
+            self.rejected_reports["version"] += 1
             return False
         if version <= current:
             return False
@@ -50,7 +50,7 @@
             return VersionRejection.TOO_OLD
         return None
 
-    def usable(self, campaign: str) -> range:
+    def usable_versions(self, campaign: str) -> range:
         """The versions that copies may have, the newest first."""
         current = self.current[campaign]
         return range(current, max(-1, current - self.campaigns[campaign].max_version_lag - 1), -1)
--- a/gaproute/simulation/campaigns/checks.py
+++ b/gaproute/simulation/campaigns/checks.py
@@ -106,6 +106,6 @@
         newest = rollouts.weights.current[copy.campaign]
         if newest - copy.version > rollouts.campaigns[copy.campaign].max_version_lag:
             yield f"too old is not run: {task} of version {copy.version}, now {newest}"
-        group = rollouts.groups.open.get(rollouts.sent[task].group)
+        group = rollouts.groups.open_groups.get(rollouts.sent[task].group)
         if group is not None and group.version != copy.version:
             yield f"no version mixing: {task} of version {copy.version} in a group of {group.version}"
--- a/gaproute/simulation/campaigns/copy_loader.py
+++ b/gaproute/simulation/campaigns/copy_loader.py
@@ -74,7 +74,7 @@
         free = {host: view.free_room for host, view in views.items()}
         placement = CopyPlacement(list(views), copies, loading, free)
         outgoing = []
-        for kind, host, version in plan_exchange(1, self.weights.usable(campaign), placement):
+        for kind, host, version in plan_exchange(1, self.weights.usable_versions(campaign), placement):
             if kind == CopyOrderKind.DROP:
                 outgoing.append((host, DropCopy(Copy(campaign, version))))
             elif host not in self._pending and self.limiter.allows(now):
--- a/gaproute/simulation/campaigns/host.py
+++ b/gaproute/simulation/campaigns/host.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from gaproute.rollouts.campaign import MAX_TRAVEL_TIME
+from gaproute.rollouts.campaign import MAX_TRANSIT_TIME
 from gaproute.simulation.campaigns.messages import (
     CancelTask,
     Copy,
@@ -158,7 +158,7 @@
         )
 
     def _take_task(self, now: int, sender: str, task: Task) -> OutgoingMessages:
-        if task.copy is not None and self.scene.true_time() - task.sent_at > MAX_TRAVEL_TIME:
+        if task.copy is not None and self.scene.true_time() - task.sent_at > MAX_TRANSIT_TIME:
             return []  # its connection was closed before it arrived
         if task.name in self.lanes.running:
             return []  # duplicated on its way: a stream has each byte once
--- a/gaproute/simulation/campaigns/rollout_sender.py
+++ b/gaproute/simulation/campaigns/rollout_sender.py
@@ -78,7 +78,7 @@
             if task in in_flight
         ]
         for queue in self._queues.values():
-            for rollout in [each for each in queue if each.group not in self.groups.open]:
+            for rollout in [each for each in queue if each.group not in self.groups.open_groups]:
                 queue.remove(rollout)
         return outgoing
 
@@ -120,5 +120,5 @@
     def _requeue(self, task: str) -> None:
         """It never ran, or was cancelled: it may go again while its group is open."""
         rollout = self.sent.pop(task, None)
-        if rollout is not None and rollout.group in self.groups.open:
+        if rollout is not None and rollout.group in self.groups.open_groups:
             self._queues[rollout.copy.campaign].appendleft(rollout)
--- a/gaproute/simulation/campaigns/run.py
+++ b/gaproute/simulation/campaigns/run.py
@@ -47,7 +47,9 @@
         """What was used, how production fared (waits and answers in ms), and what was delivered."""
         scene, rollouts = self.scene, self.scene.rollouts
         gateways = [slot.process for slot in self.simulation.running]
-        ends = [each.rollouts.groups.ends for each in gateways if isinstance(each, SimulatedGateway)]
+        ends = [
+            each.rollouts.groups.outcome_counts for each in gateways if isinstance(each, SimulatedGateway)
+        ]
         return {
             "used": rollouts.used / max(1, rollouts.spare),
             "by": dict(rollouts.lanes_by_campaign),
--- a/tests/rollouts/test_campaign.py
+++ b/tests/rollouts/test_campaign.py
@@ -10,7 +10,7 @@
 from gaproute.rollouts.campaign import Campaign, RolloutHost, lendable_lanes, strictest_reservations
 from gaproute.rollouts.campaign_validation import find_mistakes
 from gaproute.rollouts.completion import CompletionEstimate
-from gaproute.rollouts.forecast import SLOT, DemandForecast, DemandReading, FleetForecast
+from gaproute.rollouts.forecast import SLOT_DURATION, DemandForecast, DemandReading, FleetForecast
 from gaproute.rollouts.greedy import greedy_plan
 from gaproute.rollouts.host_assignment import assign_hosts, assign_rates
 from gaproute.rollouts.invariants import check_reservations
@@ -158,16 +158,16 @@
 def test_the_solvers_plan_counts_while_valid_and_in_time():
     problem, selector = random_problem(1), PlanSelector(find_violations, 2 * SECOND)
     plan, other = greedy_plan(problem), CopyPlan([], [])
-    selector.begin(0, 1, problem, plan)
-    assert selector.overdue_plan(SECOND) is None
-    assert selector.solver_answered(1, other) is other
-    assert selector.overdue_plan(3 * SECOND) is None
-    selector.begin(0, 2, problem, plan)
-    assert selector.solver_answered(2, CopyPlan([PlannedCopy("x", "h0", 0)], [])) is plan
-    assert selector.failed == 1
-    selector.begin(0, 3, problem, plan)
-    assert selector.overdue_plan(2 * SECOND) is plan
-    assert selector.solver_answered(3, other) is None
+    selector.start(0, 1, problem, plan)
+    assert selector.take_overdue_plan(SECOND) is None
+    assert selector.handle_solver_answer(1, other) is other
+    assert selector.take_overdue_plan(3 * SECOND) is None
+    selector.start(0, 2, problem, plan)
+    assert selector.handle_solver_answer(2, CopyPlan([PlannedCopy("x", "h0", 0)], [])) is plan
+    assert selector.failed_answers == 1
+    selector.start(0, 3, problem, plan)
+    assert selector.take_overdue_plan(2 * SECOND) is plan
+    assert selector.handle_solver_answer(3, other) is None
 
 
 def test_only_newer_plans_count():
@@ -194,9 +194,9 @@
     demand = DemandForecast([1.0] * 24 + [2.0] * 24)
     for _ in range(20):
         demand.record(0, DemandReading(10.0, 1.0, 2.0))
-    assert demand.lanes(0, deviations=0) == pytest.approx(20)
-    assert demand.lanes(13 * 3600 * SECOND, deviations=0) == pytest.approx(40)
-    assert demand.lanes(0) == pytest.approx(22, rel=0.02)
+    assert demand.needed_lanes(0, deviations=0) == pytest.approx(20)
+    assert demand.needed_lanes(13 * 3600 * SECOND, deviations=0) == pytest.approx(40)
+    assert demand.needed_lanes(0) == pytest.approx(22, rel=0.02)
     forecast = FleetForecast()
     forecast.record(0, {"p": DemandReading(8.0, 0.0, 1.0)})
     lendable = {host.name: 7 for host in HOSTS}
@@ -210,8 +210,8 @@
 
 def test_completion_is_estimated_from_what_was_done_and_what_is_planned():
     estimate = CompletionEstimate(1000, 0)
-    assert estimate.end() is None
+    assert estimate.estimated_end() is None
     estimate.record(10 * SECOND, 100, 10.0)  # a lane-second each
-    assert estimate.end() == pytest.approx(100 * SECOND)
-    assert estimate.end([20.0, 20.0]) == pytest.approx(10 * SECOND + 45 * SECOND)
-    assert SLOT == 30 * SECOND
+    assert estimate.estimated_end() == pytest.approx(100 * SECOND)
+    assert estimate.estimated_end([20.0, 20.0]) == pytest.approx(10 * SECOND + 45 * SECOND)
+    assert SLOT_DURATION == 30 * SECOND
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -100,7 +100,7 @@
 
     def hasty(self, now):
         tick(self, now)
-        closing = [lease for allotment in self.allotments.values() for lease in allotment.closing]
+        closing = [lease for allotment in self.allotments.values() for lease in allotment.surplus_leases]
         for lease in closing:
             if lease.state == LeaseState.HELD:
                 self.client.release(now, lease)
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -20,11 +20,11 @@
     for campaign_name, version in (("c", 2), ("c", 3), ("c", 1 << 50), ("x", 4), ("c", "5")):
         assert not versions.record(campaign_name, version)
     assert versions.current == {"c": 3}
-    assert list(versions.usable("c")) == [3, 2]
+    assert list(versions.usable_versions("c")) == [3, 2]
     assert groups.admit("p", "t", "c", 1, 2) == VersionRejection.TOO_OLD == "too old"
     assert groups.admit("p", "t", "c", 4, 2) == "version not there yet"
     assert groups.admit("p", "t", "x", 1, 2) == "unknown campaign"
-    assert not groups.open
+    assert not groups.open_groups
 
 
 def test_a_group_is_of_one_version_or_discarded_whole(monkeypatch):
@@ -47,8 +47,8 @@
     versions.record("c", 3)
     assert groups.discard_outdated() == [("s", ["t1"])]
     assert groups.admit("s", "t2", "c", 1, 2) == "group too old"
-    assert not groups.open
-    assert groups.ends["delivered"] == 1
+    assert not groups.open_groups
+    assert groups.outcome_counts["delivered"] == 1
     monkeypatch.setattr(groups_module, "MAX_OPEN_GROUPS", 0)
     assert groups.admit("u", "t1", "c", 3, 2) == "too many groups"
 
