--- a/gaproute/rollouts/__init__.py
+++ b/gaproute/rollouts/__init__.py
@@ -1,9 +1,10 @@
-"""Reinforcement-learning rollouts beside production, in the capacity that production leaves on shared hosts.
+"""Reinforcement-learning rollouts in the capacity that production traffic leaves unused on shared hosts.
 
-A `Campaign` asks for rollouts. A planner forecasts what production leaves free and decides which host gets
-a copy of which campaign's model; a `RolloutDispatcher` in each gateway decides what it may send now, under
-leases and by what hosts report. The package decides only: it reads no clock, draws no random numbers and
-does no I/O. The gateway does not use it yet: only the simulation drives it.
+A `Campaign` describes the rollouts that a training job needs. A planner forecasts which lanes production
+leaves free and decides which host loads a copy of which campaign's model. A `RolloutDispatcher` in each
+gateway decides which rollouts the gateway may send now, from its leases and the hosts' reports. The package
+only makes decisions: it reads no clock, draws no random numbers and does no I/O. So far only the simulation
+uses the package; the gateway does not.
 """
 
 from gaproute.rollouts.campaign import Campaign, RolloutHost, lendable_lanes
--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -1,4 +1,4 @@
-"""A campaign of rollouts, the hosts that it shares with production, and what of these hosts may be lent."""
+"""A campaign of rollouts, the hosts that it shares with production, and the lanes that may be lent to it."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -7,14 +7,18 @@
 from gaproute.shared.leases.commands import expiry_wait
 from gaproute.units import SECOND
 
-# A rollout that has not reached its host by then never does: its connection is closed.
+# A rollout that has not reached its host within this time never does, because its connection is closed.
 MAX_TRANSIT_TIME = SECOND
-# Of a lease beside the rollouts under it: several attempts to reach the Raft nodes.
+# Time in a lease's duration for its renewal: enough for several attempts to reach the Raft nodes.
 RENEWAL_MARGIN = 2 * SECOND
 
 
 class RolloutHost(NamedTuple):
-    """A host. `lanes`: requests at once; `copy_capacity`: for copies, in the unit of `Campaign.copy_size`."""
+    """A host that runs rollouts.
+
+    `lanes`: the most concurrent requests.
+    `copy_capacity`: space for copies, in the unit of `Campaign.copy_size`.
+    """
 
     name: str
     zone: str
@@ -24,18 +28,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Campaign:
-    """What a campaign asks for. Times are in ns.
-
-    `function`, `version`: the model, and the version of its weights to begin with.
-    `rollouts_per_step`, `steps`: training steps, and rollouts that each of them needs.
-    `max_version_lag`: by how many versions a rollout's weights may be behind the newest.
-    `copy_size`: of one loaded copy of the model.
-    `max_duration`, `typical_duration`: of one rollout; hosts end it after the maximum.
-    `group_size`: rollouts of one prompt, which count only together.
-    `deadline`: from the beginning, or `rate`: rollouts a second; 0 where not asked for.
-    `weight`: share of the capacity beside other campaigns; `cancellable`: whether rollouts may be cancelled
-    for production.
-    `reserved_lanes`: by host or zone, lanes that rollouts never take.
+    """The requirements of a campaign. Times are in ns.
+
+    `function`, `version`: the model, and the first version of its weights.
+    `rollouts_per_step`, `steps`: the rollouts that each training step needs, and the number of steps.
+    `max_version_lag`: by how many versions a rollout's weights may be older than the newest.
+    `copy_size`: the space that one loaded copy of the model takes.
+    `max_duration`, `typical_duration`: durations of one rollout; hosts end a rollout after the maximum.
+    `group_size`: the number of rollouts of one prompt, which are usable only together.
+    `deadline`, `rate`: time from the campaign's start to its end, or rollouts a second; 0: not required.
+    `weight`: the campaign's relative share of the capacity among all campaigns.
+    `cancellable`: whether rollouts may be cancelled to free lanes for production.
+    `reserved_lanes`: by host or zone, the lanes that rollouts never use.
     """
 
     name: str
@@ -56,20 +60,21 @@
 
     @property
     def min_lease_time(self) -> int:
-        """What must be left of a lease under which a rollout is sent now: its way and its longest run.
+        """The time that a lease must remain valid when a rollout is sent under it, in ns.
 
-        The host's clock may be slow while the lease holder's is fast.
+        It covers the rollout's transit and maximum duration, even if the host's clock is slow while the lease
+        holder's clock is fast.
         """
         return expiry_wait(self.max_duration + MAX_TRANSIT_TIME)
 
     @property
     def lease_duration(self) -> int:
-        """Of the leases that it needs: renewed after half of it, there is time left for a whole rollout."""
+        """The duration of the campaign's leases: renewed at half time, they still have time for a rollout."""
         return 2 * (self.min_lease_time + RENEWAL_MARGIN)
 
 
 def strictest_reservations(campaigns: Iterable[Campaign]) -> dict[str, int]:
-    """By host or zone, the most lanes that any campaign reserves: campaigns share the lent lanes."""
+    """By host or zone, the most lanes that any campaign reserves: all campaigns share the lent lanes."""
     strictest: dict[str, int] = {}
     for campaign in campaigns:
         for name, lanes in campaign.reserved_lanes.items():
@@ -78,10 +83,11 @@
 
 
 def lendable_lanes(hosts: Sequence[RolloutHost], reserved: Mapping[str, int]) -> dict[str, int]:
-    """By host, the lanes that may be lent to rollouts at most.
+    """By host, the most lanes that may be lent to rollouts.
 
-    What is reserved of a zone is divided among its hosts, taken from those with most left first. So each
-    host's pool of lanes keeps both reservations by itself, whichever gateways cannot reach one another.
+    A zone's reservation is divided among its hosts: each further lane comes from the host with the most
+    lendable lanes left. Each host's pool of lanes then satisfies the host's and its part of the zone's
+    reservation by itself, even while gateways cannot reach one another.
     """
     lanes = {host.name: max(0, host.lanes - reserved.get(host.name, 0)) for host in hosts}
     zones: dict[str, list[RolloutHost]] = {}
