--- a/gaproute/rollouts/copy_exchange.py
+++ b/gaproute/rollouts/copy_exchange.py
@@ -1,9 +1,9 @@
-"""The order in which copies are replaced when weights change, so that neither rollouts nor production stand
-still.
+"""The order in which a campaign's copies are replaced when its weights change, without stopping rollouts or
+production.
 
-Where both fit, the new copy is loaded beside the old one, which is dropped when the new one is loaded.
-Elsewhere the old one is dropped first; then at most a part of a campaign's copies is missing at a time.
-Production's copies are not touched: only the capacity that they leave is used.
+On a host with space for both, the new copy is loaded beside the old one, which is dropped once the new one is
+loaded. On other hosts the old copy is dropped first; only a fraction of a campaign's copies is missing at a
+time. Production's copies are never replaced: rollouts use only the capacity that they leave.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -11,19 +11,19 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-EXCHANGE_DIVISOR = 3  # one in so many copies may be under way: rollouts keep two thirds
+EXCHANGE_DIVISOR = 3  # at most 1 in 3 copies is being loaded at a time, so rollouts keep two thirds
 
 
 class CopyOrderKind(StrEnum):
-    """What becomes of a copy."""
+    """What is done with a copy."""
 
-    DROP = "drop"  # it serves nobody
-    LOAD = "load"  # beside what is loaded there
-    SWAP = "swap"  # the campaign's oldest copies there are dropped until this one fits
+    DROP = "drop"  # unload the copy, which serves no rollouts
+    LOAD = "load"  # load the copy beside the copies that are loaded there
+    SWAP = "swap"  # drop the campaign's oldest copies there until this copy fits, then load it
 
 
 class CopyOrder(NamedTuple):
-    """An order about a campaign's copy of this version."""
+    """An order to drop or load a campaign's copy of one version at one host."""
 
     kind: CopyOrderKind
     host: str
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True)
 class CopyPlacement:
-    """Where one campaign's copies are and should be.
+    """Where one campaign's copies are, and where they are planned.
 
-    `planned`: hosts that shall have a copy, the most useful first; `copies`: loaded versions by host.
-    `loading`: hosts with a load under way; `free_capacity`: by host, what is free for copies.
+    `planned`: hosts that are to have a copy, the most useful first; `copies`: loaded versions by host.
+    `loading`: hosts that are loading a copy; `free_capacity`: by host, the free space for copies.
     """
 
     planned: Sequence[str]
@@ -45,9 +45,9 @@
 
 
 def plan_exchange(copy_size: int, versions: Sequence[int], placement: CopyPlacement) -> list[CopyOrder]:
-    """The orders of one campaign now: drops, then loads, the most useful first.
+    """The orders for one campaign now: drops, then loads, the most useful first.
 
-    `versions`: those that may serve, the newest first.
+    `versions`: the versions that may serve rollouts, the newest first.
     """
     return _CopyExchange(copy_size, versions, placement).plan_orders()
 
@@ -64,7 +64,7 @@
         ]
 
     def plan_orders(self) -> list[CopyOrder]:
-        """Orders loads as long as enough copies stay."""
+        """The drops, and loads as long as enough copies remain."""
         orders = list(self.drops)
         lacking = [host for host in self.placement.planned if self._lacks_newest(host)]
         empty = [host for host in lacking if not self._remaining_versions(host)]
@@ -72,7 +72,7 @@
         max_loads_in_progress = max(1, len(self.placement.planned) // EXCHANGE_DIVISOR)
         for host in empty + [host for host in lacking if host not in empty]:
             if loads_in_progress >= max_loads_in_progress and host not in empty:
-                break  # a host without any copy loses nothing, others do
+                break  # only a host without any copy loses no serving copy by a load
             kind = self._load_kind(host)
             if kind is not None:
                 orders.append(CopyOrder(kind, host, self.newest))
@@ -80,7 +80,7 @@
         return orders
 
     def _is_unneeded(self, host: str, version: int, loaded: Sequence[int]) -> bool:
-        """Whether the copy serves nobody and nothing is lost without it."""
+        """Whether the copy can be dropped without a loss of serving copies."""
         if version not in self.versions:
             return True
         return version != self.newest and (host not in self.placement.planned or self.newest in loaded)
@@ -89,12 +89,12 @@
         return self.newest not in self.placement.copies.get(host, ()) and host not in self.placement.loading
 
     def _remaining_versions(self, host: str) -> list[int]:
-        """The versions that stay loaded there after the drops."""
+        """The versions that remain loaded at the host after the drops."""
         dropped = {order.version for order in self.drops if order.host == host}
         return [version for version in self.placement.copies.get(host, ()) if version not in dropped]
 
     def _load_kind(self, host: str) -> CopyOrderKind | None:
-        """How the newest copy can be loaded there; None if production's copies fill the host."""
+        """How the host can load the newest copy; None if production's copies fill the host."""
         dropped = sum(order.host == host for order in self.drops)
         free = self.placement.free_capacity.get(host, 0) + self.copy_size * dropped
         if free + self.copy_size * len(self._remaining_versions(host)) < self.copy_size:
--- a/gaproute/rollouts/dispatcher.py
+++ b/gaproute/rollouts/dispatcher.py
@@ -1,14 +1,15 @@
-"""What one gateway may send to which host: under leases, and production first.
-
-A rollout is sent only if all of these hold:
-
-- A lease of the host's pool has a free lane, and lasts by the own clock until the rollout has travelled and
-  run for its longest time. This keeps the sum of all gateways' rollouts within the pool, whichever of them
-  are cut off, restarted or run twice: a leased lane is released, or expires, only when what ran on it has
-  ended.
-- The host itself reported lately that lanes are free and that no production waits. This stops rollouts within
-  `MAX_REPORT_AGE` for production even if no other gateway can be reached: who has no report sends nothing.
-- The campaign's rate allows it.
+"""Decides which rollouts one gateway may send to which host, under leases and after production.
+
+A rollout is sent only if all of these conditions hold:
+
+- A lease of the host's pool has a free lane and, by the gateway's own clock, remains valid for the rollout's
+  transit and its maximum duration. This keeps the sum of all gateways' rollouts within the pool even if
+  gateways are partitioned, restarted or run twice: a leased lane is released, or expires, only after the
+  rollout on it has ended.
+- The host itself reported recently that lanes are free and that no production waits. This stops rollouts
+  within `MAX_REPORT_AGE` of production's need even if no other gateway is reachable: a gateway without a
+  recent report sends nothing.
+- The campaign's rate limit allows it.
 """
 
 from collections.abc import Mapping
@@ -21,31 +22,33 @@
 from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.units import MILLI
 
-# From when a host was asked until its report counts no more. The promise is 200 ms.
+# From the query of a host until its report expires. The guarantee is that rollouts stop within 200 ms.
 MAX_REPORT_AGE = 150 * MILLI
-POLL_INTERVAL = 25 * MILLI  # of a host with an allotment: production waits so long for a cancellation
-MAX_ALLOTMENTS = 1024  # with an allotment: as many as a client may have lease requests
+POLL_INTERVAL = (
+    25 * MILLI
+)  # between queries of a host with an allotment; production may wait this long for a cancel
+MAX_ALLOTMENTS = 1024  # hosts with an allotment; also the most lease requests that a lease client may have
 MAX_IN_FLIGHT_ROLLOUTS = 4096
 
 
 class RolloutDispatcher:
-    """Keeps one gateway's allotments of hosts and its rollouts in flight. Times are in ns of the own clock.
+    """One gateway's allotments of hosts and its rollouts in flight. Times are in ns of the own clock.
 
-    `client`: for leases; `campaigns`: by name.
+    `client`: acquires and releases leases; `campaigns`: by name.
     """
 
     def __init__(self, client: LeaseClient, campaigns: Mapping[str, Campaign], now: int) -> None:
         self.client, self.campaigns = client, campaigns
         self.allotments: dict[str, HostAllotment] = {}  # by host
-        self.in_flight: dict[str, InFlightRollout] = {}  # by rollout, in the order in which they were sent
+        self.in_flight: dict[str, InFlightRollout] = {}  # by rollout, in the order of sending
         self.rate_limits = {name: RateLimit(now) for name in campaigns}
 
     def set_targets(
         self, now: int, targets: Mapping[str, Mapping[str, int]], rates: Mapping[str, float] | None = None
     ) -> None:
-        """Takes in a plan. `targets`: lanes by host and campaign; hosts that are not named are released.
+        """Follows a new plan. `targets`: lanes by host and campaign; the leases of other hosts are released.
 
-        `rates`: by campaign, rollouts a second; others keep theirs.
+        `rates`: by campaign, rollouts a second; campaigns without an entry keep their rate.
         """
         added = [host for host in targets if host not in self.allotments]
         for host in added[: MAX_ALLOTMENTS - len(self.allotments)]:
@@ -62,7 +65,7 @@
         self.tick(now)
 
     def tick(self, now: int) -> None:
-        """Adapts leases to the targets; a rollout without an answer ends when its host must end it."""
+        """Adjusts leases to the targets and records the end of rollouts that their hosts must have ended."""
         for rollout in [name for name, sent in self.in_flight.items() if sent.ends_by <= now]:
             self.record_ended(rollout)
         for host in list(self.allotments):
@@ -87,11 +90,11 @@
             lanes += amount
 
     def hosts_to_poll(self) -> list[str]:
-        """The hosts that are to be asked how many lanes they have free."""
+        """The hosts to query for their free lanes."""
         return [host for host, allotment in self.allotments.items() if allotment.targets]
 
     def record_report(self, now: int, host: str, report: HostAvailability) -> None:
-        """Takes in a host's report; one that is outdated is ignored."""
+        """Records a host's report; an outdated report is ignored."""
         allotment = self.allotments.get(host)
         if allotment is None or report.asked_at > now or not allotment.accepts_report(report):
             return
@@ -101,13 +104,16 @@
         allotment.apply_report(report, sent_since)
 
     def record_production_waiting(self, now: int, host: str) -> None:
-        """Production found no lane: nothing is sent until the host, asked after this, reports free lanes."""
+        """Records that production found no free lane at the host.
+
+        The gateway sends no rollouts there until the host, queried after this call, reports free lanes.
+        """
         allotment = self.allotments.get(host)
         if allotment is not None:
             allotment.production_waiting, allotment.ignore_until = True, now
 
     def rollouts_to_cancel(self, host: str, lanes: int) -> list[str]:
-        """Rollouts to cancel so that production gets so many lanes: the last sent, as they lose least."""
+        """Rollouts to cancel to free lanes for production: the last sent, since they lose the least work."""
         cancellable = [
             name
             for name, sent in self.in_flight.items()
@@ -116,7 +122,7 @@
         return cancellable[::-1][: max(0, lanes)]
 
     def find_lease(self, now: int, campaign_name: str, host: str) -> LeaseRequest | None:
-        """The lease under which a rollout of the campaign may be sent to the host now, or None."""
+        """A lease under which a rollout of the campaign may be sent to the host now, or None."""
         campaign, allotment = self.campaigns.get(campaign_name), self.allotments.get(host)
         if campaign is None or allotment is None or len(self.in_flight) >= MAX_IN_FLIGHT_ROLLOUTS:
             return None
@@ -127,16 +133,16 @@
         return allotment.find_usable_lease(now + campaign.min_lease_time)
 
     def record_sent(self, now: int, rollout: str, campaign_name: str, host: str, lease: LeaseRequest) -> None:
-        """A rollout of the campaign was sent under this lease."""
+        """Records that a rollout of the campaign was sent under the lease."""
         self.allotments[host].add_rollout(campaign_name, lease)
         self.rate_limits[campaign_name].record_sent(now)
         ends_by = now + self.campaigns[campaign_name].min_lease_time
         self.in_flight[rollout] = InFlightRollout(campaign_name, host, lease, now, ends_by)
 
     def record_ended(self, rollout: str, *, host_full: bool = False) -> None:
-        """A rollout was answered, which proves that its lane is free again, or its time is over.
+        """Records that a rollout was answered, which proves that its lane is free, or that its time is over.
 
-        `host_full`: the host rejected it for want of a lane.
+        `host_full`: the host rejected the rollout because it had no free lane.
         """
         sent = self.in_flight.pop(rollout, None)
         if sent is not None:
@@ -144,5 +150,5 @@
 
 
 def pool_name(host: str) -> str:
-    """The resource of which gateways lease the host's lanes for rollouts."""
+    """The name of the lease pool that contains the host's lanes for rollouts."""
     return f"rollouts/{host}"
--- a/gaproute/rollouts/groups.py
+++ b/gaproute/rollouts/groups.py
@@ -1,4 +1,4 @@
-"""Groups: the rollouts of one prompt are all of one version, or all of them are discarded."""
+"""Groups of rollouts: all rollouts of one prompt use one version of the weights, or all are discarded."""
 
 from collections import Counter
 from enum import StrEnum
@@ -6,8 +6,8 @@
 
 from gaproute.rollouts.weight_versions import VersionRejection, WeightVersions
 
-MAX_OPEN_GROUPS = 4096  # at once; beyond it a new one is rejected
-MAX_ENDED_GROUPS = 4096  # that are remembered: rollouts that come late are treated like their group
+MAX_OPEN_GROUPS = 4096  # a further group is rejected
+MAX_ENDED_GROUPS = 4096  # kept so that late rollouts are rejected with the outcome of their group
 
 
 class GroupOutcome(StrEnum):
@@ -23,7 +23,10 @@
 
 
 class RolloutGroup:
-    """A group whose rollouts are not all answered. `answered`: by rollout; `answer_count`: how many are."""
+    """A group whose rollouts are not all answered.
+
+    `answered`: by rollout, whether it is answered; `answer_count`: the number of answered rollouts.
+    """
 
     __slots__ = ("campaign", "version", "size", "answered", "answer_count")
 
@@ -33,20 +36,20 @@
         self.answer_count = 0
 
     def record_answer(self, rollout: str) -> None:
-        """The rollout was answered by the group's version; a repeated answer changes nothing."""
+        """Records an answer by the group's version; a repeated answer changes nothing."""
         self.answer_count += not self.answered[rollout]
         self.answered[rollout] = True
 
 
 class OutdatedGroup(NamedTuple):
-    """A group that became too old, and its rollouts."""
+    """A group whose version is too old, and its rollouts."""
 
     name: str
     rollouts: list[str]
 
 
 class RolloutGroups:
-    """The groups of one gateway: open ones, and how the last ones ended. `outcome_counts`: by outcome."""
+    """The groups of one gateway: open groups, and why the last ended groups ended."""
 
     def __init__(self, versions: WeightVersions) -> None:
         self.versions = versions
@@ -55,7 +58,7 @@
         self.outcome_counts: Counter[str] = Counter()
 
     def admit(self, group: str, rollout: str, campaign: str, version: int, size: int) -> str | None:
-        """Admits a rollout, or says why it is rejected. The first of a group sets the version for all."""
+        """Admits a rollout, or returns why it is rejected. A group's first rollout sets its version."""
         if group in self.ended_groups:
             return f"group {self.ended_groups[group]}"
         rejection = self.versions.rejection(campaign, version)
@@ -73,10 +76,10 @@
         return None
 
     def record_answer(self, group: str, rollout: str, version: int | None) -> GroupEndReason | None:
-        """Takes in an answer by a host that reports this version.
+        """Records an answer of a host that reports the given version.
 
-        Returns `DELIVERED` once for the whole group, None while others are missing, or else why all are
-        discarded.
+        Returns `DELIVERED` once for the whole group, None while other answers are missing, or why the group
+        is discarded.
         """
         existing = self.open_groups.get(group)
         if existing is None or rollout not in existing.answered:
@@ -88,13 +91,13 @@
         return self._end_group(group, GroupOutcome.DELIVERED) if complete else None
 
     def discard(self, group: str, reason: GroupEndReason) -> GroupEndReason:
-        """Ends a group as a whole: answers that came count for nothing, what still runs may be cancelled."""
+        """Ends a whole group: its answers are discarded, and its rollouts in flight may be cancelled."""
         if group in self.open_groups:
             return self._end_group(group, reason)
         return self.ended_groups.get(group, GroupOutcome.UNKNOWN)
 
     def discard_outdated(self) -> list[OutdatedGroup]:
-        """Discards the groups whose version is no longer accepted, and returns them."""
+        """Discards and returns the groups whose version is no longer accepted."""
         outdated = [
             OutdatedGroup(name, list(group.answered))
             for name, group in self.open_groups.items()
--- a/gaproute/rollouts/host_allotment.py
+++ b/gaproute/rollouts/host_allotment.py
@@ -1,4 +1,4 @@
-"""What one gateway has of one host: planned lanes, leases, rollouts in flight, and the host's last report."""
+"""One gateway's state for one host: planned lanes, leases, rollouts in flight and the host's last report."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -7,17 +7,19 @@
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
 from gaproute.units import MILLI
 
-RETRY_PAUSE = 300 * MILLI  # until a lease that was rejected is requested again
-MAX_LEASE_LANES = 4  # a lease: with fewer, more are renewed; with more, they cannot be released in parts
-# A host that warms up gets a quarter of its rollouts; the rest of what it can bear is production's.
+RETRY_PAUSE = 300 * MILLI  # after a rejected lease request, until the next request
+MAX_LEASE_LANES = 4  # in a lease: fewer lanes need more renewals, more lanes cannot be released in parts
+# A host that is warming up gets a quarter of its rollouts; the rest of its reduced capacity is production's.
 WARM_UP_DIVISOR = 4
 
 
 class HostAvailability(NamedTuple):
-    """A host's report. `asked_at`: when it was asked, ns of the own clock.
+    """A host's report of its lanes.
 
-    `free_lanes`: above what is reserved; `production_waiting`: or production uses what is reserved.
-    `warming_up`: it has started lately.
+    `asked_at`: when the gateway queried the host, in ns of the own clock.
+    `free_lanes`: free lanes beyond the reserved lanes.
+    `production_waiting`: whether production waits for a lane or has begun to use the reserved lanes.
+    `warming_up`: whether the host started recently.
     """
 
     asked_at: int
@@ -27,12 +29,14 @@
 
 
 class HostAllotment:
-    """`targets`: planned lanes by campaign; `leases`: with the rollouts in flight under each.
-
-    `surplus_leases`: leases that get no more rollouts and are released once empty; `in_flight`: rollouts by
-    campaign.
-    `ignore_until`: reports that were asked for before then do not count. After a rejection, which may mean
-    that only a part of the lanes is there, smaller leases are requested.
+    """The lanes of one host that are allotted to one gateway.
+
+    `targets`: planned lanes by campaign; `leases`: number of rollouts in flight by lease.
+    `surplus_leases`: leases that get no more rollouts and are released once none is in flight under them.
+    `in_flight`: number of rollouts in flight by campaign.
+    `ignore_until`: reports of queries before this time are ignored.
+    `max_lease_lanes`: lanes of the next lease request. A rejection halves it, since the pool may have some of
+    the requested lanes free.
     """
 
     def __init__(self, host: str) -> None:
@@ -47,7 +51,7 @@
         self.retry_at, self.max_lease_lanes = 0, MAX_LEASE_LANES
 
     def remove_ended_leases(self, now: int) -> None:
-        """Forgets leases that were rejected or have ended, once no rollout under them is in flight."""
+        """Removes leases that were rejected or have ended, once no rollout under them is in flight."""
         for lease in [lease for lease in self.leases if not lease.is_open]:
             if lease.state == LeaseState.REJECTED:
                 self.max_lease_lanes, self.retry_at = max(1, self.max_lease_lanes // 2), now + RETRY_PAUSE
@@ -55,11 +59,14 @@
                 del self.leases[lease]
 
     def open_leases(self) -> list[LeaseRequest]:
-        """The leases that are requested or held and not about to be released."""
+        """The leases that are requested or held, without surplus leases."""
         return [lease for lease in self.leases if lease.is_open and lease not in self.surplus_leases]
 
     def mark_surplus_leases(self, open_leases: Sequence[LeaseRequest]) -> int:
-        """Marks leases beyond the targets to be released, the emptiest first; returns the lanes that stay."""
+        """Marks leases beyond the targets for release, those with the fewest rollouts first.
+
+        Returns the number of lanes of the remaining leases.
+        """
         lanes, target = sum(lease.amount for lease in open_leases), sum(self.targets.values())
         for lease in sorted(open_leases, key=lambda lease: (self.leases[lease], lease.amount)):
             if lanes - lease.amount >= target:
@@ -68,7 +75,7 @@
         return lanes
 
     def pop_empty_surplus_leases(self) -> list[LeaseRequest]:
-        """Removes and returns the leases to be released under which no rollout is in flight."""
+        """Removes and returns the surplus leases under which no rollout is in flight."""
         empty = [lease for lease in self.surplus_leases if self.leases.get(lease) == 0]
         self.surplus_leases = [lease for lease in self.surplus_leases if self.leases.get(lease)]
         for lease in empty:
@@ -76,25 +83,25 @@
         return empty
 
     def restore_lease_size(self, now: int, open_leases: Sequence[LeaseRequest]) -> None:
-        """Requests larger leases again after a while, once one of these is held."""
+        """Restores the full lease size `RETRY_PAUSE` after the retry time if one of the leases is held."""
         held = any(lease.state == LeaseState.HELD for lease in open_leases)
         if held and now >= self.retry_at + RETRY_PAUSE:
             self.max_lease_lanes = MAX_LEASE_LANES
 
     def accepts_report(self, report: HostAvailability) -> bool:
-        """Whether the report counts and is not older than the last one."""
+        """Whether the report is neither to be ignored nor older than the last report."""
         if report.asked_at < self.ignore_until:
             return False
         return self.asked_at is None or report.asked_at >= self.asked_at
 
     def apply_report(self, report: HostAvailability, sent_since: int) -> None:
-        """Takes in a report; so many rollouts were sent after the host was asked."""
+        """Applies a report. `sent_since`: number of rollouts sent since the host was queried."""
         self.asked_at = report.asked_at
         self.production_waiting, self.warming_up = report.production_waiting, report.warming_up
         self.free_lanes = max(0, report.free_lanes) - sent_since
 
     def is_below_target(self, campaign: str) -> bool:
-        """Whether the campaign's target is above its rollouts in flight."""
+        """Whether the campaign has fewer rollouts in flight than its target."""
         target = self.targets.get(campaign, 0)
         if self.warming_up:
             target = min(target, max(1, sum(self.targets.values()) // WARM_UP_DIVISOR))
@@ -106,20 +113,20 @@
         return fresh and not self.production_waiting and self.free_lanes > 0
 
     def find_usable_lease(self, until: int) -> LeaseRequest | None:
-        """A lease with a free lane that is valid until then."""
+        """A lease that has a free lane and is valid at the time `until`, or None."""
         for lease, rollouts in self.leases.items():
             if lease not in self.surplus_leases and rollouts < lease.amount and lease.is_valid_at(until):
                 return lease
         return None
 
     def add_rollout(self, campaign: str, lease: LeaseRequest) -> None:
-        """A rollout was sent."""
+        """Counts a rollout that was sent."""
         self.free_lanes -= 1
         self.in_flight[campaign] += 1
         self.leases[lease] += 1
 
     def remove_rollout(self, campaign: str, lease: LeaseRequest, *, host_full: bool) -> None:
-        """A rollout has ended; `host_full`: the host rejected it for want of a lane."""
+        """Uncounts a rollout that ended. `host_full`: the host rejected it because it had no free lane."""
         self.in_flight[campaign] -= 1
         if not self.in_flight[campaign]:
             del self.in_flight[campaign]
--- a/gaproute/rollouts/in_flight.py
+++ b/gaproute/rollouts/in_flight.py
@@ -6,7 +6,7 @@
 
 
 class InFlightRollout(NamedTuple):
-    """`ends_by`: when its host must have ended it, ns of the own clock."""
+    """`ends_by`: when the rollout's host must have ended it, in ns of the own clock."""
 
     campaign: str
     host: str
--- a/gaproute/rollouts/invariants.py
+++ b/gaproute/rollouts/invariants.py
@@ -1,5 +1,5 @@
-"""What must always hold of rollouts. Each check returns violations as texts that begin with the invariant's
-name; all are cheap enough to run at every step."""
+"""Invariants of rollouts. Each check returns violations as texts that begin with the invariant's name; all
+checks are cheap enough to run at every simulation step."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -17,7 +17,7 @@
 
 
 def check_dispatcher(dispatcher: RolloutDispatcher, now: int) -> list[str]:
-    """Of one gateway: its rollouts are in flight under leases that outlast them, and are counted rightly."""
+    """Checks that one gateway's rollouts are counted correctly and that their leases outlast them."""
     violations = []
     by_lease: Counter[LeaseRequest] = Counter()
     by_campaign: Counter[tuple[str, str]] = Counter()
@@ -46,7 +46,7 @@
 
 
 def check_sent(dispatcher: RolloutDispatcher, now: int, campaign: str, host: str) -> list[str]:
-    """Of one rollout that is sent now, before it is recorded."""
+    """Checks one rollout that is about to be sent and is not recorded yet."""
     allotment = dispatcher.allotments.get(host)
     if allotment is None or not allotment.has_free_lane(now, MAX_REPORT_AGE):
         return [f"production first: a rollout of {campaign} to {host} without its report"]
@@ -54,7 +54,7 @@
 
 
 def check_groups(groups: RolloutGroups) -> list[str]:
-    """Of one gateway's groups."""
+    """Checks the answer counts and the number of one gateway's groups."""
     violations = []
     for name, group in groups.open_groups.items():
         if group.answer_count != sum(group.answered.values()) or len(group.answered) > group.size:
@@ -67,7 +67,7 @@
 def check_reservations(
     hosts: Sequence[RolloutHost], lendable: Mapping[str, int], reserved: Mapping[str, int]
 ) -> list[str]:
-    """That what may be lent leaves each host and each zone the lanes that are reserved there."""
+    """Checks that the lendable lanes leave each host and each zone its reserved lanes."""
     left: Counter[str] = Counter()
     totals: Counter[str] = Counter()
     violations = []
@@ -84,7 +84,7 @@
 
 
 def check_loads(limiter: RolloutLoadLimiter) -> list[str]:
-    """That rollouts cause no more loads than they may."""
+    """Checks that rollouts cause no more load orders than their limit allows."""
     if limiter.open_orders < 0 or limiter.counted_orders > limiter.max_orders:
         return [f"rollouts keep to their load limit: {limiter.open_orders} of {limiter.max_orders}"]
     return []
--- a/gaproute/rollouts/load_limiter.py
+++ b/gaproute/rollouts/load_limiter.py
@@ -1,39 +1,41 @@
-"""A limit on load orders for rollouts, within the limit of all load orders of a gateway.
+"""A limit on load orders for rollouts, within the gateway's limit on all load orders.
 
-Rollouts order at most a part of the loads that all may cause, so that they never use up what production may
-need.
+Rollouts may cause only a part of the gateway's load orders, so that production always has the rest.
 """
 
 from collections import deque
 from typing import Protocol
 
-ROLLOUT_LOAD_DIVISOR = 4  # rollouts order at most one in so many loads
+ROLLOUT_LOAD_DIVISOR = 4  # rollouts cause at most 1 in 4 load orders
 
 
 class GatewayLoadLimiter(Protocol):
-    """The gateway's limit of all load orders, such as `LoadOrderLimiter`."""
+    """The gateway's limit on all load orders, such as `LoadOrderLimiter`."""
 
     def allows(self, now: int) -> bool:
         """Whether one more order may be sent."""
 
     def sent(self) -> None:
-        """An order was sent."""
+        """Records that an order was sent."""
 
     def ended(self, now: int, *, good: bool) -> None:
-        """An order has ended; `good`: the function is loaded."""
+        """Records that an order ended. `good`: whether the function is loaded."""
 
 
 class RolloutLoadLimiter:
-    """At most `max_orders` within `window` ns, and no more than `gateway_limiter` allows if there is one."""
+    """Allows at most `max_orders` load orders within `window` ns.
+
+    `gateway_limiter`: if given, must also allow each order.
+    """
 
     def __init__(self, gateway_limiter: GatewayLoadLimiter | None, max_orders: int, window: int) -> None:
         self.gateway_limiter, self.max_orders, self.window = gateway_limiter, max_orders, window
         self.open_orders = 0
-        self.end_times: deque[int] = deque()  # of the orders that ended within the window
+        self.end_times: deque[int] = deque()  # end times of the orders that ended within the window
 
     @property
     def counted_orders(self) -> int:
-        """Orders that are open or ended within the window, as of the last look."""
+        """Orders that are open or ended within the window, as of the last call of `allows`."""
         return self.open_orders + len(self.end_times)
 
     def allows(self, now: int) -> bool:
@@ -45,13 +47,13 @@
         return self.gateway_limiter is None or self.gateway_limiter.allows(now)
 
     def record_ordered(self) -> None:
-        """A load was ordered."""
+        """Records that a load was ordered."""
         self.open_orders += 1
         if self.gateway_limiter is not None:
             self.gateway_limiter.sent()
 
     def record_ended(self, now: int, *, loaded: bool = False) -> None:
-        """A load that was ordered has ended; `loaded`: successfully."""
+        """Records that an ordered load ended. `loaded`: whether it succeeded."""
         self.open_orders -= 1
         self.end_times.append(now)
         if self.gateway_limiter is not None:
@@ -59,5 +61,5 @@
 
 
 def max_rollout_orders(max_orders: int) -> int:
-    """How many load orders rollouts may cause, of so many that the gateway may cause within a window."""
+    """The part of the gateway's `max_orders` within a window that rollouts may cause."""
     return max(1, max_orders // ROLLOUT_LOAD_DIVISOR) if max_orders else 0
--- a/gaproute/rollouts/rate_limit.py
+++ b/gaproute/rollouts/rate_limit.py
@@ -1,12 +1,12 @@
-"""A limit on how many rollouts of one campaign one gateway sends a second."""
+"""A limit on the rollouts of one campaign that one gateway sends a second."""
 
 from gaproute.units import SECOND
 
-MAX_BURST_ROLLOUTS = 16  # rollouts at once at most: lanes that become free together are filled together
+MAX_BURST_ROLLOUTS = 16  # enough to fill lanes that become free together
 
 
 class RateLimit:
-    """A token bucket whose rate may change or be absent. `rate`: rollouts a second; None: as lanes allow."""
+    """A token bucket with a variable rate. `rate`: rollouts a second; None: limited by lanes only."""
 
     def __init__(self, now: int) -> None:
         self.rate: float | None = None
@@ -17,7 +17,7 @@
         return self.rate is None or self._tokens_at(now, self.rate) >= 1
 
     def record_sent(self, now: int) -> None:
-        """A rollout was sent."""
+        """Records that a rollout was sent."""
         if self.rate is not None:
             self.tokens, self.updated_at = self._tokens_at(now, self.rate) - 1, now
 
--- a/gaproute/rollouts/weight_versions.py
+++ b/gaproute/rollouts/weight_versions.py
@@ -1,4 +1,4 @@
-"""The current version of each campaign's weights, and which rollouts are rejected because of theirs."""
+"""The current version of each campaign's weights, and the rejection of rollouts by their version."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -6,11 +6,11 @@
 
 from gaproute.rollouts.campaign import Campaign
 
-MAX_VERSION_JUMP = 1 << 20  # a report of a version further ahead than this is an error, not news
+MAX_VERSION_JUMP = 1 << 20  # a reported version that is newer by more than this is rejected as an error
 
 
 class VersionRejection(StrEnum):
-    """Why a rollout is rejected because of the version that it names."""
+    """Why a rollout is rejected because of its campaign or version."""
 
     UNKNOWN_CAMPAIGN = "unknown campaign"
     NOT_PUBLISHED = "version not there yet"
@@ -18,15 +18,15 @@
 
 
 class WeightVersions:
-    """The versions that this gateway knows of. Versions only grow, so reports merge in any order."""
+    """The current versions known to one gateway. Versions only grow, so reports may arrive in any order."""
 
     def __init__(self, campaigns: Mapping[str, Campaign]) -> None:
         self.campaigns = campaigns
         self.current = {name: campaign.version for name, campaign in campaigns.items()}
-        self.rejected_reports: Counter[str] = Counter()  # reports, by reason
+        self.rejected_reports: Counter[str] = Counter()  # counts by reason
 
     def record(self, campaign: str, version: object) -> bool:
-        """Takes in a version that the trainer or a peer reports; returns whether it is newer."""
+        """Records a version that the trainer or a peer reports; returns whether it is newer."""
         current = self.current.get(campaign)
         if current is None:
             self.rejected_reports["unknown campaign"] += 1
@@ -40,7 +40,7 @@
         return True
 
     def rejection(self, campaign: str, version: int) -> VersionRejection | None:
-        """Why a rollout of this version is rejected, or None. Asked again before each attempt to send it."""
+        """Why a rollout of this version is rejected, or None. Checked before each attempt to send it."""
         current = self.current.get(campaign)
         if current is None:
             return VersionRejection.UNKNOWN_CAMPAIGN
@@ -51,11 +51,11 @@
         return None
 
     def usable_versions(self, campaign: str) -> range:
-        """The versions that copies may have, the newest first."""
+        """The versions that copies may serve, the newest first."""
         current = self.current[campaign]
         return range(current, max(-1, current - self.campaigns[campaign].max_version_lag - 1), -1)
 
     @staticmethod
     def is_answer_usable(requested: int, reported: int | None) -> bool:
-        """Whether an answer counts: not if its host reports another version than was requested, or none."""
+        """Whether an answer counts: only if its host reports the requested version."""
         return reported == requested
