--- a/gaproute/rollouts/forecast.py
+++ b/gaproute/rollouts/forecast.py
@@ -1,7 +1,8 @@
-"""Forecast of the lanes that production will need in the next minutes, from reported demand.
+"""Forecast of the lanes that production needs in the next minutes, from reported demand.
 
-The demand for a function returns from its current level to its usual one, as bursts pass; where the course
-of a usual day is known, both follow it. Times are in ns; a forecast looks ahead in slots.
+The forecast assumes that the demand for a function returns from its current level to its mean level, since
+bursts pass. Where the usual course of a day is known, both levels are scaled by it. Times are in ns; a
+forecast has one value for each time slot of `SLOT_DURATION`.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -10,24 +11,24 @@
 from gaproute.rollouts.campaign import RolloutHost
 from gaproute.units import SECOND
 
-SLOT_DURATION = 30 * SECOND  # of a plan: as long as several loads, short beside the course of a day
-DEFAULT_SLOTS = 8  # minutes ahead that a plan looks
-SMOOTHING_FACTOR = 0.3  # weight of a new reading of the level: some average out, a rise shows in a minute
-DEVIATION_PERSISTENCE = 0.8  # of the deviation of the level from the usual one, what is left a slot later
-MAX_READINGS = 960  # in the usual level: the working hours of a day at one a slot
+SLOT_DURATION = 30 * SECOND  # long enough for several loads, short relative to daily changes of demand
+DEFAULT_SLOTS = 8  # a plan covers the next 4 minutes
+SMOOTHING_FACTOR = 0.3  # weight of a new reading; averages out noise, shows a rise within a minute
+DEVIATION_PERSISTENCE = 0.8  # fraction of the level's deviation from the mean level that remains a slot later
+MAX_READINGS = 960  # in the mean level; 8 working hours at one reading a slot
 DEFAULT_DEVIATIONS = (
-    1.0  # standard deviations above the mean that are left to production; more stops rollouts
+    1.0  # standard deviations above the mean that are left to production; more would stop rollouts
 )
-DAY_FACTORS = 48  # of the course of a day: one each half hour
+DAY_FACTORS = 48  # one factor for each half hour of a day
 MAX_FUNCTIONS = 4096
 DAY = 86_400 * SECOND
 MIN_DAY_FACTOR = 0.01
-NEGLIGIBLE_LANES = 0.01  # a function that is no longer reported is forgotten below
+NEGLIGIBLE_LANES = 0.01  # the forecast of an unreported function is deleted below this demand
 
 
 class DemandReading(NamedTuple):
-    """Reported demand for one function: arrivals a second in the fleet, their standard deviation, and the
-    mean duration of a request in seconds."""
+    """Reported demand for one function: request arrivals a second in the fleet, the standard deviation of
+    that rate, and the mean duration of a request in seconds."""
 
     arrival_rate: float
     deviation: float
@@ -38,10 +39,11 @@
 
 
 class DemandForecast:
-    """Production's demand for one function, in lanes. `day_course`: `DAY_FACTORS` factors, from midnight.
+    """Forecast of production's demand for one function, in lanes.
 
-    `level`: smoothed; `mean_level`: mean of all readings; `error`: smoothed square of how far the last
-    ones were off.
+    `day_course`: `DAY_FACTORS` factors of demand, from midnight.
+    `level`: smoothed demand divided by the day factor; `mean_level`: mean of all readings divided by it.
+    `squared_error`: smoothed square of the difference between a reading and its forecast.
     """
 
     def __init__(self, day_course: Sequence[float] | None = None) -> None:
@@ -51,7 +53,7 @@
         self.reading_deviation = self.squared_error = 0.0
 
     def record(self, time_of_day: int, reading: DemandReading) -> None:
-        """Takes in a reading."""
+        """Updates the forecast from a reading."""
         lanes, factor = reading.arrival_rate * reading.duration, self._day_factor(time_of_day)
         if not self.reading_count:
             self.level = self.mean_level = lanes / factor
@@ -65,7 +67,7 @@
     def needed_lanes(
         self, time_of_day: int, *, deviations: float = DEFAULT_DEVIATIONS, slots_ahead: int = 0
     ) -> float:
-        """The lanes needed at that time: the mean, and so many standard deviations above it."""
+        """The lanes needed at `time_of_day`: the expected lanes plus `deviations` standard deviations."""
         if not self.reading_count:
             return 0.0
         level = self.mean_level + (self.level - self.mean_level) * DEVIATION_PERSISTENCE**slots_ahead
@@ -82,14 +84,14 @@
 
 
 class FleetForecast:
-    """Production's demand for all functions. `day_courses`: by function, where one is known."""
+    """Forecast of production's demand for all functions. `day_courses`: by function, where known."""
 
     def __init__(self, day_courses: Mapping[str, Sequence[float]] | None = None) -> None:
         self.day_courses = day_courses or {}
         self.functions: dict[str, DemandForecast] = {}
 
     def record(self, time_of_day: int, readings: Mapping[str, DemandReading]) -> None:
-        """Takes in one reading of each function; a function without one fades."""
+        """Records one reading for each function; a function without a reading counts as without demand."""
         for name in list(self.functions):
             if name not in readings:
                 self.functions[name].record(time_of_day, NO_DEMAND)
@@ -113,7 +115,8 @@
     ) -> dict[str, list[float]]:
         """By host, the lanes in each slot that may be lent and that production does not need.
 
-        Production's demand is divided among the hosts by their lanes. `in_maintenance`: (host, slot).
+        Production's demand is divided among the hosts in proportion to their lanes.
+        `in_maintenance`: pairs of a host and a slot in which the host is unavailable.
         """
         total = sum(host.lanes for host in hosts) or 1
         spare: dict[str, list[float]] = {host.name: [] for host in hosts}
--- a/gaproute/rollouts/greedy.py
+++ b/gaproute/rollouts/greedy.py
@@ -1,7 +1,8 @@
-"""The greedy planner.
+"""A greedy planner of copies.
 
-Loaded copies stay where they serve. Then the campaign that is furthest below its share gets the host that
-gives it most, as long as that is more than the load costs.
+The planner first keeps the loaded copies that gain lanes. Then it repeatedly adds the copy with the greatest
+net gain of lanes, among equal ones that of the campaign with the greatest unmet demand, as long as the net
+gain exceeds the cost of the load.
 """
 
 from typing import NamedTuple
@@ -17,7 +18,7 @@
 
 
 def greedy_plan(problem: PlanningProblem) -> CopyPlan:
-    """A plan of the problem; the same problem gives the same plan."""
+    """A plan for the problem; the same problem always gives the same plan."""
     planner = _GreedyPlanner(problem)
     planner.keep_loaded()
     planner.add_copies()
@@ -28,7 +29,7 @@
 
 
 class _Candidate(NamedTuple):
-    """A copy that could be added; the greatest one is."""
+    """A copy that could be added; the planner adds the greatest one in the order of these fields."""
 
     net_gain: float
     unmet_demand: float
@@ -37,7 +38,7 @@
 
 
 class _GreedyPlanner:
-    """`free_lanes`: by host and slot; `unmet_lanes`: by campaign and slot, lanes below its share."""
+    """`free_lanes`: by host and slot; `unmet_lanes`: by campaign and slot, the unfilled part of its share."""
 
     def __init__(self, problem: PlanningProblem) -> None:
         shares = [problem.shares(slot) for slot in range(problem.slots)]
@@ -52,7 +53,7 @@
         self.copies: list[PlannedCopy] = []
 
     def keep_loaded(self) -> None:
-        """Keeps loaded copies that serve: the best of the campaign that has least of its share first."""
+        """Keeps loaded copies that gain lanes, the best copy of the campaign with most unmet demand first."""
         loaded: list[CopyPlace] = [
             (campaign, host)
             for campaign, host in self.problem.loaded
@@ -72,7 +73,7 @@
                 self._add_copy(campaign, host, 0)
 
     def add_copies(self) -> None:
-        """Adds copies slot by slot, as many as may be loaded in each."""
+        """Adds copies slot by slot, in each slot at most `max_loads`."""
         loads, slot = 0, 0
         while slot < self.problem.slots:
             best = max(self._candidates(slot), default=None)
@@ -92,7 +93,7 @@
         ]
 
     def _net_gain(self, campaign: str, host: str, slot: int) -> float:
-        """The gain without what is lost in the first slot while the copy is loaded."""
+        """The gained lanes without those lost in the first slot while the copy is being loaded."""
         first_slot = min(self.free_lanes[host][slot], self.unmet_lanes[campaign][slot])
         return self._gained_lanes(campaign, host, slot) - self.problem.load_time * first_slot
 
@@ -103,7 +104,7 @@
         return sum(self.unmet_lanes[campaign]) / self.demands[campaign].weight
 
     def _gained_lanes(self, campaign: str, host: str, first_slot: int) -> int:
-        """The lanes that a copy brings, over the slots from this one on."""
+        """The sum of the lanes that a copy gains in `first_slot` and all later slots."""
         slots = range(first_slot, self.problem.slots)
         return sum(min(self.free_lanes[host][slot], self.unmet_lanes[campaign][slot]) for slot in slots)
 
--- a/gaproute/rollouts/host_assignment.py
+++ b/gaproute/rollouts/host_assignment.py
@@ -1,4 +1,4 @@
-"""Planned lanes assigned to gateways: each host as a whole to one gateway, which keeps it if possible."""
+"""Assignment of hosts to gateways: one gateway gets all planned lanes of a host and keeps it if possible."""
 
 from collections.abc import Mapping, Sequence
 from functools import partial
@@ -11,7 +11,7 @@
 
 
 class HostAssignment(NamedTuple):
-    """The lanes that each gateway gets, and which gateway has each host."""
+    """The lanes that are assigned to each gateway, and the gateway that owns each host."""
 
     lanes: dict[str, HostLanes]  # by gateway
     owners: dict[str, str]  # by host
@@ -24,11 +24,12 @@
     previous_owners: Mapping[str, str],
     zones: Mapping[str, str] | None = None,
 ) -> HostAssignment:
-    """Assigns the hosts where anything is planned to gateways.
+    """Assigns the hosts with planned lanes to gateways.
 
-    `lanes`: planned by campaign and host; `pools`: by host, the lanes that may be lent.
-    `zones`: of gateways and hosts, to keep both near each other. A host's pool is assigned as a whole: what
-    is free beyond the plan is used as it comes, since the host itself reports at each moment what is free.
+    `lanes`: planned lanes by campaign and host; `pools`: by host, the lanes that may be lent.
+    `zones`: zones of gateways and hosts; a gateway in the host's zone is preferred.
+    A host's whole pool is assigned, not only the planned lanes: the gateway can use further lanes whenever
+    the host reports them free.
     """
     planned: HostLanes = {}
     for (campaign, host), count in lanes.items():
@@ -50,13 +51,13 @@
     previous_owners: Mapping[str, str],
     zones: Mapping[str, str],
 ) -> dict[str, str]:
-    """By host: its last gateway unless that has enough, else a near one with few lanes."""
+    """By host: the previous gateway if it is below its share of lanes, else a near one with few lanes."""
     lanes = dict.fromkeys(gateways, 0)
     max_lanes = -(-sum(pools.get(host, 0) for host in hosts) // len(gateways))
     owners: dict[str, str] = {}
 
     def rank(host: str, gateway: str) -> tuple[bool, bool, int, str]:
-        """Gateways below their share of lanes come first, then near ones, then those with few lanes."""
+        """Sort key: gateways below their share of lanes, then in the host's zone, then with few lanes."""
         return lanes[gateway] >= max_lanes, zones.get(gateway) != zones.get(host), lanes[gateway], gateway
 
     for host in hosts:
@@ -73,7 +74,7 @@
 
 
 def _scale_to_pool(planned: CampaignLanes, pool: int) -> CampaignLanes:
-    """The pool divided in the proportion of the planned lanes, none without one while there are enough."""
+    """The pool divided in proportion to the planned lanes; each campaign gets a lane if there are enough."""
     total = sum(planned.values())
     if total >= pool:
         return _reduce_to_pool(planned, pool)
@@ -94,10 +95,9 @@
 def assign_rates(
     assigned: Mapping[str, HostLanes], campaigns: Mapping[str, Campaign]
 ) -> dict[str, dict[str, float]]:
-    """By gateway and campaign: the part of the campaign's rate that its lanes are of all, in rollouts a
-    second.
+    """By gateway and campaign: the gateway's part of the campaign's rate, in rollouts a second.
 
-    Campaigns that asked for no rate are left out.
+    The part is proportional to the campaign's lanes at the gateway. Campaigns without a rate are left out.
     """
     totals: dict[str, int] = {}
     for hosts in assigned.values():
--- a/gaproute/rollouts/plan.py
+++ b/gaproute/rollouts/plan.py
@@ -1,6 +1,6 @@
 """A planning problem and its plan: which campaign has a copy at which host, and how many lanes there.
 
-Both are sent to the solver's process and back as JSON arrays.
+The solver process receives a problem and returns a plan, both as JSON arrays.
 """
 
 from typing import NamedTuple
@@ -9,13 +9,13 @@
 
 from gaproute.rollouts.weighted_shares import share_lanes
 
-LOAD_SLOT_FRACTION = 0.5  # of a slot that the load of a copy takes: what a move costs
+LOAD_SLOT_FRACTION = 0.5  # fraction of a slot that loading a copy takes; the cost of moving a copy
 
 CopyPlace = tuple[str, str]  # campaign and host
 
 
 class CampaignDemand(msgspec.Struct, array_like=True):
-    """What one campaign could use: the size of a copy, its weight, and lanes in all."""
+    """The demand of one campaign: the size of a copy, the weight, and the most lanes over all hosts."""
 
     name: str
     copy_size: int
@@ -24,10 +24,11 @@
 
 
 class PlanningProblem(msgspec.Struct, array_like=True):
-    """What a plan is made from.
+    """The input of a planner.
 
-    `spare_lanes`: by host, in each slot; `copy_capacity`: by host; `loaded`: copies that exist already.
-    `max_loads`: how many copies may be loaded in one slot; `load_time`: the part of a slot that one takes.
+    `spare_lanes`: by host and slot; `copy_capacity`: by host; `loaded`: places of loaded copies.
+    `max_loads`: the most copies that may be loaded in one slot.
+    `load_time`: the fraction of a slot that one load takes.
     """
 
     spare_lanes: dict[str, list[float]]
@@ -39,11 +40,11 @@
 
     @property
     def slots(self) -> int:
-        """How many slots the plan is for."""
+        """The number of slots that the plan covers."""
         return len(next(iter(self.spare_lanes.values()), ()))
 
     def shares(self, slot: int) -> dict[str, int]:
-        """By campaign, the lanes that are its share of all in this slot."""
+        """By campaign, its share of all spare lanes in this slot."""
         total = sum(int(lanes[slot]) for lanes in self.spare_lanes.values())
         return share_lanes(
             total,
@@ -53,7 +54,7 @@
 
 
 class PlannedCopy(NamedTuple):
-    """A copy that is to be loaded in the slot `first_slot`, or that exists already."""
+    """A copy to load in the slot `first_slot`, or one that is loaded already."""
 
     campaign: str
     host: str
@@ -69,7 +70,7 @@
 
 
 class CopyPlan(msgspec.Struct, array_like=True):
-    """`copies`: in the order in which they are loaded."""
+    """A plan of copies and lanes. `copies`: in the order of their loads."""
 
     copies: list[PlannedCopy]
     lanes: list[PlannedLanes]
--- a/gaproute/rollouts/plan_distribution.py
+++ b/gaproute/rollouts/plan_distribution.py
@@ -1,6 +1,6 @@
-"""Who plans, whose plan counts, and what gateways are sent of it.
+"""Selection of the plan to follow, and the part of it that each gateway receives.
 
-The holder of one lease plans; the lease's fencing token goes with each plan.
+The holder of the lease `PLANNER_RESOURCE` is the planner. Each plan carries the lease's fencing token.
 """
 
 from collections.abc import Callable, Mapping
@@ -8,15 +8,16 @@
 
 from gaproute.rollouts.plan import CopyPlan, PlanningProblem
 
-PLANNER_RESOURCE = "rollouts/plan"  # the lease that a planner holds
-MAX_PLAN_NUMBER = 1 << 62
+PLANNER_RESOURCE = "rollouts/plan"  # resource of the lease that the planner holds
+MAX_PLAN_NUMBER = 1 << 62  # also the limit of fencing tokens
 
 
 class GatewayPlan(NamedTuple):
-    """What the planner sends to one gateway. The gateway that has a host's lanes also loads its copies.
+    """The plan that the planner sends to one gateway.
 
+    The gateway to which a host's lanes are assigned also loads the host's copies.
     `lanes`: by host and campaign; `rates`: by campaign, rollouts a second.
-    `copies`: by campaign, the hosts that shall have a copy, the most useful first.
+    `copies`: by campaign, the hosts that are to have a copy, the most useful first.
     """
 
     fencing_token: int
@@ -27,10 +28,10 @@
 
 
 class PlanFilter:
-    """Accepts only newer plans than the last one.
+    """Accepts only plans that are newer than the last accepted plan.
 
-    A planner that lost its lease and does not know it yet is not followed by those who have a plan of its
-    successor. Who has neither goes on by the last plan: leases limit what that may do.
+    A gateway with a plan of the current planner ignores a previous planner that has not noticed the loss of
+    its lease. A gateway that receives no newer plan follows its last one; leases limit the rollouts under it.
     """
 
     def __init__(self) -> None:
@@ -38,7 +39,7 @@
         self.rejected = 0
 
     def accept(self, plan: GatewayPlan) -> bool:
-        """Whether the plan is to be followed."""
+        """Whether the plan is newer and therefore accepted."""
         order = plan.fencing_token, plan.number
         valid = all(type(part) is int and 0 <= part <= MAX_PLAN_NUMBER for part in order)
         if not valid or order <= (self.fencing_token, self.number):
@@ -49,7 +50,7 @@
 
 
 class PendingProblem(NamedTuple):
-    """A problem that the solver works on, and the greedy plan that is followed if it fails."""
+    """A problem that the solver is solving, and the greedy plan that is used if the solver fails."""
 
     problem: PlanningProblem
     fallback: CopyPlan
@@ -57,28 +58,28 @@
 
 
 class PlanSelector:
-    """Chooses between two plans of a problem: the solver's if it is valid and in time, else the greedy one.
+    """Selects the solver's plan if it is valid and in time, otherwise the greedy plan.
 
-    `find_violations`: what a plan breaks; `time_limit`: of the solver, ns.
-    `late_answers`, `failed_answers`: counts.
+    `find_violations`: returns the constraints that a plan violates; `time_limit`: of the solver, in ns.
+    `late_answers`, `failed_answers`: numbers of the solver's answers that were late, or without a valid plan.
     """
 
     def __init__(
         self, find_violations: Callable[[PlanningProblem, CopyPlan], list[str]], time_limit: int
     ) -> None:
         self.find_violations, self.time_limit = find_violations, time_limit
-        self.number: int | None = None  # of the last problem
+        self.number: int | None = None  # number of the last problem
         self.pending: PendingProblem | None = None
         self.late_answers = self.failed_answers = 0
 
     def start(self, now: int, number: int, problem: PlanningProblem, fallback: CopyPlan) -> None:
-        """The solver was given a problem, with this number."""
+        """Records that the solver was given the problem with this number."""
         self.number, self.pending = number, PendingProblem(problem, fallback, now + self.time_limit)
 
     def handle_solver_answer(self, number: int, plan: CopyPlan | None) -> CopyPlan | None:
-        """The plan to be followed now, or None if the answer is late or to another problem.
+        """The plan to follow now, or None if the answer is late or belongs to another problem.
 
-        `plan`: None if the solver found none.
+        `plan`: the solver's plan, or None if the solver found no plan.
         """
         if number != self.number or self.pending is None:
             self.late_answers += 1
@@ -90,7 +91,7 @@
         return plan
 
     def take_overdue_plan(self, now: int) -> CopyPlan | None:
-        """The greedy plan, once, if the solver has not answered in time."""
+        """The greedy plan if the solver is overdue, at the first call only; otherwise None."""
         if self.pending is None or now < self.pending.due_at:
             return None
         pending, self.pending = self.pending, None
@@ -99,7 +100,7 @@
 
 
 def planned_copies(plan: CopyPlan) -> dict[str, list[str]]:
-    """By campaign, the hosts that shall have a copy, those of the first slot first."""
+    """By campaign, the hosts that are to have a copy, those with the earliest first slot first."""
     hosts: dict[str, list[str]] = {}
     for copy in sorted(plan.copies, key=lambda copy: copy.first_slot):
         hosts.setdefault(copy.campaign, []).append(copy.host)
@@ -107,5 +108,5 @@
 
 
 def planned_lanes(plan: CopyPlan) -> Mapping[tuple[str, str], int]:
-    """By campaign and host, the most lanes of any slot."""
+    """By campaign and host, the maximum of the planned lanes over all slots."""
     return {(campaign, host): max(by_slot) for campaign, host, by_slot in plan.lanes}
--- a/gaproute/rollouts/solver.py
+++ b/gaproute/rollouts/solver.py
@@ -1,7 +1,7 @@
-"""The optional solver of planning problems, by HiGHS (`requirements-rollouts.txt`).
+"""An optional solver of planning problems that uses HiGHS (`requirements-rollouts.txt`).
 
-It is slow, so it runs in a process of its own, `python -m gaproute.rollouts`, which reads a
-`PlanningProblem` and writes a `CopyPlan`; whoever waits for it has a time limit of its own.
+The solver is slow, so it runs in a separate process, `python -m gaproute.rollouts`, which reads a
+`PlanningProblem` and writes a `CopyPlan`. The process that waits for the plan has its own time limit.
 """
 
 from collections.abc import Sequence
@@ -16,20 +16,20 @@
     PlanningProblem,
 )
 
-TIME_LIMIT_SECONDS = 2.0  # s of solving: a plan is for half a minute
-RELATIVE_GAP = 0.01  # of the value: a forecast is less exact than that
-ROUNDING_TOLERANCE = 1e-4  # what a solver leaves of a whole lane
-LOADED_COPY_COST = 0.001  # of a lane: what a loaded copy costs that brings nothing
-FEASIBLE_STATUS = 2  # status of the solution in HiGHS
+TIME_LIMIT_SECONDS = 2.0  # a plan is followed for half a minute
+RELATIVE_GAP = 0.01  # of a plan's value; a smaller gap is below the forecast's accuracy
+ROUNDING_TOLERANCE = 1e-4  # lanes by which the solver's value may be below a whole number
+LOADED_COPY_COST = 0.001  # lanes; makes the solver drop loaded copies that gain no lanes
+FEASIBLE_STATUS = 2  # HiGHS status of a feasible solution
 
-# Objects of the package highspy, which has no type stubs.
+# Types of the package highspy, which has no type stubs.
 HighsModule: TypeAlias = Any
 HighsModel: TypeAlias = Any
 HighsVariable: TypeAlias = Any
 
 
 def solve(problem: PlanningProblem, time_limit: float = TIME_LIMIT_SECONDS) -> CopyPlan | None:
-    """A plan, or None if none was found in time, in seconds. Raises ImportError without the solver."""
+    """A plan, or None if none was found within `time_limit` seconds. Raises ImportError without highspy."""
     model = _SolverModel(problem, time_limit)
     model.add_copies()
     model.limit_hosts()
@@ -38,14 +38,14 @@
 
 
 class _SolverModel:
-    """The problem as a linear program with whole numbers for copies.
+    """The problem as a mixed-integer linear program with integer variables for copies.
 
-    `first_slots`: by place and slot, a variable that is 1 if a copy stands there from this slot on.
-    `lanes`: by place and slot, a variable of the lanes used.
+    `first_slots`: by place and slot, a variable that is 1 if a copy is loaded there from this slot on.
+    `lanes`: by place and slot, a variable for the lanes used.
     """
 
     def __init__(self, problem: PlanningProblem, time_limit: float) -> None:
-        import highspy  # type: ignore[import-untyped]  # it has no stubs
+        import highspy  # type: ignore[import-untyped]  # highspy has no stubs
 
         self.highspy: HighsModule = highspy
         self.model: HighsModel = highspy.Highs()
@@ -64,7 +64,10 @@
         self.lanes: dict[tuple[CopyPlace, int], HighsVariable] = {}
 
     def add_copies(self) -> None:
-        """A copy begins in one slot at most and stays; a loaded one begins in the first, without a load."""
+        """Adds variables for copies and their lanes.
+
+        A copy begins in at most one slot and remains. A loaded copy begins in the first slot without a load.
+        """
         for demand, host in self.places:
             place = demand.name, host
             slots = [0] if place in self.loaded else list(range(self.problem.slots))
@@ -86,7 +89,7 @@
             self.model.addConstr(lanes <= spare * sum(begun))
 
     def limit_hosts(self) -> None:
-        """At each host, copies fit and no more lanes are used than are spare."""
+        """Constrains the copies at each host to its capacity and the lanes to its spare lanes."""
         for host in self.problem.spare_lanes:
             here = [demand for demand, other in self.places if other == host]
             if here:
@@ -104,7 +107,7 @@
             self.model.addConstr(used <= int(self.problem.spare_lanes[host][slot]))
 
     def limit_slots(self) -> None:
-        """In each slot, no campaign gets more than its share, and no more copies are loaded than may be."""
+        """Constrains each slot: the campaigns' lanes to their shares and the loads to `max_loads`."""
         for slot in range(self.problem.slots):
             self._limit_campaigns(slot)
             loads = [
@@ -123,7 +126,7 @@
                 self.model.addConstr(sum(used) <= shares[demand.name])
 
     def solve(self) -> CopyPlan | None:
-        """The plan, if one was found."""
+        """The plan, or None if the solver found no feasible solution."""
         self.model.changeObjectiveSense(self.highspy.ObjSense.kMaximize)
         self.model.run()
         if self.model.getInfo().primal_solution_status != FEASIBLE_STATUS:
--- a/gaproute/rollouts/weighted_shares.py
+++ b/gaproute/rollouts/weighted_shares.py
@@ -4,10 +4,10 @@
 
 
 def share_lanes(total: float, demands: Mapping[str, int], weights: Mapping[str, int]) -> dict[str, int]:
-    """Whole lanes for each campaign, at most `total` in all, by weight and none above its demand.
+    """Whole lanes for each campaign by weight: no more than its demand, and no more than `total` together.
 
-    What a campaign with little demand leaves goes to the others. Every campaign with any demand gets one
-    lane first, the ones with the greatest weight first if there are too few lanes, so that none starves.
+    Lanes that a campaign with little demand does not need go to the others. Every campaign with any demand
+    gets one lane first, so that none starves; if there are too few lanes, the greatest weights come first.
     """
     by_weight = sorted(
         (name for name in demands if demands[name] > 0), key=lambda name: (-weights[name], name)
