--- a/tests/rollouts/test_dispatcher.py
+++ b/tests/rollouts/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher: what it may send when, and what two may send together whatever happens."""
+"""The conditions under which dispatchers send rollouts, alone and together on one lease pool."""
 
 from gaproute.rollouts.dispatcher import MAX_REPORT_AGE, POLL_INTERVAL, RolloutDispatcher, pool_name
 from gaproute.rollouts.host_allotment import HostAvailability
@@ -12,7 +12,7 @@
 
 
 class LeaseServer:
-    """A lease table that answers at once, but not the dispatchers in `ignored`."""
+    """A lease table that answers all dispatchers at once, except those in `ignored`."""
 
     def __init__(self, lanes):
         self.table, self.index, self.ignored = LeaseTable(initial_wait=False), 0, []
@@ -30,14 +30,14 @@
             messages = client.hear(now, "k", reply)
 
 
-class AlwaysZero:
+class ZeroRandom:
     def below(self, bound):
         return 0
 
 
 def new_dispatcher(name="g", **changes):
     campaigns = {"c": campaign(**changes), "d": campaign("d", cancellable=False)}
-    return RolloutDispatcher(LeaseClient(name, ["k"], AlwaysZero(), 0), campaigns, 0)
+    return RolloutDispatcher(LeaseClient(name, ["k"], ZeroRandom(), 0), campaigns, 0)
 
 
 def report(dispatcher, now, asked_at, free_lanes, *, waiting=False, warming_up=False):
@@ -45,7 +45,7 @@
 
 
 def send_all(dispatcher, now, name="c"):
-    """Sends as many rollouts as may be sent now; returns how many."""
+    """Sends all rollouts that may be sent now and returns their number."""
     sent = 0
     while (lease := dispatcher.find_lease(now, name, "h")) is not None:
         assert check_sent(dispatcher, now, name, "h") == []
@@ -55,11 +55,11 @@
     return sent
 
 
-def test_nothing_is_sent_without_a_lease_and_a_report_of_the_host():
+def test_nothing_is_sent_without_a_lease_and_a_recent_host_report():
     dispatcher, server = new_dispatcher(), LeaseServer(7)
     dispatcher.set_targets(0, {"h": {"c": 6}})
     report(dispatcher, 0, 0, 8)
-    assert send_all(dispatcher, 0) == 0  # requested, not held
+    assert send_all(dispatcher, 0) == 0  # the lease is requested but not held
     server.serve(0, dispatcher)
     now = MAX_REPORT_AGE
     assert send_all(dispatcher, now) == 0  # the report is too old
@@ -68,11 +68,11 @@
     assert send_all(dispatcher, now) == 0
     now += POLL_INTERVAL
     report(dispatcher, now, now, 8, waiting=True)
-    assert send_all(dispatcher, now) == 0  # production needs it
+    assert send_all(dispatcher, now) == 0  # production waits for a lane
     assert server.table.amounts_held == {POOL: 6}
 
 
-def test_production_that_waits_stops_all_until_the_host_is_asked_anew():
+def test_waiting_production_stops_rollouts_until_a_newer_host_report():
     dispatcher, server = new_dispatcher(), LeaseServer(7)
     dispatcher.set_targets(0, {"h": {"c": 4, "d": 2}})
     server.serve(0, dispatcher)
@@ -80,16 +80,16 @@
     assert send_all(dispatcher, 0) == 4
     assert send_all(dispatcher, 0, "d") == 2
     dispatcher.record_production_waiting(10, "h")
-    # The last sent come first; those of `d` may not be cancelled.
+    # The last sent rollouts come first; rollouts of campaign `d` are not cancellable.
     assert dispatcher.rollouts_to_cancel("h", 3) == ["gc03", "gc02", "gc01"]
     dispatcher.record_ended("gc03")
-    report(dispatcher, 20, 5, 8)  # asked for before
+    report(dispatcher, 20, 5, 8)  # the host was queried before production waited
     assert send_all(dispatcher, 20) == 0
     report(dispatcher, 20, 11, 8)
     assert send_all(dispatcher, 20) == 1
 
 
-def test_a_lease_must_outlast_the_rollout_and_a_gateway_that_is_cut_off_stops():
+def test_rollouts_need_a_lease_that_outlasts_them_so_a_partitioned_gateway_stops():
     dispatcher, server = new_dispatcher(), LeaseServer(7)
     dispatcher.set_targets(0, {"h": {"c": 7}})
     server.serve(0, dispatcher)
@@ -103,11 +103,11 @@
     now = campaign.lease_duration
     dispatcher.client.tick(now)
     dispatcher.tick(now)
-    assert not dispatcher.in_flight  # its host has ended it
+    assert not dispatcher.in_flight  # the host has ended the rollout
     assert check_dispatcher(dispatcher, now) == []
 
 
-def test_two_processes_of_one_name_share_the_pool_and_surplus_is_released_when_empty():
+def test_processes_of_one_name_share_the_pool_and_release_empty_surplus_leases():
     first, second, server = new_dispatcher(), new_dispatcher(), LeaseServer(6)
     for dispatcher, lanes in ((first, 4), (second, 6)):
         dispatcher.set_targets(0, {"h": {"c": lanes}})
@@ -124,7 +124,7 @@
     first.set_targets(now, {})
     server.serve(now, first)
     assert first.in_flight
-    assert server.table.amounts_held == {POOL: 6}  # not before its rollouts have ended
+    assert server.table.amounts_held == {POOL: 6}  # released only after its rollouts have ended
     for rollout in list(first.in_flight):
         first.record_ended(rollout)
     first.tick(now)
@@ -137,7 +137,7 @@
     assert server.table.amounts_held[POOL] == 6
 
 
-def test_a_host_that_warms_up_gets_a_quarter_and_a_rate_is_not_exceeded():
+def test_a_host_that_is_warming_up_gets_a_quarter_and_the_rate_limit_holds():
     dispatcher, server = new_dispatcher(), LeaseServer(8)
     dispatcher.set_targets(0, {"h": {"c": 8}})
     server.serve(0, dispatcher)
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -1,4 +1,4 @@
-"""Versions of weights: which rollouts are rejected or discarded, how copies are exchanged, load limits."""
+"""Versions of weights: rejected rollouts, discarded groups, exchange of copies, and limits on load orders."""
 
 from gaproute.rollouts import groups as groups_module
 from gaproute.rollouts.copy_exchange import CopyPlacement, plan_exchange
@@ -14,7 +14,7 @@
     return versions, RolloutGroups(versions)
 
 
-def test_versions_only_grow_and_old_rollouts_are_rejected_by_reason():
+def test_versions_only_grow_and_rollouts_are_rejected_with_the_reason():
     versions, groups = new_groups()
     assert versions.record("c", 3)
     for campaign_name, version in (("c", 2), ("c", 3), ("c", 1 << 50), ("x", 4), ("c", "5")):
@@ -27,7 +27,7 @@
     assert not groups.open_groups
 
 
-def test_a_group_is_of_one_version_or_discarded_whole(monkeypatch):
+def test_a_group_has_one_version_or_is_discarded_as_a_whole(monkeypatch):
     versions, groups = new_groups()
     assert groups.admit("p", "t1", "c", 1, 2) is None
     assert groups.admit("p", "t2", "c", 1, 2) is None
@@ -57,7 +57,7 @@
     return plan_exchange(10, versions, CopyPlacement(planned, copies, loading, free_capacity))
 
 
-def test_copies_are_exchanged_in_steps():
+def test_only_a_fraction_of_the_copies_is_exchanged_at_a_time():
     planned = [f"h{number}" for number in range(6)]
     copies = {host: [1] for host in planned}
     full, half_free = dict.fromkeys(planned, 0), dict.fromkeys(planned, 10)
@@ -66,15 +66,15 @@
     assert exchange(versions, planned, copies, [], half_free) == [("load", "h0", 2), ("load", "h1", 2)]
     copies |= {"h0": [2], "h1": [2, 1]}
     assert exchange(versions, planned, copies, ["h2"], full) == [("drop", "h1", 1), ("swap", "h3", 2)]
-    # A copy that is too old is dropped and leaves its capacity; that of production's copies is not touched.
+    # Dropping an outdated copy frees its capacity; the capacity of production's copies is not used.
     assert exchange([4], ["h0"], {"h0": [2]}, [], full) == [("drop", "h0", 2), ("load", "h0", 4)]
     assert exchange([4], ["h0"], {}, [], full) == []
-    # A host that is no longer planned keeps the newest copy as long as it is in nobody's way.
+    # A host that is no longer planned keeps the newest copy as long as it displaces nothing.
     assert exchange([2, 1], [], {"h0": [2], "h1": [1]}, [], full) == [("drop", "h1", 1)]
 
 
 class SingleLoadLimiter:
-    """Allows one load."""
+    """A gateway load limiter that allows one load."""
 
     def __init__(self):
         self.left = 1
@@ -89,7 +89,7 @@
         pass
 
 
-def test_loads_keep_to_a_limit_of_their_own_within_that_of_the_gateway():
+def test_rollout_load_orders_keep_to_their_own_limit_and_the_gateway_limit():
     limiter = RolloutLoadLimiter(None, 2, SECOND)
     limiter.record_ordered()
     limiter.record_ordered()
@@ -98,7 +98,7 @@
     limiter.record_ended(10)
     assert not limiter.allows(10 + SECOND - 1)
     assert limiter.allows(10 + SECOND)
-    within = RolloutLoadLimiter(SingleLoadLimiter(), 2, SECOND)
-    within.record_ordered()
-    assert not within.allows(0)
+    limiter_within_gateway = RolloutLoadLimiter(SingleLoadLimiter(), 2, SECOND)
+    limiter_within_gateway.record_ordered()
+    assert not limiter_within_gateway.allows(0)
     assert [max_rollout_orders(count) for count in (8, 1, 0)] == [2, 1, 0]
