--- a/gaproute/shared/dissemination/recent_changes.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -1,13 +1,13 @@
-"""The last changes of the document, for gateways that are a little behind.
+"""A log of the last changes of the document, for gateways that are a few versions behind.
 
-Invariants: each change begins at the version where the one before ended; the last one leads to the current
-version.
+Invariants: each change starts from the version to which the change before it leads; the last change leads to
+the current version.
 """
 
 from collections import deque
 
 from gaproute.decisions.cells.version import Version
-from gaproute.shared.dissemination.bounds import LOG_BYTES, LOG_CHANGES
+from gaproute.shared.dissemination.bounds import MAX_LOG_BYTES, MAX_LOG_CHANGES
 from gaproute.shared.dissemination.messages import Change, changes_size
 
 
@@ -16,24 +16,24 @@
 
     def __init__(self) -> None:
         self.changes: deque[Change] = deque()
-        self.bytes = 0
+        self.stored_bytes = 0
 
     def append(self, change: Change) -> None:
-        """Adds a change that was just applied."""
+        """Appends a change that has just been applied; drops all others first if it does not follow them."""
         if self.changes and self.changes[-1].version != change.base:
             self.clear()
         self.changes.append(change)
-        self.bytes += changes_size((change,))
-        while len(self.changes) > LOG_CHANGES or self.bytes > LOG_BYTES:
-            self.bytes -= changes_size((self.changes.popleft(),))
+        self.stored_bytes += changes_size((change,))
+        while len(self.changes) > MAX_LOG_CHANGES or self.stored_bytes > MAX_LOG_BYTES:
+            self.stored_bytes -= changes_size((self.changes.popleft(),))
 
     def clear(self) -> None:
-        """Drops all changes, as a complete document was taken over."""
+        """Drops all changes, as after a complete document they do not lead to the current version."""
         self.changes.clear()
-        self.bytes = 0
+        self.stored_bytes = 0
 
-    def since(self, version: Version, max_bytes: int) -> tuple[Change, ...]:
-        """The changes from that version on, at most so many bytes; empty if they do not begin there."""
+    def changes_since(self, version: Version, max_bytes: int) -> tuple[Change, ...]:
+        """The changes that follow the version, up to `max_bytes`; empty if none is stored that does."""
         found: list[Change] = []
         remaining, reached = max_bytes, False
         for change in self.changes:
@@ -46,8 +46,8 @@
             found.append(change)
         return tuple(found)
 
-    def reaches(self, version: Version) -> bool:
-        """Whether the changes lead from that version to the current one."""
+    def leads_from(self, version: Version) -> bool:
+        """Whether the changes lead from the version to the current one."""
         if not self.changes:
             return False
         return self.changes[-1].version == version or any(change.base == version for change in self.changes)
