--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -94,11 +94,11 @@
     for host in hosts:
         zones.setdefault(host.zone, []).append(host)
     for zone, members in zones.items():
-        missing = reserved.get(zone, 0) - sum(host.lanes - lanes[host.name] for host in members)
-        while missing > 0:
+        missing_lanes = reserved.get(zone, 0) - sum(host.lanes - lanes[host.name] for host in members)
+        while missing_lanes > 0:
             name = max((host.name for host in members), key=lanes.__getitem__)
             if not lanes[name]:
                 break
             lanes[name] -= 1
-            missing -= 1
+            missing_lanes -= 1
     return lanes
--- a/gaproute/rollouts/greedy.py
+++ b/gaproute/rollouts/greedy.py
@@ -94,8 +94,8 @@
 
     def _net_gain(self, campaign: str, host: str, slot: int) -> float:
         """The gained lanes without those lost in the first slot while the copy is being loaded."""
-        first_slot = min(self.free_lanes[host][slot], self.unmet_lanes[campaign][slot])
-        return self._gained_lanes(campaign, host, slot) - self.problem.load_time * first_slot
+        first_slot_lanes = min(self.free_lanes[host][slot], self.unmet_lanes[campaign][slot])
+        return self._gained_lanes(campaign, host, slot) - self.problem.load_time * first_slot_lanes
 
     def _load_cost(self, host: str) -> float:
         return self.problem.load_time * max(1, min(self.free_lanes[host]))
--- a/gaproute/rollouts/groups.py
+++ b/gaproute/rollouts/groups.py
@@ -58,7 +58,10 @@
         self.outcome_counts: Counter[str] = Counter()
 
     def admit(self, group: str, rollout: str, campaign: str, version: int, size: int) -> str | None:
-        """Admits a rollout, or returns why it is rejected. A group's first rollout sets its version."""
+        """Admits a rollout, or returns why it is rejected.
+
+        The first rollout of a group sets the version that all rollouts of the group must use.
+        """
         if group in self.ended_groups:
             return f"group {self.ended_groups[group]}"
         rejection = self.versions.rejection(campaign, version)
