--- a/gaproute/rollouts/forecast.py
+++ b/gaproute/rollouts/forecast.py
@@ -1,7 +1,8 @@
-"""Forecast of the lanes that production will need in the next minutes, from reported demand.
+"""Forecast of the lanes that production needs in the next minutes, from reported demand.
 
-The demand for a function returns from its current level to its usual one, as bursts pass; where the course
-of a usual day is known, both follow it. Times are in ns; a forecast looks ahead in slots.
+The forecast assumes that the demand for a function returns from its current level to its mean level, since
+bursts pass. Where the usual course of a day is known, both levels are scaled by it. Times are in ns; a
+forecast has one value for each time slot of `SLOT_DURATION`.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -10,90 +11,91 @@
 from gaproute.rollouts.campaign import RolloutHost
 from gaproute.units import SECOND
 
-SLOT = 30 * SECOND  # of a plan: as long as several loads, short beside the course of a day
-DEFAULT_SLOTS = 8  # minutes ahead that a plan looks
-SMOOTHING = 0.3  # weight of a new reading of the level: some average out, a rise shows in a minute
-PERSISTENCE = 0.8  # of the deviation of the level from the usual one, what is left a slot later
-MAX_READINGS = 960  # in the usual level: the working hours of a day at one a slot
+SLOT_DURATION = 30 * SECOND  # long enough for several loads, short relative to daily changes of demand
+DEFAULT_SLOTS = 8  # a plan covers the next 4 minutes
+SMOOTHING_FACTOR = 0.3  # weight of a new reading; averages out noise, shows a rise within a minute
+DEVIATION_PERSISTENCE = 0.8  # fraction of the level's deviation from the mean level that remains a slot later
+MAX_READINGS = 960  # in the mean level; 8 working hours at one reading a slot
 DEFAULT_DEVIATIONS = (
-    1.0  # standard deviations above the mean that are left to production; more stops rollouts
+    1.0  # standard deviations above the mean that are left to production; more would stop rollouts
 )
-DAY_FACTORS = 48  # of the course of a day: one each half hour
+DAY_FACTORS = 48  # one factor for each half hour of a day
 MAX_FUNCTIONS = 4096
 DAY = 86_400 * SECOND
-MIN_FACTOR = 0.01
-NEGLIGIBLE_LANES = 0.01  # a function that is no longer reported is forgotten below
+MIN_DAY_FACTOR = 0.01
+NEGLIGIBLE_LANES = 0.01  # the forecast of an unreported function is deleted below this demand
 
 
 class DemandReading(NamedTuple):
-    """Reported demand for one function: arrivals a second in the fleet, their standard deviation, and the
-    mean duration of a request in seconds."""
+    """Reported demand for one function: request arrivals a second in the fleet, the standard deviation of
+    that rate, and the mean duration of a request in seconds."""
 
     arrival_rate: float
     deviation: float
     duration: float
 
 
-FADED = DemandReading(0.0, 0.0, 0.0)
+NO_DEMAND = DemandReading(0.0, 0.0, 0.0)
 
 
 class DemandForecast:
-    """Production's demand for one function, in lanes. `day_course`: `DAY_FACTORS` factors, from midnight.
+    """Forecast of production's demand for one function, in lanes.
 
-    `level`: smoothed; `usual_level`: mean of all readings; `error`: smoothed square of how far the last
-    ones were off.
+    `day_course`: `DAY_FACTORS` factors of demand, from midnight.
+    `level`: smoothed demand divided by the day factor; `mean_level`: mean of all readings divided by it.
+    `squared_error`: smoothed square of the difference between a reading and its forecast.
     """
 
     def __init__(self, day_course: Sequence[float] | None = None) -> None:
         self.day_course = day_course
-        self.readings = 0
-        self.level = self.usual_level = 0.0
-        self.deviation = self.error = 0.0
+        self.reading_count = 0
+        self.level = self.mean_level = 0.0
+        self.reading_deviation = self.squared_error = 0.0
 
     def record(self, time_of_day: int, reading: DemandReading) -> None:
-        """Takes in a reading."""
-        lanes, factor = reading.arrival_rate * reading.duration, self._factor(time_of_day)
-        if not self.readings:
-            self.level = self.usual_level = lanes / factor
-        self.readings = min(MAX_READINGS, self.readings + 1)
-        self.usual_level += (lanes / factor - self.usual_level) / self.readings
+        """Updates the forecast from a reading."""
+        lanes, factor = reading.arrival_rate * reading.duration, self._day_factor(time_of_day)
+        if not self.reading_count:
+            self.level = self.mean_level = lanes / factor
+        self.reading_count = min(MAX_READINGS, self.reading_count + 1)
+        self.mean_level += (lanes / factor - self.mean_level) / self.reading_count
         difference = lanes - self.level * factor
-        self.error += SMOOTHING * (difference * difference - self.error)
-        self.level += SMOOTHING * (lanes / factor - self.level)
-        self.deviation = reading.deviation * reading.duration
+        self.squared_error += SMOOTHING_FACTOR * (difference * difference - self.squared_error)
+        self.level += SMOOTHING_FACTOR * (lanes / factor - self.level)
+        self.reading_deviation = reading.deviation * reading.duration
 
-    def lanes(
+    def needed_lanes(
         self, time_of_day: int, *, deviations: float = DEFAULT_DEVIATIONS, slots_ahead: int = 0
     ) -> float:
-        """The lanes needed at that time: the mean, and so many standard deviations above it."""
-        if not self.readings:
+        """The lanes needed at `time_of_day`: the expected lanes plus `deviations` standard deviations."""
+        if not self.reading_count:
             return 0.0
-        level = self.usual_level + (self.level - self.usual_level) * PERSISTENCE**slots_ahead
-        deviation: float = (self.error + self.deviation**2) ** 0.5
-        return level * self._factor(time_of_day) + deviations * deviation
+        level = self.mean_level + (self.level - self.mean_level) * DEVIATION_PERSISTENCE**slots_ahead
+        deviation: float = (self.squared_error + self.reading_deviation**2) ** 0.5
+        return level * self._day_factor(time_of_day) + deviations * deviation
 
-    def _factor(self, time_of_day: int) -> float:
+    def _day_factor(self, time_of_day: int) -> float:
         if not self.day_course:
             return 1.0
         position = time_of_day / (DAY / DAY_FACTORS)
         first, part = int(position) % DAY_FACTORS, position % 1
         after = (first + 1) % DAY_FACTORS
-        return max(MIN_FACTOR, self.day_course[first] * (1 - part) + self.day_course[after] * part)
+        return max(MIN_DAY_FACTOR, self.day_course[first] * (1 - part) + self.day_course[after] * part)
 
 
 class FleetForecast:
-    """Production's demand for all functions. `day_courses`: by function, where one is known."""
+    """Forecast of production's demand for all functions. `day_courses`: by function, where known."""
 
     def __init__(self, day_courses: Mapping[str, Sequence[float]] | None = None) -> None:
         self.day_courses = day_courses or {}
         self.functions: dict[str, DemandForecast] = {}
 
     def record(self, time_of_day: int, readings: Mapping[str, DemandReading]) -> None:
-        """Takes in one reading of each function; a function without one fades."""
+        """Records one reading for each function; a function without a reading counts as without demand."""
         for name in list(self.functions):
             if name not in readings:
-                self.functions[name].record(time_of_day, FADED)
-                if self.functions[name].lanes(time_of_day) < NEGLIGIBLE_LANES:
+                self.functions[name].record(time_of_day, NO_DEMAND)
+                if self.functions[name].needed_lanes(time_of_day) < NEGLIGIBLE_LANES:
                     del self.functions[name]
         for name, reading in readings.items():
             if name not in self.functions and len(self.functions) >= MAX_FUNCTIONS:
@@ -113,14 +115,16 @@
     ) -> dict[str, list[float]]:
         """By host, the lanes in each slot that may be lent and that production does not need.
 
-        Production's demand is divided among the hosts by their lanes. `in_maintenance`: (host, slot).
+        Production's demand is divided among the hosts in proportion to their lanes.
+        `in_maintenance`: pairs of a host and a slot in which the host is unavailable.
         """
         total = sum(host.lanes for host in hosts) or 1
         spare: dict[str, list[float]] = {host.name: [] for host in hosts}
         for slot in range(slots):
-            at = time_of_day + slot * SLOT
+            at = time_of_day + slot * SLOT_DURATION
             needed = sum(
-                each.lanes(at, deviations=deviations, slots_ahead=slot) for each in self.functions.values()
+                each.needed_lanes(at, deviations=deviations, slots_ahead=slot)
+                for each in self.functions.values()
             )
             for host in hosts:
                 lanes = min(float(lendable[host.name]), host.lanes - needed * host.lanes / total)
