--- a/benchmarks/scale/forwarding.py
+++ b/benchmarks/scale/forwarding.py
@@ -20,7 +20,7 @@
 from benchmarks.gateway_processes import read_status, wait_started
 from benchmarks.processor_time import main_thread_cpu
 from benchmarks.scale import forwarding_clients
-from gaproute.config.cell_files import read_table
+from gaproute.config.cell_files import read_complete_cell_table
 from gaproute.decisions.cells.homes import HomeCells
 
 ADDRESS = "127.0.0.2"  # of gateways: nobody connects from there, so that a port found free stays free
@@ -75,7 +75,7 @@
         self.gateways = {cell: self._start_gateway(cell, seed) for cell in CELLS}
         for gateway in self.gateways.values():
             wait_started(gateway)
-        homes = HomeCells(read_table(self.path / "cells.table"))
+        homes = HomeCells(read_complete_cell_table(self.path / "cells.table"))
         self.functions: dict[str, list[str]] = {cell: [] for cell in CELLS}
         for number in range(self.models):
             home = homes.first(f"m{number}")
--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
 
-from gaproute.config.cell_files import first_clash, path_of, read_cell_hosts, zone_mistakes
+from gaproute.config.cell_files import first_duplicate_host, host_list_path, read_cell_hosts, zone_mistakes
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.config.errors import Mistake
 from gaproute.discovery.file_watch import FileWatch
@@ -75,7 +75,7 @@
         # A watch reads its file while it is being made, before it is stored in `watches`.
         self.watches[cell] = FileWatch(
             self.loop,
-            path_of(self.folder, cell),
+            host_list_path(self.folder, cell),
             self.poll_interval,
             partial(self._read, cell),
             partial(self.on_rejected, cell),
@@ -89,7 +89,7 @@
         self.conflicts.pop(cell, None)
 
     def _read(self, cell: str, lines: list[HostLine]) -> None:
-        mistakes = zone_mistakes(path_of(self.folder, cell), lines, self.zones[cell])
+        mistakes = zone_mistakes(host_list_path(self.folder, cell), lines, self.zones[cell])
         if mistakes:
             self.on_rejected(cell, mistakes)
             return
@@ -118,9 +118,9 @@
         }
         # Those in force come first, so that the newer of two conflicting lists is rejected
         lists = unchanged | self.last_read
-        paths = {cell: path_of(self.folder, cell) for cell in lists}
+        paths = {cell: host_list_path(self.folder, cell) for cell in lists}
         conflicts: dict[str, Mistake] = {}
-        while (conflict := first_clash(paths, lists)) is not None:
+        while (conflict := first_duplicate_host(paths, lists)) is not None:
             cell, conflicts[cell] = conflict
             del lists[cell]
             if cell in self.in_force:
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from gaproute.config.cell_files import read_table
+from gaproute.config.cell_files import read_complete_cell_table
 from gaproute.config.directives.fleet import CellsLine
 from gaproute.decisions.cells.change import TableChange
 from gaproute.decisions.cells.errors import OtherFleetError, StaleVersionError, TableError
@@ -67,7 +67,7 @@
         self.transport.start()
         line = self.cells_line
         self.watch = FileWatch(
-            self.loop, line.file, line.look, self._publish_newer, self._reject_file, read_table
+            self.loop, line.file, line.look, self._publish_newer, self._reject_file, read_complete_cell_table
         )
 
     def reload(self) -> None:
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -67,12 +67,12 @@
         self.cell_hosts_line: CellHostsLine = configuration.cell_hosts
         self.hosts_changed = hosts_changed
         location = GatewayLocation(configuration.name, self.cells_line.region, self.cells_line.zone)
-        self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
-        self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
+        self.gateway = CellularGateway(seed, configuration.routing_settings, loop.now(), location)
+        self.placeholder_gateway = Gateway(seed, configuration.routing_settings, loop.now())
         self.hosts = CellHostClient(loop, ConnectionReusePolicy(), client_settings, configuration.name)
         self.entries = EntryGateways(loop, client_settings, configuration.name)
         self.core = CellularCore(
-            loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entries
+            loop, self.gateway, configuration.routing_settings, self.hosts, record, run_name, self.entries
         )
         self.endpoints = CellEndpoints(loop, use_capacities=configuration.capacities_reported)
         self.lists = self._make_lists()
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -84,7 +84,7 @@
         self.request_classes = [line.name for line in configuration.request_classes]
         self.follower = HintSelector(
             self.observations,
-            configuration.terms.keep_alive,
+            configuration.routing_settings.keep_alive,
             {name: number for number, name in enumerate(self.request_classes)},
             RandomGenerator(seed + SeedOffset.OBSERVATIONS),
         )
--- a/gaproute/appliance/request_path.py
+++ b/gaproute/appliance/request_path.py
@@ -40,7 +40,7 @@
     if configuration.cells is not None:
         cells = CellServices(loop, configuration, record, seed, settings, run_name, hosts_changed)
         return RequestPath(cells.placeholder_gateway, cells.hosts, cells.core, cells)
-    gateway = configuration.decisions(seed, configuration.terms, loop.now())
+    gateway = configuration.decisions(seed, configuration.routing_settings, loop.now())
     hosts = KServeClient(loop, ConnectionReusePolicy(), settings, configuration.name)
-    core = Core(loop, gateway, configuration.terms, hosts, record, run_name)
+    core = Core(loop, gateway, configuration.routing_settings, hosts, record, run_name)
     return RequestPath(gateway, hosts, core)
--- a/gaproute/cli/migration.py
+++ b/gaproute/cli/migration.py
@@ -5,7 +5,7 @@
 import click
 
 from gaproute.cli.common import ExitCode, fail, reject
-from gaproute.config import ConfigurationError, NotDurableError, read_text, write_whole
+from gaproute.config import ConfigurationError, NotDurableError, read_text, write_file_atomically
 from gaproute.config import migrate as migrate_configuration
 
 
@@ -42,7 +42,7 @@
 def _write(path: str, text: str, preserved: tuple[str, ...], *, replace: bool) -> None:
     """Writes the file; if that fails, ends the command with what the operator can do."""
     try:
-        write_whole(path, text, replace=replace, preserved=preserved)
+        write_file_atomically(path, text, replace=replace, preserved=preserved)
     except FileExistsError:
         fail(f"{path}: stands already; name another file or say --replace; nothing is written")
     except NotDurableError as error:
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -11,7 +11,7 @@
 
 from gaproute.cli.common import ExitCode, fail, reject
 from gaproute.config import ConfigurationError, read_configuration, read_hosts, read_peers
-from gaproute.config.cell_files import check_cells
+from gaproute.config.cell_files import check_cell_files
 from gaproute.config.configuration import Configuration
 from gaproute.loop import Loop
 from gaproute.loop.starting import StartupRetries
@@ -45,7 +45,7 @@
     if configuration.peers_file is not None:
         read_peers(configuration.peers_file.path)
     if with_cells and configuration.cells is not None:
-        check_cells(configuration)
+        check_cell_files(configuration)
     return configuration
 
 
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -18,7 +18,7 @@
     sets_of,
 )
 from gaproute.cluster.slot_sets import SlotSetError
-from gaproute.config.errors import Mistake, example
+from gaproute.config.errors import Mistake, expected_line
 from gaproute.config.parsing import Directive, NamedDirective
 from gaproute.scenarios.script_lines import DayLine
 from gaproute.units import SECOND
@@ -29,7 +29,7 @@
     day = next((line for keyword, line in found if keyword == "day"), DayLine.model_validate({}))
     kind = next((line.kind for keyword, line in found if keyword == "cluster"), GatewayKind.APPLIANCE)
     return [
-        Mistake(file, line.line, keyword, text, example(line.example))
+        Mistake(file, line.line, keyword, text, expected_line(line.example))
         for keyword, line in found
         if keyword in CLUSTER_LINES
         for text in (*_mistakes_of(keyword, line, day), *find_platform_mistakes(kind, keyword, line))
--- a/gaproute/config/__init__.py
+++ b/gaproute/config/__init__.py
@@ -1,7 +1,7 @@
 """The configuration: lines of text, checked by a schema, refused whole with every mistake in one go."""
 
 from gaproute.config.configuration import Configuration
-from gaproute.config.durable import write_whole
+from gaproute.config.durable import write_file_atomically
 from gaproute.config.errors import ConfigurationError, Mistake, NotDurableError
 from gaproute.config.files import read_configuration, read_hosts, read_peers, read_text
 from gaproute.config.migration import migrate
@@ -16,5 +16,5 @@
     "read_hosts",
     "read_peers",
     "read_text",
-    "write_whole",
+    "write_file_atomically",
 ]
--- a/gaproute/config/cell_files.py
+++ b/gaproute/config/cell_files.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator, Mapping, Sequence
 from urllib.parse import quote
 
-from gaproute.config.cell_table import MAX_BYTES, read_cells
+from gaproute.config.cell_table import MAX_TABLE_BYTES, read_cell_table
 from gaproute.config.configuration import Configuration
 from gaproute.config.directives.fleet import CellsLine, HostLine
 from gaproute.config.errors import ConfigurationError, Mistake
@@ -12,22 +12,24 @@
 from gaproute.decisions.cells.bounds import MAX_HOSTS_PER_CELL
 from gaproute.decisions.cells.table import CellTable
 
-MAX_LIST_BYTES = 1 << 20  # of a host list: 1 KiB for each of the most hosts
-END = "end"  # the last line of a table: a torn file would else pass for a smaller table of the same version
+MAX_HOST_LIST_BYTES = 1 << 20  # of a host list: 1 KiB for each of the most hosts
+TABLE_END_LINE = (
+    "end"  # the last line of a table: a torn file would else pass for a smaller table of the same version
+)
 
 
-def read_table(path: FilePath) -> CellTable:
+def read_complete_cell_table(path: FilePath) -> CellTable:
     """The cell table of a file. Errors: `ConfigurationError`."""
-    text = _bounded_text(path, MAX_BYTES).rstrip()
+    text = _read_bounded_text(path, MAX_TABLE_BYTES).rstrip()
     body, _, last = text.rpartition("\n")
-    if last.strip() != END:
+    if last.strip() != TABLE_END_LINE:
         found = "the table is torn: it has no end"
-        expected = f"let the last line be: {END}"
-        raise ConfigurationError([Mistake(str(path), text.count("\n") + 1, END, found, expected)])
-    return read_cells(path, f"{body}\n")
+        expected = f"let the last line be: {TABLE_END_LINE}"
+        raise ConfigurationError([Mistake(str(path), text.count("\n") + 1, TABLE_END_LINE, found, expected)])
+    return read_cell_table(path, f"{body}\n")
 
 
-def _bounded_text(path: FilePath, max_bytes: int) -> str:
+def _read_bounded_text(path: FilePath, max_bytes: int) -> str:
     try:
         size = os.stat(path).st_size
     except OSError:
@@ -38,14 +40,14 @@
     return read_text(path)
 
 
-def path_of(folder: FilePath, cell: str) -> str:
+def host_list_path(folder: FilePath, cell: str) -> str:
     """The file of a cell's hosts."""
     return os.path.join(folder, f"{quote(cell, safe=' ')}.hosts")
 
 
 def read_cell_hosts(path: FilePath) -> list[HostLine]:
     """The `host` lines of a cell's file. Errors: `ConfigurationError`."""
-    lines = read_hosts(path, _bounded_text(path, MAX_LIST_BYTES))
+    lines = read_hosts(path, _read_bounded_text(path, MAX_HOST_LIST_BYTES))
     if len(lines) > MAX_HOSTS_PER_CELL:
         found = f"{len(lines)} hosts are more than a cell may have"
         raise ConfigurationError(
@@ -74,7 +76,7 @@
     ]
 
 
-def first_clash(
+def first_duplicate_host(
     paths: Mapping[str, FilePath], lists: Mapping[str, Sequence[HostLine]]
 ) -> tuple[str, Mistake] | None:
     """The first cell that names a host of an earlier one, by name or address, and the mistake; or None."""
@@ -90,7 +92,7 @@
     return None
 
 
-def check_cells(configuration: Configuration) -> None:
+def check_cell_files(configuration: Configuration) -> None:
     """Reads the table and the host lists that a configuration names.
 
     Errors: `ConfigurationError` with all that is wrong.
@@ -98,18 +100,18 @@
     line, source = configuration.cells, configuration.cell_hosts
     if line is None or source is None:
         return
-    table = read_table(line.file)
-    mistakes = list(_position_mistakes(configuration.file, line, table))
+    table = read_complete_cell_table(line.file)
+    mistakes = list(_location_mistakes(configuration.file, line, table))
     if source.folder is not None:
-        mistakes += _list_mistakes(source.folder, table)
+        mistakes += _host_list_mistakes(source.folder, table)
     if mistakes:
         raise ConfigurationError(mistakes)
 
 
-def _list_mistakes(folder: str, table: CellTable) -> Iterator[Mistake]:
+def _host_list_mistakes(folder: str, table: CellTable) -> Iterator[Mistake]:
     """Mistakes of the host lists in a folder; only the gateways that know a cell need its list."""
     lists: dict[str, list[HostLine]] = {}
-    paths = {cell.name: path_of(folder, cell.name) for cell in table.cells}
+    paths = {cell.name: host_list_path(folder, cell.name) for cell in table.cells}
     for cell in table.cells:
         path = paths[cell.name]
         if not os.path.exists(path):
@@ -120,13 +122,13 @@
             yield from error.mistakes
             continue
         yield from zone_mistakes(path, lists[cell.name], cell.zone)
-    while (clash := first_clash(paths, lists)) is not None:
+    while (clash := first_duplicate_host(paths, lists)) is not None:
         cell_name, mistake = clash
         yield mistake
         del lists[cell_name]
 
 
-def _position_mistakes(file: str, line: CellsLine, table: CellTable) -> Iterator[Mistake]:
+def _location_mistakes(file: str, line: CellsLine, table: CellTable) -> Iterator[Mistake]:
     """Mistakes of where the gateway says it is, beside the table."""
     if table.fleet != line.fleet:
         expected = f"name the table of fleet {line.fleet}"
--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -13,92 +13,98 @@
 from pathlib import Path
 
 from gaproute.config.directives.cell_table import CELL_DIRECTIVES, CellLine, TableLine
-from gaproute.config.errors import ConfigurationError, Mistake, example, in_order_of_lines, unreadable
+from gaproute.config.errors import (
+    ConfigurationError,
+    Mistake,
+    error_sorted_by_line,
+    expected_line,
+    unreadable_file_error,
+)
 from gaproute.config.files import FilePath
-from gaproute.config.parsing import directives_of, read_lines
+from gaproute.config.parsing import directives_of, parse_lines
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.errors import RowError, TableError
 from gaproute.decisions.cells.table import Cell, CellTable, check_cell, validate
 from gaproute.decisions.cells.version import Version
 
-MAX_BYTES = 16 << 20  # of a file
-MAX_LINES = 2 * bounds.MAX_CELLS  # as many comments as cells
-MAX_LINE = 16 << 10  # characters of a line
+MAX_TABLE_BYTES = 16 << 20  # of a file
+MAX_TABLE_LINES = 2 * bounds.MAX_CELLS  # as many comments as cells
+MAX_LINE_LENGTH = 16 << 10  # characters of a line
 MAX_MISTAKES = 1_000
-MAX_TEXT = 300  # characters of what was found
+MAX_FOUND_LENGTH = 300  # characters of what was found
 
 
-def read_cells(path: FilePath, text: str | None = None) -> CellTable:
+def read_cell_table(path: FilePath, text: str | None = None) -> CellTable:
     """The table of a file. Errors: `ConfigurationError` with all mistakes, the first thousand at most."""
     file = str(path)
     if text is None:
         text = _read_bounded(file)
     _check_size(file, text)
-    found, mistakes, first = read_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
+    found, mistakes, first = parse_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
     if "table" not in first:
-        mistakes.append(Mistake(file, 0, "table", "no table line", example(TableLine.example)))
+        mistakes.append(Mistake(file, 0, "table", "no table line", expected_line(TableLine.example)))
     lines = directives_of(found, CellLine)
-    mistakes += islice(_across_lines(file, lines), MAX_MISTAKES)
+    mistakes += islice(_cell_mistakes(file, lines), MAX_MISTAKES)
     if not mistakes:
         (head,) = directives_of(found, TableLine)
         try:
-            return validate(head.fleet, Version(head.term, head.number), map(_cell, lines))
+            return validate(head.fleet, Version(head.term, head.number), map(_cell_of_line, lines))
         except TableError as error:
-            mistakes.append(_mistake_of(file, lines, error))
-    raise _bounded(mistakes)
+            mistakes.append(_table_mistake(file, lines, error))
+    raise _bounded_error(mistakes)
 
 
-def _bounded(mistakes: list[Mistake]) -> ConfigurationError:
+def _bounded_error(mistakes: list[Mistake]) -> ConfigurationError:
     """The error of the first of the mistakes, each of a bounded length."""
-    first = in_order_of_lines(mistakes).mistakes[:MAX_MISTAKES]
-    return ConfigurationError(mistake._replace(found=mistake.found[:MAX_TEXT]) for mistake in first)
+    first = error_sorted_by_line(mistakes).mistakes[:MAX_MISTAKES]
+    return ConfigurationError(mistake._replace(found=mistake.found[:MAX_FOUND_LENGTH]) for mistake in first)
 
 
 def _read_bounded(file: str) -> str:
     try:
         with Path(file).open(encoding="utf-8") as opened:
-            return opened.read(MAX_BYTES + 1)
+            return opened.read(MAX_TABLE_BYTES + 1)
     except (OSError, UnicodeDecodeError) as error:
-        raise unreadable(file, error) from error
+        raise unreadable_file_error(file, error) from error
 
 
 def _check_size(file: str, text: str) -> None:
-    if len(text) > MAX_BYTES:
+    if len(text) > MAX_TABLE_BYTES:
         raise ConfigurationError(
-            [Mistake(file, 0, "", f"more than {MAX_BYTES} bytes", "a table is far smaller")]
+            [Mistake(file, 0, "", f"more than {MAX_TABLE_BYTES} bytes", "a table is far smaller")]
         )
-    if text.count("\n") > MAX_LINES:
+    if text.count("\n") > MAX_TABLE_LINES:
         expected = f"a table has {bounds.MAX_CELLS} cells at most"
-        raise ConfigurationError([Mistake(file, 0, "", f"more than {MAX_LINES} lines", expected)])
-    long = [number for number, line in enumerate(text.splitlines(), 1) if len(line) > MAX_LINE]
+        raise ConfigurationError([Mistake(file, 0, "", f"more than {MAX_TABLE_LINES} lines", expected)])
+    long = [number for number, line in enumerate(text.splitlines(), 1) if len(line) > MAX_LINE_LENGTH]
     if long:
-        found = f"more than {MAX_LINE} characters"
+        found = f"more than {MAX_LINE_LENGTH} characters"
         raise ConfigurationError(
             Mistake(file, number, "", found, "shorten it") for number in long[:MAX_MISTAKES]
         )
 
 
-def _cell(line: CellLine) -> Cell:
+def _cell_of_line(line: CellLine) -> Cell:
     return Cell(line.name, line.region, line.zone, line.capacity, line.hosts, line.points, line.entries)
 
 
-def _across_lines(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
+def _cell_mistakes(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
     """Mistakes of single cells and between cells."""
-    yield from _single(file, lines)
-    yield from _names(file, lines)
-    yield from _zones(file, lines)
-    yield from _points(file, lines)
+    yield from _invalid_cells(file, lines)
+    yield from _duplicate_cell_names(file, lines)
+    yield from _zones_in_two_regions(file, lines)
+    yield from _overlapping_ring_points(file, lines)
 
 
-def _single(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
+def _invalid_cells(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
     for line in lines:
         try:
-            check_cell(line.line, _cell(line))
+            check_cell(line.line, _cell_of_line(line))
         except RowError as error:
-            yield Mistake(file, line.line, "cell", f"cell: {error.reason}", example(CellLine.example))
+            yield Mistake(file, line.line, "cell", f"cell: {error.reason}", expected_line(CellLine.example))
 
 
-def _names(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
+def _duplicate_cell_names(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
     first: dict[str, int] = {}
     for line in lines:
         before = first.setdefault(line.name, line.line)
@@ -107,7 +113,7 @@
             yield Mistake(file, line.line, "cell", found, f"keep line {before} or this")
 
 
-def _zones(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
+def _zones_in_two_regions(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
     first: dict[str, CellLine] = {}
     for line in lines:
         before = first.setdefault(line.zone, line)
@@ -116,7 +122,7 @@
             yield Mistake(file, line.line, "zone", found, "a zone lies in one region")
 
 
-def _points(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
+def _overlapping_ring_points(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
     taken: dict[str, list[tuple[int, int, int]]] = {}  # (first point, count, line) by origin
     for line in lines:
         for points in line.points:
@@ -128,7 +134,7 @@
                 yield Mistake(file, max(one, other), "points", found, "a ring point belongs to one cell")
 
 
-def _mistake_of(file: str, lines: Sequence[CellLine], error: TableError) -> Mistake:
+def _table_mistake(file: str, lines: Sequence[CellLine], error: TableError) -> Mistake:
     """A mistake that only the table itself finds, such as too many ring points in all."""
     line = lines[error.row - 1].line if isinstance(error, RowError) and error.row else 0
     return Mistake(file, line, "", str(error), "mend the table")
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -7,8 +7,8 @@
 from gaproute.config.directives import fleet, process, requests
 from gaproute.config.parsing import DirectiveType, NamedDirective, directives_of
 
-IDEMPOTENCY = {kind.value: kind for kind in interface.Idempotency}
-GROUPS = {
+IDEMPOTENCY_BY_EFFECT = {kind.value: kind for kind in interface.Idempotency}
+IDEMPOTENCY_SCOPE_BY_GROUP = {
     "all": interface.IdempotencyScope.ALL,
     "zone": interface.IdempotencyScope.ZONE,
     "rack": interface.IdempotencyScope.CELL,
@@ -20,34 +20,36 @@
 
     def __init__(self, file: str, found: Sequence[NamedDirective]) -> None:
         """Errors: ImportError, AttributeError for a class of decisions that does not exist."""
-        lines = _Lines(found)
+        lines = _DirectiveLookup(found)
         self.file = file
-        self.name: str = lines.one(fleet.NameLine).name
+        self.name: str = lines.first_or_default(fleet.NameLine).name
         self.listen_addresses: list[tuple[str, str]] = [
-            (line.kind, line.where) for line in lines.all(fleet.ListenLine)
+            (line.kind, line.where) for line in lines.all_of(fleet.ListenLine)
         ]
-        self.hosts = lines.all(fleet.HostLine)
-        self.hosts_file = lines.first(fleet.HostsFileLine)
-        self.cells = lines.first(fleet.CellsLine)
-        self.cell_hosts = lines.first(fleet.CellHostsLine)
-        self.request_classes = lines.all(requests.RequestClassLine)
-        self.models = {line.name: line for line in lines.all(requests.ModelLine)}
-        self.tenants = {line.name: index for index, line in enumerate(lines.all(requests.TenantLine))}
-        self.peers = lines.all(fleet.PeerLine)
-        self.peers_file = lines.first(fleet.PeersFileLine)
+        self.hosts = lines.all_of(fleet.HostLine)
+        self.hosts_file = lines.first_of(fleet.HostsFileLine)
+        self.cells = lines.first_of(fleet.CellsLine)
+        self.cell_hosts = lines.first_of(fleet.CellHostsLine)
+        self.request_classes = lines.all_of(requests.RequestClassLine)
+        self.models = {line.name: line for line in lines.all_of(requests.ModelLine)}
+        self.tenants = {line.name: index for index, line in enumerate(lines.all_of(requests.TenantLine))}
+        self.peers = lines.all_of(fleet.PeerLine)
+        self.peers_file = lines.first_of(fleet.PeersFileLine)
         self.observation_file: str | None = next(
-            (line.path for line in lines.all(fleet.ObservationFileLine)), None
+            (line.path for line in lines.all_of(fleet.ObservationFileLine)), None
         )
-        self.raft_group = lines.first(fleet.RaftGroupLine)
-        self.client_limits = lines.one(process.ClientLimitsLine)
-        self.host_limits = lines.one(process.HostLimitsLine)
-        self.log_level: str = lines.one(process.LogLine).level
-        self.decisions: Any = lines.one(process.DecisionsLine).load()  # a class that only the file names
+        self.raft_group = lines.first_of(fleet.RaftGroupLine)
+        self.client_limits = lines.first_or_default(process.ClientLimitsLine)
+        self.host_limits = lines.first_or_default(process.HostLimitsLine)
+        self.log_level: str = lines.first_or_default(process.LogLine).level
+        self.decisions: Any = lines.first_or_default(
+            process.DecisionsLine
+        ).load_class()  # a class that only the file names
         # ns that a request may take
         self.max_deadline = max(line.limit for line in self.request_classes)
-        self.capacities_reported = lines.one(requests.CapacitiesLine).enabled
-        self.gossip_enabled = lines.one(fleet.GossipLine).enabled
-        self.terms = _terms(lines, self.request_classes, self.cells)
+        self.capacities_reported = lines.first_or_default(requests.CapacitiesLine).enabled
+        self.gossip_enabled = lines.first_or_default(fleet.GossipLine).enabled
+        self.routing_settings = _routing_settings(lines, self.request_classes, self.cells)
 
     def assign_process_slot(self, number: int, count: int) -> None:
         """Makes this the configuration of one of `count` processes behind the same addresses for clients.
@@ -59,7 +61,7 @@
         self.name = f"{base}-{number}"
         peer_addresses = [where for kind, where in self.listen_addresses if kind == "peers"]
         self.listen_addresses = [
-            (kind, where if kind == "kserve" else _address_of_slot(where, number))
+            (kind, where if kind == "kserve" else _process_slot_address(where, number))
             for kind, where in self.listen_addresses
         ]
         if self.observation_file is not None:
@@ -68,40 +70,46 @@
             self.cells = self.cells.model_copy(update={"stored_table": f"{self.cells.stored_table}.{number}"})
         if peer_addresses and not self.peers_file:
             self.peers = self.peers + [
-                fleet.PeerLine(name=f"{base}-{other}", where=_address_of_slot(peer_addresses[0], other))
+                fleet.PeerLine(name=f"{base}-{other}", where=_process_slot_address(peer_addresses[0], other))
                 for other in range(count + 1)
                 if other != number
             ]
 
 
-class _Lines:
+class _DirectiveLookup:
     """The directives of a file by their class."""
 
     def __init__(self, found: Sequence[NamedDirective]) -> None:
         self._found = found
 
-    def all(self, kind: type[DirectiveType]) -> list[DirectiveType]:
+    def all_of(self, kind: type[DirectiveType]) -> list[DirectiveType]:
         return directives_of(self._found, kind)
 
-    def first(self, kind: type[DirectiveType]) -> DirectiveType | None:
+    def first_of(self, kind: type[DirectiveType]) -> DirectiveType | None:
         """The first directive of that class, or None."""
-        return next(iter(self.all(kind)), None)
+        return next(iter(self.all_of(kind)), None)
 
-    def one(self, kind: type[DirectiveType]) -> DirectiveType:
+    def first_or_default(self, kind: type[DirectiveType]) -> DirectiveType:
         """The first directive of that class; one with all its defaults if there is none."""
-        return self.first(kind) or kind.model_construct()
+        return self.first_of(kind) or kind.model_construct()
 
 
-def _terms(
-    lines: _Lines, request_classes: list[requests.RequestClassLine], cells: fleet.CellsLine | None
+def _routing_settings(
+    lines: _DirectiveLookup, request_classes: list[requests.RequestClassLine], cells: fleet.CellsLine | None
 ) -> interface.RoutingSettings:
     """The terms of the deployment, as the decisions take them."""
-    instances, attempts = lines.one(requests.WarmInstancesLine), lines.one(requests.AttemptsLine)
-    slow_start, reports = lines.one(requests.SlowStartLine), lines.one(requests.ReportsLine)
+    instances, attempts = (
+        lines.first_or_default(requests.WarmInstancesLine),
+        lines.first_or_default(requests.AttemptsLine),
+    )
+    slow_start, reports = (
+        lines.first_or_default(requests.SlowStartLine),
+        lines.first_or_default(requests.ReportsLine),
+    )
     return interface.RoutingSettings(
         request_classes=tuple(map(_request_class, request_classes)),
-        tenant_shares=tuple(line.share for line in lines.all(requests.TenantLine)),
-        over_share_value=lines.one(requests.OverShareWeightLine).value,
+        tenant_shares=tuple(line.share for line in lines.all_of(requests.TenantLine)),
+        over_share_value=lines.first_or_default(requests.OverShareWeightLine).value,
         keep_alive=instances.keep,
         load_orders_allowed=instances.orders,
         load_orders_free=instances.free,
@@ -119,7 +127,7 @@
         cancel_allowed=attempts.cancel,
         hedging_allowed=attempts.twins,
         attempt_limit=attempts.limit,
-        retry_after_limit=lines.one(requests.RetryAfterLine).limit,
+        retry_after_limit=lines.first_or_default(requests.RetryAfterLine).limit,
         warm_up_share=slow_start.share,
         warm_up_time=slow_start.time,
         host_list_polled=False,
@@ -130,8 +138,8 @@
 
 def _request_class(line: requests.RequestClassLine) -> interface.RequestClass:
     return interface.RequestClass(
-        IDEMPOTENCY[line.effect],
-        GROUPS[line.group],
+        IDEMPOTENCY_BY_EFFECT[line.effect],
+        IDEMPOTENCY_SCOPE_BY_GROUP[line.group],
         line.remembers,
         line.contract,
         line.limit,
@@ -139,7 +147,7 @@
     )
 
 
-def _address_of_slot(where: str, number: int) -> str:
+def _process_slot_address(where: str, number: int) -> str:
     """The address of one process beside the others: the path or the port, counted on."""
     if where.startswith("unix:"):
         return f"{where}.{number}"
--- a/gaproute/config/directives/cell_table.py
+++ b/gaproute/config/directives/cell_table.py
@@ -9,13 +9,13 @@
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.table import EntryGateway, PointRange
 
-LARGEST_VERSION = (1 << 63) - 1
+MAX_VERSION_PART = (1 << 63) - 1
 
-Named = Annotated[str, Field(min_length=1, max_length=bounds.MAX_NAME_LENGTH)]
-VersionPart = Annotated[int, Field(ge=0, le=LARGEST_VERSION)]
+CellTableName = Annotated[str, Field(min_length=1, max_length=bounds.MAX_NAME_LENGTH)]
+VersionPart = Annotated[int, Field(ge=0, le=MAX_VERSION_PART)]
 
 
-def _parts(value: str | Iterable[str], max_parts: int, what: str) -> Iterable[str]:
+def _split_parts(value: str | Iterable[str], max_parts: int, what: str) -> Iterable[str]:
     """The parts between commas; a value that is no text is returned as it is."""
     if not isinstance(value, str):
         return value
@@ -24,13 +24,14 @@
     return value.split(",")
 
 
-def _points(value: str | Iterable[str]) -> tuple[PointRange, ...]:
+def _parse_point_ranges(value: str | Iterable[str]) -> tuple[PointRange, ...]:
     return tuple(
-        _point(part) for part in _parts(value, bounds.MAX_POINT_RANGES_PER_CELL, "ranges of ring points")
+        _parse_point_range(part)
+        for part in _split_parts(value, bounds.MAX_POINT_RANGES_PER_CELL, "ranges of ring points")
     )
 
 
-def _point(part: str) -> PointRange:
+def _parse_point_range(part: str) -> PointRange:
     origin, colon, numbers = part.rpartition(":")
     first, plus, count = numbers.partition("+")
     if not (origin and colon and plus and _is_number(first) and _is_number(count)):
@@ -42,11 +43,14 @@
     return text.isascii() and text.isdigit() and len(text) <= len(str(bounds.MAX_RING_POINTS))
 
 
-def _entries(value: str | Iterable[str]) -> tuple[EntryGateway, ...]:
-    return tuple(_entry(part) for part in _parts(value, bounds.MAX_ENTRIES_PER_CELL, "entry gateways"))
+def _parse_entry_gateways(value: str | Iterable[str]) -> tuple[EntryGateway, ...]:
+    return tuple(
+        _parse_entry_gateway(part)
+        for part in _split_parts(value, bounds.MAX_ENTRIES_PER_CELL, "entry gateways")
+    )
 
 
-def _entry(part: str) -> EntryGateway:
+def _parse_entry_gateway(part: str) -> EntryGateway:
     name, equals, address = part.partition("=")
     if not (name and equals and address):
         raise ValueError(f"{part!r:.80} is no entry gateway: NAME=ADDRESS")
@@ -59,7 +63,7 @@
     positional: ClassVar = ("fleet",)
     example: ClassVar = "table north term 3 number 17"
     once: ClassVar = True
-    fleet: Named
+    fleet: CellTableName
     term: VersionPart
     number: VersionPart
 
@@ -71,13 +75,13 @@
     example: ClassVar = (
         "cell c1 region west zone west-a capacity 640 hosts 51 points c1:0+32 entries g1=10.0.0.1:8090"
     )
-    name: Named
-    region: Named
-    zone: Named
+    name: CellTableName
+    region: CellTableName
+    zone: CellTableName
     capacity: float
     hosts: int
-    points: Annotated[tuple[PointRange, ...], BeforeValidator(_points)]
-    entries: Annotated[tuple[EntryGateway, ...], BeforeValidator(_entries)] = ()
+    points: Annotated[tuple[PointRange, ...], BeforeValidator(_parse_point_ranges)]
+    entries: Annotated[tuple[EntryGateway, ...], BeforeValidator(_parse_entry_gateways)] = ()
 
 
 CELL_DIRECTIVES: dict[str, type[Directive]] = {"table": TableLine, "cell": CellLine}
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -10,8 +10,8 @@
 from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.raft.messages import MAX_MEMBERS
 
-FROM = "from"  # what sources of host lists are named after, in place of a folder
-MAX_SOURCES = 16  # of host lists
+SOURCES_KEYWORD = "from"  # what sources of host lists are named after, in place of a folder
+MAX_HOST_LIST_SOURCES = 16  # of host lists
 
 
 class NameLine(Directive):
@@ -83,19 +83,19 @@
     look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
 
     @classmethod
-    def positional_in(cls, arguments: list[str]) -> tuple[str, ...]:
+    def positional_fields_of(cls, arguments: list[str]) -> tuple[str, ...]:
         """Sources stand in place of a folder."""
-        return () if arguments[:1] == [FROM] else cls.positional
+        return () if arguments[:1] == [SOURCES_KEYWORD] else cls.positional
 
     @model_validator(mode="after")
-    def fits(self) -> Self:
+    def check_sources(self) -> Self:
         """Errors: ValueError for both, or sources that no connection can be made to."""
         if self.folder is not None and self.sources:
             raise ValueError("a folder and sources, keep one of the two")
         if len(set(self.sources)) < len(self.sources):
             raise ValueError("a source is named twice")
-        if len(self.sources) > MAX_SOURCES:
-            raise ValueError(f"{MAX_SOURCES} sources at most")
+        if len(self.sources) > MAX_HOST_LIST_SOURCES:
+            raise ValueError(f"{MAX_HOST_LIST_SOURCES} sources at most")
         if any(where.endswith(":0") for where in self.sources):
             raise ValueError("a source has a port")
         return self
@@ -140,7 +140,7 @@
     longest: Duration = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # of a lease
 
     @model_validator(mode="after")
-    def fits(self) -> Self:
+    def check_members(self) -> Self:
         """Errors: ValueError for a member named twice, or too many of them."""
         if len(set(self.names)) < len(self.names):
             raise ValueError("a Raft member is named twice")
--- a/gaproute/config/directives/process.py
+++ b/gaproute/config/directives/process.py
@@ -36,7 +36,7 @@
     answer: Size = Field(64 << 20, ge=1024)
 
 
-FORMER_DECISIONS = {  # names of the decisions in configurations that earlier versions wrote
+FORMER_DECISION_CLASSES = {  # names of the decisions in configurations that earlier versions wrote
     "gaproute.policy:Gateway": "gaproute.decisions.routing:Gateway",
     "gaproute.decisions.route:Gateway": "gaproute.decisions.routing:Gateway",
 }
@@ -59,10 +59,10 @@
     once: ClassVar = True
     made_by: str = Field("gaproute.decisions.routing:Gateway", pattern=r"^[\w.]+:\w+$")
 
-    def load(self) -> Any:
+    def load_class(self) -> Any:
         """The class, which is called with (seed, terms, now).
 
         Errors: ImportError, AttributeError if there is none.
         """
-        module, _, name = FORMER_DECISIONS.get(self.made_by, self.made_by).partition(":")
+        module, _, name = FORMER_DECISION_CLASSES.get(self.made_by, self.made_by).partition(":")
         return getattr(importlib.import_module(module), name)
--- a/gaproute/config/directives/requests.py
+++ b/gaproute/config/directives/requests.py
@@ -22,7 +22,7 @@
     remembers: Duration = 0
 
     @model_validator(mode="after")
-    def fits(self) -> Self:
+    def check_times(self) -> Self:
         """Errors: ValueError for times that exclude each other."""
         if self.contract > self.limit:
             raise ValueError("the contract time is over the limit")
@@ -86,7 +86,7 @@
     probes: YesNo = True
 
     @model_validator(mode="after")
-    def fits(self) -> Self:
+    def check_source(self) -> Self:
         """Errors: ValueError for reports that could not come."""
         if self.source == "probe" and not self.probes:
             raise ValueError("hosts whose load is reported by probes alone cannot go without probes")
--- a/gaproute/config/durable.py
+++ b/gaproute/config/durable.py
@@ -10,7 +10,7 @@
 FILE_MODE = 0o644  # of the file written
 
 
-def write_whole(path: str, text: str, *, replace: bool, preserved: Iterable[str]) -> None:
+def write_file_atomically(path: str, text: str, *, replace: bool, preserved: Iterable[str]) -> None:
     """Writes the file whole or not at all: beside its place first, then put there.
 
     A file that exists is written over only with `replace`, and never one of the `preserved`: the way back
@@ -32,9 +32,9 @@
         else:
             os.link(beside, path)  # fails where the file exists, also if it came meanwhile
     finally:
-        _discard(beside)
+        _remove_if_possible(beside)
     try:
-        _sync_folder(folder)
+        _sync_directory(folder)
     except OSError as error:
         raise NotDurableError(error.errno, error.strerror) from error
 
@@ -47,7 +47,7 @@
     os.fsync(file)
 
 
-def _sync_folder(folder: str) -> None:
+def _sync_directory(folder: str) -> None:
     file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(file)
@@ -55,6 +55,6 @@
         os.close(file)
 
 
-def _discard(path: str) -> None:
+def _remove_if_possible(path: str) -> None:
     with contextlib.suppress(OSError):  # it was put in its place, or stays as a file of no use beside it
         os.unlink(path)
--- a/gaproute/config/errors.py
+++ b/gaproute/config/errors.py
@@ -37,16 +37,16 @@
     """The file is in its place, whole; whether its name outlasts a crash of the machine is not known."""
 
 
-def in_order_of_lines(mistakes: Iterable[Mistake]) -> ConfigurationError:
+def error_sorted_by_line(mistakes: Iterable[Mistake]) -> ConfigurationError:
     """The error of these mistakes, as a reader of the file meets them."""
     return ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
 
 
-def unreadable(file: str, error: Exception) -> ConfigurationError:
+def unreadable_file_error(file: str, error: Exception) -> ConfigurationError:
     """The error of a file that cannot be opened, or is not text."""
     return ConfigurationError([Mistake(file, 0, "", f"cannot be read: {error}", "name a readable text file")])
 
 
-def example(text: str) -> str:
+def expected_line(text: str) -> str:
     """What is expected, shown by a line that is right."""
     return f"right would be: {text}"
--- a/gaproute/config/files.py
+++ b/gaproute/config/files.py
@@ -5,12 +5,18 @@
 from pathlib import Path
 
 from gaproute.config.configuration import Configuration
-from gaproute.config.consistency import across_lines, named_twice
+from gaproute.config.consistency import cross_line_mistakes, duplicate_name_mistakes
 from gaproute.config.directives import DIRECTIVES, HOST_DIRECTIVES, PEER_DIRECTIVES
 from gaproute.config.directives.fleet import HostLine, PeerLine
 from gaproute.config.directives.process import DecisionsLine
-from gaproute.config.errors import ConfigurationError, Mistake, example, in_order_of_lines, unreadable
-from gaproute.config.parsing import Directive, DirectiveType, directives_of, read_lines
+from gaproute.config.errors import (
+    ConfigurationError,
+    Mistake,
+    error_sorted_by_line,
+    expected_line,
+    unreadable_file_error,
+)
+from gaproute.config.parsing import Directive, DirectiveType, directives_of, parse_lines
 
 FilePath = str | os.PathLike[str]
 
@@ -20,27 +26,27 @@
     file = str(path)
     if text is None:
         text = read_text(file)
-    found, mistakes, first = read_lines(file, text, DIRECTIVES)
-    mistakes += across_lines(file, found, first)
+    found, mistakes, first = parse_lines(file, text, DIRECTIVES)
+    mistakes += cross_line_mistakes(file, found, first)
     if not mistakes:
         try:
             return Configuration(file, found)
         except (ImportError, AttributeError) as error:
-            mistakes.append(Mistake(file, 0, "decisions", str(error), example(DecisionsLine.example)))
-    raise in_order_of_lines(mistakes)
+            mistakes.append(Mistake(file, 0, "decisions", str(error), expected_line(DecisionsLine.example)))
+    raise error_sorted_by_line(mistakes)
 
 
 def read_hosts(path: FilePath, text: str | None = None) -> list[HostLine]:
     """The `host` lines of a host list. Errors: `ConfigurationError`."""
-    return _read_list(path, text, HOST_DIRECTIVES, HostLine)
+    return _read_uniform_list(path, text, HOST_DIRECTIVES, HostLine)
 
 
 def read_peers(path: FilePath, text: str | None = None) -> list[PeerLine]:
     """The `peer` lines of a list of gateways. Errors: `ConfigurationError`."""
-    return _read_list(path, text, PEER_DIRECTIVES, PeerLine)
+    return _read_uniform_list(path, text, PEER_DIRECTIVES, PeerLine)
 
 
-def _read_list(
+def _read_uniform_list(
     path: FilePath,
     text: str | None,
     directives: Mapping[str, type[Directive]],
@@ -48,8 +54,8 @@
 ) -> list[DirectiveType]:
     """The directives of a file that has only those of one class."""
     file = str(path)
-    found, mistakes, _ = read_lines(file, read_text(file) if text is None else text, directives)
-    mistakes += named_twice(file, found)
+    found, mistakes, _ = parse_lines(file, read_text(file) if text is None else text, directives)
+    mistakes += duplicate_name_mistakes(file, found)
     if mistakes:
         raise ConfigurationError(mistakes)
     return directives_of(found, kind)
@@ -60,4 +66,4 @@
     try:
         return Path(path).read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise unreadable(str(path), error) from error
+        raise unreadable_file_error(str(path), error) from error
--- a/gaproute/config/migration.py
+++ b/gaproute/config/migration.py
@@ -10,17 +10,17 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from gaproute.config.consistency import named_twice
+from gaproute.config.consistency import duplicate_name_mistakes
 from gaproute.config.directives import DIRECTIVES
-from gaproute.config.errors import ConfigurationError, Mistake, in_order_of_lines
+from gaproute.config.errors import ConfigurationError, Mistake, error_sorted_by_line
 from gaproute.config.files import read_configuration
-from gaproute.config.parsing import read_lines
+from gaproute.config.parsing import parse_lines
 
 # What a deployment states; everything else is the operator's own and stays as it is.
-STATED = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
-STATED_BY_NAME = ("track", "tenant")
-NO_SIZES = "no capacities of hosts are reported there"
-NO_PROBES = "no probes are allowed there"
+SHAPE_DIRECTIVES = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
+NAMED_SHAPE_DIRECTIVES = ("track", "tenant")
+NO_CAPACITIES_REASON = "no capacities of hosts are reported there"
+NO_PROBES_REASON = "no probes are allowed there"
 
 
 class LeftBehind(NamedTuple):
@@ -42,7 +42,7 @@
     left: list[LeftBehind]
 
 
-class _Line(NamedTuple):
+class _ParsedLine(NamedTuple):
     """A checked line in its parts."""
 
     directive: str
@@ -52,7 +52,7 @@
     @property
     def key(self) -> tuple[str, str]:
         """The directive, and its name where several such lines may stand in one file."""
-        return self.directive, self.positional[0] if self.directive in STATED_BY_NAME else ""
+        return self.directive, self.positional[0] if self.directive in NAMED_SHAPE_DIRECTIVES else ""
 
     def text(self) -> str:
         tokens = [self.directive, *self.positional]
@@ -64,14 +64,14 @@
 class _Shape:
     """What the new deployment states, by directive and name."""
 
-    def __init__(self, lines: list[_Line]) -> None:
+    def __init__(self, lines: list[_ParsedLine]) -> None:
         self.directives = list(dict.fromkeys(line.directive for line in lines))
         self.lines = {line.key: line for name in self.directives for line in lines if line.directive == name}
         sizes, reports = self.lines.get(("sizes", "")), self.lines.get(("reports", ""))
-        self.without_sizes = sizes is not None and sizes.positional == ("no",)
-        self.without_probes = reports is not None and reports.keywords.get("probes") == "no"
+        self.capacities_disabled = sizes is not None and sizes.positional == ("no",)
+        self.probes_disabled = reports is not None and reports.keywords.get("probes") == "no"
 
-    def lacks(self, directive: str, name: str) -> bool:
+    def omits(self, directive: str, name: str) -> bool:
         """Whether the new deployment states such lines, but not this one."""
         return directive in self.directives and (directive, name) not in self.lines
 
@@ -92,7 +92,7 @@
         raise ConfigurationError(mistakes)
     migration = _Migration(old_file, shape)
     for number, raw in enumerate(old_text.splitlines(), 1):
-        migration.take_over(number, raw)
+        migration.migrate_line(number, raw)
     text = migration.text()
     read_configuration(new_file, text)
     return Migrated(text, migration.left)
@@ -100,20 +100,20 @@
 
 def _read_shape(file: str, text: str) -> _Shape:
     """What a shape states. Errors: `ConfigurationError`."""
-    found, mistakes, _ = read_lines(file, text, DIRECTIVES)
-    mistakes += named_twice(file, found)
-    mistakes += _not_stated(file, [(directive, line.line) for directive, line in found])
+    found, mistakes, _ = parse_lines(file, text, DIRECTIVES)
+    mistakes += duplicate_name_mistakes(file, found)
+    mistakes += _misplaced_directives(file, [(directive, line.line) for directive, line in found])
     if not found and not mistakes:
         mistakes.append(Mistake(file, 0, "", "states nothing", "name what the new deployment states"))
     if mistakes:
-        raise in_order_of_lines(mistakes)
-    return _Shape([_parts(tokens) for tokens in map(_split, text.splitlines()) if tokens])
+        raise error_sorted_by_line(mistakes)
+    return _Shape([_parse_tokens(tokens) for tokens in map(_split_tokens, text.splitlines()) if tokens])
 
 
-def _not_stated(file: str, directives: list[tuple[str, int]]) -> Iterator[Mistake]:
-    expected = f"a shape holds {', '.join(STATED)}; the rest stays in the old file"
+def _misplaced_directives(file: str, directives: list[tuple[str, int]]) -> Iterator[Mistake]:
+    expected = f"a shape holds {', '.join(SHAPE_DIRECTIVES)}; the rest stays in the old file"
     for directive, line in directives:
-        if directive not in STATED:
+        if directive not in SHAPE_DIRECTIVES:
             yield Mistake(file, line, directive, f"{directive} is no statement of a deployment", expected)
 
 
@@ -124,79 +124,83 @@
         self.file, self.shape = file, shape
         self.lines: list[str] = []
         self.left: list[LeftBehind] = []
-        self.used: set[tuple[str, str]] = set()
+        self.used_shape_keys: set[tuple[str, str]] = set()
 
-    def take_over(self, number: int, raw: str) -> None:
+    def migrate_line(self, number: int, raw: str) -> None:
         """One line of the old file."""
-        tokens = _split(raw)
+        tokens = _split_tokens(raw)
         if not tokens:
             self.lines.append(raw)
             return
-        old = _parts(tokens)
-        absent = self._absent(old)
+        old = _parse_tokens(tokens)
+        absent = self._missing_track_or_tenant(old)
         if absent is not None:
-            self._leave(number, " ".join(tokens), f"the new deployment has no {absent}")
+            self._add_left_behind(number, " ".join(tokens), f"the new deployment has no {absent}")
             return
-        new = self._without_unknown(number, self._restated(old))
+        new = self._without_unsupported_keywords(number, self._with_shape_values(old))
         changed = old.directive in self.shape.directives or new.keywords != old.keywords
-        self.lines.append(new.text() + _comment(raw, tokens) if changed else raw)
+        self.lines.append(new.text() + _trailing_comment(raw, tokens) if changed else raw)
 
-    def _absent(self, line: _Line) -> str | None:
-        """The track or tenant that the line needs and the new deployment lacks."""
+    def _missing_track_or_tenant(self, line: _ParsedLine) -> str | None:
+        """The track or tenant that the line needs and the new deployment omits."""
         directive, name = line.key
-        if self.shape.lacks(directive, name):
+        if self.shape.omits(directive, name):
             return f"{directive} {name}"
-        if directive == "model" and self.shape.lacks("track", line.keywords["track"]):
+        if directive == "model" and self.shape.omits("track", line.keywords["track"]):
             return f"track {line.keywords['track']}"
         return None
 
-    def _restated(self, line: _Line) -> _Line:
+    def _with_shape_values(self, line: _ParsedLine) -> _ParsedLine:
         """The line with what the shape states; a track or tenant is stated whole."""
         stated = self.shape.lines.get(line.key)
         if stated is None:
             return line
-        self.used.add(line.key)
-        if line.directive in STATED_BY_NAME:
+        self.used_shape_keys.add(line.key)
+        if line.directive in NAMED_SHAPE_DIRECTIVES:
             return stated
         return stated._replace(keywords=line.keywords | stated.keywords)
 
-    def _without_unknown(self, number: int, line: _Line) -> _Line:
+    def _without_unsupported_keywords(self, number: int, line: _ParsedLine) -> _ParsedLine:
         """The line without what cannot be known or done in the new deployment."""
         keywords = dict(line.keywords)
-        if line.directive == "host" and self.shape.without_sizes and "capacity" in keywords:
+        if line.directive == "host" and self.shape.capacities_disabled and "capacity" in keywords:
             capacity = keywords.pop("capacity")
-            self._leave(number, f"host {line.positional[0]} capacity {capacity}", NO_SIZES)
-        if line.directive == "hosts-file" and self.shape.without_sizes:
-            self._leave(number, f"capacities in {line.positional[0]}", f"{NO_SIZES}: they count as 1")
-        if line.directive == "reach" and self.shape.without_probes and "probe" in keywords:
-            self._leave(number, f"reach probe {keywords.pop('probe')}", NO_PROBES)
+            self._add_left_behind(
+                number, f"host {line.positional[0]} capacity {capacity}", NO_CAPACITIES_REASON
+            )
+        if line.directive == "hosts-file" and self.shape.capacities_disabled:
+            self._add_left_behind(
+                number, f"capacities in {line.positional[0]}", f"{NO_CAPACITIES_REASON}: they count as 1"
+            )
+        if line.directive == "reach" and self.shape.probes_disabled and "probe" in keywords:
+            self._add_left_behind(number, f"reach probe {keywords.pop('probe')}", NO_PROBES_REASON)
         return line._replace(keywords=keywords)
 
-    def _leave(self, number: int, text: str, why: str) -> None:
+    def _add_left_behind(self, number: int, text: str, why: str) -> None:
         self.left.append(LeftBehind(self.file, number, text, why))
 
     def text(self) -> str:
         """The new file: the lines taken over, then what the shape alone states."""
         lines = list(self.lines)
-        rest = [line.text() for key, line in self.shape.lines.items() if key not in self.used]
+        rest = [line.text() for key, line in self.shape.lines.items() if key not in self.used_shape_keys]
         if rest:
             lines += ["", "# stated by the new deployment", *rest]
         return "\n".join(lines) + "\n"
 
 
-def _split(raw: str) -> list[str]:
+def _split_tokens(raw: str) -> list[str]:
     return shlex.split(raw, comments=True)
 
 
-def _parts(tokens: list[str]) -> _Line:
+def _parse_tokens(tokens: list[str]) -> _ParsedLine:
     """A checked line in its parts."""
     directive, *rest = tokens
-    count = len(DIRECTIVES[directive].positional_in(rest))
+    count = len(DIRECTIVES[directive].positional_fields_of(rest))
     positional, pairs = tuple(rest[:count]), rest[count:]
-    return _Line(directive, positional, dict(zip(pairs[::2], pairs[1::2], strict=True)))
+    return _ParsedLine(directive, positional, dict(zip(pairs[::2], pairs[1::2], strict=True)))
 
 
-def _comment(raw: str, tokens: list[str]) -> str:
+def _trailing_comment(raw: str, tokens: list[str]) -> str:
     """The comment that ends a line, with the space before it."""
     for place, letter in enumerate(raw):
         if letter != "#":
--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -14,10 +14,12 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 from pydantic_core import ErrorDetails
 
-from gaproute.config.errors import Mistake, example
+from gaproute.config.errors import Mistake, expected_line
 
-PLAIN = re.compile(r"[\w \t.:,=+/@%\[\]-]*", re.ASCII)  # lines without quotes or comments: split fast
-MAX_SHOWN = 80  # characters of a value in a mistake
+PLAIN_LINE_PATTERN = re.compile(
+    r"[\w \t.:,=+/@%\[\]-]*", re.ASCII
+)  # lines without quotes or comments: split fast
+MAX_SHOWN_VALUE_LENGTH = 80  # characters of a value in a mistake
 
 
 class Directive(BaseModel):
@@ -30,12 +32,12 @@
     line: int = 0
 
     @classmethod
-    def positional_in(cls, arguments: list[str]) -> tuple[str, ...]:
+    def positional_fields_of(cls, arguments: list[str]) -> tuple[str, ...]:
         """The fields that these arguments of a line give by their position."""
         return cls.positional
 
     @classmethod
-    def keywords(cls) -> dict[str, str]:
+    def fields_by_keyword(cls) -> dict[str, str]:
         """The name of the field, as the constructor takes it, by keyword."""
         return {
             info.alias or name.replace("_", "-"): info.alias or name
@@ -64,10 +66,10 @@
 
     found: list[NamedDirective]
     mistakes: list[Mistake]
-    first: dict[str, int]
+    first_lines: dict[str, int]
 
 
-def read_lines(
+def parse_lines(
     file: str, text: str, kinds: Mapping[str, type[Directive]], max_mistakes: int | None = None
 ) -> ParsedLines:
     """The directives of a text; `kinds` gives the class of each by its name.
@@ -78,8 +80,8 @@
     for number, raw in enumerate(text.splitlines(), 1):
         if max_mistakes is not None and len(parser.mistakes) >= max_mistakes:
             break
-        parser.read(number, raw)
-    return ParsedLines(parser.found, parser.mistakes, parser.first)
+        parser.parse_line(number, raw)
+    return ParsedLines(parser.found, parser.mistakes, parser.first_lines)
 
 
 @dataclass
@@ -88,12 +90,12 @@
     kinds: Mapping[str, type[Directive]]
     found: list[NamedDirective] = field(default_factory=list)
     mistakes: list[Mistake] = field(default_factory=list)
-    first: dict[str, int] = field(default_factory=dict)
+    first_lines: dict[str, int] = field(default_factory=dict)
 
-    def read(self, number: int, raw: str) -> None:
+    def parse_line(self, number: int, raw: str) -> None:
         """One line of the file."""
         try:
-            tokens = raw.split() if PLAIN.fullmatch(raw) else shlex.split(raw, comments=True)
+            tokens = raw.split() if PLAIN_LINE_PATTERN.fullmatch(raw) else shlex.split(raw, comments=True)
         except ValueError as error:
             self._add_mistake(number, "", f"cannot be split into arguments: {error}", "close the quote")
             return
@@ -102,28 +104,28 @@
         name, *arguments = tokens
         kind = self.kinds.get(name)
         if kind is None:
-            self._add_mistake(number, "", f"unknown directive {name!r}", self._nearest(name))
-        elif kind.once and name in self.first:
+            self._add_mistake(number, "", f"unknown directive {name!r}", self._expected_directive(name))
+        elif kind.once and name in self.first_lines:
             self._add_mistake(
-                number, name, f"{name} stands a second time", f"keep line {self.first[name]} or this"
+                number, name, f"{name} stands a second time", f"keep line {self.first_lines[name]} or this"
             )
         else:
-            self.first.setdefault(name, number)
-            self._read_directive(name, kind, arguments, number)
+            self.first_lines.setdefault(name, number)
+            self._parse_directive(name, kind, arguments, number)
 
-    def _read_directive(self, name: str, kind: type[Directive], arguments: list[str], number: int) -> None:
-        given, wrong = _arguments(kind, arguments)
+    def _parse_directive(self, name: str, kind: type[Directive], arguments: list[str], number: int) -> None:
+        given, wrong = _parse_arguments(kind, arguments)
         if not wrong:
             try:
                 fields: dict[str, object] = {"line": number, **given}
                 self.found.append(NamedDirective(name, kind.model_validate(fields)))
             except ValidationError as error:
-                wrong = [_invalid_field(detail) for detail in error.errors()]
+                wrong = [_to_invalid_field(detail) for detail in error.errors()]
         for field_name, found in wrong:
             place = f"{name}: {field_name}" if field_name else name
-            self._add_mistake(number, place, found, example(kind.example))
+            self._add_mistake(number, place, found, expected_line(kind.example))
 
-    def _nearest(self, name: str) -> str:
+    def _expected_directive(self, name: str) -> str:
         near = difflib.get_close_matches(name, self.kinds, 1)
         return (
             f"did you mean {near[0]}?"
@@ -142,15 +144,17 @@
     found: str
 
 
-def _arguments(kind: type[Directive], arguments: list[str]) -> tuple[dict[str, str], list[_InvalidField]]:
+def _parse_arguments(
+    kind: type[Directive], arguments: list[str]
+) -> tuple[dict[str, str], list[_InvalidField]]:
     """The values of a line by field, and what is wrong with the line's form."""
-    positional = kind.positional_in(arguments)
+    positional = kind.positional_fields_of(arguments)
     if len(arguments) < len(positional):
         missing = " ".join(name.upper() for name in positional[len(arguments) :])
         return {}, [_InvalidField("", f"{missing} is missing")]
     given = dict(zip(positional, arguments[: len(positional)], strict=True))
     rest = arguments[len(positional) :]
-    keywords = kind.keywords()
+    keywords = kind.fields_by_keyword()
     wrong = []
     for place in range(0, len(rest), 2):
         keyword = rest[place]
@@ -168,11 +172,11 @@
     return given, wrong
 
 
-def _invalid_field(detail: ErrorDetails) -> _InvalidField:
+def _to_invalid_field(detail: ErrorDetails) -> _InvalidField:
     """What pydantic reports of one value, with the value."""
     name = ".".join(str(part) for part in detail["loc"]).replace("_", "-") or "line"
     found = detail["msg"].removeprefix("Value error, ")
     value = detail["input"]
     if isinstance(value, str) and repr(value) not in found:
-        found = f"{found}, not {value!r:.{MAX_SHOWN}}"
+        found = f"{found}, not {value!r:.{MAX_SHOWN_VALUE_LENGTH}}"
     return _InvalidField(name, found)
--- a/gaproute/config/values.py
+++ b/gaproute/config/values.py
@@ -7,7 +7,7 @@
 
 from gaproute.loop.addresses import parse_address
 
-NANOSECONDS = {
+NANOSECONDS_BY_UNIT = {
     "ns": 1,
     "us": 1_000,
     "ms": 1_000_000,
@@ -15,38 +15,38 @@
     "m": 60_000_000_000,
     "h": 3_600_000_000_000,
 }
-BYTES = {"": 1, "k": 1 << 10, "m": 1 << 20, "g": 1 << 30}
-DURATION_LIMIT = 1 << 62  # ns
+BYTES_BY_UNIT = {"": 1, "k": 1 << 10, "m": 1 << 20, "g": 1 << 30}
+DURATION_LIMIT_NS = 1 << 62  # ns
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
 
 
-def _duration(value: object) -> object:
+def _parse_duration(value: object) -> object:
     """A number with its unit as ns; a value that is no text is returned as it is."""
     if not isinstance(value, str):
         return value
     number = value.rstrip("abcdefghijklmnopqrstuvwxyz")
     unit = value[len(number) :]
     try:
-        duration = float(number) * NANOSECONDS[unit]
+        duration = float(number) * NANOSECONDS_BY_UNIT[unit]
     except (ValueError, KeyError):
         raise ValueError(f"{value!r} is no time: a number with ms, s, m or h, such as 250ms") from None
-    if not 0 <= duration < DURATION_LIMIT:
+    if not 0 <= duration < DURATION_LIMIT_NS:
         raise ValueError(f"{value!r} is out of range: 0 or more, and finite")
     return round(duration)
 
 
-def _size(value: object) -> object:
+def _parse_size(value: object) -> object:
     """A number with its unit as bytes; a value that is no text is returned as it is."""
     if not isinstance(value, str):
         return value
     number = value.rstrip("kmg")
     unit = value[len(number) :]
-    if not number.isdigit() or unit not in BYTES:
+    if not number.isdigit() or unit not in BYTES_BY_UNIT:
         raise ValueError(f"{value!r} is no size: a whole number with k, m or g, such as 16m")
-    return int(number) * BYTES[unit]
+    return int(number) * BYTES_BY_UNIT[unit]
 
 
-def _yes_or_no(value: object) -> bool:
+def _parse_yes_or_no(value: object) -> bool:
     if value in ("yes", "no"):
         return value == "yes"
     if isinstance(value, bool):
@@ -59,12 +59,12 @@
     return tuple(value.split(",")) if isinstance(value, str) else value
 
 
-def _address(value: str) -> str:
+def _check_address(value: str) -> str:
     parse_address(value)
     return value
 
 
-def _start_time(value: str) -> int:
+def _parse_start_time(value: str) -> int:
     """Seconds since 1970, or ISO 8601 with its offset, as ns since 1970."""
     try:
         return round(float(value) * 1e9)
@@ -79,9 +79,9 @@
     return round(time.timestamp() * 1e9)
 
 
-Duration = Annotated[int, BeforeValidator(_duration)]  # ns
-Size = Annotated[int, BeforeValidator(_size)]  # bytes
-YesNo = Annotated[bool, BeforeValidator(_yes_or_no)]
+Duration = Annotated[int, BeforeValidator(_parse_duration)]  # ns
+Size = Annotated[int, BeforeValidator(_parse_size)]  # bytes
+YesNo = Annotated[bool, BeforeValidator(_parse_yes_or_no)]
 Name = Annotated[str, Field(pattern=NAME_PATTERN)]
-Address = Annotated[str, BeforeValidator(_address)]
-StartTime = Annotated[int, BeforeValidator(_start_time)]  # ns since 1970
+Address = Annotated[str, BeforeValidator(_check_address)]
+StartTime = Annotated[int, BeforeValidator(_parse_start_time)]  # ns since 1970
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -55,7 +55,7 @@
 
     def __init__(self, environment: CellGatewayEnvironment, parts: Parts) -> None:
         self._environment, self._loop = environment, environment.loop
-        now, terms = self._loop.now(), environment.configuration.terms
+        now, terms = self._loop.now(), environment.configuration.routing_settings
         self.cellular = CellularGateway(environment.seed, terms, now, environment.location)
         self.decisions = HostsOfKnownCells(self.cellular)
         self.listeners: list[HostListListener] = []
--- a/gaproute/hollow/host_list.py
+++ b/gaproute/hollow/host_list.py
@@ -31,7 +31,9 @@
             self._loop, environment.wall_clock, use_capacities=self._configuration.capacities_reported
         )
         now = self._loop.now()
-        self.decisions = self._configuration.decisions(environment.seed, self._configuration.terms, now)
+        self.decisions = self._configuration.decisions(
+            environment.seed, self._configuration.routing_settings, now
+        )
         self.next_tick = now + CLEANUP_INTERVAL
         self.rows: dict[str, ListedHost] = {}
         self.listeners: list[HostListListener] = []
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -13,7 +13,7 @@
 from pydantic import BeforeValidator, Field
 
 from gaproute.config.errors import ConfigurationError, Mistake
-from gaproute.config.parsing import Directive, NamedDirective, read_lines
+from gaproute.config.parsing import Directive, NamedDirective, parse_lines
 from gaproute.config.values import Address, Duration, Name, Size, YesNo
 from gaproute.units import SECOND
 
@@ -136,7 +136,7 @@
     """Parse the script `text`, or the file `name` where none is given. Errors: `ConfigurationError`."""
     if text is None:
         text = _read_text(name)
-    found, mistakes, first_lines = read_lines(str(name), text, DIRECTIVES)
+    found, mistakes, first_lines = parse_lines(str(name), text, DIRECTIVES)
     if "target" not in first_lines:
         mistakes.append(Mistake(str(name), 0, "", "no target line", f"right would be: {Target.example}"))
     mistakes += _traffic_mistakes(str(name), [directive for word, directive in found if word == "traffic"])
--- a/gaproute/scenarios/script.py
+++ b/gaproute/scenarios/script.py
@@ -13,7 +13,7 @@
 from gaproute.config.directives import DIRECTIVES
 from gaproute.config.directives.requests import RequestClassLine, WarmInstancesLine
 from gaproute.config.errors import ConfigurationError, Mistake
-from gaproute.config.parsing import Directive, NamedDirective, read_lines
+from gaproute.config.parsing import Directive, NamedDirective, parse_lines
 from gaproute.scenarios.script_lines import (
     SCRIPT_LINES,
     DayFaultLine,
@@ -79,7 +79,7 @@
     file = str(name)
     text = _read_text(file)
     lines = SCRIPT_LINES | {keyword: DIRECTIVES[keyword] for keyword in GATEWAY_LINES} | dict(further or {})
-    found, mistakes, _ = read_lines(file, text, lines)
+    found, mistakes, _ = parse_lines(file, text, lines)
     mistakes = [*mistakes, *_mistakes(file, found), *check(file, found)]
     if mistakes:
         raise ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
--- a/tests/config/test_cell_table_text.py
+++ b/tests/config/test_cell_table_text.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as some
 
 from gaproute.config import ConfigurationError
-from gaproute.config.cell_table import MAX_LINE, MAX_LINES, MAX_MISTAKES, read_cells
+from gaproute.config.cell_table import MAX_LINE_LENGTH, MAX_MISTAKES, MAX_TABLE_LINES, read_cell_table
 from gaproute.decisions.cells.bounds import MAX_CELLS
 from gaproute.decisions.cells.table import Cell, EntryGateway, PointRange, validate
 from gaproute.decisions.cells.version import Version
@@ -43,7 +43,7 @@
 
 def mistakes_of(text):
     with pytest.raises(ConfigurationError) as caught:
-        read_cells("cells", text)
+        read_cell_table("cells", text)
     return caught.value.mistakes
 
 
@@ -52,7 +52,7 @@
     path.write_text(
         f"# the fleet\n{HEAD}\n{GOOD}\ncell c2 region west zone west-b capacity 1.5 hosts 1 points c2:4+1\n"
     )
-    made = read_cells(path)
+    made = read_cell_table(path)
     assert (made.fleet, made.version) == ("north", Version(3, 17))
     assert made.by_name["c1"] == Cell(
         "c1", "west", "west-a", 640.0, 51, (PointRange("c1", 0, 32),), (EntryGateway("g1", "10.0.0.1:8090"),)
@@ -62,7 +62,7 @@
 
 def test_a_table_of_490_cells_comes_back_as_it_was():
     made = table(cells(490, sizes=(0.5, 1.0, 1.5)), number=9)
-    assert read_cells("cells", text_of(made)) == made
+    assert read_cell_table("cells", text_of(made)) == made
 
 
 NAMES = some.text(
@@ -82,7 +82,7 @@
         for number, (name, zone, capacity, count) in enumerate(rows)
     ]
     made = validate(FLEET, Version(1, 2), made)
-    assert read_cells("cells", text_of(made)) == made
+    assert read_cell_table("cells", text_of(made)) == made
 
 
 @settings(max_examples=200, deadline=None)
@@ -90,7 +90,7 @@
 def test_any_text_is_read_or_refused_by_its_mistakes(text):
     refused = None
     try:
-        read_cells("cells", HEAD + text)
+        read_cell_table("cells", HEAD + text)
     except ConfigurationError as error:
         refused = error
     assert refused is None or refused.mistakes
@@ -146,7 +146,7 @@
     (tmp_path / "noise").write_bytes(b"\xff\xfe\x00")
     for path in (tmp_path / "missing", tmp_path, tmp_path / "noise"):
         with pytest.raises(ConfigurationError, match="cannot be read"):
-            read_cells(path)
+            read_cell_table(path)
 
 
 def test_the_first_thousand_mistakes_are_reported():
@@ -163,10 +163,10 @@
     "text",
     [
         HEAD + "cell x\n" * 1_000_000,
-        HEAD + "\n" * (MAX_LINES + 1),
+        HEAD + "\n" * (MAX_TABLE_LINES + 1),
         HEAD + "x" * (20 << 20),
-        HEAD + "cell " + "x" * MAX_LINE,
-        HEAD + f"cell {'x ' * (MAX_LINE // 2 - 10)}\n" * 900,
+        HEAD + "cell " + "x" * MAX_LINE_LENGTH,
+        HEAD + f"cell {'x ' * (MAX_LINE_LENGTH // 2 - 10)}\n" * 900,
         HEAD + "".join(f"{GOOD.replace('c1', f'c{n}')}\n" for n in range(MAX_CELLS + 1)),
         HEAD + f"{GOOD}\n" * MAX_CELLS,
     ],
@@ -179,7 +179,7 @@
     begun = time.process_time()
     try:
         with pytest.raises(ConfigurationError) as caught:
-            read_cells(path)
+            read_cell_table(path)
         spent, (_, peak) = time.process_time() - begun, tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -6,8 +6,8 @@
 
 from gaproute.cli.main import main
 from gaproute.config import ConfigurationError, read_configuration
-from gaproute.config.cell_files import path_of, read_cell_hosts, read_table
-from gaproute.config.cell_table import MAX_BYTES
+from gaproute.config.cell_files import host_list_path, read_cell_hosts, read_complete_cell_table
+from gaproute.config.cell_table import MAX_TABLE_BYTES
 from gaproute.decisions.cells.bounds import MAX_HOSTS_PER_CELL
 from gaproute.decisions.cells.table import EntryGateway, PointRange
 from gaproute.decisions.cells.version import Version
@@ -33,7 +33,7 @@
     configuration = read_configuration("f", f"{CONFIGURATION}{CELLS} gateways 12\n{LISTS}\n{PEERS}\n")
     line = configuration.cells
     assert (line.fleet, line.file, line.region, line.zone) == ("north", "t", "west", "west-a")
-    assert configuration.terms.gateways == 12
+    assert configuration.routing_settings.gateways == 12
     assert configuration.cell_hosts.folder == "lists"
 
 
@@ -103,7 +103,7 @@
 
 
 def test_a_table_is_read_with_its_entries_and_ring_points(table):
-    read = read_table(table(TABLE))
+    read = read_complete_cell_table(table(TABLE))
     assert (read.fleet, read.version, [cell.name for cell in read.cells]) == (
         "north",
         Version(1, 3),
@@ -140,27 +140,27 @@
 def test_a_wrong_table_is_refused_by_line(table, before, after, mistake):
     path = table(TABLE.replace(before, after))
     if mistake is None:
-        assert len(read_table(path).cells) == 2
+        assert len(read_complete_cell_table(path).cells) == 2
     else:
-        said = mistakes_of(read_table, path)
+        said = mistakes_of(read_complete_cell_table, path)
         assert len(said) == 1, said
         assert mistake in said[0]
 
 
 def test_a_table_that_is_gone_or_far_too_large_is_refused_unread(table, tmp_path):
-    assert "cannot be read" in mistakes_of(read_table, str(tmp_path / "none"))[0]
+    assert "cannot be read" in mistakes_of(read_complete_cell_table, str(tmp_path / "none"))[0]
     path = table("")
     with open(path, "wb") as file:
-        file.truncate(MAX_BYTES + 1)
-    assert f"more than {MAX_BYTES}" in mistakes_of(read_table, path)[0]
+        file.truncate(MAX_TABLE_BYTES + 1)
+    assert f"more than {MAX_TABLE_BYTES}" in mistakes_of(read_complete_cell_table, path)[0]
 
 
 # Host lists
 
 
 def test_a_cells_name_cannot_lead_out_of_the_folder():
-    assert path_of("lists", "../x") == "lists/..%2Fx.hosts"
-    assert path_of("lists", "a b") == "lists/a b.hosts"
+    assert host_list_path("lists", "../x") == "lists/..%2Fx.hosts"
+    assert host_list_path("lists", "a b") == "lists/a b.hosts"
 
 
 def test_a_list_of_more_hosts_than_a_cell_may_have_is_refused_by_line(tmp_path):
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -6,7 +6,7 @@
 
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.config.directives.process import DecisionsLine
-from gaproute.config.parsing import PLAIN
+from gaproute.config.parsing import PLAIN_LINE_PATTERN
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Idempotency, IdempotencyScope
 
@@ -28,7 +28,7 @@
 
 def test_a_good_file_becomes_terms_in_nanoseconds():
     configuration = read_configuration("f", GOOD)
-    a, b = configuration.terms.request_classes
+    a, b = configuration.routing_settings.request_classes
     assert (a.idempotency, a.latency_objective, a.hard_limit, a.priority_weight) == (
         Idempotency.IDEMPOTENT,
         1_200_000_000,
@@ -125,10 +125,10 @@
 
 @given(st.text(st.sampled_from("ab \t#'\"\\\x1f\x85\xa0=:,.-+/@%[]|&;<>()é"), max_size=20))
 def test_a_line_is_split_into_arguments_as_a_shell_splits_it(raw):
-    if PLAIN.fullmatch(raw):
+    if PLAIN_LINE_PATTERN.fullmatch(raw):
         assert raw.split() == shlex.split(raw, comments=True)
 
 
 @pytest.mark.parametrize("former", ["gaproute.policy:Gateway", "gaproute.decisions.route:Gateway"])
 def test_a_configuration_that_names_the_decisions_by_a_former_name_loads_them(former):
-    assert DecisionsLine(made_by=former).load() is Gateway
+    assert DecisionsLine(made_by=former).load_class() is Gateway
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -50,13 +50,13 @@
     assert text.splitlines()[:3] == OLD.splitlines()[:3]
     assert "copies keep 8s free 6 window 0s alike no notes no  # as the hosts are set" in text
     configuration = read_configuration("new", text)
-    assert not configuration.terms.probes_allowed
-    assert configuration.terms.attempt_limit == 6
+    assert not configuration.routing_settings.probes_allowed
+    assert configuration.routing_settings.attempt_limit == 6
     assert not configuration.capacities_reported
-    assert configuration.terms.keep_alive == 8 * SECOND
-    assert configuration.terms.load_order_window == 0
-    assert [track.latency_objective for track in configuration.terms.request_classes] == [SECOND]
-    assert configuration.terms.request_classes[0].priority_weight == 1.0  # a track is stated whole
+    assert configuration.routing_settings.keep_alive == 8 * SECOND
+    assert configuration.routing_settings.load_order_window == 0
+    assert [track.latency_objective for track in configuration.routing_settings.request_classes] == [SECOND]
+    assert configuration.routing_settings.request_classes[0].priority_weight == 1.0  # a track is stated whole
 
 
 def test_sources_of_cell_hosts_are_taken_over_as_they_stand():
@@ -79,11 +79,11 @@
 def test_a_shape_that_states_nothing_new_changes_no_terms():
     text, left = moved(shape="relays limit 4\n")
     assert not left
-    assert read_configuration("new", text).terms == read_configuration("old", OLD).terms
+    assert read_configuration("new", text).routing_settings == read_configuration("old", OLD).routing_settings
 
 
 def test_an_old_file_makes_the_terms_it_made_before():
-    terms = read_configuration("old", OLD).terms
+    terms = read_configuration("old", OLD).routing_settings
     assert terms.probes_allowed
     assert not terms.reports_by_probe
     assert read_configuration("old", OLD).capacities_reported
@@ -146,7 +146,7 @@
     """Whether the new text was said to be written to the faulty disk."""
     with disk.installed(durable):
         try:
-            durable.write_whole(str(path), "new\n" * 50, replace=replace, preserved=())
+            durable.write_file_atomically(str(path), "new\n" * 50, replace=replace, preserved=())
         except (OSError, ProcessKilled):
             return False
     return True
@@ -188,7 +188,7 @@
     def unsynced(folder):
         raise OSError(errno.EIO, "Input/output error")
 
-    monkeypatch.setattr(durable, "_sync_folder", unsynced)
+    monkeypatch.setattr(durable, "_sync_directory", unsynced)
     done = run(tmp_path)
     assert done.exit_code == 2
     assert "written, but a crash of the machine may undo it" in done.output
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -10,7 +10,7 @@
 from helpers import MILLI, SECOND, ListTap
 
 from benchmarks.scale.forwarding import free_ports
-from gaproute.config.cell_files import read_table
+from gaproute.config.cell_files import read_complete_cell_table
 from gaproute.decisions.cells.homes import HomeCells
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
@@ -101,7 +101,7 @@
         """The first home of a model by the table written last."""
         path = self.folder / "last.table"
         path.write_text(self.written)
-        return HomeCells(read_table(path)).first(model)
+        return HomeCells(read_complete_cell_table(path)).first(model)
 
     def homed(self, track, cell):
         """A model of the track that has its home in that cell."""
