--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -74,7 +74,7 @@
     def _run(self) -> Generator[Promise, object, None]:
         while True:
             yield self.loop.sleep(WRITE_INTERVAL)
-            if not self.store.ready():
+            if not self.store.ensure_open():
                 self.written_until = SINCE_EVER
                 continue
             yield from self._write_round()
@@ -86,7 +86,7 @@
         while not self.write_slice(observations):
             yield self.loop.sleep(self.cpu_budget.retry_delay(self.loop.now()))
         if full:
-            self.store.forget(MAX_OBSERVATION_AGE)
+            self.store.delete_older_than(MAX_OBSERVATION_AGE)
         self.written_until = begun if self.round_written else SINCE_EVER
         self.rounds += 1
 
--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -21,9 +21,9 @@
 from gaproute.storage import files
 
 MAGIC = b"gaproute-table-1"
-CHECKSUM_LENGTH = 8  # bytes
-BODY_OFFSET = len(MAGIC) + CHECKSUM_LENGTH
-MAX_FILE_LENGTH = 5 << 20  # bytes: a whole encoded table and its header
+CHECKSUM_BYTES = 8  # bytes
+BODY_OFFSET = len(MAGIC) + CHECKSUM_BYTES
+MAX_FILE_BYTES = 5 << 20  # bytes: a whole encoded table and its header
 ANY_VERSION = (-1, -1)  # lower than the version of any table
 MAX_FAILED_READS = 12  # in a row, until the file is quarantined: the disk works, but has a bad block there
 
@@ -79,7 +79,7 @@
 
         A table older than `newest_known`, the version (term, number) that others have, is quarantined.
         """
-        content = self._content()
+        content = self._read_content()
         if content is None:
             return None
         try:
@@ -95,11 +95,11 @@
         body = msgspec.msgpack.encode(table)
         content = MAGIC + _checksum(body) + body
         try:
-            if len(content) > MAX_FILE_LENGTH:
-                raise OSError(f"a table of {len(content)} bytes, {MAX_FILE_LENGTH} at most expected")
+            if len(content) > MAX_FILE_BYTES:
+                raise OSError(f"a table of {len(content)} bytes, {MAX_FILE_BYTES} at most expected")
             files.close(files.replace_file(self.path, content))
         except OSError as error:
-            self._note_failure(str(error))
+            self._record_failure(str(error))
             return False
         self.counts.written += 1
         self.failing = False
@@ -112,23 +112,23 @@
         try:
             os.rename(self.path, target)
         except OSError as error:
-            self._note_failure(f"{reason}; not quarantined: {error}")
+            self._record_failure(f"{reason}; not quarantined: {error}")
             return
         self.report(f"{self.path}: {reason}; quarantined as {target}, starting without a table")
 
-    def _content(self) -> bytes | None:
+    def _read_content(self) -> bytes | None:
         try:
-            content = files.read_file(self.path, MAX_FILE_LENGTH + 1)
+            content = files.read_file(self.path, MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             content = None
         except OSError as error:
-            self._note_failed_read(error)
+            self._record_failed_read(error)
             return None
         self.failed_reads, self.failing = 0, False
         return content
 
-    def _note_failed_read(self, error: OSError) -> None:
-        self._note_failure(str(error))
+    def _record_failed_read(self, error: OSError) -> None:
+        self._record_failure(str(error))
         self.failed_reads = self.failed_reads + 1 if error.errno in files.TRANSIENT_ERRNOS else 0
         if self.failed_reads == MAX_FAILED_READS:
             self.failed_reads = 0
@@ -136,8 +136,8 @@
 
     def _decode(self, content: bytes) -> StoredTable:
         """Errors: UnusableTableError."""
-        if len(content) > MAX_FILE_LENGTH:
-            raise UnusableTableError(f"more than {MAX_FILE_LENGTH} bytes")
+        if len(content) > MAX_FILE_BYTES:
+            raise UnusableTableError(f"more than {MAX_FILE_BYTES} bytes")
         if not content.startswith(MAGIC):
             raise UnusableTableError(f"no cell table: it does not begin with {MAGIC.decode()!r}")
         body = content[BODY_OFFSET:]
@@ -151,7 +151,7 @@
             raise UnusableTableError(f"of fleet {table.fleet!r:.140}, this gateway is of {self.fleet!r}")
         return table
 
-    def _note_failure(self, text: str) -> None:
+    def _record_failure(self, text: str) -> None:
         self.counts.failed += 1
         if not self.failing:
             self.failing = True
--- a/gaproute/storage/files.py
+++ b/gaproute/storage/files.py
@@ -11,8 +11,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-OWNER_ONLY = 0o600  # permissions of the files
-READ_CHUNK = 1 << 20  # bytes asked for in one read
+OWNER_ONLY_MODE = 0o600  # permissions of the files
+READ_CHUNK_BYTES = 1 << 20  # bytes asked for in one read
 NEW_FILE_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
 
 # Errors that end once the disk has space, answers or is writable again, or descriptors and memory are free.
@@ -36,7 +36,7 @@
     Returns the descriptor of the lock file; closing it releases the lock. Errors: OSError, which is
     BlockingIOError where another process has the lock.
     """
-    descriptor = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY)
+    descriptor = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY_MODE)
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
@@ -59,7 +59,7 @@
     content = bytearray()
     try:
         while limit is None or len(content) < limit:
-            count = READ_CHUNK if limit is None else min(READ_CHUNK, limit - len(content))
+            count = READ_CHUNK_BYTES if limit is None else min(READ_CHUNK_BYTES, limit - len(content))
             chunk = os.read(descriptor, count)
             if not chunk:
                 break
@@ -116,7 +116,7 @@
     file then holds either its old content or `content`, and which one survives a crash is not known.
     """
     temporary = temporary_path(path)
-    descriptor = os.open(temporary, NEW_FILE_FLAGS, OWNER_ONLY)
+    descriptor = os.open(temporary, NEW_FILE_FLAGS, OWNER_ONLY_MODE)
     try:
         write_all(descriptor, content)
         os.fsync(descriptor)
@@ -124,12 +124,12 @@
         sync_directory(Path(path).parent)
     except BaseException:
         close(descriptor)
-        _remove_unfinished(temporary)
+        _remove_if_possible(temporary)
         raise
     return descriptor
 
 
-def _remove_unfinished(path: str) -> None:
+def _remove_if_possible(path: str) -> None:
     """Remove an unfinished file where possible; the next attempt truncates it otherwise."""
     with suppress(OSError):
         remove_if_present(path)
--- a/gaproute/storage/log_records.py
+++ b/gaproute/storage/log_records.py
@@ -20,10 +20,10 @@
 
 RECORD_MAGIC, SEAL_MAGIC = b"\x9evR1", b"\x9evS1"
 MAGIC_PREFIX = RECORD_MAGIC[:2]  # of both kinds; a search for later records after a bad one looks for it
-MAX_PAYLOAD = 16 << 20  # bytes: a complete snapshot; a greater length means a damaged record
+MAX_PAYLOAD_BYTES = 16 << 20  # bytes: a complete snapshot; a greater length means a damaged record
 HEADER = struct.Struct("<4sIQQQ")
 CHECKED_FIELDS = struct.Struct("<4sIQQ")  # the header without its checksum
-NO_RECORD = -1  # number of the last record of an empty file
+NO_RECORD_NUMBER = -1  # number of the last record of an empty file
 
 
 class CorruptRecordError(GaprouteError):
@@ -35,7 +35,7 @@
 
     payloads: list[bytes]
     valid_length: int  # bytes
-    last_number: int  # of the last valid record, the seal included; NO_RECORD if there is none
+    last_number: int  # of the last valid record, the seal included; NO_RECORD_NUMBER if there is none
 
 
 class _Record(NamedTuple):
@@ -64,7 +64,7 @@
     Errors: CorruptRecordError where a record that is not valid had been synced.
     """
     payloads: list[bytes] = []
-    offset, last_number = 0, NO_RECORD
+    offset, last_number = 0, NO_RECORD_NUMBER
     while offset < len(data):
         record = _decode_record(data, offset)
         if record is None or record.number != last_number + 1:
@@ -82,7 +82,7 @@
         return None
     magic, length, number, batch_start, checksum = HEADER.unpack_from(data, offset)
     end = offset + HEADER.size + length
-    if magic not in (RECORD_MAGIC, SEAL_MAGIC) or length > MAX_PAYLOAD or end > len(data):
+    if magic not in (RECORD_MAGIC, SEAL_MAGIC) or length > MAX_PAYLOAD_BYTES or end > len(data):
         return None
     payload = data[offset + HEADER.size : end]
     if checksum != _checksum(magic, number, batch_start, payload):
--- a/gaproute/storage/observation_database.py
+++ b/gaproute/storage/observation_database.py
@@ -6,8 +6,8 @@
 
 from gaproute.errors import GaprouteError
 
-LOCK_TIMEOUT = 0  # s; 0: do not wait for SQLite's lock, as requests may be waiting for this thread
-PRIMARY_CODE = 0xFF  # mask of SQLite's extended result codes that gives the kind of failure
+LOCK_TIMEOUT_SECONDS = 0  # s; 0: do not wait for SQLite's lock, as requests may be waiting for this thread
+PRIMARY_CODE_MASK = 0xFF  # mask of SQLite's extended result codes that gives the kind of failure
 TRANSIENT_CODES = frozenset(
     {
         sqlite3.SQLITE_FULL,
@@ -29,7 +29,7 @@
 CHECK_COLUMNS = "SELECT subject, data, sum, wall FROM facts LIMIT 1"
 SELECT_LATEST = "SELECT subject, data, sum FROM facts ORDER BY wall DESC LIMIT ?"
 INSERT_ROW = "INSERT OR REPLACE INTO facts VALUES (?, ?, ?, ?)"
-DELETE_OUTSIDE = "DELETE FROM facts WHERE wall < ? OR wall > ?"
+DELETE_OUTSIDE_TIME_RANGE = "DELETE FROM facts WHERE wall < ? OR wall > ?"
 
 
 class DamagedFileError(GaprouteError, sqlite3.DatabaseError):
@@ -41,12 +41,12 @@
 
     Errors: sqlite3.Error.
     """
-    connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT, isolation_level=None)
+    connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT_SECONDS, isolation_level=None)
     try:
         connection.execute("PRAGMA journal_mode = WAL")
         connection.execute("PRAGMA synchronous = OFF")
         if check:
-            _check_whole(connection)
+            _check_integrity(connection)
         connection.execute(CREATE_TABLE)
         connection.execute(CHECK_COLUMNS).fetchall()
     except BaseException:
@@ -58,10 +58,10 @@
 
 def is_transient(error: sqlite3.Error) -> bool:
     """Return whether the failure says nothing about the file itself."""
-    return getattr(error, "sqlite_errorcode", 0) & PRIMARY_CODE in TRANSIENT_CODES
+    return getattr(error, "sqlite_errorcode", 0) & PRIMARY_CODE_MASK in TRANSIENT_CODES
 
 
-def _check_whole(connection: sqlite3.Connection) -> None:
+def _check_integrity(connection: sqlite3.Connection) -> None:
     """Errors: DamagedFileError."""
     (health,), *_ = connection.execute("PRAGMA quick_check(1)")
     if health != "ok":
--- a/gaproute/storage/observation_rows.py
+++ b/gaproute/storage/observation_rows.py
@@ -42,7 +42,7 @@
     age: int  # ns
 
 
-class Clocks(NamedTuple):
+class ClockReadings(NamedTuple):
     """The clocks at one moment."""
 
     monotonic: int  # ns
@@ -50,7 +50,7 @@
     boot: str  # which the monotonic clock belongs to
 
 
-class _Data(msgspec.Struct, array_like=True):
+class _RowData(msgspec.Struct, array_like=True):
     at: int  # by the monotonic clock of the boot, ns
     wall: int  # ns since 1970
     boot: str
@@ -65,20 +65,20 @@
         return UNKNOWN_BOOT
 
 
-def encode_row(subject: Subject, value: Value, at: int, clocks: Clocks, written_at: int) -> StoredRow:
+def encode_row(subject: Subject, value: Value, at: int, clocks: ClockReadings, written_at: int) -> StoredRow:
     """Return the row of an observation made at `at` by the monotonic clock (ns)."""
     key = msgspec.msgpack.encode(subject)
-    data = msgspec.msgpack.encode(_Data(at, clocks.wall - (clocks.monotonic - at), clocks.boot, value))
+    data = msgspec.msgpack.encode(_RowData(at, clocks.wall - (clocks.monotonic - at), clocks.boot, value))
     return StoredRow(key, data, _checksum(key, data), written_at)
 
 
-def decode_row(subject: bytes, data: bytes, checksum: int, clocks: Clocks) -> Observation:
+def decode_row(subject: bytes, data: bytes, checksum: int, clocks: ClockReadings) -> Observation:
     """Return the observation of a row, its age by `clocks`. Errors: TornRowError."""
     try:
         if checksum != _checksum(subject, data):
             raise TornRowError("the checksum differs")
         name = msgspec.msgpack.decode(subject, type=tuple)
-        row = msgspec.msgpack.decode(data, type=_Data)
+        row = msgspec.msgpack.decode(data, type=_RowData)
     except (ValueError, TypeError, msgspec.DecodeError) as error:
         raise TornRowError(str(error)) from error
     same_boot = clocks.boot != UNKNOWN_BOOT and row.boot == clocks.boot
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -21,7 +21,7 @@
 from gaproute.errors import GaprouteError
 from gaproute.storage import files
 from gaproute.storage.observation_database import (
-    DELETE_OUTSIDE,
+    DELETE_OUTSIDE_TIME_RANGE,
     INSERT_ROW,
     SELECT_LATEST,
     DamagedFileError,
@@ -29,7 +29,7 @@
     is_transient,
 )
 from gaproute.storage.observation_rows import (
-    Clocks,
+    ClockReadings,
     Observation,
     Subject,
     TornRowError,
@@ -86,7 +86,7 @@
         Errors: ObservationStoreError where the place is not writable or another process holds the file.
         """
         try:
-            self._take_lock()
+            self._acquire_lock()
             self._connect_or_quarantine()
         except ObservationStoreError:
             self.close()
@@ -94,7 +94,7 @@
             raise
         self.damage, self.checked = "", True
 
-    def ready(self) -> bool:
+    def ensure_open(self) -> bool:
         """Return whether it can be written to, after opening it where the backoff is over."""
         if self.connection is None and self.clock() >= self.retry_at:
             with suppress(ObservationStoreError):  # the outage was reported already
@@ -106,13 +106,13 @@
 
         Torn rows are left out and counted.
         """
-        clocks = Clocks(self.clock(), self.wall_clock(), self.boot)
-        if not self.ready() or self.connection is None:
+        clocks = ClockReadings(self.clock(), self.wall_clock(), self.boot)
+        if not self.ensure_open() or self.connection is None:
             return []
         try:
             rows = self.connection.execute(SELECT_LATEST, (limit,)).fetchall()
         except sqlite3.Error as error:
-            self._note_outage(error)
+            self._record_outage(error)
             return []
         observations = []
         for subject, data, checksum in rows:
@@ -130,17 +130,17 @@
         Returns whether they are written. A failure is counted; the caller should write them again, as they
         would be missing after a restart.
         """
-        clocks = Clocks(self.clock(), self.wall_clock(), self.boot)
+        clocks = ClockReadings(self.clock(), self.wall_clock(), self.boot)
         rows = [
             encode_row(subject, value, at, clocks, at + self.wall_offset)
             for subject, value, at in observations
         ]
-        return self._change(INSERT_ROW, rows)
+        return self._execute_in_transaction(INSERT_ROW, rows)
 
-    def forget(self, age: int) -> None:
+    def delete_older_than(self, age: int) -> None:
         """Delete rows older than `age` (ns), and those whose time is further than that in the future."""
         now = self.clock() + self.wall_offset
-        self._change(DELETE_OUTSIDE, [(now - age, now + age)])
+        self._execute_in_transaction(DELETE_OUTSIDE_TIME_RANGE, [(now - age, now + age)])
 
     def close(self) -> None:
         """Close the file and release the lock. It may be opened again."""
@@ -149,7 +149,7 @@
             files.close(self.lock)
             self.lock = None
 
-    def _take_lock(self) -> None:
+    def _acquire_lock(self) -> None:
         if self.lock is not None:
             return
         try:
@@ -166,9 +166,9 @@
             if is_transient(error):
                 raise ObservationStoreError(f"{self.path}: not opened: {error}") from error
             self._quarantine(str(error))
-            self._connect_anew()
+            self._connect_to_new_file()
 
-    def _connect_anew(self) -> None:
+    def _connect_to_new_file(self) -> None:
         try:
             self.connection = connect(self.path, check=not self.checked)
         except sqlite3.Error as error:
@@ -187,10 +187,10 @@
                 raise ObservationStoreError(text) from error
         self.report(f"{self.path}: {reason}; quarantined as {target}")
 
-    def _change(self, statement: str, rows: Sequence[tuple[object, ...]]) -> bool:
+    def _execute_in_transaction(self, statement: str, rows: Sequence[tuple[object, ...]]) -> bool:
         if not rows:
             return True
-        if not self.ready() or self.connection is None:
+        if not self.ensure_open() or self.connection is None:
             self.failed += 1
             return False
         try:
@@ -199,13 +199,13 @@
             self.connection.execute("COMMIT")
         except sqlite3.Error as error:
             self.failed += 1
-            self._note_outage(error)
+            self._record_outage(error)
             return False
         self.written += len(rows)
         self.backoff = 0
         return True
 
-    def _note_outage(self, error: sqlite3.Error) -> None:
+    def _record_outage(self, error: sqlite3.Error) -> None:
         """Close the connection, to be opened again after the backoff. Reported once in an outage."""
         if not self.backoff:
             self.report(f"{self.path}: {error}; nothing is written until it answers again")
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -75,41 +75,41 @@
         Everything is written again before it is returned: what is read may be in the page cache only, marked
         clean by a sync that failed in an earlier process.
         """
-        with self._failures_noted():
+        with self._recording_failures():
             if self.lock is None:
                 self.open()
             self._close_file()
-            data = self._content()
+            data = self._read_content()
             try:
                 decoded = decode_records(data)
             except CorruptRecordError as error:
                 raise UnusableDiskError(str(error)) from error
-            self._write_everything(decoded.payloads)
+            self._replace_records(decoded.payloads)
         self._report_torn_tail(decoded, len(data))
         return decoded.payloads
 
     def append(self, record: bytes) -> None:
         """Append a record; it is durable only after `sync` returned. Errors: OSError."""
         descriptor = self._usable_descriptor()
-        with self._failures_noted():
+        with self._recording_failures():
             files.write_all(descriptor, encode_record(self.next_number, self.batch_start, bytes(record)))
             self.next_number += 1
 
     def sync(self) -> None:
         """Make all appended records durable. Errors: OSError."""
         descriptor = self._usable_descriptor()
-        with self._failures_noted():
+        with self._recording_failures():
             os.fsync(descriptor)
             self.batch_start = self.next_number
 
     def replace(self, records: Sequence[bytes]) -> None:
         """Replace all records by these, atomically and durably. Errors: OSError."""
-        with self._failures_noted():
-            self._write_everything(records)
+        with self._recording_failures():
+            self._replace_records(records)
 
     def quarantine(self, reason: str) -> None:
         """Rename the file, for the operator to inspect; afterwards there is none. Errors: OSError."""
-        with self._failures_noted():
+        with self._recording_failures():
             self._close_file()
             target = files.quarantine_path(self.path, self.wall_clock())
             os.rename(self.path, target)
@@ -123,13 +123,13 @@
             files.close(self.lock)
             self.lock = None
 
-    def _content(self) -> bytes:
+    def _read_content(self) -> bytes:
         try:
             return files.read_file(self.path)
         except FileNotFoundError:
             return b""
 
-    def _write_everything(self, records: Sequence[bytes]) -> None:
+    def _replace_records(self, records: Sequence[bytes]) -> None:
         descriptor = files.replace_file(self.path, encode_replacement(map(bytes, records)))
         self._close_file()
         self.descriptor = descriptor
@@ -151,7 +151,7 @@
         raise OSError(error_number, f"{self.path}: not used until it is written again: {reason}")
 
     @contextmanager
-    def _failures_noted(self) -> Iterator[None]:
+    def _recording_failures(self) -> Iterator[None]:
         """Remember a failure, after which nothing is appended any more, and report the first one."""
         try:
             yield
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -11,7 +11,7 @@
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.storage import cell_table_file as cell_table_module
 from gaproute.storage import files
-from gaproute.storage.cell_table_file import MAX_FAILED_READS, MAX_FILE_LENGTH, CellTableFile, StoredTable
+from gaproute.storage.cell_table_file import MAX_FAILED_READS, MAX_FILE_BYTES, CellTableFile, StoredTable
 
 STORED = StoredTable("north", 3, 17, (1 << 64) - 1, b"rows" * 100)
 
@@ -109,7 +109,7 @@
     assert len(messages) == 1
     assert "not stored on disk" in messages[0]
     file, messages = opened(path)
-    assert not file.write(StoredTable("north", 4, 1, 0, bytes(MAX_FILE_LENGTH)))
+    assert not file.write(StoredTable("north", 4, 1, 0, bytes(MAX_FILE_BYTES)))
     assert file.read() == STORED
     file, messages = opened(tmp_path)
     assert file.read() is None
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -43,7 +43,7 @@
     written(store, *[(("warm", "x", f"f{n}"), (1, 0), n * SECOND) for n in range(1, 21)])
     made = store()
     assert [subject[2] for subject, _, _ in made.read(2)] == ["f20", "f19"]
-    made.forget(85 * SECOND)
+    made.delete_older_than(85 * SECOND)
     assert len(made.read(99)) == 6
 
 
@@ -54,7 +54,7 @@
     made.write([(WARM, (4, 0), 99 * SECOND)])
     clocks.now, clocks.wall = clocks.now + SECOND, clocks.wall + SECOND + step
     made.write([(("load",), (5,), 100 * SECOND)])
-    made.forget(300 * SECOND)
+    made.delete_older_than(300 * SECOND)
     assert made.read(9) == [(("load",), (5,), SECOND), (WARM, (4, 0), 2 * SECOND)]
 
 
@@ -67,7 +67,7 @@
     made.write([(("load",), (5,), 299 * SECOND)])
     assert made.read(1) == [(("load",), (5,), SECOND)]
     clocks.now, clocks.wall = clocks.now + 150 * SECOND, clocks.wall - step
-    made.forget(300 * SECOND)
+    made.delete_older_than(300 * SECOND)
     assert made.read(9) == [(("load",), (5,), 151 * SECOND)]
 
 
--- a/tests/storage/test_observation_store_faults.py
+++ b/tests/storage/test_observation_store_faults.py
@@ -111,11 +111,11 @@
     with pytest.raises(ObservationStoreError, match=text):
         made.open()
     assert set(os.listdir("/proc/self/fd")) == before
-    assert not made.ready()
+    assert not made.ensure_open()
     assert not list(tmp_path.glob("*.broken-*"))
     disk.fault = None
     clocks.now += MIN_BACKOFF
-    assert made.ready()
+    assert made.ensure_open()
     assert made.write([LATER])
     assert len(made.read(9)) == 2
     made.close()
@@ -127,10 +127,10 @@
     made = store(clocks)
     disk.fails(*OUTAGES[0])
     assert made.read(9) == []
-    assert not made.ready()
+    assert not made.ensure_open()
     disk.fault = None
     clocks.now += MIN_BACKOFF
-    assert made.ready()
+    assert made.ensure_open()
     assert len(made.read(9)) == 1
 
 
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -65,7 +65,7 @@
             self.open()
         self._close_file()
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-        self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY)
+        self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY_MODE)
         data = files.read_file(self.path)
         try:
             records, valid_length, last_number = decode_records(data)
@@ -113,7 +113,7 @@
 def a_file_is_renamed_before_it_is_synced(patch):
     def replace_file(path, content):
         beside = f"{path}.new"
-        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY)
+        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY_MODE)
         try:
             files.write_all(file, content)
             files.os.rename(beside, path)
@@ -129,7 +129,7 @@
 def a_descriptor_is_left_open_on_a_full_disk(patch):
     def replace_file(path, content):
         beside = f"{path}.new"
-        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY)
+        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY_MODE)
         files.write_all(file, content)
         files.os.fsync(file)
         files.os.rename(beside, path)
