--- a/gaproute/config/__init__.py
+++ b/gaproute/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration: lines of text, checked by a schema, refused whole with every mistake in one go."""
+"""The operator's configuration, checked by a schema; an invalid file is rejected with all its mistakes."""
 
 from gaproute.config.configuration import Configuration
 from gaproute.config.durable import write_file_atomically
--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -1,11 +1,11 @@
-"""A cell table in lines of text: read whole or not at all, with every mistake named by its line.
+"""Parser of cell tables, which accepts a table whole or rejects it with every mistake and its line.
 
     table FLEET term TERM number NUMBER
     cell NAME region REGION zone ZONE capacity CAPACITY hosts HOSTS points ORIGIN:FIRST+COUNT,...
         entries NAME=ADDRESS,...
 
-Each cell is on one line; `entries` may be left out. A file beyond the bounds is refused before it is looked
-into, and of the mistakes the first thousand are reported.
+Each cell is on one line; `entries` is optional. A file that exceeds the limits is rejected before it is
+parsed. Only the first thousand mistakes are reported.
 """
 
 from collections.abc import Iterator, Sequence
@@ -27,22 +27,24 @@
 from gaproute.decisions.cells.table import Cell, CellTable, check_cell, validate
 from gaproute.decisions.cells.version import Version
 
-MAX_TABLE_BYTES = 16 << 20  # of a file
-MAX_TABLE_LINES = 2 * bounds.MAX_CELLS  # as many comments as cells
-MAX_LINE_LENGTH = 16 << 10  # characters of a line
+MAX_TABLE_BYTES = 16 << 20  # bytes or characters of the whole file
+MAX_TABLE_LINES = 2 * bounds.MAX_CELLS  # one comment line for each cell
+MAX_LINE_LENGTH = 16 << 10  # characters
 MAX_MISTAKES = 1_000
-MAX_FOUND_LENGTH = 300  # characters of what was found
+MAX_FOUND_LENGTH = 300  # characters of `Mistake.found`
 
 
 def read_cell_table(path: FilePath, text: str | None = None) -> CellTable:
-    """The table of a file. Errors: `ConfigurationError` with all mistakes, the first thousand at most."""
+    """The cell table in `text`, or else in the file. Errors: `ConfigurationError` with the first mistakes."""
     file = str(path)
     if text is None:
         text = _read_bounded(file)
     _check_size(file, text)
     found, mistakes, first = parse_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
     if "table" not in first:
-        mistakes.append(Mistake(file, 0, "table", "no table line", expected_line(TableLine.example)))
+        mistakes.append(
+            Mistake(file, 0, "table", "the file has no table line", expected_line(TableLine.example))
+        )
     lines = directives_of(found, CellLine)
     mistakes += islice(_cell_mistakes(file, lines), MAX_MISTAKES)
     if not mistakes:
@@ -55,7 +57,7 @@
 
 
 def _bounded_error(mistakes: list[Mistake]) -> ConfigurationError:
-    """The error of the first of the mistakes, each of a bounded length."""
+    """The error with the first mistakes by line, the text of each truncated."""
     first = error_sorted_by_line(mistakes).mistakes[:MAX_MISTAKES]
     return ConfigurationError(mistake._replace(found=mistake.found[:MAX_FOUND_LENGTH]) for mistake in first)
 
@@ -71,16 +73,26 @@
 def _check_size(file: str, text: str) -> None:
     if len(text) > MAX_TABLE_BYTES:
         raise ConfigurationError(
-            [Mistake(file, 0, "", f"more than {MAX_TABLE_BYTES} bytes", "a table is far smaller")]
+            [
+                Mistake(
+                    file,
+                    0,
+                    "",
+                    f"the file has more than {MAX_TABLE_BYTES} bytes",
+                    "check that this is the intended file",
+                )
+            ]
         )
     if text.count("\n") > MAX_TABLE_LINES:
-        expected = f"a table has {bounds.MAX_CELLS} cells at most"
-        raise ConfigurationError([Mistake(file, 0, "", f"more than {MAX_TABLE_LINES} lines", expected)])
+        expected = f"list at most {bounds.MAX_CELLS} cells"
+        raise ConfigurationError(
+            [Mistake(file, 0, "", f"the file has more than {MAX_TABLE_LINES} lines", expected)]
+        )
     long = [number for number, line in enumerate(text.splitlines(), 1) if len(line) > MAX_LINE_LENGTH]
     if long:
-        found = f"more than {MAX_LINE_LENGTH} characters"
+        found = f"the line has more than {MAX_LINE_LENGTH} characters"
         raise ConfigurationError(
-            Mistake(file, number, "", found, "shorten it") for number in long[:MAX_MISTAKES]
+            Mistake(file, number, "", found, "shorten the line") for number in long[:MAX_MISTAKES]
         )
 
 
@@ -89,7 +101,7 @@
 
 
 def _cell_mistakes(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
-    """Mistakes of single cells and between cells."""
+    """The mistakes of single cells, and the contradictions between cells."""
     yield from _invalid_cells(file, lines)
     yield from _duplicate_cell_names(file, lines)
     yield from _zones_in_two_regions(file, lines)
@@ -109,8 +121,8 @@
     for line in lines:
         before = first.setdefault(line.name, line.line)
         if before != line.line:
-            found = f"cell {line.name} stands a second time"
-            yield Mistake(file, line.line, "cell", found, f"keep line {before} or this")
+            found = f"cell {line.name} is defined a second time"
+            yield Mistake(file, line.line, "cell", found, f"keep line {before} or this line")
 
 
 def _zones_in_two_regions(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
@@ -118,8 +130,10 @@
     for line in lines:
         before = first.setdefault(line.zone, line)
         if before.region != line.region:
-            found = f"zone {line.zone} lies in region {line.region}, in line {before.line} in {before.region}"
-            yield Mistake(file, line.line, "zone", found, "a zone lies in one region")
+            found = (
+                f"zone {line.zone} is in region {line.region}, but in line {before.line} in {before.region}"
+            )
+            yield Mistake(file, line.line, "zone", found, "name one region for the zone")
 
 
 def _overlapping_ring_points(file: str, lines: Sequence[CellLine]) -> Iterator[Mistake]:
@@ -131,10 +145,10 @@
         for (first, count, one), (following, _, other) in pairwise(sorted(ranges)):
             if following < first + count:
                 found = f"ring point {following} of {origin} is also in line {min(one, other)}"
-                yield Mistake(file, max(one, other), "points", found, "a ring point belongs to one cell")
+                yield Mistake(file, max(one, other), "points", found, "assign each ring point to one cell")
 
 
 def _table_mistake(file: str, lines: Sequence[CellLine], error: TableError) -> Mistake:
-    """A mistake that only the table itself finds, such as too many ring points in all."""
+    """The mistake of a table whose lines are valid, such as too many ring points in total."""
     line = lines[error.row - 1].line if isinstance(error, RowError) and error.row else 0
-    return Mistake(file, line, "", str(error), "mend the table")
+    return Mistake(file, line, "", str(error), "correct the table")
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -1,4 +1,4 @@
-"""What a checked configuration becomes: the settings that the parts of the appliance start with."""
+"""The settings that the parts of the appliance start with, made from checked directives."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -16,10 +16,10 @@
 
 
 class Configuration:
-    """A checked configuration: directives by their kind, and the terms that the decisions are given."""
+    """A checked configuration: its directives by class, and the settings of the routing decisions."""
 
     def __init__(self, file: str, found: Sequence[NamedDirective]) -> None:
-        """Errors: ImportError, AttributeError for a class of decisions that does not exist."""
+        """Errors: ImportError, AttributeError if the class of the routing decisions does not exist."""
         lines = _DirectiveLookup(found)
         self.file = file
         self.name: str = lines.first_or_default(fleet.NameLine).name
@@ -42,20 +42,19 @@
         self.client_limits = lines.first_or_default(process.ClientLimitsLine)
         self.host_limits = lines.first_or_default(process.HostLimitsLine)
         self.log_level: str = lines.first_or_default(process.LogLine).level
-        self.decisions: Any = lines.first_or_default(
-            process.DecisionsLine
-        ).load_class()  # a class that only the file names
-        # ns that a request may take
+        # Any: the class is known only at run time
+        self.decisions: Any = lines.first_or_default(process.DecisionsLine).load_class()
+        # the longest hard limit of a request, ns
         self.max_deadline = max(line.limit for line in self.request_classes)
         self.capacities_reported = lines.first_or_default(requests.CapacitiesLine).enabled
         self.gossip_enabled = lines.first_or_default(fleet.GossipLine).enabled
         self.routing_settings = _routing_settings(lines, self.request_classes, self.cells)
 
     def assign_process_slot(self, number: int, count: int) -> None:
-        """Makes this the configuration of one of `count` processes behind the same addresses for clients.
+        """Makes this the configuration of process `number` of `count` that share the addresses for clients.
 
-        Its name, its other addresses and its files are its own; the other processes are its peers where it
-        has an address for peers at all.
+        The process gets a name, other listen addresses and file names of its own. If it has an address for
+        peers and no peers-file, the other processes become its peers.
         """
         base = self.name
         self.name = f"{base}-{number}"
@@ -77,7 +76,7 @@
 
 
 class _DirectiveLookup:
-    """The directives of a file by their class."""
+    """Finds the directives of a file by their class."""
 
     def __init__(self, found: Sequence[NamedDirective]) -> None:
         self._found = found
@@ -90,14 +89,14 @@
         return next(iter(self.all_of(kind)), None)
 
     def first_or_default(self, kind: type[DirectiveType]) -> DirectiveType:
-        """The first directive of that class; one with all its defaults if there is none."""
+        """The first directive of that class, or one with all its defaults."""
         return self.first_of(kind) or kind.model_construct()
 
 
 def _routing_settings(
     lines: _DirectiveLookup, request_classes: list[requests.RequestClassLine], cells: fleet.CellsLine | None
 ) -> interface.RoutingSettings:
-    """The terms of the deployment, as the decisions take them."""
+    """The settings of the deployment that the routing decisions take."""
     instances, attempts = (
         lines.first_or_default(requests.WarmInstancesLine),
         lines.first_or_default(requests.AttemptsLine),
@@ -122,7 +121,7 @@
         reported_figures=(),
         probe_price=0.0,
         peer_price=0.0,
-        peers_allowed=False,  # gateways of the appliance exchange more, over their own protocol
+        peers_allowed=False,  # gateways of the appliance exchange observations by a protocol of their own
         gateways=cells.gateways if cells else 1,
         cancel_allowed=attempts.cancel,
         hedging_allowed=attempts.twins,
@@ -148,7 +147,7 @@
 
 
 def _process_slot_address(where: str, number: int) -> str:
-    """The address of one process beside the others: the path or the port, counted on."""
+    """The address of one process: the path with its number appended, or the port plus its number."""
     if where.startswith("unix:"):
         return f"{where}.{number}"
     host, _, port = where.rpartition(":")
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -1,4 +1,4 @@
-"""Mistakes that show only between the lines of a file."""
+"""Checks across the lines of a configuration: names, required lines and lines that exclude each other."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 
@@ -16,7 +16,7 @@
 from gaproute.config.parsing import NamedDirective, directives_of
 
 KEEP_ONE_EXPECTATION = "keep one of the two"
-NAMED_DIRECTIVES = ("host", "track", "model", "tenant", "peer")  # directives whose names stand once each
+NAMED_DIRECTIVES = ("host", "track", "model", "tenant", "peer")  # directives whose names are unique in a file
 REQUIRED_DIRECTIVES = {
     "listen": ListenLine.example,
     "track": RequestClassLine.example,
@@ -24,13 +24,13 @@
 }
 EXCLUSIVE_DIRECTIVES = (("host", "hosts-file"), ("peer", "peers-file"))
 
-# What a fleet in cells cannot have, and what to do about it.
+# Directives that a fleet in cells cannot have, and what the operator should do instead.
 EXCLUDED_BY_CELLS = {
-    "host": "the hosts of cells stand in the folder of cell-hosts",
-    "hosts-file": "the hosts of cells stand in the folder of cell-hosts",
-    "memory": "leave it out: what is known of cells is not stored on disk",
-    "weak-word": "leave it out: gateways of cells do not gossip about hosts",
-    "decisions": "leave it out: cells have decisions of their own",
+    "host": "list the hosts of the cells in the folder of the cell-hosts line",
+    "hosts-file": "list the hosts of the cells in the folder of the cell-hosts line",
+    "memory": "remove the line: observations of cells are not stored on disk",
+    "weak-word": "remove the line: the gateways of a fleet in cells do not gossip about hosts",
+    "decisions": "remove the line: a fleet in cells has routing decisions of its own",
 }
 REQUIRED_WITH_CELLS = (
     ("cells", "cell-hosts", CellHostsLine.example),
@@ -40,85 +40,99 @@
 
 
 def cross_line_mistakes(
-    file: str, found: Sequence[NamedDirective], first: Mapping[str, int]
+    file: str, found: Sequence[NamedDirective], first_lines: Mapping[str, int]
 ) -> Iterator[Mistake]:
-    """All that shows only between lines; `first` is the first line of each directive."""
+    """All mistakes across lines; `first_lines` is the number of the first line of each directive."""
     yield from duplicate_name_mistakes(file, found)
-    yield from _missing_directives(file, first)
-    yield from _exclusive_directives(file, first)
+    yield from _missing_directives(file, first_lines)
+    yield from _exclusive_directives(file, first_lines)
     yield from _missing_peers_address(file, found)
     yield from _raft_group_mistakes(file, found)
     yield from _unknown_track_mistakes(file, found)
-    yield from _cells_mistakes(file, found, first)
+    yield from _cells_mistakes(file, found, first_lines)
     yield from _duplicate_listen_addresses(file, found)
 
 
 def duplicate_name_mistakes(file: str, found: Iterable[NamedDirective]) -> Iterator[Mistake]:
-    """Names that stand a second time."""
-    first: dict[tuple[str, str], int] = {}
+    """The mistakes of names that are defined a second time."""
+    first_lines: dict[tuple[str, str], int] = {}
     for directive, line in found:
         if directive not in NAMED_DIRECTIVES:
             continue
-        before = first.setdefault((directive, line.name), line.line)
+        before = first_lines.setdefault((directive, line.name), line.line)
         if before != line.line:
-            stands = f"{directive} {line.name} stands a second time"
-            yield Mistake(file, line.line, directive, stands, f"keep line {before} or this")
+            text = f"{directive} {line.name} is defined a second time"
+            yield Mistake(file, line.line, directive, text, f"keep line {before} or this line")
 
 
-def _missing_directives(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
+def _missing_directives(file: str, first_lines: Mapping[str, int]) -> Iterator[Mistake]:
     for directive, text in REQUIRED_DIRECTIVES.items():
-        if directive not in first:
-            yield Mistake(file, 0, directive, f"no {directive} line", expected_line(text))
-    if not first.keys() & {"host", "hosts-file", "cells"}:
-        yield Mistake(file, 0, "host", "no host and no hosts-file line", expected_line(HostLine.example))
-    if "peers-file" in first and "name" not in first:
-        found = "a peers-file without a name line: which peer is this gateway?"
+        if directive not in first_lines:
+            yield Mistake(
+                file, 0, directive, f"the configuration has no {directive} line", expected_line(text)
+            )
+    if not first_lines.keys() & {"host", "hosts-file", "cells"}:
+        yield Mistake(
+            file,
+            0,
+            "host",
+            "the configuration has neither a host line nor a hosts-file line",
+            expected_line(HostLine.example),
+        )
+    if "peers-file" in first_lines and "name" not in first_lines:
+        found = "a peers-file line requires a name line, which tells this gateway from its peers"
         yield Mistake(file, 0, "name", found, expected_line(NameLine.example))
 
 
-def _exclusive_directives(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
+def _exclusive_directives(file: str, first_lines: Mapping[str, int]) -> Iterator[Mistake]:
     for directive, list_file in EXCLUSIVE_DIRECTIVES:
-        if directive in first and list_file in first:
+        if directive in first_lines and list_file in first_lines:
             yield Mistake(
                 file,
-                first[directive],
+                first_lines[directive],
                 directive,
-                f"{directive}s stand here and in a {list_file}",
+                f"{directive} lines and a {list_file} line exclude each other",
                 KEEP_ONE_EXPECTATION,
             )
 
 
 def _missing_peers_address(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    """Directives that need an address for the other gateways."""
+    """The mistakes of directives that require a listen address for peers."""
     if any(line.kind == "peers" for line in directives_of(found, ListenLine)):
         return
     for directive, line in found:
         if directive in ("keepers", "cells") or (directive == "weak-word" and line.enabled):
             expected = expected_line("listen peers 127.0.0.1:8090")
-            yield Mistake(file, line.line, directive, f"{directive} without a listen peers line", expected)
+            yield Mistake(file, line.line, directive, f"{directive} requires a listen peers line", expected)
 
 
 def _raft_group_mistakes(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    """Mistakes of the `keepers` line beside the others."""
+    """The mistakes of the `keepers` line compared with other lines."""
     line = next(iter(directives_of(found, RaftGroupLine)), None)
     if line is None:
         return
     own = next((each.name for each in directives_of(found, NameLine)), None)
     known = {own} | {each.name for each in directives_of(found, PeerLine)}
     if own is None:
-        text = "keepers without a name line: which of them is this gateway?"
+        text = "keepers requires a name line, which tells whether this gateway is a Raft member"
         yield Mistake(file, line.line, "keepers", text, expected_line(NameLine.example))
     if not any(directive == "peers-file" for directive, _ in found):
         for name in line.names:
             if name not in known:
                 expected = expected_line(f"peer {name} 127.0.0.1:8091")
-                yield Mistake(file, line.line, "keepers", f"Raft member {name} is no peer here", expected)
+                yield Mistake(
+                    file, line.line, "keepers", f"Raft member {name} is not a peer of this gateway", expected
+                )
     if own in line.names and line.votes is None:
-        text = "a Raft member without a file for its votes"
+        text = "this gateway is a Raft member, but the keepers line names no votes file"
         yield Mistake(file, line.line, "keepers", text, expected_line(RaftGroupLine.example))
     if own is not None and own not in line.names and line.votes is not None:
         yield Mistake(
-            file, line.line, "keepers", "votes at a gateway that is no Raft member", "leave votes out here"
+            file,
+            line.line,
+            "keepers",
+            "a votes file at a gateway that is not a Raft member",
+            "remove the keyword votes",
         )
 
 
@@ -126,32 +140,48 @@
     tracks = [line.name for line in directives_of(found, RequestClassLine)]
     for line in directives_of(found, ModelLine):
         if line.track not in tracks:
-            expected = f"the tracks here: {', '.join(tracks) or 'none'}"
-            yield Mistake(file, line.line, f"model {line.name}", f"no track {line.track!r}", expected)
+            expected = f"name one of the tracks: {', '.join(tracks) or 'none'}"
+            yield Mistake(
+                file,
+                line.line,
+                f"model {line.name}",
+                f"the configuration has no track {line.track!r}",
+                expected,
+            )
 
 
 def _cells_mistakes(
-    file: str, found: Sequence[NamedDirective], first: Mapping[str, int]
+    file: str, found: Sequence[NamedDirective], first_lines: Mapping[str, int]
 ) -> Iterator[Mistake]:
-    """Mistakes of the `cells` and `cell-hosts` lines beside the others."""
+    """The mistakes of the `cells` and `cell-hosts` lines compared with other lines."""
     for directive, other, text in REQUIRED_WITH_CELLS:
-        if directive in first and other not in first:
+        if directive in first_lines and other not in first_lines:
             yield Mistake(
-                file, first[directive], directive, f"{directive} without a {other} line", expected_line(text)
+                file,
+                first_lines[directive],
+                directive,
+                f"{directive} requires a {other} line",
+                expected_line(text),
             )
-    if "cells" not in first:
+    if "cells" not in first_lines:
         return
     for directive, line in found:
         if directive in EXCLUDED_BY_CELLS and (directive != "weak-word" or line.enabled):
             yield Mistake(
-                file, line.line, directive, f"{directive} beside cells", EXCLUDED_BY_CELLS[directive]
+                file,
+                line.line,
+                directive,
+                f"{directive} and cells lines exclude each other",
+                EXCLUDED_BY_CELLS[directive],
             )
 
 
 def _duplicate_listen_addresses(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    first: dict[str, int] = {}
+    first_lines: dict[str, int] = {}
     for line in directives_of(found, ListenLine):
-        if line.where in first and not line.where.endswith(":0"):
-            text = f"{line.where} is listened on twice"
-            yield Mistake(file, line.line, "listen", text, f"see line {first[line.where]}")
-        first.setdefault(line.where, line.line)
+        if line.where in first_lines and not line.where.endswith(":0"):
+            text = f"two listen lines have the address {line.where}"
+            yield Mistake(
+                file, line.line, "listen", text, f"keep line {first_lines[line.where]} or this line"
+            )
+        first_lines.setdefault(line.where, line.line)
--- a/gaproute/config/directives/__init__.py
+++ b/gaproute/config/directives/__init__.py
@@ -1,4 +1,4 @@
-"""The directives of the configuration: a schema for each, by the name that its line begins with."""
+"""The directives of the configuration: the class of each, by the first word of its line."""
 
 from gaproute.config.directives.fleet import (
     CellHostsLine,
--- a/gaproute/config/directives/cell_table.py
+++ b/gaproute/config/directives/cell_table.py
@@ -1,4 +1,4 @@
-"""Lines of a cell table."""
+"""The directives of a cell table."""
 
 from collections.abc import Iterable
 from typing import Annotated, ClassVar
@@ -16,7 +16,7 @@
 
 
 def _split_parts(value: str | Iterable[str], max_parts: int, what: str) -> Iterable[str]:
-    """The parts between commas; a value that is no text is returned as it is."""
+    """Splits text at commas; a value that is not text is returned unchanged."""
     if not isinstance(value, str):
         return value
     if value.count(",") >= max_parts:
@@ -35,7 +35,7 @@
     origin, colon, numbers = part.rpartition(":")
     first, plus, count = numbers.partition("+")
     if not (origin and colon and plus and _is_number(first) and _is_number(count)):
-        raise ValueError(f"{part!r:.80} is no range of ring points: ORIGIN:FIRST+COUNT")
+        raise ValueError(f"{part!r:.80} is not a range of ring points: expected ORIGIN:FIRST+COUNT")
     return PointRange(origin, int(first), int(count))
 
 
@@ -53,12 +53,12 @@
 def _parse_entry_gateway(part: str) -> EntryGateway:
     name, equals, address = part.partition("=")
     if not (name and equals and address):
-        raise ValueError(f"{part!r:.80} is no entry gateway: NAME=ADDRESS")
+        raise ValueError(f"{part!r:.80} is not an entry gateway: expected NAME=ADDRESS")
     return EntryGateway(name, address)
 
 
 class TableLine(Directive):
-    """Which fleet the table is of, and its version."""
+    """The fleet of the table, and the table's version."""
 
     positional: ClassVar = ("fleet",)
     example: ClassVar = "table north term 3 number 17"
@@ -69,7 +69,7 @@
 
 
 class CellLine(Directive):
-    """One cell."""
+    """One cell: its location, its capacity and its ring points."""
 
     positional: ClassVar = ("name",)
     example: ClassVar = (
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -1,4 +1,4 @@
-"""Lines on this gateway, its hosts and the other gateways."""
+"""Directives of this gateway, its hosts and the other gateways."""
 
 from typing import Annotated, ClassVar, Literal, Self
 
@@ -10,8 +10,8 @@
 from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.raft.messages import MAX_MEMBERS
 
-SOURCES_KEYWORD = "from"  # what sources of host lists are named after, in place of a folder
-MAX_HOST_LIST_SOURCES = 16  # of host lists
+SOURCES_KEYWORD = "from"  # the keyword before the sources of host lists, which replace a folder
+MAX_HOST_LIST_SOURCES = 16
 
 
 class NameLine(Directive):
@@ -24,7 +24,7 @@
 
 
 class ListenLine(Directive):
-    """An address that is listened on, and for whom."""
+    """A listen address; `kind` says whether clients, operators or peers connect to it."""
 
     positional: ClassVar = ("kind", "where")
     example: ClassVar = "listen kserve 127.0.0.1:8080"
@@ -33,7 +33,7 @@
 
 
 class HostsFileLine(Directive):
-    """The file of the host list, looked at every `look` ns."""
+    """The file of the host list, checked for changes every `look` ns."""
 
     positional: ClassVar = ("path",)
     example: ClassVar = "hosts-file hosts.list look 50ms"
@@ -43,7 +43,7 @@
 
 
 class HostLine(Directive):
-    """One host; `started` is its start in ns since 1970."""
+    """One host; `started` is the time of its start in ns since 1970."""
 
     positional: ClassVar = ("name", "where")
     example: ClassVar = "host mh01 127.0.0.1:9001 zone hall-a rack r1 capacity 4 state active"
@@ -57,7 +57,7 @@
 
 
 class CellsLine(Directive):
-    """The fleet in cells, its table, and where in it this gateway is."""
+    """A fleet in cells: its cell table, checked for changes every `look` ns, and this gateway's location."""
 
     positional: ClassVar = ("fleet",)
     example: ClassVar = "cells north file cells.table look 50ms region west zone west-a gateways 12"
@@ -65,15 +65,15 @@
     fleet: str = Field(min_length=1, max_length=MAX_NAME_LENGTH)
     file: str
     look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
-    region: str = Field(min_length=1, max_length=MAX_NAME_LENGTH)  # where this gateway is
+    region: str = Field(min_length=1, max_length=MAX_NAME_LENGTH)
     zone: str = Field(min_length=1, max_length=MAX_NAME_LENGTH)
-    gateways: int = Field(1, ge=1, le=100_000)  # of the whole fleet, about
-    # The file in which the last valid table is stored.
+    gateways: int = Field(1, ge=1, le=100_000)  # approximate number in the whole fleet
+    # The path of the file that stores the last valid table.
     stored_table: str | None = Field(None, alias="kept")
 
 
 class CellHostsLine(Directive):
-    """Where the host lists of the cells come from: a folder, or sources that are asked."""
+    """The origin of the cells' host lists: a folder, or sources that the gateway requests them from."""
 
     positional: ClassVar = ("folder",)
     example: ClassVar = "cell-hosts /etc/gaproute/cells look 50ms, or: cell-hosts from 10.0.0.1:7000"
@@ -84,20 +84,20 @@
 
     @classmethod
     def positional_fields_of(cls, arguments: list[str]) -> tuple[str, ...]:
-        """Sources stand in place of a folder."""
+        """No field if the line names sources instead of a folder."""
         return () if arguments[:1] == [SOURCES_KEYWORD] else cls.positional
 
     @model_validator(mode="after")
     def check_sources(self) -> Self:
-        """Errors: ValueError for both, or sources that no connection can be made to."""
+        """Errors: ValueError for a folder with sources, or for duplicate, too many or unusable sources."""
         if self.folder is not None and self.sources:
-            raise ValueError("a folder and sources, keep one of the two")
+            raise ValueError("a folder and sources exclude each other, keep one of the two")
         if len(set(self.sources)) < len(self.sources):
             raise ValueError("a source is named twice")
         if len(self.sources) > MAX_HOST_LIST_SOURCES:
-            raise ValueError(f"{MAX_HOST_LIST_SOURCES} sources at most")
+            raise ValueError(f"at most {MAX_HOST_LIST_SOURCES} sources are allowed")
         if any(where.endswith(":0") for where in self.sources):
-            raise ValueError("a source has a port")
+            raise ValueError("a source needs a port other than 0")
         return self
 
 
@@ -111,7 +111,7 @@
 
 
 class PeersFileLine(Directive):
-    """The file of the other gateways, looked at every `look` ns."""
+    """The file of the peer list, checked for changes every `look` ns."""
 
     positional: ClassVar = ("path",)
     example: ClassVar = "peers-file peers.list look 1s"
@@ -121,7 +121,7 @@
 
 
 class ObservationFileLine(Directive):
-    """The file in which learnt state outlasts a restart."""
+    """The file of the observation store, whose observations survive a restart."""
 
     positional: ClassVar = ("path",)
     example: ClassVar = "memory /var/lib/gaproute/gate-1.memory"
@@ -130,22 +130,22 @@
 
 
 class RaftGroupLine(Directive):
-    """The members of the Raft group, and the longest lease that it grants in ns."""
+    """The members of the Raft group, and the longest lease that the group grants."""
 
     positional: ClassVar = ("names",)
     example: ClassVar = "keepers gate-1,gate-2,gate-3 votes /var/lib/gaproute/gate-1.votes longest 600s"
     once: ClassVar = True
     names: Annotated[tuple[Name, ...], BeforeValidator(split_commas)]
-    votes: str | None = None  # the file of this member's term and vote; other gateways need none
-    longest: Duration = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # of a lease
+    votes: str | None = None  # path of this member's Raft log file; gateways that are not members have none
+    longest: Duration = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # duration of a lease, ns
 
     @model_validator(mode="after")
     def check_members(self) -> Self:
-        """Errors: ValueError for a member named twice, or too many of them."""
+        """Errors: ValueError for a duplicate member or too many members."""
         if len(set(self.names)) < len(self.names):
             raise ValueError("a Raft member is named twice")
         if len(self.names) > MAX_MEMBERS:
-            raise ValueError(f"{MAX_MEMBERS} Raft members at most, 3 or 5 are usual")
+            raise ValueError(f"at most {MAX_MEMBERS} Raft members are allowed, 3 or 5 are usual")
         return self
 
 
--- a/gaproute/config/directives/process.py
+++ b/gaproute/config/directives/process.py
@@ -1,4 +1,4 @@
-"""Lines on the process: limits towards clients and hosts, its log, its decision module."""
+"""Directives of the process: limits for clients and hosts, the log level, the routing decisions."""
 
 import importlib
 from typing import Any, ClassVar, Literal
@@ -10,7 +10,7 @@
 
 
 class ClientLimitsLine(Directive):
-    """Limits towards clients: times in ns, sizes in bytes."""
+    """Limits of connections and requests of clients: times in ns, sizes in bytes."""
 
     example: ClassVar = "clients way-back 25ms body 16m connections 10000"
     once: ClassVar = True
@@ -25,7 +25,7 @@
 
 
 class HostLimitsLine(Directive):
-    """Limits towards hosts: times in ns, sizes in bytes."""
+    """Limits of connections and requests to hosts: times in ns, sizes in bytes."""
 
     example: ClassVar = "reach connect 250ms probe 250ms order 10s connections 256 answer 64m"
     once: ClassVar = True
@@ -36,14 +36,15 @@
     answer: Size = Field(64 << 20, ge=1024)
 
 
-FORMER_DECISION_CLASSES = {  # names of the decisions in configurations that earlier versions wrote
+# Names of the decision class in configurations of earlier versions, and the present name of each.
+FORMER_DECISION_CLASSES = {
     "gaproute.policy:Gateway": "gaproute.decisions.routing:Gateway",
     "gaproute.decisions.route:Gateway": "gaproute.decisions.routing:Gateway",
 }
 
 
 class LogLine(Directive):
-    """The lowest level that is logged."""
+    """The lowest level of log lines that are written."""
 
     positional: ClassVar = ("level",)
     example: ClassVar = "log info"
@@ -52,7 +53,7 @@
 
 
 class DecisionsLine(Directive):
-    """The class that decides, as `module:name`."""
+    """The class of the routing decisions, as `module:name`."""
 
     positional: ClassVar = ("made_by",)
     example: ClassVar = "decisions gaproute.decisions.routing:Gateway"
@@ -60,9 +61,9 @@
     made_by: str = Field("gaproute.decisions.routing:Gateway", pattern=r"^[\w.]+:\w+$")
 
     def load_class(self) -> Any:
-        """The class, which is called with (seed, terms, now).
+        """The class that the line names, which is called with (seed, routing settings, now).
 
-        Errors: ImportError, AttributeError if there is none.
+        Errors: ImportError, AttributeError if the class does not exist.
         """
         module, _, name = FORMER_DECISION_CLASSES.get(self.made_by, self.made_by).partition(":")
         return getattr(importlib.import_module(module), name)
--- a/gaproute/config/directives/requests.py
+++ b/gaproute/config/directives/requests.py
@@ -1,4 +1,4 @@
-"""Lines on requests: their classes, models, tenants, and what attempts at hosts may do."""
+"""Directives of requests: request classes, models, tenants, and limits of attempts at hosts."""
 
 from typing import Annotated, ClassVar, Literal, Self
 
@@ -9,7 +9,7 @@
 
 
 class RequestClassLine(Directive):
-    """A class of requests: its idempotency, times in ns, and what an answer in time is worth."""
+    """A request class: its idempotency, its times in ns, and its priority weight `earnings`."""
 
     positional: ClassVar = ("name", "effect")
     example: ClassVar = "track fault-check pure contract 1200ms limit 5s earnings 3"
@@ -23,16 +23,16 @@
 
     @model_validator(mode="after")
     def check_times(self) -> Self:
-        """Errors: ValueError for times that exclude each other."""
+        """Errors: ValueError for times that contradict each other or the idempotency."""
         if self.contract > self.limit:
-            raise ValueError("the contract time is over the limit")
+            raise ValueError("the contract time is longer than the limit")
         if (self.effect == "receipted") != (self.remembers > 0):
-            raise ValueError("remembers belongs to receipted tracks, and each of them needs it")
+            raise ValueError("the keyword remembers is required for receipted tracks and for no others")
         return self
 
 
 class ModelLine(Directive):
-    """A model and the class of its requests; `load` is how long loading takes, ns."""
+    """A model and the class of its requests; `load` is the duration of loading in ns."""
 
     positional: ClassVar = ("name",)
     example: ClassVar = "model lamp-07 track fault-check lanes 4 load 1200ms versions 1,2"
@@ -53,7 +53,7 @@
 
 
 class WarmInstancesLine(Directive):
-    """Loaded copies of models: how long they stay loaded, and the rate limit of load orders."""
+    """Warm instances of models: how long they stay loaded, and the rate limit of load orders."""
 
     example: ClassVar = "copies keep 10s orders yes free 6 share 0.3 window 10s"
     once: ClassVar = True
@@ -67,7 +67,7 @@
 
 
 class AttemptsLine(Directive):
-    """Attempts at hosts: how many a request may have, hedged requests, cancelling."""
+    """Attempts at hosts: their limit for each request, and whether hedging and cancelling are allowed."""
 
     example: ClassVar = "relays limit 4 twins yes cancel yes"
     once: ClassVar = True
@@ -77,7 +77,7 @@
 
 
 class ReportsLine(Directive):
-    """Where load reports of hosts come from."""
+    """The source of the hosts' load reports."""
 
     positional: ClassVar = ("source",)
     example: ClassVar = "reports answer probes no"
@@ -87,14 +87,14 @@
 
     @model_validator(mode="after")
     def check_source(self) -> Self:
-        """Errors: ValueError for reports that could not come."""
+        """Errors: ValueError if reports come by probe, but probes are forbidden."""
         if self.source == "probe" and not self.probes:
             raise ValueError("hosts whose load is reported by probes alone cannot go without probes")
         return self
 
 
 class SlowStartLine(Directive):
-    """Slow start of hosts: their share of the load at first, and its length in ns."""
+    """Slow start of hosts: their share of the load at the start, and its duration in ns."""
 
     example: ClassVar = "cold share 0.17 time 18s"
     once: ClassVar = True
@@ -112,7 +112,7 @@
 
 
 class RetryAfterLine(Directive):
-    """The longest Retry-After of a host that is heeded, ns."""
+    """The longest Retry-After of a host that the gateway follows, ns."""
 
     example: ClassVar = "advice limit 1s"
     once: ClassVar = True
--- a/gaproute/config/errors.py
+++ b/gaproute/config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the configuration: every mistake of a file, and a file whose place on disk is not certain."""
+"""Errors of the configuration: the mistakes in a file, and a written file that may not survive a crash."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class Mistake(NamedTuple):
-    """One thing that is wrong with a file.
+    """One mistake in a file: what was found and what is expected instead.
 
-    `line` counts from 1, and is 0 for the file as a whole. `field` names the directive and its keyword; it is
-    empty where the mistake belongs to none, and printed only where `found` does not name it.
+    `line` counts from 1; 0 means the whole file. `field` names the directive and its keyword. It is empty if
+    the mistake belongs to no directive, and it is printed only if `found` does not contain it.
     """
 
     file: str
@@ -26,7 +26,7 @@
 
 
 class ConfigurationError(GaprouteError):
-    """A file that cannot be used, with every mistake in it."""
+    """A file is rejected; `mistakes` lists every mistake in it."""
 
     def __init__(self, mistakes: Iterable[Mistake]) -> None:
         self.mistakes = list(mistakes)
@@ -34,19 +34,21 @@
 
 
 class NotDurableError(GaprouteError, OSError):
-    """The file is in its place, whole; whether its name outlasts a crash of the machine is not known."""
+    """The complete file has its name, but whether the name survives a crash of the machine is unknown."""
 
 
 def error_sorted_by_line(mistakes: Iterable[Mistake]) -> ConfigurationError:
-    """The error of these mistakes, as a reader of the file meets them."""
+    """The error with these mistakes in the order of their lines."""
     return ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
 
 
 def unreadable_file_error(file: str, error: Exception) -> ConfigurationError:
-    """The error of a file that cannot be opened, or is not text."""
-    return ConfigurationError([Mistake(file, 0, "", f"cannot be read: {error}", "name a readable text file")])
+    """The error of a file that cannot be opened or is not text."""
+    return ConfigurationError(
+        [Mistake(file, 0, "", f"the file cannot be read: {error}", "name a readable text file")]
+    )
 
 
 def expected_line(text: str) -> str:
-    """What is expected, shown by a line that is right."""
-    return f"right would be: {text}"
+    """The text for `Mistake.expected` that shows a valid line as an example."""
+    return f"expected a line such as: {text}"
--- a/gaproute/config/files.py
+++ b/gaproute/config/files.py
@@ -1,4 +1,4 @@
-"""Files read whole or not at all: the configuration, lists of hosts and of gateways."""
+"""Readers of the configuration, host lists and peer lists; a file with a mistake is rejected as a whole."""
 
 import os
 from collections.abc import Mapping
@@ -22,7 +22,7 @@
 
 
 def read_configuration(path: FilePath, text: str | None = None) -> Configuration:
-    """The configuration of a file. Errors: `ConfigurationError` with every mistake; nothing of it is used."""
+    """The configuration in `text`, or else in the file. Errors: `ConfigurationError` with every mistake."""
     file = str(path)
     if text is None:
         text = read_text(file)
@@ -42,7 +42,7 @@
 
 
 def read_peers(path: FilePath, text: str | None = None) -> list[PeerLine]:
-    """The `peer` lines of a list of gateways. Errors: `ConfigurationError`."""
+    """The `peer` lines of a peer list. Errors: `ConfigurationError`."""
     return _read_uniform_list(path, text, PEER_DIRECTIVES, PeerLine)
 
 
@@ -52,7 +52,7 @@
     directives: Mapping[str, type[Directive]],
     kind: type[DirectiveType],
 ) -> list[DirectiveType]:
-    """The directives of a file that has only those of one class."""
+    """The directives of a file that may contain only directives of one class."""
     file = str(path)
     found, mistakes, _ = parse_lines(file, read_text(file) if text is None else text, directives)
     mistakes += duplicate_name_mistakes(file, found)
--- a/gaproute/config/migration.py
+++ b/gaproute/config/migration.py
@@ -1,9 +1,9 @@
-"""A configuration of one shape of deployment rewritten for another: what `gaproute migrate` does.
+"""Rewrites a configuration for another deployment: the implementation of `gaproute migrate`.
 
-The old file is taken over line by line, with its comments. What the new deployment states is in a file of the
-same syntax, the shape: its lines win keyword by keyword, and the tracks and tenants that it names are all
-there are, each as stated there. What cannot be carried over is reported with its line and why; the result is
-checked like any configuration.
+The directives that the new deployment prescribes are in a file of the same syntax, the shape. The old file is
+copied line by line, with its comments, and the shape's values override the old ones keyword by keyword. If
+the shape has tracks, they replace all tracks of the old file, each line as a whole; likewise tenants. What
+cannot be carried over is reported with its line and the reason. The result is checked like any configuration.
 """
 
 import shlex
@@ -16,15 +16,15 @@
 from gaproute.config.files import read_configuration
 from gaproute.config.parsing import parse_lines
 
-# What a deployment states; everything else is the operator's own and stays as it is.
+# The directives that a deployment prescribes; the operator's other lines are copied unchanged.
 SHAPE_DIRECTIVES = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
-NAMED_SHAPE_DIRECTIVES = ("track", "tenant")
-NO_CAPACITIES_REASON = "no capacities of hosts are reported there"
-NO_PROBES_REASON = "no probes are allowed there"
+NAMED_SHAPE_DIRECTIVES = ("track", "tenant")  # several lines each, told apart by name
+NO_CAPACITIES_REASON = "the new deployment reports no capacities of hosts"
+NO_PROBES_REASON = "the new deployment allows no probes"
 
 
 class LeftBehind(NamedTuple):
-    """A line, or a part of one, that the new shape has no place for."""
+    """A line, or a part of a line, that cannot be carried over, and the reason."""
 
     file: str
     line: int
@@ -36,14 +36,14 @@
 
 
 class Migrated(NamedTuple):
-    """The text of the new file, and what it could not take over."""
+    """The text of the new file, and what could not be carried over."""
 
     text: str
     left: list[LeftBehind]
 
 
 class _ParsedLine(NamedTuple):
-    """A checked line in its parts."""
+    """A valid line, split into the directive and its arguments."""
 
     directive: str
     positional: tuple[str, ...]
@@ -51,7 +51,7 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """The directive, and its name where several such lines may stand in one file."""
+        """The directive, and the line's name if the directive may occur several times."""
         return self.directive, self.positional[0] if self.directive in NAMED_SHAPE_DIRECTIVES else ""
 
     def text(self) -> str:
@@ -62,7 +62,7 @@
 
 
 class _Shape:
-    """What the new deployment states, by directive and name."""
+    """The lines that the new deployment prescribes, by directive and name."""
 
     def __init__(self, lines: list[_ParsedLine]) -> None:
         self.directives = list(dict.fromkeys(line.directive for line in lines))
@@ -72,12 +72,12 @@
         self.probes_disabled = reports is not None and reports.keywords.get("probes") == "no"
 
     def omits(self, directive: str, name: str) -> bool:
-        """Whether the new deployment states such lines, but not this one."""
+        """Whether the shape has lines of this directive, but none of this name."""
         return directive in self.directives and (directive, name) not in self.lines
 
 
 def migrate(old_file: str, old_text: str, shape_file: str, shape_text: str, new_file: str) -> Migrated:
-    """The old file by the new shape. Errors: `ConfigurationError` of either file or the result."""
+    """Rewrites the old file by the shape. Errors: `ConfigurationError` of either file or of the result."""
     mistakes: list[Mistake] = []
     shape = _Shape([])
     try:
@@ -99,26 +99,30 @@
 
 
 def _read_shape(file: str, text: str) -> _Shape:
-    """What a shape states. Errors: `ConfigurationError`."""
+    """The shape in a file's text. Errors: `ConfigurationError`."""
     found, mistakes, _ = parse_lines(file, text, DIRECTIVES)
     mistakes += duplicate_name_mistakes(file, found)
     mistakes += _misplaced_directives(file, [(directive, line.line) for directive, line in found])
     if not found and not mistakes:
-        mistakes.append(Mistake(file, 0, "", "states nothing", "name what the new deployment states"))
+        mistakes.append(
+            Mistake(
+                file, 0, "", "the shape states nothing", "add the lines that the new deployment prescribes"
+            )
+        )
     if mistakes:
         raise error_sorted_by_line(mistakes)
     return _Shape([_parse_tokens(tokens) for tokens in map(_split_tokens, text.splitlines()) if tokens])
 
 
 def _misplaced_directives(file: str, directives: list[tuple[str, int]]) -> Iterator[Mistake]:
-    expected = f"a shape holds {', '.join(SHAPE_DIRECTIVES)}; the rest stays in the old file"
+    expected = f"a shape may have {', '.join(SHAPE_DIRECTIVES)}; other lines stay in the old file"
     for directive, line in directives:
         if directive not in SHAPE_DIRECTIVES:
-            yield Mistake(file, line, directive, f"{directive} is no statement of a deployment", expected)
+            yield Mistake(file, line, directive, f"{directive} is not a directive of a shape", expected)
 
 
 class _Migration:
-    """The new file while the lines of the old one are taken over."""
+    """Builds the new file from the lines of the old one."""
 
     def __init__(self, file: str, shape: _Shape) -> None:
         self.file, self.shape = file, shape
@@ -127,7 +131,7 @@
         self.used_shape_keys: set[tuple[str, str]] = set()
 
     def migrate_line(self, number: int, raw: str) -> None:
-        """One line of the old file."""
+        """Adds a line of the old file to the new one, changed by the shape, or reports it as left behind."""
         tokens = _split_tokens(raw)
         if not tokens:
             self.lines.append(raw)
@@ -142,7 +146,7 @@
         self.lines.append(new.text() + _trailing_comment(raw, tokens) if changed else raw)
 
     def _missing_track_or_tenant(self, line: _ParsedLine) -> str | None:
-        """The track or tenant that the line needs and the new deployment omits."""
+        """The track or tenant that the line needs and the shape omits, or None."""
         directive, name = line.key
         if self.shape.omits(directive, name):
             return f"{directive} {name}"
@@ -151,7 +155,7 @@
         return None
 
     def _with_shape_values(self, line: _ParsedLine) -> _ParsedLine:
-        """The line with what the shape states; a track or tenant is stated whole."""
+        """The line with the keywords of the shape; a track or tenant is replaced as a whole."""
         stated = self.shape.lines.get(line.key)
         if stated is None:
             return line
@@ -161,7 +165,7 @@
         return stated._replace(keywords=line.keywords | stated.keywords)
 
     def _without_unsupported_keywords(self, number: int, line: _ParsedLine) -> _ParsedLine:
-        """The line without what cannot be known or done in the new deployment."""
+        """The line without the keywords that the new deployment does not support."""
         keywords = dict(line.keywords)
         if line.directive == "host" and self.shape.capacities_disabled and "capacity" in keywords:
             capacity = keywords.pop("capacity")
@@ -170,7 +174,7 @@
             )
         if line.directive == "hosts-file" and self.shape.capacities_disabled:
             self._add_left_behind(
-                number, f"capacities in {line.positional[0]}", f"{NO_CAPACITIES_REASON}: they count as 1"
+                number, f"capacities in {line.positional[0]}", f"{NO_CAPACITIES_REASON}: each counts as 1"
             )
         if line.directive == "reach" and self.shape.probes_disabled and "probe" in keywords:
             self._add_left_behind(number, f"reach probe {keywords.pop('probe')}", NO_PROBES_REASON)
@@ -180,7 +184,7 @@
         self.left.append(LeftBehind(self.file, number, text, why))
 
     def text(self) -> str:
-        """The new file: the lines taken over, then what the shape alone states."""
+        """The new file: the lines of the old file, then the lines that only the shape has."""
         lines = list(self.lines)
         rest = [line.text() for key, line in self.shape.lines.items() if key not in self.used_shape_keys]
         if rest:
@@ -193,7 +197,7 @@
 
 
 def _parse_tokens(tokens: list[str]) -> _ParsedLine:
-    """A checked line in its parts."""
+    """Splits the tokens of a valid line into the directive and its arguments."""
     directive, *rest = tokens
     count = len(DIRECTIVES[directive].positional_fields_of(rest))
     positional, pairs = tuple(rest[:count]), rest[count:]
@@ -201,7 +205,7 @@
 
 
 def _trailing_comment(raw: str, tokens: list[str]) -> str:
-    """The comment that ends a line, with the space before it."""
+    """The comment at the end of a line, after two spaces, or an empty text."""
     for place, letter in enumerate(raw):
         if letter != "#":
             continue
@@ -209,5 +213,5 @@
             if shlex.split(raw[:place]) == tokens:
                 return "  " + raw[place:]
         except ValueError:
-            continue  # within quotes
+            continue  # this # is within quotes
     return ""
--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -1,7 +1,8 @@
-"""Lines of text as checked directives: one a line, `#` begins a comment, quotes hold spaces together.
+"""Parser of directives: one on each line, with comments after `#`, and arguments with spaces in quotes.
 
-A directive's class names its positional fields; the rest come as `keyword value`. pydantic checks the values;
-what it reports becomes a `Mistake` with the line, the field, what was found and what is expected.
+The class of a directive names its positional fields; the other fields follow as `keyword value`. pydantic
+validates the values, and its errors become `Mistake`s with the line, the field, what was found and what is
+expected.
 """
 
 import difflib
@@ -16,29 +17,28 @@
 
 from gaproute.config.errors import Mistake, expected_line
 
-PLAIN_LINE_PATTERN = re.compile(
-    r"[\w \t.:,=+/@%\[\]-]*", re.ASCII
-)  # lines without quotes or comments: split fast
-MAX_SHOWN_VALUE_LENGTH = 80  # characters of a value in a mistake
+# Lines without quotes and comments, which `str.split` splits like shlex, but faster.
+PLAIN_LINE_PATTERN = re.compile(r"[\w \t.:,=+/@%\[\]-]*", re.ASCII)
+MAX_SHOWN_VALUE_LENGTH = 80  # characters of an invalid value in a mistake
 
 
 class Directive(BaseModel):
-    """A checked line. `line` is its number in the file, 0 where a directive was not read from one."""
+    """A validated line. `line` is its number in the file, or 0 if the directive was not read from a file."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
-    positional: ClassVar[tuple[str, ...]] = ()  # fields given by their position
+    positional: ClassVar[tuple[str, ...]] = ()  # fields without a keyword, in the order of the arguments
     example: ClassVar[str] = ""
-    once: ClassVar[bool] = False  # at most one such line in a file
+    once: ClassVar[bool] = False  # whether a file may have at most one such line
     line: int = 0
 
     @classmethod
     def positional_fields_of(cls, arguments: list[str]) -> tuple[str, ...]:
-        """The fields that these arguments of a line give by their position."""
+        """The fields that the first of these arguments give without a keyword."""
         return cls.positional
 
     @classmethod
     def fields_by_keyword(cls) -> dict[str, str]:
-        """The name of the field, as the constructor takes it, by keyword."""
+        """The names of the other fields, as the constructor takes them, by keyword."""
         return {
             info.alias or name.replace("_", "-"): info.alias or name
             for name, info in cls.model_fields.items()
@@ -50,10 +50,10 @@
 
 
 class NamedDirective(NamedTuple):
-    """A directive with its name, which its line begins with."""
+    """A directive and its name, which is the first word of its line."""
 
     name: str
-    directive: Any  # of the class that its reader has for the name
+    directive: Any  # an instance of the class that `parse_lines` was given for the name
 
 
 def directives_of(found: Iterable[NamedDirective], kind: type[DirectiveType]) -> list[DirectiveType]:
@@ -62,7 +62,7 @@
 
 
 class ParsedLines(NamedTuple):
-    """What was read from a file: its directives, its mistakes, and the first line of each directive."""
+    """The directives and mistakes of a file, and the number of the first line of each directive."""
 
     found: list[NamedDirective]
     mistakes: list[Mistake]
@@ -72,9 +72,9 @@
 def parse_lines(
     file: str, text: str, kinds: Mapping[str, type[Directive]], max_mistakes: int | None = None
 ) -> ParsedLines:
-    """The directives of a text; `kinds` gives the class of each by its name.
+    """Parses the lines of a text; `kinds` has the class of each directive by its name.
 
-    Reading ends at `max_mistakes` mistakes where it is given.
+    Parsing stops after `max_mistakes` mistakes if a limit is given.
     """
     parser = _Parser(file, kinds)
     for number, raw in enumerate(text.splitlines(), 1):
@@ -93,11 +93,12 @@
     first_lines: dict[str, int] = field(default_factory=dict)
 
     def parse_line(self, number: int, raw: str) -> None:
-        """One line of the file."""
         try:
             tokens = raw.split() if PLAIN_LINE_PATTERN.fullmatch(raw) else shlex.split(raw, comments=True)
         except ValueError as error:
-            self._add_mistake(number, "", f"cannot be split into arguments: {error}", "close the quote")
+            self._add_mistake(
+                number, "", f"the line cannot be split into arguments: {error}", "close the quote"
+            )
             return
         if not tokens:
             return
@@ -107,7 +108,10 @@
             self._add_mistake(number, "", f"unknown directive {name!r}", self._expected_directive(name))
         elif kind.once and name in self.first_lines:
             self._add_mistake(
-                number, name, f"{name} stands a second time", f"keep line {self.first_lines[name]} or this"
+                number,
+                name,
+                f"{name} is given a second time",
+                f"keep line {self.first_lines[name]} or this line",
             )
         else:
             self.first_lines.setdefault(name, number)
@@ -130,7 +134,7 @@
         return (
             f"did you mean {near[0]}?"
             if near
-            else f"the directives known here: {', '.join(sorted(self.kinds))}"
+            else f"the known directives are: {', '.join(sorted(self.kinds))}"
         )
 
     def _add_mistake(self, number: int, field_name: str, found: str, expected: str) -> None:
@@ -138,7 +142,7 @@
 
 
 class _InvalidField(NamedTuple):
-    """A field of a directive, empty for the line as a whole, and what is wrong with it."""
+    """A field of a directive, or an empty name for the whole line, and the error found in it."""
 
     field: str
     found: str
@@ -147,7 +151,7 @@
 def _parse_arguments(
     kind: type[Directive], arguments: list[str]
 ) -> tuple[dict[str, str], list[_InvalidField]]:
-    """The values of a line by field, and what is wrong with the line's form."""
+    """The values of a line by field, and the errors in the form of the line."""
     positional = kind.positional_fields_of(arguments)
     if len(arguments) < len(positional):
         missing = " ".join(name.upper() for name in positional[len(arguments) :])
@@ -164,7 +168,7 @@
                 _InvalidField("", f"unknown keyword {keyword!r}" + (f", perhaps {near[0]}" if near else ""))
             )
         elif keywords[keyword] in given:
-            wrong.append(_InvalidField("", f"{keyword} stands twice"))
+            wrong.append(_InvalidField("", f"{keyword} is given twice"))
         elif place + 1 == len(rest):
             wrong.append(_InvalidField("", f"{keyword} has no value"))
         else:
@@ -173,7 +177,7 @@
 
 
 def _to_invalid_field(detail: ErrorDetails) -> _InvalidField:
-    """What pydantic reports of one value, with the value."""
+    """Converts an error of pydantic, adding the invalid value unless the message contains it."""
     name = ".".join(str(part) for part in detail["loc"]).replace("_", "-") or "line"
     found = detail["msg"].removeprefix("Value error, ")
     value = detail["input"]
--- a/gaproute/config/values.py
+++ b/gaproute/config/values.py
@@ -1,4 +1,4 @@
-"""Values that directives hold: durations, sizes, switches, names, addresses, times of a start."""
+"""Types of the values in directives: durations, sizes, switches, names, addresses and start times."""
 
 import datetime
 from typing import Annotated
@@ -16,12 +16,12 @@
     "h": 3_600_000_000_000,
 }
 BYTES_BY_UNIT = {"": 1, "k": 1 << 10, "m": 1 << 20, "g": 1 << 30}
-DURATION_LIMIT_NS = 1 << 62  # ns
+DURATION_LIMIT_NS = 1 << 62
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
 
 
 def _parse_duration(value: object) -> object:
-    """A number with its unit as ns; a value that is no text is returned as it is."""
+    """Converts a number with its unit to ns; a value that is not text is returned unchanged."""
     if not isinstance(value, str):
         return value
     number = value.rstrip("abcdefghijklmnopqrstuvwxyz")
@@ -29,20 +29,22 @@
     try:
         duration = float(number) * NANOSECONDS_BY_UNIT[unit]
     except (ValueError, KeyError):
-        raise ValueError(f"{value!r} is no time: a number with ms, s, m or h, such as 250ms") from None
+        raise ValueError(
+            f"{value!r} is not a duration: expected a number with ms, s, m or h, such as 250ms"
+        ) from None
     if not 0 <= duration < DURATION_LIMIT_NS:
-        raise ValueError(f"{value!r} is out of range: 0 or more, and finite")
+        raise ValueError(f"{value!r} is out of range: expected 0 or more and less than 2**62 ns")
     return round(duration)
 
 
 def _parse_size(value: object) -> object:
-    """A number with its unit as bytes; a value that is no text is returned as it is."""
+    """Converts a number with its unit to bytes; a value that is not text is returned unchanged."""
     if not isinstance(value, str):
         return value
     number = value.rstrip("kmg")
     unit = value[len(number) :]
     if not number.isdigit() or unit not in BYTES_BY_UNIT:
-        raise ValueError(f"{value!r} is no size: a whole number with k, m or g, such as 16m")
+        raise ValueError(f"{value!r} is not a size: expected a whole number with k, m or g, such as 16m")
     return int(number) * BYTES_BY_UNIT[unit]
 
 
@@ -55,7 +57,7 @@
 
 
 def split_commas(value: object) -> object:
-    """The parts between commas; a value that is no text is returned as it is."""
+    """Splits text at commas; a value that is not text is returned unchanged."""
     return tuple(value.split(",")) if isinstance(value, str) else value
 
 
@@ -65,17 +67,19 @@
 
 
 def _parse_start_time(value: str) -> int:
-    """Seconds since 1970, or ISO 8601 with its offset, as ns since 1970."""
+    """Converts seconds since 1970, or an ISO 8601 time with its UTC offset, to ns since 1970."""
     try:
         return round(float(value) * 1e9)
     except ValueError:
-        pass  # it may be ISO 8601
+        pass  # the value may be an ISO 8601 time
     try:
         time = datetime.datetime.fromisoformat(value)
     except ValueError:
-        raise ValueError(f"{value!r} is no time: 2026-12-01T18:00:00Z or seconds since 1970") from None
+        raise ValueError(
+            f"{value!r} is not a time: expected 2026-12-01T18:00:00Z or seconds since 1970"
+        ) from None
     if time.tzinfo is None:
-        raise ValueError(f"{value!r} lacks its offset, such as Z")
+        raise ValueError(f"{value!r} has no UTC offset, such as Z")
     return round(time.timestamp() * 1e9)
 
 
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -26,10 +26,13 @@
 @pytest.mark.parametrize(
     ("lines", "mistake"),
     [
-        ((*PEERS, "keepers g,h,i"), "a Raft member without a file for its votes"),
-        ((*PEERS, "keepers h,i votes /tmp/v"), "votes at a gateway that is no Raft member"),
-        ((*PEERS, "keepers g,h,k votes /tmp/v"), "Raft member k is no peer here"),
-        (("keepers g votes /tmp/v",), "keepers without a listen peers line"),
+        (
+            (*PEERS, "keepers g,h,i"),
+            "this gateway is a Raft member, but the keepers line names no votes file",
+        ),
+        ((*PEERS, "keepers h,i votes /tmp/v"), "a votes file at a gateway that is not a Raft member"),
+        ((*PEERS, "keepers g,h,k votes /tmp/v"), "Raft member k is not a peer of this gateway"),
+        (("keepers g votes /tmp/v",), "keepers requires a listen peers line"),
         ((*PEERS, "keepers g,g votes /tmp/v"), "a Raft member is named twice"),
         ((*PEERS, "keepers g,h,i votes /tmp/v longest 2h"), "longest"),
     ],
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -40,15 +40,18 @@
 @pytest.mark.parametrize(
     ("lines", "mistake"),
     [
-        ((CELLS,), "f:11: cells without a cell-hosts line"),
-        ((CELLS, LISTS), "f:11: cells without a listen peers line"),
-        ((LISTS, "host h 127.0.0.1:9"), "f:11: cell-hosts without a cells line"),
-        ((CELLS, LISTS, "host h 127.0.0.1:9"), "f:13: host beside cells"),
-        ((CELLS, LISTS, "hosts-file h"), "f:13: hosts-file beside cells"),
-        ((CELLS, LISTS, "memory m"), "f:13: memory beside cells"),
-        ((CELLS, LISTS, "listen peers 127.0.0.1:0", "weak-word yes"), "f:14: weak-word beside cells"),
-        ((CELLS, LISTS, "decisions a:B"), "f:13: decisions beside cells"),
-        ((CELLS, LISTS, CELLS), "f:13: cells stands a second time"),
+        ((CELLS,), "f:11: cells requires a cell-hosts line"),
+        ((CELLS, LISTS), "f:11: cells requires a listen peers line"),
+        ((LISTS, "host h 127.0.0.1:9"), "f:11: cell-hosts requires a cells line"),
+        ((CELLS, LISTS, "host h 127.0.0.1:9"), "f:13: host and cells lines exclude each other"),
+        ((CELLS, LISTS, "hosts-file h"), "f:13: hosts-file and cells lines exclude each other"),
+        ((CELLS, LISTS, "memory m"), "f:13: memory and cells lines exclude each other"),
+        (
+            (CELLS, LISTS, "listen peers 127.0.0.1:0", "weak-word yes"),
+            "f:14: weak-word and cells lines exclude each other",
+        ),
+        ((CELLS, LISTS, "decisions a:B"), "f:13: decisions and cells lines exclude each other"),
+        ((CELLS, LISTS, CELLS), "f:13: cells is given a second time"),
         (("cells north region r zone z", LISTS), "f:11: cells: file: Field required"),
         (("cells north file t look 1h region r zone z", LISTS), "f:11: cells: look:"),
         (("cells north file t region r", LISTS), "f:11: cells: zone: Field required"),
@@ -57,12 +60,12 @@
         ((CELLS, "cell-hosts from nowhere"), "f:12: cell-hosts: from.0: an address is HOST:PORT"),
         ((CELLS, "cell-hosts from 10.0.0.1:7,"), "f:12: cell-hosts: from.1: an address is HOST:PORT"),
         ((CELLS, "cell-hosts from 10.0.0.1:7,10.0.0.1:7"), "f:12: cell-hosts: line: a source is named twice"),
-        ((CELLS, "cell-hosts from 10.0.0.1:0"), "f:12: cell-hosts: line: a source has a port"),
+        ((CELLS, "cell-hosts from 10.0.0.1:0"), "f:12: cell-hosts: line: a source needs a port other than 0"),
         ((CELLS, "cell-hosts lists from 10.0.0.1:7"), "f:12: cell-hosts: line: a folder and sources"),
         ((CELLS, "cell-hosts from 10.0.0.1:7 folder x"), "f:12: cell-hosts: unknown keyword 'folder'"),
         (
             (CELLS, "cell-hosts from " + ",".join(f"10.0.0.1:{port}" for port in range(1, 18))),
-            "f:12: cell-hosts: line: 16 sources at most",
+            "f:12: cell-hosts: line: at most 16 sources are allowed",
         ),
     ],
 )
@@ -82,7 +85,7 @@
 def test_cells_without_a_name_are_refused():
     configuration = CONFIGURATION.replace("name g\n", "")
     assert (
-        "cells without a name line"
+        "cells requires a name line"
         in mistakes_of(read_configuration, "f", f"{configuration}{CELLS}\n{LISTS}\n{PEERS}\n")[0]
     )
 
@@ -119,19 +122,23 @@
     ("before", "after", "mistake"),
     [
         ("table north term 1 number 3\n", "", "no table line"),
-        ("b1:0+16\nend\n", "b1:0+1", ":3: the table is torn"),
+        ("b1:0+16\nend\n", "b1:0+1", ":3: the cell table is truncated"),
         ("number 3", "number new", ":1: table: number: Input should be a valid integer"),
-        ("cell b1", "cell a1", ":3: cell a1 stands a second time; keep line 2"),
+        ("cell b1", "cell a1", ":3: cell a1 is defined a second time; keep line 2"),
         ("zone west-b", "zone west-a", None),
         (
             "region west zone west-b",
             "region east zone west-a",
-            ":3: zone west-a lies in region east, in line 2 in west",
+            ":3: zone west-a is in region east, but in line 2 in west",
+        ),
+        (
+            "end\n",
+            "end\n\ncell c1 region west zone west-a capacity 1 hosts 1\n",
+            ":6: the cell table is truncated",
         ),
-        ("end\n", "end\n\ncell c1 region west zone west-a capacity 1 hosts 1\n", ":6: the table is torn"),
         ("50 hosts 2 points", "50 hosts 20000 points", ":3: cell: 20000 hosts are not"),
         ("a1:100+4", "a1:0+4", ":3: points: ring point 0 of a1 is also in line 2"),
-        ("a1:100+4", "a1:100", ":3: cell: points: 'a1:100' is no range of ring points"),
+        ("a1:100+4", "a1:100", ":3: cell: points: 'a1:100' is not a range of ring points"),
         ("capacity 50", "capacity nan", ":3: cell: the capacity nan is not above 0"),
         ("gb=", "ga=", ":2: cell: an entry gateway is named twice"),
         ("cell b1", "cel b1", ":3: unknown directive 'cel'; did you mean cell?"),
@@ -204,17 +211,20 @@
             "lists/b1.hosts:2: host x",
         ),
         ({"lists": {"a1": "host x 127.0.0.1:1\n", "b1": "host y 127.0.0.1:1\n"}}, "lists/b1.hosts:1: host y"),
-        ({"lists": {"a1": "host x 127.0.0.1:1 zone moon\n"}}, "lists/a1.hosts:1: host x stands in zone moon"),
+        ({"lists": {"a1": "host x 127.0.0.1:1 zone moon\n"}}, "lists/a1.hosts:1: host x is in zone moon"),
         ({"lists": {"a1": "host x\n"}}, "lists/a1.hosts:1: host: WHERE is missing"),
         ({"lists": {}, "table": f"nonsense\n{TABLE}"}, "t:1: unknown directive 'nonsense'"),
-        ({"lists": {}, "table": TABLE.replace("north", "south")}, "g.conf:11: cells: t is of fleet south"),
+        (
+            {"lists": {}, "table": TABLE.replace("north", "south")},
+            "g.conf:11: cells: the table in t is of fleet south",
+        ),
         (
             {"lists": {}, "place": "region west zone moon"},
             "g.conf:11: cells: the table has no cell in zone moon",
         ),
         (
             {"lists": {}, "place": "region east zone west-a"},
-            "g.conf:11: cells: zone west-a lies in region west",
+            "g.conf:11: cells: zone west-a is in region west",
         ),
     ],
 )
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -50,23 +50,23 @@
     [
         ("modle x track a", "did you mean model?"),
         ("model x track nope", "no track 'nope'"),
-        ("model m track a", "stands a second time"),
+        ("model m track a", "is defined a second time"),
         ("model x track a lanes 0", "greater than or equal to 1"),
         ("model x track a lanes", "lanes has no value"),
-        ("model x track a lanes 2 lanes 3", "lanes stands twice"),
+        ("model x track a lanes 2 lanes 3", "lanes is given twice"),
         ("model x track a lames 2", "perhaps lanes"),
         ("model", "NAME is missing"),
-        ("track c pure contract 9s limit 1s", "contract time is over the limit"),
-        ("track c pure contract 1 limit 1s", "no time"),
-        ("track c pure contract nans limit 1s", "no time"),
+        ("track c pure contract 9s limit 1s", "contract time is longer than the limit"),
+        ("track c pure contract 1 limit 1s", "is not a duration"),
+        ("track c pure contract nans limit 1s", "is not a duration"),
         ("track c receipted contract 1s limit 1s", "remembers"),
         ("track c odd contract 1s limit 1s", "'pure', 'receipted' or 'effectful'"),
         ("host h2 nowhere", "HOST:PORT"),
         ("host h2 127.0.0.1:1 capacity 0", "greater than 0"),
-        ("host h2 127.0.0.1:1 started 2026-01-01", "lacks its offset"),
+        ("host h2 127.0.0.1:1 started 2026-01-01", "has no UTC offset"),
         ("hosts-file x.list", "keep one of the two"),
         ("name again", "second time"),
-        ("clients body 3q", "no size"),
+        ("clients body 3q", "is not a size"),
         ("relays twins maybe", "neither yes nor no"),
         ("decisions gaproute.nothing:Gateway", "No module"),
         ('name "open', "close the quote"),
@@ -84,7 +84,7 @@
     [
         ("model x track a lanes none", "model: lanes", "not 'none'"),
         ("track c odd contract 1s limit 1s", "track: effect", "not 'odd'"),
-        ("clients body 3q", "clients: body", "'3q' is no size"),
+        ("clients body 3q", "clients: body", "'3q' is not a size"),
         ("model x track nope", "model x", "no track 'nope'"),
         ("name again", "name", "a second time"),
     ],
@@ -102,7 +102,7 @@
 def test_a_peer_line_that_is_wrong_beside_a_peers_file_is_a_mistake_not_a_crash():
     mistakes = [text for _, text in wrong(GOOD + "peers-file p.list\npeer g2\n")]
     assert any("WHERE is missing" in text for text in mistakes)
-    assert any("peers stand here and in a peers-file" in text for text in mistakes)
+    assert any("peer lines and a peers-file line exclude each other" in text for text in mistakes)
 
 
 def test_all_mistakes_come_in_one_go_in_the_order_of_lines():
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -71,8 +71,8 @@
     assert [(each.line, each.text.split()[0], each.why) for each in left] == [
         (5, "track", "the new deployment has no track b"),
         (7, "model", "the new deployment has no track b"),
-        (9, "host", "no capacities of hosts are reported there"),
-        (11, "reach", "no probes are allowed there"),
+        (9, "host", "the new deployment reports no capacities of hosts"),
+        (11, "reach", "the new deployment allows no probes"),
     ]
 
 
@@ -93,7 +93,7 @@
     found = mistakes(OLD + "modle x\n", "sizes perhaps\nlisten kserve 127.0.0.1:2\n")
     assert any("old:12" in each and "did you mean model" in each for each in found)
     assert any("shape:1" in each and "neither yes nor no" in each for each in found)
-    assert any("shape:2" in each and "no statement of a deployment" in each for each in found)
+    assert any("shape:2" in each and "is not a directive of a shape" in each for each in found)
 
 
 def test_a_shape_that_leaves_nothing_to_serve_is_refused():
