--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -40,15 +40,15 @@
     if text is None:
         text = _read_bounded(file)
     _check_size(file, text)
-    found, mistakes, first = parse_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
-    if "table" not in first:
+    directives, mistakes, first_lines = parse_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
+    if "table" not in first_lines:
         mistakes.append(
             Mistake(file, 0, "table", "the file has no table line", expected_line(TableLine.example))
         )
-    lines = directives_of(found, CellLine)
+    lines = directives_of(directives, CellLine)
     mistakes += islice(_cell_mistakes(file, lines), MAX_MISTAKES)
     if not mistakes:
-        (head,) = directives_of(found, TableLine)
+        (head,) = directives_of(directives, TableLine)
         try:
             return validate(head.fleet, Version(head.term, head.number), map(_cell_of_line, lines))
         except TableError as error:
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -18,9 +18,9 @@
 class Configuration:
     """A checked configuration: its directives by class, and the settings of the routing decisions."""
 
-    def __init__(self, file: str, found: Sequence[NamedDirective]) -> None:
+    def __init__(self, file: str, directives: Sequence[NamedDirective]) -> None:
         """Errors: ImportError, AttributeError if the class of the routing decisions does not exist."""
-        lines = _DirectiveLookup(found)
+        lines = _DirectiveLookup(directives)
         self.file = file
         self.name: str = lines.first_or_default(fleet.NameLine).name
         self.listen_addresses: list[tuple[str, str]] = [
@@ -78,19 +78,19 @@
 class _DirectiveLookup:
     """Finds the directives of a file by their class."""
 
-    def __init__(self, found: Sequence[NamedDirective]) -> None:
-        self._found = found
+    def __init__(self, directives: Sequence[NamedDirective]) -> None:
+        self._directives = directives
 
-    def all_of(self, kind: type[DirectiveType]) -> list[DirectiveType]:
-        return directives_of(self._found, kind)
+    def all_of(self, directive_type: type[DirectiveType]) -> list[DirectiveType]:
+        return directives_of(self._directives, directive_type)
 
-    def first_of(self, kind: type[DirectiveType]) -> DirectiveType | None:
+    def first_of(self, directive_type: type[DirectiveType]) -> DirectiveType | None:
         """The first directive of that class, or None."""
-        return next(iter(self.all_of(kind)), None)
+        return next(iter(self.all_of(directive_type)), None)
 
-    def first_or_default(self, kind: type[DirectiveType]) -> DirectiveType:
+    def first_or_default(self, directive_type: type[DirectiveType]) -> DirectiveType:
         """The first directive of that class, or one with all its defaults."""
-        return self.first_of(kind) or kind.model_construct()
+        return self.first_of(directive_type) or directive_type.model_construct()
 
 
 def _routing_settings(
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -40,23 +40,23 @@
 
 
 def cross_line_mistakes(
-    file: str, found: Sequence[NamedDirective], first_lines: Mapping[str, int]
+    file: str, directives: Sequence[NamedDirective], first_lines: Mapping[str, int]
 ) -> Iterator[Mistake]:
     """All mistakes across lines; `first_lines` is the number of the first line of each directive."""
-    yield from duplicate_name_mistakes(file, found)
+    yield from duplicate_name_mistakes(file, directives)
     yield from _missing_directives(file, first_lines)
     yield from _exclusive_directives(file, first_lines)
-    yield from _missing_peers_address(file, found)
-    yield from _raft_group_mistakes(file, found)
-    yield from _unknown_track_mistakes(file, found)
-    yield from _cells_mistakes(file, found, first_lines)
-    yield from _duplicate_listen_addresses(file, found)
+    yield from _missing_peers_address(file, directives)
+    yield from _raft_group_mistakes(file, directives)
+    yield from _unknown_track_mistakes(file, directives)
+    yield from _cells_mistakes(file, directives, first_lines)
+    yield from _duplicate_listen_addresses(file, directives)
 
 
-def duplicate_name_mistakes(file: str, found: Iterable[NamedDirective]) -> Iterator[Mistake]:
+def duplicate_name_mistakes(file: str, directives: Iterable[NamedDirective]) -> Iterator[Mistake]:
     """The mistakes of names that are defined a second time."""
     first_lines: dict[tuple[str, str], int] = {}
-    for directive, line in found:
+    for directive, line in directives:
         if directive not in NAMED_DIRECTIVES:
             continue
         before = first_lines.setdefault((directive, line.name), line.line)
@@ -96,27 +96,27 @@
             )
 
 
-def _missing_peers_address(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
+def _missing_peers_address(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
     """The mistakes of directives that require a listen address for peers."""
-    if any(line.kind == "peers" for line in directives_of(found, ListenLine)):
+    if any(line.kind == "peers" for line in directives_of(directives, ListenLine)):
         return
-    for directive, line in found:
+    for directive, line in directives:
         if directive in ("keepers", "cells") or (directive == "weak-word" and line.enabled):
             expected = expected_line("listen peers 127.0.0.1:8090")
             yield Mistake(file, line.line, directive, f"{directive} requires a listen peers line", expected)
 
 
-def _raft_group_mistakes(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
+def _raft_group_mistakes(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
     """The mistakes of the `keepers` line compared with other lines."""
-    line = next(iter(directives_of(found, RaftGroupLine)), None)
+    line = next(iter(directives_of(directives, RaftGroupLine)), None)
     if line is None:
         return
-    own = next((each.name for each in directives_of(found, NameLine)), None)
-    known = {own} | {each.name for each in directives_of(found, PeerLine)}
+    own = next((each.name for each in directives_of(directives, NameLine)), None)
+    known = {own} | {each.name for each in directives_of(directives, PeerLine)}
     if own is None:
         text = "keepers requires a name line, which tells whether this gateway is a Raft member"
         yield Mistake(file, line.line, "keepers", text, expected_line(NameLine.example))
-    if not any(directive == "peers-file" for directive, _ in found):
+    if not any(directive == "peers-file" for directive, _ in directives):
         for name in line.names:
             if name not in known:
                 expected = expected_line(f"peer {name} 127.0.0.1:8091")
@@ -136,9 +136,9 @@
         )
 
 
-def _unknown_track_mistakes(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    tracks = [line.name for line in directives_of(found, RequestClassLine)]
-    for line in directives_of(found, ModelLine):
+def _unknown_track_mistakes(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
+    tracks = [line.name for line in directives_of(directives, RequestClassLine)]
+    for line in directives_of(directives, ModelLine):
         if line.track not in tracks:
             expected = f"name one of the tracks: {', '.join(tracks) or 'none'}"
             yield Mistake(
@@ -151,7 +151,7 @@
 
 
 def _cells_mistakes(
-    file: str, found: Sequence[NamedDirective], first_lines: Mapping[str, int]
+    file: str, directives: Sequence[NamedDirective], first_lines: Mapping[str, int]
 ) -> Iterator[Mistake]:
     """The mistakes of the `cells` and `cell-hosts` lines compared with other lines."""
     for directive, other, text in REQUIRED_WITH_CELLS:
@@ -165,7 +165,7 @@
             )
     if "cells" not in first_lines:
         return
-    for directive, line in found:
+    for directive, line in directives:
         if directive in EXCLUDED_BY_CELLS and (directive != "weak-word" or line.enabled):
             yield Mistake(
                 file,
@@ -176,9 +176,9 @@
             )
 
 
-def _duplicate_listen_addresses(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
+def _duplicate_listen_addresses(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
     first_lines: dict[str, int] = {}
-    for line in directives_of(found, ListenLine):
+    for line in directives_of(directives, ListenLine):
         if line.where in first_lines and not line.where.endswith(":0"):
             text = f"two listen lines have the address {line.where}"
             yield Mistake(
--- a/gaproute/config/files.py
+++ b/gaproute/config/files.py
@@ -26,11 +26,11 @@
     file = str(path)
     if text is None:
         text = read_text(file)
-    found, mistakes, first = parse_lines(file, text, DIRECTIVES)
-    mistakes += cross_line_mistakes(file, found, first)
+    directives, mistakes, first_lines = parse_lines(file, text, DIRECTIVES)
+    mistakes += cross_line_mistakes(file, directives, first_lines)
     if not mistakes:
         try:
-            return Configuration(file, found)
+            return Configuration(file, directives)
         except (ImportError, AttributeError) as error:
             mistakes.append(Mistake(file, 0, "decisions", str(error), expected_line(DecisionsLine.example)))
     raise error_sorted_by_line(mistakes)
@@ -49,16 +49,16 @@
 def _read_uniform_list(
     path: FilePath,
     text: str | None,
-    directives: Mapping[str, type[Directive]],
-    kind: type[DirectiveType],
+    directive_types: Mapping[str, type[Directive]],
+    directive_type: type[DirectiveType],
 ) -> list[DirectiveType]:
     """The directives of a file that may contain only directives of one class."""
     file = str(path)
-    found, mistakes, _ = parse_lines(file, read_text(file) if text is None else text, directives)
-    mistakes += duplicate_name_mistakes(file, found)
+    directives, mistakes, _ = parse_lines(file, read_text(file) if text is None else text, directive_types)
+    mistakes += duplicate_name_mistakes(file, directives)
     if mistakes:
         raise ConfigurationError(mistakes)
-    return directives_of(found, kind)
+    return directives_of(directives, directive_type)
 
 
 def read_text(path: FilePath) -> str:
--- a/gaproute/config/migration.py
+++ b/gaproute/config/migration.py
@@ -100,10 +100,10 @@
 
 def _read_shape(file: str, text: str) -> _Shape:
     """The shape in a file's text. Errors: `ConfigurationError`."""
-    found, mistakes, _ = parse_lines(file, text, DIRECTIVES)
-    mistakes += duplicate_name_mistakes(file, found)
-    mistakes += _misplaced_directives(file, [(directive, line.line) for directive, line in found])
-    if not found and not mistakes:
+    directives, mistakes, _ = parse_lines(file, text, DIRECTIVES)
+    mistakes += duplicate_name_mistakes(file, directives)
+    mistakes += _misplaced_directives(file, [(directive, line.line) for directive, line in directives])
+    if not directives and not mistakes:
         mistakes.append(
             Mistake(
                 file, 0, "", "the shape states nothing", "add the lines that the new deployment prescribes"
--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -56,39 +56,41 @@
     directive: Any  # an instance of the class that `parse_lines` was given for the name
 
 
-def directives_of(found: Iterable[NamedDirective], kind: type[DirectiveType]) -> list[DirectiveType]:
+def directives_of(
+    directives: Iterable[NamedDirective], directive_type: type[DirectiveType]
+) -> list[DirectiveType]:
     """The directives of one class, in the order of their lines."""
-    return [directive for _, directive in found if isinstance(directive, kind)]
+    return [directive for _, directive in directives if isinstance(directive, directive_type)]
 
 
 class ParsedLines(NamedTuple):
     """The directives and mistakes of a file, and the number of the first line of each directive."""
 
-    found: list[NamedDirective]
+    directives: list[NamedDirective]
     mistakes: list[Mistake]
     first_lines: dict[str, int]
 
 
 def parse_lines(
-    file: str, text: str, kinds: Mapping[str, type[Directive]], max_mistakes: int | None = None
+    file: str, text: str, directive_types: Mapping[str, type[Directive]], max_mistakes: int | None = None
 ) -> ParsedLines:
-    """Parses the lines of a text; `kinds` has the class of each directive by its name.
+    """Parses the lines of a text; `directive_types` has the class of each directive by its name.
 
     Parsing stops after `max_mistakes` mistakes if a limit is given.
     """
-    parser = _Parser(file, kinds)
+    parser = _Parser(file, directive_types)
     for number, raw in enumerate(text.splitlines(), 1):
         if max_mistakes is not None and len(parser.mistakes) >= max_mistakes:
             break
         parser.parse_line(number, raw)
-    return ParsedLines(parser.found, parser.mistakes, parser.first_lines)
+    return ParsedLines(parser.directives, parser.mistakes, parser.first_lines)
 
 
 @dataclass
 class _Parser:
     file: str
-    kinds: Mapping[str, type[Directive]]
-    found: list[NamedDirective] = field(default_factory=list)
+    directive_types: Mapping[str, type[Directive]]
+    directives: list[NamedDirective] = field(default_factory=list)
     mistakes: list[Mistake] = field(default_factory=list)
     first_lines: dict[str, int] = field(default_factory=dict)
 
@@ -103,10 +105,10 @@
         if not tokens:
             return
         name, *arguments = tokens
-        kind = self.kinds.get(name)
-        if kind is None:
+        directive_type = self.directive_types.get(name)
+        if directive_type is None:
             self._add_mistake(number, "", f"unknown directive {name!r}", self._expected_directive(name))
-        elif kind.once and name in self.first_lines:
+        elif directive_type.once and name in self.first_lines:
             self._add_mistake(
                 number,
                 name,
@@ -115,26 +117,28 @@
             )
         else:
             self.first_lines.setdefault(name, number)
-            self._parse_directive(name, kind, arguments, number)
+            self._parse_directive(name, directive_type, arguments, number)
 
-    def _parse_directive(self, name: str, kind: type[Directive], arguments: list[str], number: int) -> None:
-        given, wrong = _parse_arguments(kind, arguments)
+    def _parse_directive(
+        self, name: str, directive_type: type[Directive], arguments: list[str], number: int
+    ) -> None:
+        given, wrong = _parse_arguments(directive_type, arguments)
         if not wrong:
             try:
                 fields: dict[str, object] = {"line": number, **given}
-                self.found.append(NamedDirective(name, kind.model_validate(fields)))
+                self.directives.append(NamedDirective(name, directive_type.model_validate(fields)))
             except ValidationError as error:
                 wrong = [_to_invalid_field(detail) for detail in error.errors()]
         for field_name, found in wrong:
             place = f"{name}: {field_name}" if field_name else name
-            self._add_mistake(number, place, found, expected_line(kind.example))
+            self._add_mistake(number, place, found, expected_line(directive_type.example))
 
     def _expected_directive(self, name: str) -> str:
-        near = difflib.get_close_matches(name, self.kinds, 1)
+        near = difflib.get_close_matches(name, self.directive_types, 1)
         return (
             f"did you mean {near[0]}?"
             if near
-            else f"the known directives are: {', '.join(sorted(self.kinds))}"
+            else f"the known directives are: {', '.join(sorted(self.directive_types))}"
         )
 
     def _add_mistake(self, number: int, field_name: str, found: str, expected: str) -> None:
@@ -149,16 +153,16 @@
 
 
 def _parse_arguments(
-    kind: type[Directive], arguments: list[str]
+    directive_type: type[Directive], arguments: list[str]
 ) -> tuple[dict[str, str], list[_InvalidField]]:
     """The values of a line by field, and the errors in the form of the line."""
-    positional = kind.positional_fields_of(arguments)
+    positional = directive_type.positional_fields_of(arguments)
     if len(arguments) < len(positional):
         missing = " ".join(name.upper() for name in positional[len(arguments) :])
         return {}, [_InvalidField("", f"{missing} is missing")]
     given = dict(zip(positional, arguments[: len(positional)], strict=True))
     rest = arguments[len(positional) :]
-    keywords = kind.fields_by_keyword()
+    keywords = directive_type.fields_by_keyword()
     wrong = []
     for place in range(0, len(rest), 2):
         keyword = rest[place]
