--- a/gaproute/storage/__init__.py
+++ b/gaproute/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Files that outlast the process; no failure of these files stops a gateway from serving."""
+"""Files with state that survives a restart; a gateway serves requests even if these files fail."""
 
 from gaproute.storage.observation_store import ObservationStore, ObservationStoreError
 from gaproute.storage.raft_log_file import RaftLogFile
--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -1,10 +1,10 @@
-"""The last good cell table on disk, which a gateway uses after its start until it receives a newer one.
+"""The last valid cell table on disk, which a gateway uses after its start until it receives a newer one.
 
-One file, replaced atomically, with a magic number, a checksum of the rest, and the table. A file that is
-torn, of another fleet or without a table is quarantined for the operator and never fatal: the gateway starts
-without a table. Failures are counted, and reported once in an outage; the table in memory is used meanwhile.
-A file that could not be read for a moment may have a newer table than the other gateways, so it is not
-overwritten before it was read.
+The file consists of a magic number, a checksum and the encoded table, and it is replaced atomically. A file
+that is torn, has the table of another fleet or has no table is quarantined for the operator, and the gateway
+starts without a table. Failures are counted and reported once in an outage, while the gateway uses the table
+in memory. After a transient read failure the file is not overwritten until it was read, since it may have a
+newer table than the other gateways.
 """
 
 import os
@@ -21,17 +21,17 @@
 from gaproute.storage import files
 
 MAGIC = b"gaproute-table-1"
-CHECKSUM_BYTES = 8  # bytes
+CHECKSUM_BYTES = 8
 BODY_OFFSET = len(MAGIC) + CHECKSUM_BYTES
-MAX_FILE_BYTES = 5 << 20  # bytes: a whole encoded table and its header
+MAX_FILE_BYTES = 5 << 20  # the largest encoded table and its header
 ANY_VERSION = (-1, -1)  # lower than the version of any table
-MAX_FAILED_READS = 12  # in a row, until the file is quarantined: the disk works, but has a bad block there
+MAX_FAILED_READS = 12  # in a row; then the file is quarantined, as it probably has a bad block
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
 class StoredTable(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """An encoded cell table with its version and the values by which it is checked."""
+    """An encoded cell table with its version, its fleet and the digest of its cells."""
 
     fleet: str
     term: Count
@@ -41,24 +41,24 @@
 
 
 class UnusableTableError(GaprouteError):
-    """The file has no table that this gateway can use; the text says what was found and expected."""
+    """The file has no table that this gateway can use; the text gives the reason."""
 
 
 @dataclass
 class CellTableFileCounts:
-    """What happened to the file since the start of the process."""
+    """Counts of operations on the file since the start of the process."""
 
     written: int = 0
-    failed: int = 0  # reads and writes
+    failed: int = 0  # reads, writes and renames
     quarantined: int = 0
 
 
 class CellTableFile:
-    """The file of one gateway.
+    """The cell table file of one gateway.
 
     `report(text)` is called with messages for operators, once in an outage. `wall_clock` returns ns since
-    1970 and only names quarantined files. `failed_reads` counts the reads in a row that failed for a
-    transient reason; nothing should be written until it is 0.
+    1970 and is used only to name quarantined files. `failed_reads` counts consecutive reads that failed for
+    a transient reason; the caller should not write until it is 0.
     """
 
     def __init__(
@@ -72,12 +72,12 @@
         self.report, self.wall_clock = report, wall_clock
         self.counts = CellTableFileCounts()
         self.failed_reads = 0
-        self.failing = False  # whether an outage was reported and has not ended
+        self.failing = False  # whether an outage was reported and has not ended yet
 
     def read(self, newest_known: tuple[int, int] = ANY_VERSION) -> StoredTable | None:
-        """Return the stored table, None where there is none that can be used.
+        """Return the stored table, or None if there is no usable one.
 
-        A table older than `newest_known`, the version (term, number) that others have, is quarantined.
+        A table older than `newest_known`, the version (term, number) of other gateways, is quarantined.
         """
         content = self._read_content()
         if content is None:
@@ -91,12 +91,12 @@
         return table
 
     def write(self, table: StoredTable) -> bool:
-        """Store this table in place of the present one. Returns whether it is durable."""
+        """Replace the stored table by this one. Returns whether the write succeeded and is durable."""
         body = msgspec.msgpack.encode(table)
         content = MAGIC + _checksum(body) + body
         try:
             if len(content) > MAX_FILE_BYTES:
-                raise OSError(f"a table of {len(content)} bytes, {MAX_FILE_BYTES} at most expected")
+                raise OSError(f"the table has {len(content)} bytes, expected {MAX_FILE_BYTES} at most")
             files.close(files.replace_file(self.path, content))
         except OSError as error:
             self._record_failure(str(error))
@@ -106,7 +106,7 @@
         return True
 
     def quarantine(self, reason: str) -> None:
-        """Rename a file that cannot be used, for the operator to inspect."""
+        """Rename an unusable file so that the operator can inspect it."""
         self.counts.quarantined += 1
         target = files.quarantine_path(self.path, self.wall_clock())
         try:
@@ -132,23 +132,27 @@
         self.failed_reads = self.failed_reads + 1 if error.errno in files.TRANSIENT_ERRNOS else 0
         if self.failed_reads == MAX_FAILED_READS:
             self.failed_reads = 0
-            self.quarantine(f"not read {MAX_FAILED_READS} times: {error}")
+            self.quarantine(f"{MAX_FAILED_READS} reads in a row failed: {error}")
 
     def _decode(self, content: bytes) -> StoredTable:
         """Errors: UnusableTableError."""
         if len(content) > MAX_FILE_BYTES:
-            raise UnusableTableError(f"more than {MAX_FILE_BYTES} bytes")
+            raise UnusableTableError(f"the file has more than {MAX_FILE_BYTES} bytes")
         if not content.startswith(MAGIC):
-            raise UnusableTableError(f"no cell table: it does not begin with {MAGIC.decode()!r}")
+            raise UnusableTableError(
+                f"the file is not a cell table: it does not begin with {MAGIC.decode()!r}"
+            )
         body = content[BODY_OFFSET:]
         if content[len(MAGIC) : BODY_OFFSET] != _checksum(body):
-            raise UnusableTableError("torn or altered: the checksum differs")
+            raise UnusableTableError("the file is torn or altered: its checksum differs")
         try:
             table = msgspec.msgpack.decode(body, type=StoredTable)
         except msgspec.DecodeError as error:
-            raise UnusableTableError(f"no cell table: {error}") from None
+            raise UnusableTableError(f"the file is not a cell table: {error}") from None
         if table.fleet != self.fleet:
-            raise UnusableTableError(f"of fleet {table.fleet!r:.140}, this gateway is of {self.fleet!r}")
+            raise UnusableTableError(
+                f"the table is of fleet {table.fleet!r:.140}, but this gateway is of fleet {self.fleet!r}"
+            )
         return table
 
     def _record_failure(self, text: str) -> None:
@@ -162,7 +166,9 @@
     """Errors: UnusableTableError."""
     if (table.term, table.number) < newest_known:
         term, number = newest_known
-        raise UnusableTableError(f"version {table.term}.{table.number}, others hold {term}.{number}")
+        raise UnusableTableError(
+            f"the table has version {table.term}.{table.number}, but others hold version {term}.{number}"
+        )
 
 
 def _checksum(body: bytes) -> bytes:
--- a/gaproute/storage/files.py
+++ b/gaproute/storage/files.py
@@ -1,8 +1,8 @@
-"""Files that must survive a crash: written to a temporary file, synced, and renamed into place.
+"""File operations that survive a crash: write to a temporary file, sync it, and rename it into place.
 
 After a failed fsync the kernel may mark pages clean that never reached the disk, and a further fsync reports
-success for them (fsync(2), "Errors"). So no function here repeats a failed fsync: a caller that sees an
-OSError writes the whole content again, which `replace_file` does into a new file.
+success for them (fsync(2), "Errors"). So no function here repeats a failed fsync. After an OSError the caller
+has to write the whole content again with `replace_file`, which uses a new file.
 """
 
 import errno
@@ -11,11 +11,11 @@
 from contextlib import suppress
 from pathlib import Path
 
-OWNER_ONLY_MODE = 0o600  # permissions of the files
-READ_CHUNK_BYTES = 1 << 20  # bytes asked for in one read
+OWNER_ONLY_MODE = 0o600
+READ_CHUNK_BYTES = 1 << 20  # the largest single read
 NEW_FILE_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
 
-# Errors that end once the disk has space, answers or is writable again, or descriptors and memory are free.
+# Errors that end once the disk has space, responds or is writable, or descriptors or memory are free again.
 TRANSIENT_ERRNOS = frozenset(
     {
         errno.ENOSPC,
@@ -31,10 +31,10 @@
 
 
 def lock_file(path: str | Path) -> int:
-    """Lock the file `path` against other processes, by a lock file beside it.
+    """Lock the file `path` against other processes by a lock file `path`.lock.
 
     Returns the descriptor of the lock file; closing it releases the lock. Errors: OSError, which is
-    BlockingIOError where another process has the lock.
+    BlockingIOError if another process holds the lock.
     """
     descriptor = os.open(f"{path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, OWNER_ONLY_MODE)
     try:
@@ -46,15 +46,15 @@
 
 
 def quarantine_path(path: str | Path, wall_time: int) -> str:
-    """Return the name under which a file that cannot be used is left for the operator.
+    """Return the name to which an unusable file is renamed for the operator.
 
-    `wall_time`: ns since 1970, so that an earlier one is not overwritten.
+    `wall_time` (ns since 1970) makes the name unique, so that no earlier quarantined file is overwritten.
     """
     return f"{path}.broken-{wall_time}"
 
 
 def read_file(path: str | Path, limit: int | None = None) -> bytes:
-    """Return the file's content, its first `limit` bytes at most. Errors: OSError."""
+    """Return the content of the file, or its first `limit` bytes. Errors: OSError."""
     descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     content = bytearray()
     try:
@@ -70,9 +70,9 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of `data`, continuing after short writes, as of a disk that is nearly full.
+    """Write all of `data`, continuing after short writes, such as on a disk that is nearly full.
 
-    Errors: OSError; any part of the data may have been written then.
+    Errors: OSError, after which any part of the data may have been written.
     """
     remaining = memoryview(data)
     while remaining:
@@ -80,10 +80,10 @@
 
 
 def close(descriptor: int) -> None:
-    """Close a descriptor and ignore the result.
+    """Close a descriptor and ignore errors.
 
-    Linux releases it whatever close(2) reports, and only fsync shows whether the data reached the disk. An
-    error here says nothing new and must not hide an earlier one.
+    Linux releases the descriptor even if close(2) reports an error, and only fsync tells whether the data
+    reached the disk. An error of close gives no information and must not hide an earlier error.
     """
     with suppress(OSError):
         os.close(descriptor)
@@ -96,7 +96,7 @@
 
 
 def sync_directory(directory: str | Path) -> None:
-    """Make the names in the directory durable. Errors: OSError."""
+    """Make the entries of the directory durable. Errors: OSError."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -105,15 +105,15 @@
 
 
 def temporary_path(path: str | Path) -> str:
-    """Return the name under which `replace_file` writes the new content."""
+    """Return the name of the temporary file to which `replace_file` writes."""
     return f"{path}.new"
 
 
 def replace_file(path: str | Path, content: bytes) -> int:
     """Replace the file's content atomically and durably.
 
-    Returns the descriptor of the new file, open for appending; the caller closes it. Errors: OSError; the
-    file then holds either its old content or `content`, and which one survives a crash is not known.
+    Returns the descriptor of the new file, open for appending; the caller closes it. Errors: OSError,
+    after which the file has either its old content or `content`, and either may survive a crash.
     """
     temporary = temporary_path(path)
     descriptor = os.open(temporary, NEW_FILE_FLAGS, OWNER_ONLY_MODE)
@@ -130,6 +130,6 @@
 
 
 def _remove_if_possible(path: str) -> None:
-    """Remove an unfinished file where possible; the next attempt truncates it otherwise."""
+    """Try to remove an unfinished temporary file; if it stays, the next write truncates it."""
     with suppress(OSError):
         remove_if_present(path)
--- a/gaproute/storage/log_records.py
+++ b/gaproute/storage/log_records.py
@@ -4,10 +4,10 @@
 (4), record number (8), batch start (8), checksum (8, XXH3 of the header's other fields and the payload).
 
 The record number counts the records of the file from 0. The batch start is the number of the first record
-of the batch that was synced together. It separates a torn tail after a crash from a record damaged later:
-only the last batch can be torn, since the next one is not begun before the sync of this one returned. A file
-that was replaced as a whole cannot be torn: there each record is a batch of its own, and a seal, a record
-without payload, follows the last one so that damage to the last record is recognized too.
+of the batch that was synced together. It distinguishes a torn tail after a crash from a record damaged later:
+only the last batch can be torn, since the next batch begins after the sync of the previous one returned. A
+file that was replaced as a whole cannot be torn: each of its records is a batch of its own, and a seal (a
+record without payload) follows the last one so that damage to the last record is detected, too.
 """
 
 import struct
@@ -19,15 +19,15 @@
 from gaproute.errors import GaprouteError
 
 RECORD_MAGIC, SEAL_MAGIC = b"\x9evR1", b"\x9evS1"
-MAGIC_PREFIX = RECORD_MAGIC[:2]  # of both kinds; a search for later records after a bad one looks for it
-MAX_PAYLOAD_BYTES = 16 << 20  # bytes: a complete snapshot; a greater length means a damaged record
+MAGIC_PREFIX = RECORD_MAGIC[:2]  # of both magics; used to search for records after a damaged one
+MAX_PAYLOAD_BYTES = 16 << 20  # a complete snapshot; a greater length means a damaged record
 HEADER = struct.Struct("<4sIQQQ")
 CHECKED_FIELDS = struct.Struct("<4sIQQ")  # the header without its checksum
-NO_RECORD_NUMBER = -1  # number of the last record of an empty file
+NO_RECORD_NUMBER = -1  # the last record number of an empty file
 
 
 class CorruptRecordError(GaprouteError):
-    """A record that was synced is damaged; the text says at which byte."""
+    """A record that was synced is damaged; the text gives its offset."""
 
 
 class DecodedRecords(NamedTuple):
@@ -41,8 +41,8 @@
 class _Record(NamedTuple):
     number: int
     batch_start: int
-    payload: bytes | None  # None for a seal
-    end: int  # offset of the first byte after it
+    payload: bytes | None  # None: the record is a seal
+    end: int  # offset of the first byte after the record
 
 
 def encode_record(number: int, batch_start: int, payload: bytes, magic: bytes = RECORD_MAGIC) -> bytes:
@@ -52,7 +52,7 @@
 
 
 def encode_replacement(payloads: Iterable[bytes]) -> bytes:
-    """Return the content of a file that replaces another as a whole: records and a seal."""
+    """Return the content of a file that is written as a whole: the records and a seal."""
     records = [encode_record(number, number, payload) for number, payload in enumerate(payloads)]
     seal = encode_record(len(records), len(records), b"", SEAL_MAGIC)
     return b"".join([*records, seal])
@@ -61,7 +61,7 @@
 def decode_records(data: bytes) -> DecodedRecords:
     """Decode the content of a file.
 
-    Errors: CorruptRecordError where a record that is not valid had been synced.
+    Errors: CorruptRecordError if an invalid record had been synced.
     """
     payloads: list[bytes] = []
     offset, last_number = 0, NO_RECORD_NUMBER
@@ -77,7 +77,7 @@
 
 
 def _decode_record(data: bytes, offset: int) -> _Record | None:
-    """Return the record that begins at `offset`, None if there is no valid one."""
+    """Return the record at `offset`, or None if there is no valid record."""
     if offset + HEADER.size > len(data):
         return None
     magic, length, number, batch_start, checksum = HEADER.unpack_from(data, offset)
@@ -91,7 +91,7 @@
 
 
 def _check_torn_tail(data: bytes, offset: int, expected: int) -> None:
-    """Check that no record behind `offset` belongs to a batch later than that of record `expected`.
+    """Check that no record after `offset` belongs to a later batch than the record number `expected`.
 
     Errors: CorruptRecordError.
     """
@@ -101,7 +101,7 @@
         if later is not None and later.batch_start > expected:
             raise CorruptRecordError(
                 f"record {expected} at byte {offset} is not what was written: "
-                f"a valid one was expected there, as record {later.number} of a later batch follows it"
+                f"expected a valid record there, as record {later.number} of a later batch follows"
             )
         candidate = data.find(MAGIC_PREFIX, candidate + 1 if later is None else later.end)
 
--- a/gaproute/storage/observation_database.py
+++ b/gaproute/storage/observation_database.py
@@ -6,8 +6,8 @@
 
 from gaproute.errors import GaprouteError
 
-LOCK_TIMEOUT_SECONDS = 0  # s; 0: do not wait for SQLite's lock, as requests may be waiting for this thread
-PRIMARY_CODE_MASK = 0xFF  # mask of SQLite's extended result codes that gives the kind of failure
+LOCK_TIMEOUT_SECONDS = 0  # do not wait for SQLite's lock, which would delay requests in this thread
+PRIMARY_CODE_MASK = 0xFF  # selects the primary result code of an extended one
 TRANSIENT_CODES = frozenset(
     {
         sqlite3.SQLITE_FULL,
@@ -33,11 +33,11 @@
 
 
 class DamagedFileError(GaprouteError, sqlite3.DatabaseError):
-    """SQLite opens the file, but its own check finds it damaged; the text says where."""
+    """SQLite opens the file, but its integrity check fails; the text is the result of the check."""
 
 
 def connect(path: Path, *, check: bool) -> sqlite3.Connection:
-    """Open the database, made where there is none; `check`: look for damage in the whole file.
+    """Open the database, or create it; `check`: check the integrity of the whole file.
 
     Errors: sqlite3.Error.
     """
@@ -50,14 +50,14 @@
         connection.execute(CREATE_TABLE)
         connection.execute(CHECK_COLUMNS).fetchall()
     except BaseException:
-        with suppress(sqlite3.Error):  # an error here must not hide the first one
+        with suppress(sqlite3.Error):  # a second error must not hide the first one
             connection.close()
         raise
     return connection
 
 
 def is_transient(error: sqlite3.Error) -> bool:
-    """Return whether the failure says nothing about the file itself."""
+    """Return whether the failure has a cause other than damage to the file."""
     return getattr(error, "sqlite_errorcode", 0) & PRIMARY_CODE_MASK in TRANSIENT_CODES
 
 
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -1,14 +1,15 @@
-"""Observations of an earlier run on disk, in SQLite; a damaged file is quarantined and never fatal.
+"""Observations that survive a restart, in an SQLite database; a damaged file is quarantined, never fatal.
 
-SQLite rather than LMDB: a mapped file that is cut short ends its reader with SIGBUS, which cannot be caught,
-while SQLite reports it. Each row carries a checksum of its own, as SQLite has none (observation_rows.py).
-Nothing is synced: a crash of the machine loses only advice, and the checksums show which rows it tore.
+The store uses SQLite rather than LMDB: reading a truncated memory-mapped file ends the process with SIGBUS,
+which cannot be caught, while SQLite reports an error. Each row has a checksum of its own, as SQLite has none
+(observation_rows.py). Nothing is synced: a crash of the machine loses only observations, which the gateway
+can do without, and the checksums show which rows are torn.
 
-A transient failure (the disk is full, does not answer, is locked) is no reason to quarantine a file: the
-connection is closed and opened again after an exponential backoff. What was written before is still there.
+A transient failure (the disk is full, unresponsive or locked) does not quarantine the file: the connection is
+closed and opened again after an exponential backoff, and the rows written before are still there.
 
-The column `wall`, by which rows are ordered and deleted, is the monotonic clock plus its offset from the wall
-clock when the store was made: setting the wall clock meanwhile makes no row seem older or younger.
+Rows are ordered and deleted by the column `wall`: the monotonic clock plus the offset that the wall clock had
+when the store object was created. So setting the wall clock later makes no row appear older or younger.
 """
 
 import os
@@ -40,24 +41,24 @@
 )
 from gaproute.units import SECOND
 
-# Between two attempts at a disk that fails: the first pause, and the limit up to which it is doubled
+# The delay after the first failed attempt to use the disk, which doubles up to the maximum.
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND
-# Quarantined in this order: a write-ahead log that is left alone would be replayed into the file that takes
-# the place of the damaged one.
+# Files are quarantined in this order, since a write-ahead log left behind would be replayed into the new file
+# that replaces the damaged one.
 FILE_SUFFIXES = ("-shm", "-wal", "")
 
 
 class ObservationStoreError(GaprouteError):
-    """The file cannot be used now; the text says which file and why."""
+    """The file cannot be used at present; the text gives its path and the reason."""
 
 
 class ObservationStore:
-    """The store of one gateway, locked against other processes. Call `open` before use; where that failed a
-    later write opens it.
+    """The observation store of one gateway, locked against other processes. Call `open` before use; if that
+    fails, later reads and writes try to open the store again.
 
-    `report(text)` is called with messages for operators, once in an outage. `clock` (ns, monotonic),
-    `wall_clock` (ns since 1970) and `boot` are handed in by tests. `written` counts rows, `failed` writes
-    that failed, `torn_rows` rows left out by reads.
+    `report(text)` is called with messages for operators, once in an outage. Tests pass their own `clock` (ns,
+    monotonic), `wall_clock` (ns since 1970) and `boot`. `written` counts written rows, `failed` counts failed
+    writes, and `torn_rows` counts the rows that reads skipped.
     """
 
     def __init__(
@@ -75,15 +76,15 @@
         self.connection: sqlite3.Connection | None = None
         self.lock: int | None = None  # descriptor of the lock file
         self.torn_rows = self.written = self.failed = 0
-        self.damage = ""  # what was found wrong with the file since it was opened
-        self.checked = False  # whether the complete file was checked: once for each process, as it takes long
-        self.backoff = 0  # ns; 0: no attempt has failed since the last write
+        self.damage = ""  # the error that showed damage to the file since it was opened, or empty
+        self.checked = False  # whether the whole file was checked, which is slow and done once in a process
+        self.backoff = 0  # ns; 0: no attempt has failed since the last successful write
         self.retry_at = self.clock()
 
     def open(self) -> None:
-        """Lock and open the file; it may be called again after it failed.
+        """Lock and open the file; this may be repeated after a failure.
 
-        Errors: ObservationStoreError where the place is not writable or another process holds the file.
+        Errors: ObservationStoreError if the directory is not writable or another process holds the lock.
         """
         try:
             self._acquire_lock()
@@ -95,16 +96,16 @@
         self.damage, self.checked = "", True
 
     def ensure_open(self) -> bool:
-        """Return whether it can be written to, after opening it where the backoff is over."""
+        """Open the store if it is closed and the backoff is over. Returns whether the store is open."""
         if self.connection is None and self.clock() >= self.retry_at:
-            with suppress(ObservationStoreError):  # the outage was reported already
+            with suppress(ObservationStoreError):  # the outage has already been reported
                 self.open()
         return self.connection is not None
 
     def read(self, limit: int) -> list[Observation]:
-        """Return the latest observations, `limit` of them at most; none while the disk fails.
+        """Return the latest observations, at most `limit`; none while the disk fails.
 
-        Torn rows are left out and counted.
+        Torn rows are skipped and counted.
         """
         clocks = ClockReadings(self.clock(), self.wall_clock(), self.boot)
         if not self.ensure_open() or self.connection is None:
@@ -121,14 +122,14 @@
             except TornRowError:
                 self.torn_rows += 1
         if self.torn_rows:
-            self.report(f"{self.path}: {self.torn_rows} torn rows left out")
+            self.report(f"{self.path}: {self.torn_rows} torn rows were skipped")
         return observations
 
     def write(self, observations: Iterable[tuple[Subject, Value, int]]) -> bool:
-        """Write (subject, value, time by the monotonic clock in ns) in one transaction.
+        """Write tuples of subject, value and time (ns, monotonic clock) in one transaction.
 
-        Returns whether they are written. A failure is counted; the caller should write them again, as they
-        would be missing after a restart.
+        Returns whether the observations were written. A failure is counted. The caller should then write the
+        observations again, as they would otherwise be missing after a restart.
         """
         clocks = ClockReadings(self.clock(), self.wall_clock(), self.boot)
         rows = [
@@ -138,12 +139,12 @@
         return self._execute_in_transaction(INSERT_ROW, rows)
 
     def delete_older_than(self, age: int) -> None:
-        """Delete rows older than `age` (ns), and those whose time is further than that in the future."""
+        """Delete rows whose time is more than `age` (ns) in the past or in the future."""
         now = self.clock() + self.wall_offset
         self._execute_in_transaction(DELETE_OUTSIDE_TIME_RANGE, [(now - age, now + age)])
 
     def close(self) -> None:
-        """Close the file and release the lock. It may be opened again."""
+        """Close the file and release the lock. The store may be opened again."""
         self._disconnect()
         if self.lock is not None:
             files.close(self.lock)
@@ -155,7 +156,7 @@
         try:
             self.lock = files.lock_file(self.path)
         except OSError as error:
-            raise ObservationStoreError(f"{self.path}: not locked: {error.strerror}") from error
+            raise ObservationStoreError(f"{self.path}: cannot lock the file: {error.strerror}") from error
 
     def _connect_or_quarantine(self) -> None:
         try:
@@ -164,7 +165,7 @@
             self.connection = connect(self.path, check=not self.checked)
         except sqlite3.Error as error:
             if is_transient(error):
-                raise ObservationStoreError(f"{self.path}: not opened: {error}") from error
+                raise ObservationStoreError(f"{self.path}: cannot open the database: {error}") from error
             self._quarantine(str(error))
             self._connect_to_new_file()
 
@@ -172,7 +173,7 @@
         try:
             self.connection = connect(self.path, check=not self.checked)
         except sqlite3.Error as error:
-            raise ObservationStoreError(f"{self.path}: no new file: {error}") from error
+            raise ObservationStoreError(f"{self.path}: cannot create a new database: {error}") from error
 
     def _quarantine(self, reason: str) -> None:
         self._disconnect()
@@ -206,9 +207,9 @@
         return True
 
     def _record_outage(self, error: sqlite3.Error) -> None:
-        """Close the connection, to be opened again after the backoff. Reported once in an outage."""
+        """Close the connection until the backoff is over, and report the first failure of an outage."""
         if not self.backoff:
-            self.report(f"{self.path}: {error}; nothing is written until it answers again")
+            self.report(f"{self.path}: {error}; observations are not written until the disk works again")
         if not is_transient(error):
             self.damage = str(error)
         self._disconnect()
@@ -219,8 +220,8 @@
         self.retry_at = self.clock() + self.backoff
 
     def _disconnect(self) -> None:
-        """Close the connection, which rolls back what was not committed."""
+        """Close the connection, which rolls back an open transaction."""
         if self.connection is not None:
-            with suppress(sqlite3.Error):  # the connection is not used any more
+            with suppress(sqlite3.Error):  # the connection is discarded in any case
                 self.connection.close()
             self.connection = None
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -1,18 +1,18 @@
 """The persistent state of a Raft node on disk: an append-only file with a checksum for each record.
 
-Not SQLite, though observation_store.py uses it and `synchronous = FULL` would sync as well: SQLite has
-checksums in its write-ahead log only, and a damaged frame there ends the log silently. Votes committed after
-it would be forgotten, and the node would vote a second time in a term; SQLite's pages have no checksum at
-all. Here each record has one, a record damaged after its sync is distinguished from a tail that a crash tore
-(log_records.py), and the log of a Raft node is small and read once. What no file can detect: that its last
-synced batch went bad, or that an older copy of the whole file was put back.
-
-The first record says whose file it is. The Raft node writes and compares it (its name and its incarnation)
-and quarantines a file of another gateway.
-
-Errors: OSError. After one from `append` or `sync` only `read`, `replace` and `quarantine` are accepted: after
-a failed fsync the kernel may mark pages clean that never reached the disk, and only writing everything again,
-as `read` and `replace` do, makes it durable.
+The file is not an SQLite database, although observation_store.py uses SQLite and `synchronous = FULL` would
+sync, too. SQLite has checksums only in its write-ahead log, and a damaged frame silently ends that log: votes
+committed after the frame would be lost, and the node could vote twice in a term. Its pages have no checksums
+at all. Here each record has a checksum, and a record damaged after its sync is distinguished from a torn tail
+(log_records.py). The log of a Raft node is small and read once. The file cannot detect that its last synced
+batch was damaged, or that an older copy of the whole file was restored.
+
+The first record identifies the Raft node by its name and incarnation. The node writes and compares this
+record, and quarantines the file of another gateway.
+
+Errors: OSError. After a failed `append` or `sync`, only `read`, `replace` and `quarantine` are accepted:
+after a failed fsync the kernel may mark pages clean that never reached the disk, so the data is durable only
+after everything was written again, as `read` and `replace` do.
 """
 
 import errno
@@ -34,11 +34,11 @@
 
 
 class RaftLogFile:
-    """The file of one Raft node, locked against other processes. Call `open`, then `read`, before anything
-    else.
+    """The log file of one Raft node, locked against other processes. Call `open` and `read` before the other
+    methods.
 
     `report(text)` is called with messages for operators, once in an outage. `wall_clock` returns ns since
-    1970 and only names quarantined files. `torn_tails` counts the tails that were cut off.
+    1970 and is used only to name quarantined files. `torn_tails` counts the torn tails that were removed.
     """
 
     def __init__(
@@ -51,28 +51,28 @@
         self.report, self.wall_clock = report, wall_clock
         self.descriptor: int | None = None
         self.lock: int | None = None  # descriptor of the lock file
-        self.failure: OSError | None = None  # the last failure since everything was written
+        self.failure: OSError | None = None  # the last failure since the whole file was written
         self.next_number = 0  # number of the next record
-        self.batch_start = 0  # number of the first record that is not synced
+        self.batch_start = 0  # number of the first record that is not synced yet
         self.torn_tails = 0
 
     def open(self) -> "RaftLogFile":
-        """Lock the file. Errors: OSError: the directory is not writable, or another process holds it."""
+        """Lock the file. Errors: OSError if the directory is not writable or another process has the lock."""
         try:
             self.lock = files.lock_file(self.path)
-            files.remove_if_present(files.temporary_path(self.path))  # a replacement that was not finished
+            files.remove_if_present(files.temporary_path(self.path))  # left by an unfinished replacement
         except OSError:
             self.close()
             raise
         return self
 
     def read(self) -> list[bytes]:
-        """Return the records in the order they were appended, after cutting off a torn tail.
+        """Return the records in the order in which they were appended, without a torn tail.
 
-        To be called before all else, and again after it failed. Errors: OSError; UnusableDiskError where a
-        record that had been synced is not what was written.
+        Has to be called before the other methods, and again after a failure. Errors: OSError;
+        UnusableDiskError if a synced record is not what was written.
 
-        Everything is written again before it is returned: what is read may be in the page cache only, marked
+        All records are written again before they are returned: they may exist only in the page cache, marked
         clean by a sync that failed in an earlier process.
         """
         with self._recording_failures():
@@ -89,7 +89,7 @@
         return decoded.payloads
 
     def append(self, record: bytes) -> None:
-        """Append a record; it is durable only after `sync` returned. Errors: OSError."""
+        """Append a record, which is durable only after `sync` returned. Errors: OSError."""
         descriptor = self._usable_descriptor()
         with self._recording_failures():
             files.write_all(descriptor, encode_record(self.next_number, self.batch_start, bytes(record)))
@@ -103,12 +103,12 @@
             self.batch_start = self.next_number
 
     def replace(self, records: Sequence[bytes]) -> None:
-        """Replace all records by these, atomically and durably. Errors: OSError."""
+        """Replace all records by `records`, atomically and durably. Errors: OSError."""
         with self._recording_failures():
             self._replace_records(records)
 
     def quarantine(self, reason: str) -> None:
-        """Rename the file, for the operator to inspect; afterwards there is none. Errors: OSError."""
+        """Rename the file so that the operator can inspect it; no log file is left. Errors: OSError."""
         with self._recording_failures():
             self._close_file()
             target = files.quarantine_path(self.path, self.wall_clock())
@@ -133,7 +133,7 @@
         descriptor = files.replace_file(self.path, encode_replacement(map(bytes, records)))
         self._close_file()
         self.descriptor = descriptor
-        self.next_number = self.batch_start = len(records) + 1  # the seal counts as one
+        self.next_number = self.batch_start = len(records) + 1  # the seal counts as a record
         self.failure = None
 
     def _report_torn_tail(self, decoded: DecodedRecords, length: int) -> None:
@@ -141,18 +141,20 @@
         if torn:
             self.torn_tails += 1
             record_count = len(decoded.payloads)
-            self.report(f"{self.path}: a torn tail of {torn} bytes cut off, {record_count} records stay")
+            self.report(
+                f"{self.path}: a torn tail of {torn} bytes was removed, {record_count} records remain"
+            )
 
     def _usable_descriptor(self) -> int:
         if self.failure is None and self.descriptor is not None:
             return self.descriptor
-        reason = self.failure or "not read yet"
+        reason = self.failure or "the file has not been read yet"
         error_number = getattr(reason, "errno", errno.EBADF)
-        raise OSError(error_number, f"{self.path}: not used until it is written again: {reason}")
+        raise OSError(error_number, f"{self.path}: the file is not used until it is written again: {reason}")
 
     @contextmanager
     def _recording_failures(self) -> Iterator[None]:
-        """Remember a failure, after which nothing is appended any more, and report the first one."""
+        """Store a failure, which blocks `append` and `sync`, and report the first failure of an outage."""
         try:
             yield
         except OSError as error:
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -84,7 +84,7 @@
     file, messages = opened(path)
     assert file.read((3, 17)) == STORED
     assert file.read((4, 0)) is None
-    assert "others hold 4.0" in messages[0]
+    assert "others hold version 4.0" in messages[0]
     assert file.counts.quarantined == 1
 
 
@@ -151,7 +151,7 @@
         assert file.write(STORED)
         assert file.read() == STORED
     assert len(messages) == 2
-    assert f"not read {MAX_FAILED_READS} times" in messages[1]
+    assert f"{MAX_FAILED_READS} reads in a row failed" in messages[1]
 
 
 def test_why_a_table_cannot_be_used_is_reported_also_where_it_cannot_be_quarantined(path):
@@ -160,7 +160,10 @@
     with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, IO_ERROR)))).installed(cell_table_module):
         assert file.read() is None
     assert len(messages) == 1
-    assert "no cell table: it does not begin with 'gaproute-table-1'; not quarantined: " in messages[0]
+    assert (
+        "the file is not a cell table: it does not begin with 'gaproute-table-1'; not quarantined: "
+        in messages[0]
+    )
 
 
 def test_a_short_write_does_not_replace_the_table(path, monkeypatch):
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -97,7 +97,7 @@
     one = log_file()
     with pytest.raises(UnusableDiskError):
         one.read()
-    with pytest.raises(OSError, match="not read yet"):
+    with pytest.raises(OSError, match="the file has not been read yet"):
         one.append(b"x")
     one.quarantine("a bad record")
     assert "quarantined as" in one.texts[0]
@@ -154,7 +154,7 @@
     assert len(one.texts) == 1
     assert "neither votes" in one.texts[0]
     for refused in (one.sync, lambda: one.append(b"x")):
-        with pytest.raises(OSError, match="not used until it is written again"):
+        with pytest.raises(OSError, match="the file is not used until it is written again"):
             refused()
     one.replace([b"one", b"two"])
     one.append(b"three")
