--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,3 +1,5 @@
+"""The reader of configurations and host lists: valid files, mistakes and former names."""
+
 import shlex
 
 import pytest
@@ -10,7 +12,7 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Idempotency, IdempotencyScope
 
-GOOD = """
+VALID_TEXT = """
 name g1   # a comment
 listen kserve 127.0.0.1:0
 track a pure contract 1200ms limit 5s earnings 3
@@ -20,14 +22,14 @@
 """
 
 
-def wrong(text):
-    with pytest.raises(ConfigurationError) as mistakes:
+def mistakes_by_line(text):
+    with pytest.raises(ConfigurationError) as caught:
         read_configuration("f", text)
-    return [(mistake.line, str(mistake)) for mistake in mistakes.value.mistakes]
+    return [(mistake.line, str(mistake)) for mistake in caught.value.mistakes]
 
 
-def test_a_good_file_becomes_terms_in_nanoseconds():
-    configuration = read_configuration("f", GOOD)
+def test_a_valid_file_becomes_routing_settings_in_nanoseconds():
+    configuration = read_configuration("f", VALID_TEXT)
     a, b = configuration.routing_settings.request_classes
     assert (a.idempotency, a.latency_objective, a.hard_limit, a.priority_weight) == (
         Idempotency.IDEMPOTENT,
@@ -46,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "expected_text"),
     [
         ("modle x track a", "did you mean model?"),
         ("model x track nope", "no track 'nope'"),
@@ -72,9 +74,9 @@
         ('name "open', "close the quote"),
     ],
 )
-def test_each_mistake_is_reported_with_line_and_cure(line, says):
-    mistakes = wrong(GOOD + line + "\n")
-    assert any(says in text for _, text in mistakes), mistakes
+def test_each_mistake_is_reported_with_its_line_and_a_remedy(line, expected_text):
+    mistakes = mistakes_by_line(VALID_TEXT + line + "\n")
+    assert any(expected_text in text for _, text in mistakes), mistakes
     assert mistakes[0][0] in (0, 8, 7)
     assert all("; " in text for _, text in mistakes)
 
@@ -89,9 +91,9 @@
         ("name again", "name", "a second time"),
     ],
 )
-def test_a_mistake_holds_its_place_its_field_what_was_found_and_what_is_expected(line, field, found):
+def test_a_mistake_has_its_file_line_field_what_was_found_and_what_is_expected(line, field, found):
     with pytest.raises(ConfigurationError) as error:
-        read_configuration("f", GOOD + line + "\n")
+        read_configuration("f", VALID_TEXT + line + "\n")
     (mistake,) = error.value.mistakes
     assert (mistake.file, mistake.line, mistake.field) == ("f", 8, field)
     assert found in mistake.found
@@ -99,24 +101,24 @@
     assert str(mistake).startswith("f:8: ")
 
 
-def test_a_peer_line_that_is_wrong_beside_a_peers_file_is_a_mistake_not_a_crash():
-    mistakes = [text for _, text in wrong(GOOD + "peers-file p.list\npeer g2\n")]
+def test_an_invalid_peer_line_beside_a_peers_file_is_reported():
+    mistakes = [text for _, text in mistakes_by_line(VALID_TEXT + "peers-file p.list\npeer g2\n")]
     assert any("WHERE is missing" in text for text in mistakes)
     assert any("peer lines and a peers-file line exclude each other" in text for text in mistakes)
 
 
-def test_all_mistakes_come_in_one_go_in_the_order_of_lines():
-    mistakes = wrong("modl\ntrack x\nlisten kserve y\n")
+def test_all_mistakes_are_reported_in_the_order_of_lines():
+    mistakes = mistakes_by_line("modl\ntrack x\nlisten kserve y\n")
     assert [line for line, _ in mistakes if line] == [1, 2, 3]
 
 
-def test_a_host_list_with_a_twin_is_refused_whole():
+def test_a_host_list_with_a_duplicate_name_is_rejected():
     with pytest.raises(ConfigurationError):
         read_hosts("f", "host a 127.0.0.1:1\nhost a 127.0.0.1:2\n")
     assert [line.name for line in read_hosts("f", "host a 127.0.0.1:1 state draining\n")] == ["a"]
 
 
-def test_a_file_that_cannot_be_read_is_a_mistake_not_a_crash(tmp_path):
+def test_an_unreadable_file_raises_a_configuration_error(tmp_path):
     (tmp_path / "bin").write_bytes(b"\xff\xfe\x00")
     for path in (tmp_path / "none", tmp_path / "bin", tmp_path):
         with pytest.raises(ConfigurationError):
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -1,4 +1,4 @@
-"""A configuration moved to another shape of deployment, and a gateway on loopback that runs by the result."""
+"""Migration of a configuration to another deployment, and a gateway on loopback that uses the result."""
 
 import errno
 import os
@@ -35,18 +35,18 @@
 """
 
 
-def moved(old=OLD, shape=SHAPE):
+def migrate_texts(old=OLD, shape=SHAPE):
     return migrate("old", old, "shape", shape, "new")
 
 
-def mistakes(old, shape):
-    with pytest.raises(ConfigurationError) as wrong:
-        moved(old, shape)
-    return [str(each) for each in wrong.value.mistakes]
+def mistakes_of(old, shape):
+    with pytest.raises(ConfigurationError) as caught:
+        migrate_texts(old, shape)
+    return [str(each) for each in caught.value.mistakes]
 
 
-def test_what_the_shape_states_wins_and_the_rest_stays_unchanged():
-    text, _ = moved()
+def test_the_shape_overrides_the_old_file_and_other_lines_stay_unchanged():
+    text, _ = migrate_texts()
     assert text.splitlines()[:3] == OLD.splitlines()[:3]
     assert "copies keep 8s free 6 window 0s alike no notes no  # as the hosts are set" in text
     configuration = read_configuration("new", text)
@@ -56,18 +56,19 @@
     assert configuration.routing_settings.keep_alive == 8 * SECOND
     assert configuration.routing_settings.load_order_window == 0
     assert [track.latency_objective for track in configuration.routing_settings.request_classes] == [SECOND]
-    assert configuration.routing_settings.request_classes[0].priority_weight == 1.0  # a track is stated whole
+    # a track of the shape replaces the whole old track
+    assert configuration.routing_settings.request_classes[0].priority_weight == 1.0
 
 
-def test_sources_of_cell_hosts_are_taken_over_as_they_stand():
+def test_sources_of_cell_hosts_are_copied_unchanged():
     lines = "cells north file t region west zone w\ncell-hosts from 127.0.0.1:1  # two\n"
     old = OLD.replace("host h1 127.0.0.1:1 zone z rack r capacity 4\n", lines + "listen peers 127.0.0.1:8\n")
-    text, _ = moved(old, "relays limit 4\n")
+    text, _ = migrate_texts(old, "relays limit 4\n")
     assert lines in text
 
 
-def test_each_line_left_behind_is_reported_with_its_number_and_why():
-    _, left = moved()
+def test_each_line_left_behind_is_reported_with_its_number_and_reason():
+    _, left = migrate_texts()
     assert [(each.line, each.text.split()[0], each.why) for each in left] == [
         (5, "track", "the new deployment has no track b"),
         (7, "model", "the new deployment has no track b"),
@@ -76,74 +77,74 @@
     ]
 
 
-def test_a_shape_that_states_nothing_new_changes_no_terms():
-    text, left = moved(shape="relays limit 4\n")
+def test_a_shape_with_present_values_changes_no_routing_settings():
+    text, left = migrate_texts(shape="relays limit 4\n")
     assert not left
     assert read_configuration("new", text).routing_settings == read_configuration("old", OLD).routing_settings
 
 
-def test_an_old_file_makes_the_terms_it_made_before():
-    terms = read_configuration("old", OLD).routing_settings
-    assert terms.probes_allowed
-    assert not terms.reports_by_probe
+def test_a_file_without_reports_and_sizes_lines_gets_their_defaults():
+    settings = read_configuration("old", OLD).routing_settings
+    assert settings.probes_allowed
+    assert not settings.reports_by_probe
     assert read_configuration("old", OLD).capacities_reported
 
 
-def test_mistakes_of_both_files_are_reported_together_with_line_and_cure():
-    found = mistakes(OLD + "modle x\n", "sizes perhaps\nlisten kserve 127.0.0.1:2\n")
+def test_mistakes_of_both_files_are_reported_together_with_line_and_remedy():
+    found = mistakes_of(OLD + "modle x\n", "sizes perhaps\nlisten kserve 127.0.0.1:2\n")
     assert any("old:12" in each and "did you mean model" in each for each in found)
     assert any("shape:1" in each and "neither yes nor no" in each for each in found)
     assert any("shape:2" in each and "is not a directive of a shape" in each for each in found)
 
 
-def test_a_shape_that_leaves_nothing_to_serve_is_refused():
-    assert any("no model line" in each for each in mistakes(OLD, "track c pure contract 1s limit 2s\n"))
+def test_a_shape_that_leaves_no_model_is_rejected():
+    assert any("no model line" in each for each in mistakes_of(OLD, "track c pure contract 1s limit 2s\n"))
 
 
-def test_an_empty_shape_and_unclosed_quotes_are_refused():
-    assert "states nothing" in mistakes(OLD, "# nothing\n")[0]
-    assert "close the quote" in mistakes(OLD, 'track "a\n')[0]
+def test_an_empty_shape_and_unclosed_quotes_are_rejected():
+    assert "states nothing" in mistakes_of(OLD, "# nothing\n")[0]
+    assert "close the quote" in mistakes_of(OLD, 'track "a\n')[0]
 
 
-def run(tmp_path, *options, old=OLD, shape=SHAPE):
+def run_migrate(tmp_path, *options, old=OLD, shape=SHAPE):
     (tmp_path / "old").write_text(old)
     (tmp_path / "shape").write_text(shape)
     files = [str(tmp_path / name) for name in ("old", "new")]
     return CliRunner().invoke(main, ["migrate", *files, "--shape", str(tmp_path / "shape"), *options])
 
 
-def test_the_command_writes_a_file_that_check_accepts_and_says_what_it_left(tmp_path):
-    done = run(tmp_path)
-    assert done.exit_code == 1
-    assert "4 left behind" in done.output
+def test_the_command_writes_a_valid_file_and_reports_what_it_left_behind(tmp_path):
+    result = run_migrate(tmp_path)
+    assert result.exit_code == 1
+    assert "4 left behind" in result.output
     assert CliRunner().invoke(main, ["check", str(tmp_path / "new")]).exit_code == 0
-    assert run(tmp_path, "--replace", shape="relays limit 6\n").exit_code == 0
+    assert run_migrate(tmp_path, "--replace", shape="relays limit 6\n").exit_code == 0
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
 
 
 def test_a_dry_run_prints_the_result_and_writes_nothing(tmp_path):
-    done = run(tmp_path, "--dry-run")
-    assert done.exit_code == 1
-    assert "reports answer probes no" in done.output
+    result = run_migrate(tmp_path, "--dry-run")
+    assert result.exit_code == 1
+    assert "reports answer probes no" in result.output
     assert sorted(os.listdir(tmp_path)) == ["old", "shape"]
 
 
-def test_a_file_that_stands_is_not_written_over(tmp_path):
+def test_an_existing_file_is_not_overwritten(tmp_path):
     (tmp_path / "new").write_text("mine")
-    assert run(tmp_path).exit_code == 2
+    assert run_migrate(tmp_path).exit_code == 2
     assert (tmp_path / "new").read_text() == "mine"
-    assert run(tmp_path, shape="nonsense\n").exit_code == 2
+    assert run_migrate(tmp_path, shape="nonsense\n").exit_code == 2
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
 
 
-def test_the_old_file_is_never_written_over(tmp_path):
+def test_the_old_file_is_never_overwritten(tmp_path):
     (tmp_path / "new").symlink_to(tmp_path / "old")
-    assert run(tmp_path, "--replace").exit_code == 2
+    assert run_migrate(tmp_path, "--replace").exit_code == 2
     assert (tmp_path / "old").read_text() == OLD
 
 
-def written_under(disk, path, replace):
-    """Whether the new text was said to be written to the faulty disk."""
+def is_reported_written(disk, path, replace):
+    """Whether the write of the new text to the faulty disk returned without an error."""
     with disk.installed(durable):
         try:
             durable.write_file_atomically(str(path), "new\n" * 50, replace=replace, preserved=())
@@ -154,73 +155,73 @@
 
 @pytest.mark.parametrize("replace", [False, True])
 @pytest.mark.parametrize("moment", Moment)
-def test_a_kill_at_any_call_leaves_the_file_whole_or_as_it_was(tmp_path, replace, moment):
-    said = 0
+def test_a_kill_at_any_call_leaves_the_old_or_the_complete_new_file(tmp_path, replace, moment):
+    reported_writes = 0
     for call in range(1, 20):
         for seed in range(6):
-            folder = tmp_path / f"{call}-{seed}"
-            folder.mkdir()
-            path = folder / "new"
+            directory = tmp_path / f"{call}-{seed}"
+            directory.mkdir()
+            path = directory / "new"
             if replace:
                 path.write_text("old")
-            disk = FaultyDisk(folder, kill=KillPoint(call, moment), chance=random.Random(seed))
-            done = written_under(disk, path, replace)
+            disk = FaultyDisk(directory, kill=KillPoint(call, moment), chance=random.Random(seed))
+            reported = is_reported_written(disk, path, replace)
             (disk.fail_power if seed % 2 else disk.end_process)()
-            stands = path.read_text() if path.exists() else None
-            assert stands in ({"new\n" * 50} if done else {"new\n" * 50, "old" if replace else None})
-            said += done
-    assert said  # the last kills come after the last call
+            content = path.read_text() if path.exists() else None
+            assert content in ({"new\n" * 50} if reported else {"new\n" * 50, "old" if replace else None})
+            reported_writes += reported
+    assert reported_writes  # the last kill points come after the last call
 
 
 @pytest.mark.parametrize("call", ["open", "write", "fsync", "close", "replace"])
-def test_a_disk_that_fails_leaves_the_file_as_it_was_and_nothing_beside_it(tmp_path, call):
+def test_a_failing_disk_leaves_the_old_file_and_no_temporary_file(tmp_path, call):
     (tmp_path / "new").write_text("old")
     disk = FaultyDisk(tmp_path, FaultPlan(Script.of((call, 1, DISK_FULL))))
-    assert not written_under(disk, tmp_path / "new", True)
+    assert not is_reported_written(disk, tmp_path / "new", True)
     assert [path.name for path in tmp_path.iterdir()] == ["new"]
     assert disk.open_descriptors == 0
     assert (tmp_path / "new").read_text() == "old"
-    assert written_under(FaultyDisk(tmp_path), tmp_path / "new", True)
+    assert is_reported_written(FaultyDisk(tmp_path), tmp_path / "new", True)
     assert (tmp_path / "new").stat().st_mode & 0o777 == 0o644
 
 
-def test_a_file_that_a_crash_may_undo_is_said_to_be_one(tmp_path, monkeypatch):
-    def unsynced(folder):
+def test_the_command_reports_a_file_whose_directory_was_not_synced(tmp_path, monkeypatch):
+    def fail_sync(directory):
         raise OSError(errno.EIO, "Input/output error")
 
-    monkeypatch.setattr(durable, "_sync_directory", unsynced)
-    done = run(tmp_path)
-    assert done.exit_code == 2
-    assert "written, but a crash of the machine may undo it" in done.output
+    monkeypatch.setattr(durable, "_sync_directory", fail_sync)
+    result = run_migrate(tmp_path)
+    assert result.exit_code == 2
+    assert "written, but a crash of the machine may undo it" in result.output
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
 
 
 @pytest.mark.parametrize("old", [b"\xff\xfe", b"track\x00"])
-def test_an_old_file_that_is_no_text_is_refused_without_a_traceback(tmp_path, old):
-    run(tmp_path)
+def test_a_binary_old_file_is_rejected_without_a_traceback(tmp_path, old):
+    run_migrate(tmp_path)
     (tmp_path / "old").write_bytes(old)
     files = [str(tmp_path / name) for name in ("old", "other")]
-    done = CliRunner().invoke(main, ["migrate", *files, "--shape", str(tmp_path / "shape")])
-    assert done.exit_code == 2
-    assert isinstance(done.exception, SystemExit)
-    assert "old:" in done.output
+    result = CliRunner().invoke(main, ["migrate", *files, "--shape", str(tmp_path / "shape")])
+    assert result.exit_code == 2
+    assert isinstance(result.exception, SystemExit)
+    assert "old:" in result.output
     assert not (tmp_path / "other").exists()
 
 
-def probes(made):
-    """A list that each probe of a host is noted in."""
-    seen = []
-    for host in made.hosts:
+def record_probes(deployment):
+    """A list to which the targets of all probes of the hosts are appended."""
+    probe_targets = []
+    for host in deployment.hosts:
 
         def handle(request, through=host.server.handle):
-            seen.extend([request.target] * (b"health" in request.target))
+            probe_targets.extend([request.target] * (b"health" in request.target))
             through(request)
 
         host.server.handle = handle
-    return seen
+    return probe_targets
 
 
-def test_a_gateway_on_a_moved_configuration_serves_and_never_probes(rig):
+def test_a_gateway_on_a_migrated_configuration_serves_and_never_probes(rig):
     configuration, _ = migrate(
         "old",
         CONFIGURATION + "hosts-file none.list\n",
@@ -228,21 +229,21 @@
         "reports answer probes no\nsizes no\nrelays limit 2 twins no\n",
         "new",
     )
-    made = rig(configuration=configuration.replace("hosts-file none.list\n", ""))
-    seen = probes(made)
-    assert made.wait(made.ask()).headers[b"gaproute-outcome"] == b"delivered"
-    made.rest(800 * MILLI)
-    assert not seen
-    assert [host.capacity for host in made.gate.core.gateway.active_hosts] == [1.0, 1.0]
+    deployment = rig(configuration=configuration.replace("hosts-file none.list\n", ""))
+    probe_targets = record_probes(deployment)
+    assert deployment.wait(deployment.ask()).headers[b"gaproute-outcome"] == b"delivered"
+    deployment.rest(800 * MILLI)
+    assert not probe_targets
+    assert [host.capacity for host in deployment.gate.core.gateway.active_hosts] == [1.0, 1.0]
 
 
-def test_the_same_hosts_are_probed_where_reports_come_by_probe(rig):
-    made = rig(more="reports probe\n")
-    seen = probes(made)
-    made.until(lambda: seen)
-    assert [host.capacity for host in made.gate.core.gateway.active_hosts] == [4.0, 4.0]
+def test_the_same_hosts_are_probed_if_reports_come_by_probe(rig):
+    deployment = rig(more="reports probe\n")
+    probe_targets = record_probes(deployment)
+    deployment.until(lambda: probe_targets)
+    assert [host.capacity for host in deployment.gate.core.gateway.active_hosts] == [4.0, 4.0]
 
 
-def test_hosts_that_report_by_probe_alone_cannot_forbid_probes():
+def test_reports_by_probe_require_that_probes_are_allowed():
     with pytest.raises(ConfigurationError, match="cannot go without probes"):
         read_configuration("f", OLD + "reports probe probes no\n")
