--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -1,27 +1,27 @@
 """Fixtures of the tests of the observation store."""
 
 import pytest
-from observation_stores import Clocks, SqliteDisk
+from observation_stores import ManualClocks, SqliteDisk
 
 from gaproute.storage import ObservationStore
 
 
 @pytest.fixture
-def store(tmp_path):
+def open_store(tmp_path):
     opened = []
 
-    def make(clocks=None, boot="b1", path=tmp_path / "m"):
-        clocks = clocks or Clocks()
-        texts = []
-        made = ObservationStore(path, texts.append, lambda: clocks.now, lambda: clocks.wall, boot)
-        made.texts = texts
-        made.open()
-        opened.append(made)
-        return made
-
-    yield make
-    for made in opened:
-        made.close()
+    def make_store(clocks=None, boot="b1", path=tmp_path / "m"):
+        clocks = clocks or ManualClocks()
+        messages = []
+        store = ObservationStore(path, messages.append, lambda: clocks.now, lambda: clocks.wall, boot)
+        store.messages = messages
+        store.open()
+        opened.append(store)
+        return store
+
+    yield make_store
+    for store in opened:
+        store.close()
 
 
 @pytest.fixture
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -1,5 +1,4 @@
-"""Stored files that the landed version 9f58c07 wrote are read by this one; `samples/ledger` says what they
-hold."""
+"""Files written by version 9f58c07 are readable; `samples/ledger/README.md` describes their content."""
 
 import shutil
 from pathlib import Path
@@ -16,8 +15,8 @@
 
 SAMPLES = Path(__file__).parent / "samples" / "ledger"
 SECOND = 1_000_000_000
-OWN_NUMBER = 102787632782873  # drawn when the sample's file was empty
-FENCE = 1_700_000_000_000  # where the founder let fencing numbers begin
+SAMPLE_INCARNATION = 102787632782873  # drawn when the Raft node created the file
+FENCING_BASE = 1_700_000_000_000  # the base of the fencing numbers, which the founder of the group sets
 
 
 @pytest.fixture
@@ -30,33 +29,33 @@
     return copy
 
 
-def node(path):
-    """A node of the group on that file, and what its file reported to operators."""
-    texts = []
-    disk = RaftLogFile(path, texts.append, lambda: 17).open()
+def open_node(path):
+    """A Raft node on the log file at `path`, its log file, and the messages reported to operators."""
+    messages = []
+    disk = RaftLogFile(path, messages.append, lambda: 17).open()
     table = LeaseTable(initial_wait=False, max_duration=60 * SECOND)
-    made = RaftNode("k1", ["k1"], disk, RandomGenerator(3), 0, table)
-    return made, disk, texts
+    node = RaftNode("k1", ["k1"], disk, RandomGenerator(3), 0, table)
+    return node, disk, messages
 
 
-def elected(made):
-    """After its election all that was agreed on is applied again."""
+def elect(node):
+    """Runs the node until it is the leader and all committed entries are applied."""
     now = 0
-    while not made.is_leader or made.commit_index < made.log.last_index:
-        now = made.due
-        made.tick(now)
+    while not node.is_leader or node.commit_index < node.log.last_index:
+        now = node.due
+        node.tick(now)
         assert now < 10 * SECOND
-    return made
+    return node
 
 
-def leases(made):
+def lease_rows(node):
     return sorted(
-        (each.fencing_token - FENCE, each.resource, each.holder, each.amount, each.duration)
-        for each in made.machine.leases.values()
+        (each.fencing_token - FENCING_BASE, each.resource, each.holder, each.amount, each.duration)
+        for each in node.machine.leases.values()
     )
 
 
-HELD = [
+EXPECTED_LEASES = [
     (1, "out:host-3", "gateway-1", 1, 30 * SECOND),
     (2, "room:host-9", "gateway-1", 4, 60 * SECOND),
 ]
@@ -71,49 +70,49 @@
         ("votes-snapshot-zeros.bin", 6, 1),
     ],
 )
-def test_votes_log_and_snapshot_of_the_landed_version_are_owed(copied, name, base, torn):
+def test_the_raft_log_and_snapshot_of_version_9f58c07_are_read(copied, name, base, torn):
     path = copied(name)
-    for opening in range(2):  # as it was written, and as this version wrote it anew
-        made, disk, texts = node(path)
-        assert not made.store.discard_reason
-        assert not made.storage_failure
-        assert made.incarnation == OWN_NUMBER
-        assert (made.term, made.store.voted_for) == (
+    for opening in range(2):  # first the sample, then the file as rewritten by this version
+        node, disk, messages = open_node(path)
+        assert not node.store.discard_reason
+        assert not node.storage_failure
+        assert node.incarnation == SAMPLE_INCARNATION
+        assert (node.term, node.store.voted_for) == (
             4 + opening,
-            ("k2", 12345) if not opening else ("k1", made.incarnation),
+            ("k2", 12345) if not opening else ("k1", node.incarnation),
         )
-        assert (made.log.snapshot_index, made.log.last_index, disk.torn_tails) == (
+        assert (node.log.snapshot_index, node.log.last_index, disk.torn_tails) == (
             base,
             8 + opening,
             0 if opening else torn,
         )
-        assert len(texts) == disk.torn_tails
-        assert all("torn tail" in text for text in texts)
-        elected(made)
-        assert leases(made) == HELD
-        assert made.machine.pools == {"room:host-9": (6, 0)}
-        assert made.machine.last_token == FENCE + 3
-        assert made.sessions.table[3][:2] == ("gateway-1", 5)
+        assert len(messages) == disk.torn_tails
+        assert all("torn tail" in text for text in messages)
+        elect(node)
+        assert lease_rows(node) == EXPECTED_LEASES
+        assert node.machine.pools == {"room:host-9": (6, 0)}
+        assert node.machine.last_token == FENCING_BASE + 3
+        assert node.sessions.table[3][:2] == ("gateway-1", 5)
         disk.close()
 
 
-def test_votes_with_a_bad_middle_are_quarantined_and_said(copied):
+def test_a_raft_log_with_a_damaged_record_is_quarantined_and_reported(copied):
     path = copied("votes-middle-bad.bin")
     before = path.read_bytes()
-    made, disk, texts = node(path)
-    assert "not what was written" in made.store.discard_reason
-    assert made.incarnation not in (0, OWN_NUMBER)
-    assert not made.term
-    assert len(texts) == 1
-    assert "quarantined as" in texts[0]
+    node, disk, messages = open_node(path)
+    assert "not what was written" in node.store.discard_reason
+    assert node.incarnation not in (0, SAMPLE_INCARNATION)
+    assert not node.term
+    assert len(messages) == 1
+    assert "quarantined as" in messages[0]
     assert path.with_name(f"{path.name}.broken-17").read_bytes() == before
     disk.close()
 
 
-def test_the_cell_table_of_the_landed_version_is_read(copied):
-    texts = []
-    stored = CellTableFile(copied("cells-table.bin"), "north", texts.append).read()
-    assert (stored.term, stored.number, texts) == (3, 17, [])
+def test_the_cell_table_of_version_9f58c07_is_read(copied):
+    messages = []
+    stored = CellTableFile(copied("cells-table.bin"), "north", messages.append).read()
+    assert (stored.term, stored.number, messages) == (3, 17, [])
     table = encoding.decode_table("north", Version(stored.term, stored.number), stored.data)
     assert encoding.cells_digest(table.cells) == stored.digest
     assert [cell.name for cell in table.cells] == [f"cell{place}" for place in range(5)]
@@ -121,14 +120,14 @@
 
 
 @pytest.mark.parametrize(("name", "rows"), [("memory.bin", 4), ("memory-killed.bin", 1)])
-def test_learnt_state_of_the_landed_version_is_read(copied, name, rows):
-    texts = []
-    made = ObservationStore(
-        copied(name), texts.append, lambda: 103 * SECOND, lambda: 10**18 + 3 * SECOND, "boot-1"
+def test_the_observations_of_version_9f58c07_are_read(copied, name, rows):
+    messages = []
+    store = ObservationStore(
+        copied(name), messages.append, lambda: 103 * SECOND, lambda: 10**18 + 3 * SECOND, "boot-1"
     )
-    made.open()
-    read = made.read(99)
-    made.close()
-    assert len(read) == rows
-    assert texts == []
-    assert read[0] == (("warm", "host-3", "lamp"), (4, 0, 1_700_000_000_000_000_000), 4 * SECOND)
+    store.open()
+    observations = store.read(99)
+    store.close()
+    assert len(observations) == rows
+    assert messages == []
+    assert observations[0] == (("warm", "host-3", "lamp"), (4, 0, 1_700_000_000_000_000_000), 4 * SECOND)
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -1,7 +1,6 @@
-"""Mutants of the storage package, each of which its tests have to catch by name.
+"""Mutants of the storage package, each of which a storage scenario has to detect.
 
-A mutant is applied by `patch(owner, attribute, value)`; `scenario` and `names`: the work that shows it, and
-as what.
+A mutant replaces code by `patch(owner, attribute, value)`.
 """
 
 import os
@@ -14,10 +13,10 @@
 from storage_scenario import (
     DESCRIPTOR_LEAKED,
     ENTRY_LOST,
-    RECORD_INVENTED,
     RECORD_LOST,
-    SOUND_FILE_REFUSED,
     TABLE_LOST,
+    UNWRITTEN_RECORD_READ,
+    VALID_FILE_REJECTED,
     VOTE_FORGOTTEN,
 )
 
@@ -30,14 +29,14 @@
 
 
 class StorageMutant(NamedTuple):
-    """A fault, the work that shows it, and the names that it may be caught by."""
+    """A fault, the scenario that detects it, and the names of the guarantees that it may break."""
 
     apply: object
     scenario: type
     names: tuple
 
 
-def failed_sync_is_forgotten(patch):
+def a_failed_sync_is_ignored(patch):
     def sync(self):
         with suppress(OSError):
             raft_log_module.os.fsync(self.descriptor)
@@ -46,7 +45,7 @@
     patch(RaftLogFile, "sync", sync)
 
 
-def failed_sync_is_repeated_and_believed(patch):
+def a_failed_sync_is_repeated(patch):
     def sync(self):
         try:
             raft_log_module.os.fsync(self.descriptor)
@@ -58,7 +57,7 @@
 
 
 def _read_in_place(*, cut_torn_tail):
-    """A `RaftLogFile.read` that goes on with the file it finds, and only syncs it."""
+    """A `RaftLogFile.read` that syncs the existing file instead of writing all records again."""
 
     def read(self):
         if self.lock is None:
@@ -82,41 +81,41 @@
     return read
 
 
-def what_is_read_at_opening_is_only_synced(patch):
-    """As version 9f58c07 did it."""
+def records_are_only_synced_after_reading(patch):
+    """The behaviour of version 9f58c07."""
     patch(RaftLogFile, "read", _read_in_place(cut_torn_tail=True))
 
 
-def a_torn_tail_stays(patch):
+def a_torn_tail_is_kept(patch):
     patch(RaftLogFile, "read", _read_in_place(cut_torn_tail=False))
 
 
-def a_torn_tail_is_accepted(patch):
-    """What is left of the last record is taken for it."""
+def a_torn_record_is_accepted(patch):
+    """The rest of a torn record is returned as a record."""
 
     def read_torn(data):
-        records, good, last = decode_records(data)
-        rest = data[good + HEADER.size :]
+        records, valid_length, last = decode_records(data)
+        rest = data[valid_length + HEADER.size :]
         return (
             DecodedRecords([*records, rest], len(data), last + 1)
             if rest
-            else DecodedRecords(records, good, last)
+            else DecodedRecords(records, valid_length, last)
         )
 
     patch(raft_log_module, "decode_records", read_torn)
 
 
-def the_folder_is_not_synced(patch):
-    patch(files, "sync_directory", lambda folder: None)
+def the_directory_is_not_synced(patch):
+    patch(files, "sync_directory", lambda directory: None)
 
 
 def a_file_is_renamed_before_it_is_synced(patch):
     def replace_file(path, content):
-        beside = f"{path}.new"
-        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY_MODE)
+        temporary = f"{path}.new"
+        file = files.os.open(temporary, files.NEW_FILE_FLAGS, files.OWNER_ONLY_MODE)
         try:
             files.write_all(file, content)
-            files.os.rename(beside, path)
+            files.os.rename(temporary, path)
             files.sync_directory(Path(path).parent)
         except BaseException:
             files.close(file)
@@ -128,26 +127,26 @@
 
 def a_descriptor_is_left_open_on_a_full_disk(patch):
     def replace_file(path, content):
-        beside = f"{path}.new"
-        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY_MODE)
+        temporary = f"{path}.new"
+        file = files.os.open(temporary, files.NEW_FILE_FLAGS, files.OWNER_ONLY_MODE)
         files.write_all(file, content)
         files.os.fsync(file)
-        files.os.rename(beside, path)
+        files.os.rename(temporary, path)
         files.sync_directory(Path(path).parent)
         return file
 
     patch(files, "replace_file", replace_file)
 
 
-def a_short_write_is_taken_for_a_whole_one(patch):
+def a_short_write_is_accepted_as_complete(patch):
     patch(files, "write_all", lambda file, data: files.os.write(file, data))
 
 
-def an_answer_leaves_before_the_sync(patch):
+def an_answer_is_sent_before_the_sync(patch):
     patch(Store, "sync", lambda self: not self.failure)
 
 
-def a_node_goes_on_after_a_further_sync(patch):
+def a_node_continues_after_a_repeated_sync(patch):
     def rewrite(self):
         self.disk.failure = None
         try:
@@ -161,23 +160,25 @@
     patch(Store, "rewrite", rewrite)
 
 
-RECORDS_WRONG = (RECORD_LOST, RECORD_INVENTED, SOUND_FILE_REFUSED)
+RECORDS_LOST_OR_WRONG = (RECORD_LOST, UNWRITTEN_RECORD_READ, VALID_FILE_REJECTED)
 RAFT_STATE_LOST = (ENTRY_LOST, VOTE_FORGOTTEN)
 STORAGE_MUTANTS = [
-    StorageMutant(failed_sync_is_forgotten, LogRecords, RECORDS_WRONG),
-    StorageMutant(failed_sync_is_forgotten, RaftNodeState, RAFT_STATE_LOST),
-    StorageMutant(failed_sync_is_repeated_and_believed, LogRecords, RECORDS_WRONG),
-    StorageMutant(failed_sync_is_repeated_and_believed, RaftNodeState, RAFT_STATE_LOST),
-    StorageMutant(what_is_read_at_opening_is_only_synced, LogRecords, RECORDS_WRONG),
-    StorageMutant(a_torn_tail_stays, LogRecords, RECORDS_WRONG),
-    StorageMutant(a_torn_tail_is_accepted, LogRecords, (RECORD_INVENTED,)),
-    StorageMutant(the_folder_is_not_synced, LogRecords, RECORDS_WRONG),
-    StorageMutant(the_folder_is_not_synced, CellTables, (TABLE_LOST,)),
-    StorageMutant(a_file_is_renamed_before_it_is_synced, LogRecords, RECORDS_WRONG),
-    StorageMutant(a_file_is_renamed_before_it_is_synced, CellTables, (TABLE_LOST, SOUND_FILE_REFUSED)),
+    StorageMutant(a_failed_sync_is_ignored, LogRecords, RECORDS_LOST_OR_WRONG),
+    StorageMutant(a_failed_sync_is_ignored, RaftNodeState, RAFT_STATE_LOST),
+    StorageMutant(a_failed_sync_is_repeated, LogRecords, RECORDS_LOST_OR_WRONG),
+    StorageMutant(a_failed_sync_is_repeated, RaftNodeState, RAFT_STATE_LOST),
+    StorageMutant(records_are_only_synced_after_reading, LogRecords, RECORDS_LOST_OR_WRONG),
+    StorageMutant(a_torn_tail_is_kept, LogRecords, RECORDS_LOST_OR_WRONG),
+    StorageMutant(a_torn_record_is_accepted, LogRecords, (UNWRITTEN_RECORD_READ,)),
+    StorageMutant(the_directory_is_not_synced, LogRecords, RECORDS_LOST_OR_WRONG),
+    StorageMutant(the_directory_is_not_synced, CellTables, (TABLE_LOST,)),
+    StorageMutant(a_file_is_renamed_before_it_is_synced, LogRecords, RECORDS_LOST_OR_WRONG),
+    StorageMutant(a_file_is_renamed_before_it_is_synced, CellTables, (TABLE_LOST, VALID_FILE_REJECTED)),
     StorageMutant(a_descriptor_is_left_open_on_a_full_disk, LogRecords, (DESCRIPTOR_LEAKED,)),
     StorageMutant(a_descriptor_is_left_open_on_a_full_disk, CellTables, (DESCRIPTOR_LEAKED,)),
-    StorageMutant(a_short_write_is_taken_for_a_whole_one, LogRecords, RECORDS_WRONG),
-    StorageMutant(an_answer_leaves_before_the_sync, RaftNodeState, RAFT_STATE_LOST),
-    StorageMutant(a_node_goes_on_after_a_further_sync, RaftNodeState, (*RAFT_STATE_LOST, SOUND_FILE_REFUSED)),
+    StorageMutant(a_short_write_is_accepted_as_complete, LogRecords, RECORDS_LOST_OR_WRONG),
+    StorageMutant(an_answer_is_sent_before_the_sync, RaftNodeState, RAFT_STATE_LOST),
+    StorageMutant(
+        a_node_continues_after_a_repeated_sync, RaftNodeState, (*RAFT_STATE_LOST, VALID_FILE_REJECTED)
+    ),
 ]
--- a/tests/support/storage_scenario.py
+++ b/tests/support/storage_scenario.py
@@ -1,8 +1,8 @@
-"""Random work on the stored files over a faulty disk, checked against what was acknowledged.
+"""Random operations on stored files on a faulty disk, checked against what was acknowledged.
 
-Each scenario does seeded work on one kind of file, lets the process or the machine end at a chosen call,
-opens the file again, and checks it. A broken guarantee is raised as `BrokenGuaranteeError` with a fixed
-name, so that a mutant is caught by name.
+Each scenario executes seeded operations on one kind of file, ends the process or the machine at a chosen
+call, opens the file again and checks it. It raises `BrokenGuaranteeError` with the name of the broken
+guarantee, which the tests of mutants compare.
 """
 
 import random
@@ -18,9 +18,9 @@
 
 MODULES = (files, raft_log_module, cell_table_module)
 RECORD_LOST = "an acknowledged record is lost"
-RECORD_INVENTED = "a record is there that was never written"
-SOUND_FILE_REFUSED = "a file that nobody spoilt is taken for bad"
-NOT_RECOVERED = "the disk is well again, and nothing is written"
+UNWRITTEN_RECORD_READ = "a record is read that was never written"
+VALID_FILE_REJECTED = "an undamaged file is rejected"
+NOT_RECOVERED = "the disk works again, but nothing is written"
 DESCRIPTOR_LEAKED = "a descriptor is leaked"
 VOTE_FORGOTTEN = "an answered vote is forgotten"
 ENTRY_LOST = "an acknowledged entry is lost"
@@ -28,38 +28,39 @@
 
 
 class BrokenGuaranteeError(AssertionError):
-    """A guarantee of the storage package is broken; `name` says which."""
+    """A guarantee of the storage package is broken; `name` is that of the guarantee."""
 
     def __init__(self, name, found=""):
         super().__init__(f"{name}: {found}")
         self.name = name
 
 
-def faulty_disk(folder, seed, odds=0, kill=None):
-    """A disk on which one call in `odds` fails (0: none)."""
+def faulty_disk(directory, seed, odds=0, kill=None):
+    """A disk on which one in `odds` calls fails on average; 0: no call fails."""
     source = RandomFaults(seed, odds, DISK_FAULTS) if odds else RandomFaults(seed, 1, {})
-    return FaultyDisk(folder, FaultPlan(source), kill=kill, chance=random.Random(f"{seed}/disk"))
+    return FaultyDisk(directory, FaultPlan(source), kill=kill, chance=random.Random(f"{seed}/disk"))
 
 
 class StorageScenario:
-    """`begin` opens, `step` does one thing, `check` reads what is stored after the process has ended.
-    `max_descriptors`: descriptors that the part holds while it runs, at most."""
+    """A scenario: `begin` opens the file, `step` executes one operation, and `check` reads the file after the
+    process has ended. `max_descriptors` limits the open descriptors between steps."""
 
     max_descriptors = 0
 
-    def __init__(self, folder, disk, seed):
-        self.folder, self.disk, self.chance = folder, disk, random.Random(f"{seed}/work")
+    def __init__(self, directory, disk, seed):
+        self.directory, self.disk, self.chance = directory, disk, random.Random(f"{seed}/work")
         self.seed, self.kill = seed, disk.kill
 
     def play(self, steps):
-        """Work until the kill or the last step, end, open again, check; then a few steps more, twice, so
-        that what an opening left behind is checked as well."""
+        """Executes steps until the kill or the last step, ends the process and checks the file. Then executes
+        a few more steps, twice, so that the state after reopening is checked as well."""
         self.work(steps)
         for turn in range(2):
             self.chance = random.Random(f"{self.seed}/{self.kill}/{turn}")
             self.end()
             self.check()
-            if turn == 0 and self.chance.randrange(2):  # whoever opened it may have acted on what it read
+            if turn == 0 and self.chance.randrange(2):
+                # the process that opened the file may have acted on what it read
                 self.disk.fail_power()
                 self.check()
             self.work(self.chance.randrange(steps))
@@ -67,7 +68,7 @@
         self.check()
 
     def work(self, steps):
-        """So many steps, or as many as there are before the kill."""
+        """Executes `steps` steps, or fewer if the kill ends them."""
         with self.disk.installed(*MODULES), suppress(ProcessKilled):
             self.begin()
             for _ in range(steps):
@@ -82,26 +83,26 @@
             self.disk.end_process()
 
 
-def calls_of(scenario, folder, seed, steps, odds=0):
-    """How many calls the first half of a play makes without a kill."""
-    disk = faulty_disk(folder, seed, odds)
-    made = scenario(folder, disk, seed)
+def count_calls(scenario, directory, seed, steps, odds=0):
+    """The number of calls in the first `steps` steps of a run without a kill."""
+    disk = faulty_disk(directory, seed, odds)
+    instance = scenario(directory, disk, seed)
     with disk.installed(*MODULES):
-        made.begin()
+        instance.begin()
         for _ in range(steps):
-            made.step()
+            instance.step()
     disk.end_process()
     return disk.calls
 
 
-def play(scenario, folder, seed, steps=12, odds=0, kill=None):
-    """One play; BrokenGuaranteeError where a promise is."""
-    scenario(folder, faulty_disk(folder, seed, odds, kill), seed).play(steps)
+def play(scenario, directory, seed, steps=12, odds=0, kill=None):
+    """One run of a scenario. Errors: BrokenGuaranteeError."""
+    scenario(directory, faulty_disk(directory, seed, odds, kill), seed).play(steps)
 
 
-def play_all_kills(scenario, new_folder, seeds, steps=12, odds=0):
-    """Plays with a kill at every call, at each of its moments, for each seed."""
+def play_all_kills(scenario, new_directory, seeds, steps=12, odds=0):
+    """Runs of a scenario with a kill at every call and at each moment of the call, for each seed."""
     for seed in seeds:
-        for call in range(1, calls_of(scenario, new_folder(), seed, steps, odds) + 1):
+        for call in range(1, count_calls(scenario, new_directory(), seed, steps, odds) + 1):
             for moment in Moment:
-                play(scenario, new_folder(), seed, steps, odds, KillPoint(call, moment))
+                play(scenario, new_directory(), seed, steps, odds, KillPoint(call, moment))
