--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -130,14 +130,14 @@
 
 
 class RaftGroupLine(Directive):
-    """The members of the Raft group, and the longest lease that the group grants."""
+    """The members of the Raft group, and the duration of the longest lease that it grants, in ns."""
 
     positional: ClassVar = ("names",)
     example: ClassVar = "keepers gate-1,gate-2,gate-3 votes /var/lib/gaproute/gate-1.votes longest 600s"
     once: ClassVar = True
     names: Annotated[tuple[Name, ...], BeforeValidator(split_commas)]
     votes: str | None = None  # path of this member's Raft log file; gateways that are not members have none
-    longest: Duration = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # duration of a lease, ns
+    longest: Duration = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # of a lease
 
     @model_validator(mode="after")
     def check_members(self) -> Self:
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -42,5 +42,5 @@
 
 
 def test_gossip_without_an_address_for_peers_is_a_mistake():
-    with pytest.raises(ConfigurationError, match="weak-word without a listen peers line"):
+    with pytest.raises(ConfigurationError, match="weak-word requires a listen peers line"):
         read_configuration("f", CONFIGURATION + "\nweak-word yes\n")
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -211,8 +211,8 @@
 @pytest.mark.parametrize(
     ("lines", "text"),
     [
-        ("peer a 127.0.0.1:1\npeers-file x", "peers stand here and in a peers-file"),
-        ("peers-file x", "which peer is this gateway"),
+        ("peer a 127.0.0.1:1\npeers-file x", "peer lines and a peers-file line exclude each other"),
+        ("peers-file x", "a peers-file line requires a name line, which tells this gateway from its peers"),
     ],
 )
 def test_lines_about_peers_that_do_not_fit_are_rejected(lines, text):
