--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -7,7 +7,7 @@
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Address, Duration, Name, StartTime, YesNo, split_commas
 from gaproute.decisions.cells.bounds import MAX_NAME_LENGTH
-from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
+from gaproute.shared.leases.commands import MAX_LEASE_DURATION, MIN_LEASE_DURATION
 from gaproute.shared.raft.messages import MAX_MEMBERS
 
 SOURCES_KEYWORD = "from"  # the keyword before the sources of host lists, which replace a folder
@@ -137,7 +137,7 @@
     once: ClassVar = True
     names: Annotated[tuple[Name, ...], BeforeValidator(split_commas)]
     votes: str | None = None  # path of this member's Raft log file; gateways that are not members have none
-    longest: Duration = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # of a lease
+    longest: Duration = Field(MAX_LEASE_DURATION, ge=MIN_LEASE_DURATION, le=MAX_LEASE_DURATION)  # of a lease
 
     @model_validator(mode="after")
     def check_members(self) -> Self:
