--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -68,12 +68,18 @@
         self.cell_hosts_line: CellHostsLine = configuration.cell_hosts
         self.on_hosts_changed = on_hosts_changed
         location = GatewayLocation(configuration.name, self.cells_line.region, self.cells_line.zone)
-        self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
-        self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
+        self.gateway = CellularGateway(seed, configuration.routing_settings, loop.now(), location)
+        self.placeholder_gateway = Gateway(seed, configuration.routing_settings, loop.now())
         self.hosts = CellHostClient(loop, ConnectionReusePolicy(), client_settings, configuration.name)
         self.entry_gateways = EntryGateways(loop, client_settings, configuration.name)
         self.core = CellularCore(
-            loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entry_gateways
+            loop,
+            self.gateway,
+            configuration.routing_settings,
+            self.hosts,
+            record,
+            run_name,
+            self.entry_gateways,
         )
         self.converter = CellEndpointConverter(loop, use_capacities=configuration.capacities_reported)
         self.host_lists = self._make_host_lists()
--- a/gaproute/cli/migration.py
+++ b/gaproute/cli/migration.py
@@ -5,7 +5,7 @@
 import click
 
 from gaproute.cli.common import ExitCode, exit_with_error, exit_with_mistakes
-from gaproute.config import ConfigurationError, NotDurableError, read_text, write_whole
+from gaproute.config import ConfigurationError, NotDurableError, read_text, write_file_atomically
 from gaproute.config import migrate as migrate_configuration
 
 
@@ -42,7 +42,7 @@
 def _write(path: str, text: str, preserved: tuple[str, ...], *, replace: bool) -> None:
     """Writes the file; if that fails, ends the command with advice for the operator."""
     try:
-        write_whole(path, text, replace=replace, preserved=preserved)
+        write_file_atomically(path, text, replace=replace, preserved=preserved)
     except FileExistsError:
         exit_with_error(
             f"{path}: file exists already; name another file or say --replace; nothing is written"
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -1,4 +1,4 @@
-"""Mistakes that show only between the lines of a file."""
+"""Checks across the lines of a configuration: names, required lines and lines that exclude each other."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 
@@ -12,134 +12,176 @@
     RaftGroupLine,
 )
 from gaproute.config.directives.requests import ModelLine, RequestClassLine
-from gaproute.config.errors import Mistake, example
+from gaproute.config.errors import Mistake, expected_line
 from gaproute.config.parsing import NamedDirective, directives_of
 
-KEEP_ONE = "keep one of the two"
-NAMED = ("host", "track", "model", "tenant", "peer")  # directives whose names stand once each
-NEEDED = {"listen": ListenLine.example, "track": RequestClassLine.example, "model": ModelLine.example}
-EXCLUSIVE = (("host", "hosts-file"), ("peer", "peers-file"))
+KEEP_ONE_EXPECTATION = "keep one of the two"
+NAMED_DIRECTIVES = ("host", "track", "model", "tenant", "peer")  # directives whose names are unique in a file
+REQUIRED_DIRECTIVES = {
+    "listen": ListenLine.example,
+    "track": RequestClassLine.example,
+    "model": ModelLine.example,
+}
+EXCLUSIVE_DIRECTIVES = (("host", "hosts-file"), ("peer", "peers-file"))
 
-# What a fleet in cells cannot have, and what to do about it.
+# Directives that a fleet in cells cannot have, and what the operator should do instead.
 EXCLUDED_BY_CELLS = {
-    "host": "the hosts of cells stand in the folder of cell-hosts",
-    "hosts-file": "the hosts of cells stand in the folder of cell-hosts",
-    "memory": "leave it out: what is known of cells is not stored on disk",
-    "weak-word": "leave it out: gateways of cells do not gossip about hosts",
-    "decisions": "leave it out: cells have decisions of their own",
+    "host": "list the hosts of the cells in the folder of the cell-hosts line",
+    "hosts-file": "list the hosts of the cells in the folder of the cell-hosts line",
+    "memory": "remove the line: observations of cells are not stored on disk",
+    "weak-word": "remove the line: the gateways of a fleet in cells do not gossip about hosts",
+    "decisions": "remove the line: a fleet in cells has routing decisions of its own",
 }
-NEEDED_BESIDE_CELLS = (
+REQUIRED_WITH_CELLS = (
     ("cells", "cell-hosts", CellHostsLine.example),
     ("cell-hosts", "cells", CellsLine.example),
     ("cells", "name", NameLine.example),
 )
 
 
-def across_lines(file: str, found: Sequence[NamedDirective], first: Mapping[str, int]) -> Iterator[Mistake]:
-    """All that shows only between lines; `first` is the first line of each directive."""
-    yield from named_twice(file, found)
-    yield from _missing(file, first)
-    yield from _exclusive(file, first)
-    yield from _without_peers_address(file, found)
-    yield from _raft_group(file, found)
-    yield from _unknown_tracks(file, found)
-    yield from _cells(file, found, first)
-    yield from _listened_on_twice(file, found)
-
-
-def named_twice(file: str, found: Iterable[NamedDirective]) -> Iterator[Mistake]:
-    """Names that stand a second time."""
-    first: dict[tuple[str, str], int] = {}
-    for directive, line in found:
-        if directive not in NAMED:
+def cross_line_mistakes(
+    file: str, directives: Sequence[NamedDirective], first_lines: Mapping[str, int]
+) -> Iterator[Mistake]:
+    """All mistakes across lines; `first_lines` is the number of the first line of each directive."""
+    yield from duplicate_name_mistakes(file, directives)
+    yield from _missing_directives(file, first_lines)
+    yield from _exclusive_directives(file, first_lines)
+    yield from _missing_peers_address(file, directives)
+    yield from _raft_group_mistakes(file, directives)
+    yield from _unknown_track_mistakes(file, directives)
+    yield from _cells_mistakes(file, directives, first_lines)
+    yield from _duplicate_listen_addresses(file, directives)
+
+
+def duplicate_name_mistakes(file: str, directives: Iterable[NamedDirective]) -> Iterator[Mistake]:
+    """The mistakes of names that are defined a second time."""
+    first_lines: dict[tuple[str, str], int] = {}
+    for directive, line in directives:
+        if directive not in NAMED_DIRECTIVES:
             continue
-        before = first.setdefault((directive, line.name), line.line)
+        before = first_lines.setdefault((directive, line.name), line.line)
         if before != line.line:
-            stands = f"{directive} {line.name} stands a second time"
-            yield Mistake(file, line.line, directive, stands, f"keep line {before} or this")
+            text = f"{directive} {line.name} is defined a second time"
+            yield Mistake(file, line.line, directive, text, f"keep line {before} or this line")
 
 
-def _missing(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
-    for directive, text in NEEDED.items():
-        if directive not in first:
-            yield Mistake(file, 0, directive, f"no {directive} line", example(text))
-    if not first.keys() & {"host", "hosts-file", "cells"}:
-        yield Mistake(file, 0, "host", "no host and no hosts-file line", example(HostLine.example))
-    if "peers-file" in first and "name" not in first:
-        found = "a peers-file without a name line: which peer is this gateway?"
-        yield Mistake(file, 0, "name", found, example(NameLine.example))
+def _missing_directives(file: str, first_lines: Mapping[str, int]) -> Iterator[Mistake]:
+    for directive, text in REQUIRED_DIRECTIVES.items():
+        if directive not in first_lines:
+            yield Mistake(
+                file, 0, directive, f"the configuration has no {directive} line", expected_line(text)
+            )
+    if not first_lines.keys() & {"host", "hosts-file", "cells"}:
+        yield Mistake(
+            file,
+            0,
+            "host",
+            "the configuration has neither a host line nor a hosts-file line",
+            expected_line(HostLine.example),
+        )
+    if "peers-file" in first_lines and "name" not in first_lines:
+        found = "a peers-file line requires a name line, which tells this gateway from its peers"
+        yield Mistake(file, 0, "name", found, expected_line(NameLine.example))
 
 
-def _exclusive(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
-    for directive, list_file in EXCLUSIVE:
-        if directive in first and list_file in first:
+def _exclusive_directives(file: str, first_lines: Mapping[str, int]) -> Iterator[Mistake]:
+    for directive, list_file in EXCLUSIVE_DIRECTIVES:
+        if directive in first_lines and list_file in first_lines:
             yield Mistake(
-                file, first[directive], directive, f"{directive}s stand here and in a {list_file}", KEEP_ONE
+                file,
+                first_lines[directive],
+                directive,
+                f"{directive} lines and a {list_file} line exclude each other",
+                KEEP_ONE_EXPECTATION,
             )
 
 
-def _without_peers_address(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    """Directives that need an address for the other gateways."""
-    if any(line.kind == "peers" for line in directives_of(found, ListenLine)):
+def _missing_peers_address(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
+    """The mistakes of directives that require a listen address for peers."""
+    if any(line.kind == "peers" for line in directives_of(directives, ListenLine)):
         return
-    for directive, line in found:
+    for directive, line in directives:
         if directive in ("keepers", "cells") or (directive == "weak-word" and line.enabled):
-            expected = example("listen peers 127.0.0.1:8090")
-            yield Mistake(file, line.line, directive, f"{directive} without a listen peers line", expected)
+            expected = expected_line("listen peers 127.0.0.1:8090")
+            yield Mistake(file, line.line, directive, f"{directive} requires a listen peers line", expected)
 
 
-def _raft_group(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    """Mistakes of the `keepers` line beside the others."""
-    line = next(iter(directives_of(found, RaftGroupLine)), None)
+def _raft_group_mistakes(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
+    """The mistakes of the `keepers` line compared with other lines."""
+    line = next(iter(directives_of(directives, RaftGroupLine)), None)
     if line is None:
         return
-    own = next((each.name for each in directives_of(found, NameLine)), None)
-    known = {own} | {each.name for each in directives_of(found, PeerLine)}
+    own = next((each.name for each in directives_of(directives, NameLine)), None)
+    known = {own} | {each.name for each in directives_of(directives, PeerLine)}
     if own is None:
-        text = "keepers without a name line: which of them is this gateway?"
-        yield Mistake(file, line.line, "keepers", text, example(NameLine.example))
-    if not any(directive == "peers-file" for directive, _ in found):
+        text = "keepers requires a name line, which tells whether this gateway is a Raft member"
+        yield Mistake(file, line.line, "keepers", text, expected_line(NameLine.example))
+    if not any(directive == "peers-file" for directive, _ in directives):
         for name in line.names:
             if name not in known:
-                expected = example(f"peer {name} 127.0.0.1:8091")
-                yield Mistake(file, line.line, "keepers", f"Raft member {name} is no peer here", expected)
+                expected = expected_line(f"peer {name} 127.0.0.1:8091")
+                yield Mistake(
+                    file, line.line, "keepers", f"Raft member {name} is not a peer of this gateway", expected
+                )
     if own in line.names and line.votes is None:
-        text = "a Raft member without a file for its votes"
-        yield Mistake(file, line.line, "keepers", text, example(RaftGroupLine.example))
+        text = "this gateway is a Raft member, but the keepers line names no votes file"
+        yield Mistake(file, line.line, "keepers", text, expected_line(RaftGroupLine.example))
     if own is not None and own not in line.names and line.votes is not None:
         yield Mistake(
-            file, line.line, "keepers", "votes at a gateway that is no Raft member", "leave votes out here"
+            file,
+            line.line,
+            "keepers",
+            "a votes file at a gateway that is not a Raft member",
+            "remove the keyword votes",
         )
 
 
-def _unknown_tracks(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    tracks = [line.name for line in directives_of(found, RequestClassLine)]
-    for line in directives_of(found, ModelLine):
+def _unknown_track_mistakes(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
+    tracks = [line.name for line in directives_of(directives, RequestClassLine)]
+    for line in directives_of(directives, ModelLine):
         if line.track not in tracks:
-            expected = f"the tracks here: {', '.join(tracks) or 'none'}"
-            yield Mistake(file, line.line, f"model {line.name}", f"no track {line.track!r}", expected)
+            expected = f"name one of the tracks: {', '.join(tracks) or 'none'}"
+            yield Mistake(
+                file,
+                line.line,
+                f"model {line.name}",
+                f"the configuration has no track {line.track!r}",
+                expected,
+            )
 
 
-def _cells(file: str, found: Sequence[NamedDirective], first: Mapping[str, int]) -> Iterator[Mistake]:
-    """Mistakes of the `cells` and `cell-hosts` lines beside the others."""
-    for directive, other, text in NEEDED_BESIDE_CELLS:
-        if directive in first and other not in first:
+def _cells_mistakes(
+    file: str, directives: Sequence[NamedDirective], first_lines: Mapping[str, int]
+) -> Iterator[Mistake]:
+    """The mistakes of the `cells` and `cell-hosts` lines compared with other lines."""
+    for directive, other, text in REQUIRED_WITH_CELLS:
+        if directive in first_lines and other not in first_lines:
             yield Mistake(
-                file, first[directive], directive, f"{directive} without a {other} line", example(text)
+                file,
+                first_lines[directive],
+                directive,
+                f"{directive} requires a {other} line",
+                expected_line(text),
             )
-    if "cells" not in first:
+    if "cells" not in first_lines:
         return
-    for directive, line in found:
+    for directive, line in directives:
         if directive in EXCLUDED_BY_CELLS and (directive != "weak-word" or line.enabled):
             yield Mistake(
-                file, line.line, directive, f"{directive} beside cells", EXCLUDED_BY_CELLS[directive]
+                file,
+                line.line,
+                directive,
+                f"{directive} and cells lines exclude each other",
+                EXCLUDED_BY_CELLS[directive],
             )
 
 
-def _listened_on_twice(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
-    first: dict[str, int] = {}
-    for line in directives_of(found, ListenLine):
-        if line.where in first and not line.where.endswith(":0"):
-            text = f"{line.where} is listened on twice"
-            yield Mistake(file, line.line, "listen", text, f"see line {first[line.where]}")
-        first.setdefault(line.where, line.line)
+def _duplicate_listen_addresses(file: str, directives: Sequence[NamedDirective]) -> Iterator[Mistake]:
+    first_lines: dict[str, int] = {}
+    for line in directives_of(directives, ListenLine):
+        if line.where in first_lines and not line.where.endswith(":0"):
+            text = f"two listen lines have the address {line.where}"
+            yield Mistake(
+                file, line.line, "listen", text, f"keep line {first_lines[line.where]} or this line"
+            )
+        first_lines.setdefault(line.where, line.line)
--- a/gaproute/storage/observation_database.py
+++ b/gaproute/storage/observation_database.py
@@ -6,8 +6,8 @@
 
 from gaproute.errors import GaprouteError
 
-LOCK_TIMEOUT = 0  # s; 0: do not wait for SQLite's lock, as requests may be waiting for this thread
-PRIMARY_CODE = 0xFF  # mask of SQLite's extended result codes that gives the kind of failure
+LOCK_TIMEOUT_SECONDS = 0  # do not wait for SQLite's lock, which would delay requests in this thread
+PRIMARY_CODE_MASK = 0xFF  # selects the primary result code of an extended one
 TRANSIENT_CODES = frozenset(
     {
         sqlite3.SQLITE_FULL,
@@ -29,39 +29,39 @@
 CHECK_COLUMNS = "SELECT subject, data, sum, wall FROM facts LIMIT 1"
 SELECT_LATEST = "SELECT subject, data, sum FROM facts ORDER BY wall DESC LIMIT ?"
 INSERT_ROW = "INSERT OR REPLACE INTO facts VALUES (?, ?, ?, ?)"
-DELETE_OUTSIDE = "DELETE FROM facts WHERE wall < ? OR wall > ?"
+DELETE_OUTSIDE_TIME_RANGE = "DELETE FROM facts WHERE wall < ? OR wall > ?"
 
 
 class DamagedFileError(GaprouteError, sqlite3.DatabaseError):
-    """SQLite opens the file, but its own check finds it damaged; the text says where."""
+    """SQLite opens the file, but its integrity check fails; the text is the result of the check."""
 
 
 def connect(path: Path, *, check: bool) -> sqlite3.Connection:
-    """Open the database, made where there is none; `check`: look for damage in the whole file.
+    """Open the database, or create it; `check`: check the integrity of the whole file.
 
     Errors: sqlite3.Error.
     """
-    connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT, isolation_level=None)
+    connection = sqlite3.connect(path, timeout=LOCK_TIMEOUT_SECONDS, isolation_level=None)
     try:
         connection.execute("PRAGMA journal_mode = WAL")
         connection.execute("PRAGMA synchronous = OFF")
         if check:
-            _check_whole(connection)
+            _check_integrity(connection)
         connection.execute(CREATE_TABLE)
         connection.execute(CHECK_COLUMNS).fetchall()
     except BaseException:
-        with suppress(sqlite3.Error):  # an error here must not hide the first one
+        with suppress(sqlite3.Error):  # a second error must not hide the first one
             connection.close()
         raise
     return connection
 
 
 def is_transient(error: sqlite3.Error) -> bool:
-    """Return whether the failure says nothing about the file itself."""
-    return getattr(error, "sqlite_errorcode", 0) & PRIMARY_CODE in TRANSIENT_CODES
+    """Return whether the failure has a cause other than damage to the file."""
+    return getattr(error, "sqlite_errorcode", 0) & PRIMARY_CODE_MASK in TRANSIENT_CODES
 
 
-def _check_whole(connection: sqlite3.Connection) -> None:
+def _check_integrity(connection: sqlite3.Connection) -> None:
     """Errors: DamagedFileError."""
     (health,), *_ = connection.execute("PRAGMA quick_check(1)")
     if health != "ok":
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -45,5 +45,5 @@
 
 
 def test_gossip_without_a_listen_address_for_peers_is_a_configuration_error():
-    with pytest.raises(ConfigurationError, match="weak-word without a listen peers line"):
+    with pytest.raises(ConfigurationError, match="weak-word requires a listen peers line"):
         read_configuration("f", CONFIGURATION + "\nweak-word yes\n")
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -217,8 +217,8 @@
 @pytest.mark.parametrize(
     ("lines", "text"),
     [
-        ("peer a 127.0.0.1:1\npeers-file x", "peers stand here and in a peers-file"),
-        ("peers-file x", "which peer is this gateway"),
+        ("peer a 127.0.0.1:1\npeers-file x", "peer lines and a peers-file line exclude each other"),
+        ("peers-file x", "a peers-file line requires a name line, which tells this gateway from its peers"),
     ],
 )
 def test_contradictory_or_incomplete_peer_directives_are_rejected(lines, text):
