--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -43,8 +43,9 @@
 # Results with which a host reports its number of requests of the same function, if hosts report it at all.
 RESULTS_WITH_REQUEST_COUNT = (interface.Result.OK, interface.Result.FULL)
 FLAGS = {"0": False, "1": True, ABSENT: False}
-# The remark of an outcome has two parts: its lower bits are what the attempt found (`interface.Found`), and
-# the other bits are the number of requests of the same function at the host.
+# The remark of an outcome has two parts: its lower bits are the state in which the attempt found the instance
+# (`interface.InstanceStatus`), and the other bits are the number of requests of the same function at the
+# host.
 FOUND_BITS = 3
 MAX_FOUND = 4
 
@@ -80,7 +81,7 @@
 
 @decoder
 def decode_terms(text: str) -> interface.RoutingSettings:
-    """Converts the settings of an instance to terms of the decisions."""
+    """Converts the settings of an instance to the settings of the routing decisions."""
     return settings.read_terms(json.loads(text))
 
 
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -7,7 +7,7 @@
 from gaproute.core.driver import Driver
 from gaproute.core.ports import DecisionModule
 
-GatewayFactory = Callable[[int, interface.RoutingSettings, int], DecisionModule]  # takes seed, terms and time
+GatewayFactory = Callable[[int, interface.RoutingSettings, int], DecisionModule]  # takes seed, settings, time
 
 
 class Instance(Driver):
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -63,7 +63,11 @@
         retry_after: int = 0,
         cause: interface.RejectReason | None = None,
     ) -> None:
-        """Gives the final answer of a request; drops a second one and reports it as an internal error."""
+        """Gives the final answer of a request.
+
+        A second final answer is a fault of the decision module: it is dropped and reported as an internal
+        error.
+        """
         on_final, request.on_final = request.on_final, None
         if on_final is None:
             self.record.log_internal_error("the decision module gave a second final answer", request.id)
@@ -104,7 +108,8 @@
     def _deadline_passed(self, key: str) -> None:
         """Ends a request at its deadline: its attempts time out, and it fails if it has no final answer yet.
 
-        This guards against a decision module that gives its final answers late.
+        This guards against a decision module that gives its final answers late; a module that gives them in
+        time is not affected.
         """
         request = self.in_flight[key]
         self._time_out_attempts(request)
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -53,9 +53,9 @@
     ) -> str:
         """Accepts a request and returns the id that the gateway assigns to it.
 
-        `request_class` and `tenant` are indices in the terms; `lanes` is the number of requests that one
-        instance runs at a time. The client waits for `time_left` ns from `first_byte_at` on. `on_final` is
-        called once, and never before this method returns.
+        `request_class` and `tenant` are indices in the routing settings; `lanes` is the number of requests
+        that one instance runs at a time. The client waits for `time_left` ns from `first_byte_at` on.
+        `on_final` is called once, and never before this method returns.
         """
         self.submitted_count += 1
         key = f"{self.id_prefix}-{self.submitted_count:x}"
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -40,7 +40,7 @@
 
     @abstractmethod
     def order_load(self, host: str, function: str, copies: int) -> None:
-        """Sends a load order to a host; `copies` is that of `interface.LoadOrder`."""
+        """Sends a load order to a host; `copies` is `instances` of `interface.LoadOrder`."""
 
     @abstractmethod
     def probe_host(self, host: str) -> None:
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -75,7 +75,7 @@
     ) -> None:
         self.id = request_id
         self.call = call
-        self.request_class = request_class  # index in the terms
+        self.request_class = request_class  # index in the routing settings
         self.on_final: Callable[[FinalAnswer], None] | None = (
             on_final  # None: answered, or the client has left
         )
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -17,9 +17,9 @@
 # Longest time that a turn of the event loop spends on the queues, and so the longest delay that the queues
 # cause for requests in flight.
 MAX_ADMISSION_TIME = 3 * MILLI
-# Weight of the queue of returning connections; all other connections together have the weight 1. After a
-# failure of many clients, all connections of the clients that reconnect are new, and the clients that stayed
-# connected must not wait for them.
+# Weight of the queue of returning connections; all other connections together have the weight 1. While others
+# wait, 3 of each 4 choices thus go to returning connections. After a failure of many clients, all connections
+# of the clients that reconnect are new, and the clients that stayed connected must not wait for them.
 RETURNING_WEIGHT = 3
 # Number of new connections with unread data at which no further connection is accepted. The others wait in
 # the kernel's backlog, so that an accepted connection is read within a second.
--- a/gaproute/decisions/admission/restarts.py
+++ b/gaproute/decisions/admission/restarts.py
@@ -36,7 +36,10 @@
         return self.reserve_start(now + delay)
 
     def reserve_start(self, earliest: int) -> int:
-        """Reserves and returns the next possible start time (ns), which is `earliest` or later."""
+        """Reserves and returns the first start time (ns) from `earliest` on that is possible.
+
+        It is at least `MIN_START_INTERVAL` after all start times reserved before.
+        """
         start = earliest
         if self.last_start_time is not None:
             start = max(start, self.last_start_time + MIN_START_INTERVAL)
--- a/gaproute/decisions/reports/exchange_limits.py
+++ b/gaproute/decisions/reports/exchange_limits.py
@@ -4,7 +4,8 @@
 
 MAX_CHUNK_OBSERVATIONS = 256  # observations in one answer
 MAX_CHUNK_NAME_BYTES = 16_384  # bytes of names in one answer; its other parts have a bounded size
-MAX_CHUNKS_PER_PEER = 1024  # chunks requested of one peer: the requests end even if a faulty peer never does
+# Limit of the chunks requested from one peer, so that a faulty peer cannot keep the gateway busy forever.
+MAX_CHUNKS_PER_PEER = 1024
 MAX_ANSWER_BYTES = 1 << 20
 ANSWER_TIMEOUT = 500 * MILLI  # for one answer; a slower peer gets no further requests
 # Time after the start in which the gateway fetches observations of peers. Later, the gateway's own requests
--- a/gaproute/decisions/routing/candidates.py
+++ b/gaproute/decisions/routing/candidates.py
@@ -10,7 +10,7 @@
 # Factor on the points of the stable hash from one choice to the next. When the first choices are full, all
 # gateways use the same next choices, about ten of them.
 HASH_DECAY = 0.85
-# Growth of the number of ranked hosts when the hosts ranked so far are not enough for a choice.
+# Factor by which the number of ranked hosts grows when the hosts ranked so far are not enough for a choice.
 RANK_DEPTH_FACTOR = 4
 UNBOUNDED = NEVER  # a score limit above the score of any host
 
--- a/gaproute/decisions/routing/function_mix.py
+++ b/gaproute/decisions/routing/function_mix.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import MIX_SIZE
 
-MIN_MIX_SIZE = MIX_SIZE // 4  # requests; shares are computed of at least this number
+MIN_MIX_SIZE = MIX_SIZE // 4  # a share is computed as if there were at least so many requests
 
 
 class FunctionMix:
--- a/gaproute/decisions/routing/host.py
+++ b/gaproute/decisions/routing/host.py
@@ -10,7 +10,7 @@
 
 # Unspent credit decays over this time, about the time in which an overloaded host that warms up fails.
 CREDIT_LIFETIME = 2 * SECOND
-MIN_CAPACITY = 1e-3  # lower limit of a capacity in the host list
+MIN_CAPACITY = 1e-3  # a smaller capacity in the host list, even 0 or less, is replaced by this one
 
 AttemptKey = tuple[str, int]  # (id of the request, number of its attempt)
 
--- a/gaproute/decisions/routing/host_loads.py
+++ b/gaproute/decisions/routing/host_loads.py
@@ -42,7 +42,8 @@
         sent_since = sum([sent > reported_at for sent in in_flight.values()])
         if report.in_hand is not None:
             return max(report.in_hand + sent_since, 0)
-        if report.waiting is not None:  # own attempts in flight stand for the running requests
+        # The running requests are not reported: own attempts in flight stand for them.
+        if report.waiting is not None:
             return max(report.waiting, 0) + len(in_flight)
         return max(sent_since + (report.cpu_busy or 0.0) * lanes, len(in_flight))
 
--- a/gaproute/decisions/routing/host_selector.py
+++ b/gaproute/decisions/routing/host_selector.py
@@ -39,7 +39,7 @@
         scored = self.scorer.scores(now, request, attempts, function, eligible)
         host = self._pick_best(now, scored)
         if host is None:
-            return self.choose(now, request, attempts)  # all scored hosts were skipped
+            return self.choose(now, request, attempts)  # all scored hosts were skipped: try others
         # A host that has just rejected a request as full gets none for a moment: it answers fast and
         # therefore looks idle. Other requests of the function wait as well, because at other hosts they would
         # cause loads and overload these hosts too. Only the rejected request is sent elsewhere.
--- a/gaproute/decisions/routing/load_report_sharing.py
+++ b/gaproute/decisions/routing/load_report_sharing.py
@@ -15,7 +15,9 @@
 from gaproute.interface import HostLoadReport, RoutingSettings
 
 MAX_COST_SHARE = 0.006  # share of the result that probes and shared reports may cost together
-MAX_PROBE_BUDGET = 4  # probes; prevents a burst after a pause, and a gap at a steady rate of requests
+# Number of probes up to which requests add to the budget: it allows no burst of probes after a pause, and
+# leaves no gap between probes at a steady rate of requests.
+MAX_PROBE_BUDGET = 4
 # The host to probe is drawn from the hosts with the oldest reports, one in so many hosts of the fleet: all
 # gateways know the same reports and must not all probe the same host at one moment.
 OLDEST_HOSTS_DIVISOR = 4
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -24,7 +24,7 @@
 MAX_QUEUE_WAIT_SHARE = 0.3
 SHED_EXPONENT = 3  # exponent of (longest / expected wait): at twice the longest wait one in eight is accepted
 MIN_IN_FLIGHT = 8  # attempts in flight below which nothing is rejected: too few to estimate a wait
-TRUSTED_DOUBT_LIMIT = 0.5  # attempts at hosts with this doubt or more do not count as waiting
+TRUSTED_DOUBT_LIMIT = 0.5  # attempts at hosts with at least this doubt are not counted as waiting
 
 
 class LoadShedder:
@@ -85,7 +85,10 @@
         return self.outliers.doubt(host, attempt.request_class, now) < TRUSTED_DOUBT_LIMIT
 
     def _max_wait(self, request: Request, request_class: RequestClass) -> float:
-        """Returns the longest expected wait for which a request is accepted (ns)."""
+        """Returns the longest expected wait (ns) for which a request is accepted.
+
+        A request without priority weight is accepted for half as long a wait as one of the highest weight.
+        """
         value = request_class.priority_weight / self.max_priority_weight
         shares = self.tenant_shares[request.tenant : request.tenant + 1]  # empty for an unknown tenant
         if shares and self.recent_tenants.count(request.tenant) > shares[0] * len(self.recent_tenants):
--- a/gaproute/decisions/routing/outcome_recorder.py
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -58,7 +58,9 @@
             self.hints.verify(attempt.function_name, host.id, InstanceStatus.LOAD_FAILED)
             function.record_not_loaded(host.id)
         if result is Result.RESET and not host.in_flight:
-            host.instances_lost_at = now  # the process ended, and its instances with it
+            # All attempts at the host have ended, the last by a reset: its process probably ended, and its
+            # instances with it.
+            host.instances_lost_at = now
 
     def _record_answer(
         self, now: int, outcome: Outcome, attempt: InFlightAttempt, host: Host, function: Function
--- a/gaproute/decisions/routing/outlier_detector.py
+++ b/gaproute/decisions/routing/outlier_detector.py
@@ -23,7 +23,11 @@
         self.doubts: dict[tuple[str, int], float] = {}  # by (host id, request class), computed at `doubts_at`
 
     def record(self, host: Host, now: int, request_class: int | None, failure_weight: float) -> None:
-        """Records a result; `failure_weight` is 0 for a good one; `request_class` is None for a probe."""
+        """Records a result.
+
+        `failure_weight` is 0 for a good result and 1 for an attempt without an answer; `request_class` is
+        None for a probe.
+        """
         results = host.results
         same_class = [result for result in results if result.request_class == request_class]
         # The oldest result of the same class is dropped: answers to other classes say nothing about it.
--- a/gaproute/decisions/routing/scorer.py
+++ b/gaproute/decisions/routing/scorer.py
@@ -15,7 +15,8 @@
 
 # Points of a recently used instance: they outweigh a free lane, all memory and the stable hash.
 WARMTH_POINTS = 6.0
-# Points lost for each USUAL_CONCURRENCY queued requests of a rare function, where a load serves one request.
+# Points lost for each USUAL_CONCURRENCY queued requests, for a rare function, of which a load serves a single
+# request.
 QUEUE_POINTS = 0.5
 # Points lost likewise for a hot function: a shorter queue is worth one more instance.
 QUEUE_POINTS_HOT = 1.6
@@ -29,8 +30,9 @@
 OTHER_CHOICE_EXPONENT = 0.45
 # Points lost by a host that certainly fails: twice those of an instance, so that doubt decides first.
 DOUBT_POINTS = 12.0
-# Points of a host in the gateway's own zone, if a zone crossing costs the whole value of a request: an
-# instance has six points and saves a load, which costs over half of the value of a request.
+# Points of a host in the gateway's own zone if the price of a zone crossing is the whole value of a request;
+# they are multiplied by the price. For comparison: an instance has six points and saves a load, which costs
+# over half of the value of a request.
 SAME_ZONE_POINTS = 10.0
 # Points by which two sums of the same terms may differ because of rounding.
 ROUNDING_TOLERANCE = 1e-9
@@ -94,7 +96,7 @@
         return doubts
 
     def mean_memory_busy(self) -> float:
-        """Returns the mean share of busy memory where it is reported, as an estimate for other hosts."""
+        """Returns the mean share of busy memory of the hosts that report it, for the other hosts."""
         reported = [host.memory_busy for host in self.hosts.active if host.memory_busy is not None]
         return sum(reported) / len(reported) if reported else 0.0
 
--- a/gaproute/decisions/routing/slow_start.py
+++ b/gaproute/decisions/routing/slow_start.py
@@ -45,7 +45,7 @@
             host.add_credit(now, min(self.hosts.relative_capacity(host) * share, max_credit))
 
     def record_answer(self, now: int, answering_host: Host) -> None:
-        """Gives credit to hosts that warm up, for an answer of a host.
+        """Gives credit to hosts that warm up, for an answer of `answering_host`.
 
         An answer of a warm host gives each warming host as much as a warm host answers on average, reduced by
         the warming host's capacity and by the share of it that is certain. Credit depends on answers and not
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -55,11 +55,12 @@
     """The one final answer to a request."""
 
     result: FinalResult
-    answer: Answer | None  # of the host; only with DELIVERED
-    retry_after: int  # only with REJECTED: how long the client should wait, ns; 0 if not specified
+    answer: Answer | None  # answer of the host; None unless the result is DELIVERED
+    retry_after: int  # after REJECTED: how long the client should wait, ns; 0 if not specified
     request_id: str  # id that the gateway gave the request
     attempt_count: int  # attempts started for the request
     reason: str  # short text for people
     never_ran: bool = False  # whether the request provably did not run at any host
-    cell_unknown: bool = False  # with REJECTED: forwarded here for a cell that is unknown here
-    found: InstanceStatus = InstanceStatus.UNKNOWN  # only with DELIVERED
+    cell_unknown: bool = False  # whether it was rejected because it was forwarded for an unknown cell
+    # After DELIVERED: the state in which the attempt found the instance at the host.
+    found: InstanceStatus = InstanceStatus.UNKNOWN
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -50,7 +50,7 @@
 
 
 class LoadedConfiguration(NamedTuple):
-    """A valid configuration and the terms and deployment settings decoded from it."""
+    """A valid configuration, with the routing and deployment settings decoded from it."""
 
     configuration: Configuration
     terms: interface.RoutingSettings
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -11,7 +11,7 @@
 from gaproute.loop import Loop
 from gaproute.platform.log import Log
 
-MAX_LOGGED_HOSTS = 64  # most hosts of one event that are logged
+MAX_LOGGED_HOSTS = 64  # limit of the hosts logged for one event
 
 
 class HostList:
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -21,7 +21,10 @@
 
 
 class StatusLog:
-    """Writes the status line every `STATUS_INTERVAL`. `docs/platform.md` describes its keys."""
+    """Writes the status line at the first call of `write` and then every `STATUS_INTERVAL`.
+
+    `docs/platform.md` describes its keys.
+    """
 
     def __init__(
         self,
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -29,21 +29,21 @@
 
 
 class DeploymentSettings(NamedTuple):
-    """The settings of a gateway that serves sockets, in addition to the terms; times are in ns."""
+    """The settings that a gateway serving sockets needs beside the routing settings; times are in ns."""
 
-    class_names: tuple[str, ...]  # names of the request classes, ordered as in the terms
+    class_names: tuple[str, ...]  # names of the request classes, ordered as in the routing settings
     zones: tuple[str, ...]
     report_names: tuple[str, ...]  # names of the figures in a load report
     connect_time: int
     idle_time: int  # time after which hosts close an idle connection
     order_time: int
-    requests_per_connection: int  # most requests in flight on a connection to a host
+    requests_per_connection: int  # limit of the requests in flight on a connection to a host
     same_function_counted: bool
     cancel_allowed: bool = True  # whether hosts may be notified of a cancelled request
 
 
 def read_terms(settings: Mapping[str, Any]) -> interface.RoutingSettings:
-    """Reads the terms under which the decision module works."""
+    """Reads the settings of the routing decisions."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     rules, prices = _section(settings, "rules"), _section(settings, "prices")
     report = _section(settings, "report")
@@ -84,7 +84,7 @@
 
 
 def read_deployment(settings: Mapping[str, Any]) -> DeploymentSettings:
-    """Reads the settings that a gateway serving sockets needs in addition to the terms."""
+    """Reads the settings that a gateway serving sockets needs in addition to the routing settings."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     return DeploymentSettings(
         class_names=tuple(fields["name"] for fields in settings.get("lanes") or ()),
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -96,7 +96,7 @@
 
 
 class SimulatedFleet:
-    """Gateways, and hosts that answer, refuse, fail, become silent, restart and leave at random."""
+    """Gateways, and hosts that answer, refuse, fail, become silent, restart and leave by a seed."""
 
     def __init__(self, seed, classes, settings, host_count, mean_interval):
         self.random, self.now, self.mean_interval = Random(seed), START, mean_interval
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading the terms and the deployment settings from the platform's settings object."""
+"""The routing settings and the deployment settings, read from the platform's settings object."""
 
 import pytest
 
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -161,7 +161,7 @@
     assert not late.answers
     assert front.connections.client_count == front.connections.admission.max_connections
     front.stop_accepting()
-    assert front.listener.sock.fileno() >= 0  # the waiting client is not reset
+    assert front.listener.sock.fileno() >= 0  # the late client waits for room and is not reset
     front.stop()
     gateway.until(lambda: late.ended)
     assert codes(late)[0] == {1: ErrorCode.REJECTED}
