--- a/gaproute/decisions/cells/change.py
+++ b/gaproute/decisions/cells/change.py
@@ -44,7 +44,10 @@
 def apply_change(
     table: CellTable, change: TableChange, trim: Callable[[Cell], Cell] | None = None
 ) -> CellTable:
-    """The table after the change, with `trim` applied to the new rows. Errors: `TableError`."""
+    """The table after the change, with `trim` applied to the new rows.
+
+    Errors: `TableError` if the change cannot be applied completely.
+    """
     if change.fleet != table.fleet:
         raise OtherFleetError(table.fleet, change.fleet)
     if change.version <= table.version:
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -91,7 +91,8 @@
     """The latest answers of a cell, and the overdue requests to it."""
 
     last_answered: int = -1  # time of the last answer, ns; -1: none
-    overdue: dict[str, int] = field(default_factory=dict)  # by host or entry: time of an overdue request
+    # By host or entry: when the overdue request was sent, ns
+    overdue: dict[str, int] = field(default_factory=dict)
     outcomes: deque[RequestOutcome] = field(default_factory=_recent_outcomes)
     relative_durations: deque[RelativeDuration] = field(default_factory=_recent_durations)
 
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -26,9 +26,10 @@
 
 
 class HomeCells:
-    """Computes and caches orders by one table, over the whole fleet or within one region.
+    """Computes orders by one table, over the whole fleet or within one region.
 
-    `regions`: regions whose rings are made at once; the ring of any other region is made at its first use.
+    The `max_orders` most recently used orders are cached. `regions`: regions whose rings are made at once;
+    the ring of any other region is made at its first use.
     """
 
     def __init__(
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -73,7 +73,11 @@
         self.in_flight[number] = AttemptInFlight(cell, host, self.now, overdue_at)
 
     def record_outcome(self, outcome: Outcome) -> None:
-        """Records the outcome of an attempt; the start of a stream is no outcome yet."""
+        """Records the outcome of an attempt.
+
+        The start of a stream is no outcome yet. The outcome of the whole request, when its client has left,
+        belongs to no attempt and changes nothing here.
+        """
         if outcome.result is Result.STREAM_STARTED:
             return
         if self.in_flight.pop(outcome.attempt, None) is not None:
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -162,7 +162,7 @@
 
 def _ring_point_error(cell: Cell) -> str | None:
     if not 0 < len(cell.points) <= bounds.MAX_POINT_RANGES_PER_CELL:
-        return f"{len(cell.points)} ranges of ring points: not from 1 to {bounds.MAX_POINT_RANGES_PER_CELL}"
+        return f"{len(cell.points)} ranges of ring points are not 1 to {bounds.MAX_POINT_RANGES_PER_CELL}"
     total = 0
     for points in cell.points:
         if not _is_name(points.origin):
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -193,7 +193,7 @@
                 text = "the message did not come in whole in time"
                 self.report_error(ProtocolError(ErrorCode.PARSE_ERROR, text))
         elif self.front.stopping:
-            self.close_if_finished()  # it may have had unread bytes at an earlier call
+            self.close_if_finished()  # an earlier call saw unread bytes, or could not tell if there were any
         elif self._is_quiet(now):
             self.front.park(self, self.front.connections.admission.idle_deadline(now, IDLE_TIMEOUT))
 
--- a/gaproute/fronts/jsonrpc/errors.py
+++ b/gaproute/fronts/jsonrpc/errors.py
@@ -26,7 +26,7 @@
 
 
 class FramingError(ProtocolError):
-    """The header of a message cannot be decoded, and so nothing behind it on the connection."""
+    """The header of a message cannot be decoded, so nothing after it on the connection can be decoded."""
 
     def __init__(self, text: str, bodies: list[bytes] | None = None) -> None:
         """`bodies`: of the complete messages before the header."""
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -154,7 +154,7 @@
         return number
 
     def _check_capacity(self, connection: RpcConnection, request: Request) -> None:
-        """Checks that the request may begin beside the open requests. Errors: ProtocolError."""
+        """Checks that the request may begin in addition to the open requests. Errors: ProtocolError."""
         if request.request_id in self.open_request_ids:
             raise ProtocolError(ErrorCode.INVALID_PARAMS, "a request with this i is open", request.number)
         if len(connection.open_requests) >= MAX_OPEN_REQUESTS:
--- a/gaproute/fronts/kserve/responses.py
+++ b/gaproute/fronts/kserve/responses.py
@@ -3,7 +3,7 @@
 | final answer | status | in addition to the published form |
 | --- | --- | --- |
 | delivered | the host's | `Gaproute-Outcome: delivered` |
-| rejected | 503 | `Gaproute-Outcome: declined`, `Retry-After` in s, `Gaproute-Retry-After-Ms` in ms |
+| rejected | 503 | `Gaproute-Outcome: declined`, `Retry-After` in whole s, `Gaproute-Retry-After-Ms` in ms |
 | failed | 504 | `Gaproute-Outcome: scrapped` |
 
 The body of a rejected or failed answer is the published error object, with the reason as its text. All three
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -32,7 +32,10 @@
     def encode_attempt(
         self, call: Call, gateway_request_id: str, host: HostConnections, start_before: int
     ) -> Callable[[int], bytes]:
-        """A function that encodes the attempt when it is sent, with the time left until `start_before`."""
+        """A function that encodes the attempt when it is sent.
+
+        The entry gateway must answer by `start_before`, so the attempt states the time left until then.
+        """
 
         def encode(now: int) -> bytes:
             time_left_ms = max(1, (start_before - now) // MILLI)
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -2,7 +2,7 @@
 
 `decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` says what the
 end of a connection proves. A request has started once the kernel has taken its first byte. Until then its
-bytes stand in no buffer, and whether it may still start is checked when it is written.
+bytes are in no buffer, and whether it may still start is checked when it is written.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         self.retired_ids: set[str] = set()  # ids of ended requests to which a reply may still come
         self.reader = LineReader()
         self.stream: Stream | None = None  # None until the connection is established
-        self.bytes_written = 0  # bytes of all requests and cancellations
+        self.bytes_written = 0  # bytes of requests and cancellations given to the stream
         self.last_used = self.last_received = loop.now()
         self.reusable = True  # whether the connection takes further requests
         self.replies_received = 0  # replies that belong to a request
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -41,7 +41,7 @@
         self.set_endpoint(endpoint)
 
     def set_endpoint(self, endpoint: Endpoint) -> None:
-        """Sets the host's address and the time of its last start. Raises ValueError if malformed."""
+        """Sets the host's address and last start time. Errors: ValueError for a malformed address."""
         self.address_text, self.address = endpoint.address, parse_address(endpoint.address)
         self.started_at = endpoint.listed.started
 
--- a/gaproute/hosts/jsonlines/line_reader.py
+++ b/gaproute/hosts/jsonlines/line_reader.py
@@ -30,7 +30,7 @@
         self.unfinished_bytes = 0
 
     def feed(self, data: bytes) -> list[Reply]:
-        """Returns the replies that these bytes complete. Raises MalformedLineError."""
+        """Returns the replies that these bytes complete. Errors: MalformedLineError."""
         replies: list[Reply] = []
         *lines, rest = data.split(b"\n")
         for line in lines:
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -30,7 +30,7 @@
 REUSE_RACE_WINDOW = SECOND  # a reused connection that ends this soon was perhaps closed as it was used
 
 OnExchangeEnded: TypeAlias = Callable[[Response | NoResponseError], object]
-RequestBytes: TypeAlias = bytes | Callable[[int], bytes]  # or a function that makes them at a time (ns)
+RequestBytes: TypeAlias = bytes | Callable[[int], bytes]  # or a function of the loop's time, ns
 
 
 class KServeClient:
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -34,7 +34,7 @@
         self.set_address(address_text)
 
     def set_address(self, address_text: str) -> None:
-        """Sets the host's address. Raises ValueError if the address is malformed."""
+        """Sets the host's address. Errors: ValueError if it is malformed."""
         self.address_text, self.address = address_text.encode(), parse_address(address_text)
 
     def take_idle(self, idempotency: Idempotency) -> ClientConnection | None:
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -196,7 +196,7 @@
     # Closing
 
     def park(self) -> None:
-        """Parks the connection or, if its idle time is over, closes it unless a request is unread."""
+        """Parks the connection, or closes it if its idle time is over; answers an unread request before."""
         server = self.server
         if server.loop.now() < self.idle_deadline and self.stream.open and not server.stopping:
             self._clear_deadline()
@@ -261,7 +261,7 @@
         self.unregister()
 
     def unregister(self) -> None:
-        """Removes the connection, whose socket is closed, from the server."""
+        """Cancels the timer and removes the connection, whose socket is closed, from the server."""
         self._clear_deadline()
         if self in self.server.active_connections:
             self._update_buffered_bytes(0)
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -21,7 +21,7 @@
 
     loop: Loop
     limits: Limits
-    # After a stop with grace: until when requests may arrive, ns
+    # After a stop with grace: the time by which a request must have arrived completely, ns
     request_arrival_deadline: int | None
 
     def idle_deadline(self, now: int) -> int:
@@ -58,7 +58,7 @@
     timer: Timer | None
     deadline: int | None  # when the timer acts, or the queue of quiet connections; ns
     idle_deadline: int  # when the connection closes if no further request comes, ns
-    # Whether the server's queue of quiet connections has this one, to park it at its deadline
+    # Whether the server's queue of quiet connections has this one, to park it at its deadline if still quiet
     in_quiet_queue: bool
 
     def park(self) -> None:
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -43,7 +43,7 @@
         self.completed: list[MessageType] = []
         # Whether the client waits for a response 100 before it sends the body
         self.wants_continue = False
-        # The error raised in a callback: the parser replaces errors that callbacks raise
+        # The error of a callback, stored because the parser replaces errors that callbacks raise
         self.error: HttpError | None = None
 
     @property
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -60,7 +60,7 @@
         self.buffered_bytes = 0  # of the incomplete requests of all connections
         self.quiet_connections: deque[QuietConnection] = deque()
         self.sweep_timer: Timer | None = None
-        # After a stop with grace: until when requests may arrive, ns
+        # After a stop with grace: the time by which a request must have arrived completely, ns
         self.request_arrival_deadline: int | None = None
 
     # Accepting
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -153,7 +153,10 @@
 
 
 def test_an_unread_abort_on_a_connection_with_paused_reading_ends_its_request(gate):
-    """Reading is paused as for a client that receives no answers. A later request is not affected."""
+    """Reading is paused as for a client that receives no answers, so only the next attempt finds the abort.
+
+    A later request is not affected.
+    """
     gateway, client, held = first_request_held(gate)
     (connection,) = gateway.process.front.active_connections
     connection.stream.pause()
