--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -23,7 +23,8 @@
 from gaproute.units import MILLI, SECOND
 
 # Datagrams that are decoded in one second: 20 times the usual number in a fleet of 1,000 gateways. Further
-# datagrams are dropped undecoded, whoever sent them, because the sender is known only after decoding.
+# datagrams are dropped undecoded. A flood from one sender thus costs messages of other members too, because
+# the sender is known only after decoding.
 MAX_DATAGRAMS_PER_SECOND = 2000
 UNIX_DATAGRAM_SUFFIX = ".words"  # appended to the path of the Unix socket for peers
 
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -16,7 +16,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_BATCH_MESSAGES = 64  # the messages of a few heartbeat intervals
-FULL_BATCH_BYTES = 512 << 10  # a batch of this size gets no further message
+FULL_BATCH_BYTES = 512 << 10  # a message that would bring a batch to this size is left for the next batch
 # A batch with one snapshot and the messages that are sent with it.
 MAX_BATCH_BYTES = MAX_SNAPSHOT_BYTES + FULL_BATCH_BYTES
 ARRAY_OF_THREE = b"\x93"  # first byte of an array of three elements in MessagePack
--- a/gaproute/shared/dissemination/fetch.py
+++ b/gaproute/shared/dissemination/fetch.py
@@ -49,7 +49,7 @@
         return None if self.source is None else self._deadline
 
     def needs_complete_document(self, current: Version) -> bool:
-        """Whether to request the complete document: a change did not fit, the changes that other gateways
+        """Whether to request the complete document: a change was rejected, the changes that other gateways
         store do not reach back to the current version, or requests for changes failed.
         """
         if (
--- a/gaproute/shared/gossip/hosts.py
+++ b/gaproute/shared/gossip/hosts.py
@@ -44,7 +44,7 @@
             del self.tombstones[oldest]
 
     def is_current(self, host: int, seen_at: int) -> bool:
-        """Whether an observation at the time `seen_at` counts: the host is listed and has not restarted."""
+        """Whether an observation counts: the host is listed, and has not restarted since `seen_at`."""
         return host in self.names_by_key and seen_at > self.tombstones.get(host, seen_at - 1)
 
     def _add_tombstones(self, now: int, hosts: list[int]) -> None:
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -17,7 +17,7 @@
 SET_HEADER_BYTES = 11
 # Bytes around a message: IP and UDP headers, the name of the sender, the tags of the envelope's fields
 ENVELOPE_BYTES = 60
-# Of every message; the travel time is not measured, as gateways do not compare their clocks
+# Assumed for every message; it is not measured, as gateways do not compare their clocks
 ASSUMED_TRAVEL_TIME = 5 * MILLI
 
 MAX_INCARNATION = MAX_COUNT
--- a/gaproute/shared/gossip/scheduler.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -18,9 +18,10 @@
 from gaproute.shared.gossip.peer_rounds import PeerRounds
 from gaproute.units import SECOND
 
-# With headers; leaves room below 4 kB per second for bursts and for the messages of the membership
+# Headers included; leaves room below 4 kB per second for bursts and for the messages of the membership
 DEFAULT_BYTES_PER_SECOND = 3_000
-# In a fleet of cells; lower, as the cell table takes 0.9 kB of the 4 kB at 46,000 changes a day
+# The rate in a fleet of cells is lower, as the cell table takes 0.9 kB of the 4 kB per second at 46,000
+# changes a day
 BYTES_PER_SECOND_IN_CELLS = 2_200
 # Shortest time between two messages to one peer, so that a small fleet uses less than the byte rate
 MIN_PEER_INTERVAL = SECOND // 2
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -34,7 +34,8 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import MILLI
 
-# Until the next member is tried; longer than a disk sync and a round trip, shorter than an election
+# After this time a command without an answer is sent to the next member; longer than a disk sync and a round
+# trip, shorter than an election
 COMMAND_RESEND_TIMEOUT = 500 * MILLI
 COMMAND_RETRY_DELAY = 100 * MILLI  # until the next attempt, after a member that knew no leader or was busy
 MAX_IMMEDIATE_REDIRECTS = 2  # members that redirect to each other must not cause a flood of messages
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -28,8 +28,8 @@
 from gaproute.shared.messages import Message
 from gaproute.shared.raft.state_machine import DeadlineChange
 
-# Held at the same time: enough for the maintenance of hosts and the lent capacity of a large fleet; 200 bytes
-# each
+# Leases held at the same time: enough for the maintenance of hosts and the lent capacity of a large fleet;
+# each takes 200 bytes
 MAX_LEASES = 4096
 MAX_POOLS = 4096  # resources with a size other than 1, such as hosts whose capacity is lent
 INITIAL_WAIT_TOKEN = 0  # `ExpireLease` with this token ends the initial wait; no lease has the token
--- a/gaproute/shared/membership/identity.py
+++ b/gaproute/shared/membership/identity.py
@@ -17,8 +17,8 @@
     def refute(self, update: MemberUpdate) -> None:
         """Raises the incarnation above that of a false update about this gateway.
 
-        An update is false if its incarnation is higher, which is from an earlier start of the gateway, or if
-        its incarnation is the same and its state is not alive.
+        An update is false if its incarnation is higher, as it is then about an earlier start of the gateway,
+        or if its incarnation is the same and its state is not alive.
         """
         if (update.incarnation, update.state) > (self.incarnation, MemberState.ALIVE):
             if update.state != MemberState.ALIVE:
--- a/gaproute/shared/membership/membership.py
+++ b/gaproute/shared/membership/membership.py
@@ -34,7 +34,7 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.units import SECOND
 
-# How long a suspect may refute before it counts as dead, for every doubling of the number of members
+# Periods in which a suspect may refute before it counts as dead, for every doubling of the number of members
 SUSPICION_PERIODS_PER_DOUBLING = 3
 DEAD_MEMBER_RETENTION = 600 * SECOND  # until a dead member that is not configured is removed
 
--- a/gaproute/shared/membership/message_builder.py
+++ b/gaproute/shared/membership/message_builder.py
@@ -16,7 +16,7 @@
 
 UPDATE_SENDS_PER_DOUBLING = 3  # how often an update is sent, for every doubling of the number of members
 MAX_MESSAGE_BYTES = 1200  # fits into a datagram that no network fragments
-MAX_HEADER_BYTES = 32  # of a message without its sender, target and updates
+MAX_HEADER_BYTES = 32  # upper bound for a message without its sender, target and updates
 # A message with few updates is filled up to this size with entries of the member table, each entry in turn.
 # These entries replace updates that were lost or delayed; a larger size would only cost bytes
 FILLED_MESSAGE_BYTES = 320
@@ -83,7 +83,11 @@
     def message(
         self, kind: MessageKind, sequence: int, *, target: str = "", first_member: Member | None = None
     ) -> MembershipMessage:
-        """A message with as many updates as fit. `first_member`: its update is always in the message."""
+        """A message with as many updates as fit.
+
+        `first_member`: the receiver, if it must refute what this gateway has stored about it; its update is
+        always in the message.
+        """
         sender = self._identity.own_update()
         limit = MAX_PING_REQUEST_BYTES if kind is MessageKind.PING_REQUEST else MAX_MESSAGE_BYTES
         bytes_left = limit - MAX_HEADER_BYTES - max_encoded_size(sender) - len(target.encode())
--- a/gaproute/shared/membership/probe_order.py
+++ b/gaproute/shared/membership/probe_order.py
@@ -4,7 +4,8 @@
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource, shuffle
 
-# How often a dead member is probed instead of a live one, to detect that a partition has healed
+# In one of this many periods a dead member is probed instead of a live one, to detect that a partition has
+# healed
 DEAD_PROBE_INTERVAL_PERIODS = 5
 
 
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -12,7 +12,7 @@
 # Between two probes; in a period each gateway causes 2 small messages, whatever the number of gateways
 PROBE_PERIOD = SECOND
 PROBE_TIMEOUT = 300 * MILLI  # for an answer; enough for many round trips and some late loop turns
-MAX_PROBE_RETRIES = 2  # one every PROBE_TIMEOUT
+MAX_PROBE_RETRIES = 2  # each PROBE_TIMEOUT after the previous attempt
 PROBE_HELPERS = 3  # members requested to probe for this one, so that one lossy path makes no suspect
 MAX_INDIRECT_PROBES = 64  # in progress for other members at the same time
 
--- a/gaproute/shared/membership/state_transfer.py
+++ b/gaproute/shared/membership/state_transfer.py
@@ -7,11 +7,13 @@
 from gaproute.units import MILLI, SECOND
 
 CHUNK_TIMEOUT = 300 * MILLI  # until a chunk is requested again
-MAX_CHUNK_ATTEMPTS = 6  # then a transfer starts anew with the next member that answers a probe
+MAX_CHUNK_ATTEMPTS = 6  # after these, a transfer starts anew with the next member that answers a probe
 TRANSFER_INTERVAL = 300 * SECOND  # between regular transfers, which repair missed updates
 # Between the starts of two transfers, as hundreds of members are alive again after one partition heals
 MIN_TRANSFER_INTERVAL = 20 * SECOND
-MAX_CHUNKS_PER_PERIOD = 64  # sent to other members, 80 kB per second; further requests are not answered
+# Chunks sent to other members, 80 kB per second; further requests are not answered, so their senders must
+# repeat them
+MAX_CHUNKS_PER_PERIOD = 64
 NEVER = -(1 << 62)
 
 
--- a/gaproute/shared/membership/table.py
+++ b/gaproute/shared/membership/table.py
@@ -19,8 +19,8 @@
 from gaproute.shared.membership.name_set import NameSet
 from gaproute.shared.membership.update_queue import UpdateQueue
 
-# Beyond this number, unknown members are rejected; 8 MB with the longest names. Configured members are not
-# limited
+# Beyond this number, unknown members are rejected; the table then takes 8 MB with the longest names.
+# Configured members are not limited
 MAX_MEMBERS = 4096
 MAX_REMOVAL_CHECKS = 8  # of departed members in one call of `remove_departed`
 
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -139,7 +139,7 @@
 
 
 def fetch_document(server, now, after_part=lambda: None):
-    """Fetches the complete document, with pauses while the server is busy; (data, duration, version)."""
+    """Fetches the complete document, waiting while the server is busy; returns (data, duration, version)."""
     start, data, target = now, b"", NO_VERSION
     while True:
         answer = server.answer(now, Pull(FLEET, NO_VERSION, True, target, len(data)))
@@ -165,7 +165,7 @@
     data, duration, version = fetch_document(server, 0, apply_change)
     assert (data, duration, version) == (document.data, 0, Version(1, 6))
     assert document.version > version
-    # A later pull is answered from the same snapshot; the log has the changes cell_table since.
+    # A later pull is answered from the same snapshot; the log has the changes since then.
     late = server.answer(20 * SECOND, Pull(FLEET, NO_VERSION, True))
     assert late.version == version
     assert log.changes_since(version, 10_000)
