--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -26,7 +26,7 @@
 from gaproute.decisions.chance import RandomGenerator
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import DatagramSocket
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.membership import MAX_DATAGRAMS_PER_SECOND, MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
@@ -91,7 +91,7 @@
 
 def wrapped(data: bytes) -> bytes:
     """The datagram of an encoded message."""
-    envelope = word_pb2.Word(version=1, kind=PayloadKind.GOSSIP, weak=data)
+    envelope = datagram_pb2.Word(version=1, kind=PayloadKind.GOSSIP, weak=data)
     envelope.sender.name = SENDER
     return bytes(envelope.SerializeToString())
 
@@ -189,7 +189,7 @@
         "word": name,
         "bytes": len(wrapped(data)),
         "encode, us": cpu_us(lambda: wrapped(encode(message))),
-        "decode, us": cpu_us(lambda: decode(word_pb2.Word.FromString(wrapped(data)).weak)),
+        "decode, us": cpu_us(lambda: decode(datagram_pb2.Word.FromString(wrapped(data)).weak)),
         "merge, us": cpu_us(MergedMessage(message).merge),
         "socket, us": socket_us(wrapped(data)),
         "refused, us": "-",
--- a/benchmarks/gossip_fleet.py
+++ b/benchmarks/gossip_fleet.py
@@ -10,7 +10,7 @@
 
 from benchmarks.gossip_traffic import SECOND, STEP, GossipTraffic
 from gaproute.decisions.chance import RandomGenerator
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
 from gaproute.shared.gossip.invariants import check, message_has_only_local_observations
@@ -124,7 +124,7 @@
     def _encode(self, name: str, message: GossipMessage) -> bytes:
         if name in self.liars:
             message = self._lie(name, message)
-        envelope = word_pb2.Word(version=1, kind=GOSSIP_KIND, weak=encode(message))
+        envelope = datagram_pb2.Word(version=1, kind=GOSSIP_KIND, weak=encode(message))
         envelope.sender.name = name
         return bytes(envelope.SerializeToString())
 
@@ -145,6 +145,6 @@
     def _receive(self, name: str, datagram: bytes) -> None:
         self.bytes_received[name] += len(datagram) + DATAGRAM_HEADERS
         began = time.process_time()
-        envelope = word_pb2.Word.FromString(datagram)
+        envelope = datagram_pb2.Word.FromString(datagram)
         self.nodes[name].receive_encoded(self.now, envelope.sender.name, lambda: decode(envelope.weak))
         self.cpu_time += time.process_time() - began
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/reused_connections.py
@@ -1,7 +1,7 @@
 """How often a host closes an idle connection just as a request goes out on it, for each way to choose
 connections.
 
-    python benchmarks/kept_connections.py [--seconds 20] [--hosts 60] [--out docs/measured]
+    python benchmarks/reused_connections.py [--seconds 20] [--hosts 60] [--out docs/measured]
 
 The hosts are healthy listeners of one process that close a connection after 1 s at rest. To each goes a
 non-idempotent request every 1 s, give or take 4 ms: the worst spacing there is. Each request that ends in a
@@ -172,7 +172,7 @@
         counts = play(way.pooling(), arguments.hosts, arguments.seconds, announced=way.announced)
         rows.append({"way": way.name, **counts})
         print(rows[-1], flush=True)
-    write(arguments.out, "kept_connections", rows)
+    write(arguments.out, "reused_connections", rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -1,6 +1,6 @@
 """Health checks and pooled connections to hosts, on loopback: processor time, bytes, memory."""
 
-from benchmarks import kept_connections
+from benchmarks import reused_connections
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, cpu_seconds_once, retained_bytes
@@ -23,7 +23,7 @@
     """Hosts behind one listener, a process of its own, each with a pooled connection of its own."""
 
     def __init__(self, count: int) -> None:
-        self.listener = kept_connections.start_hosts(1, announced=False, idle_time=IDLE)
+        self.listener = reused_connections.start_hosts(1, announced=False, idle_time=IDLE)
         (where,) = self.listener.addresses
         self.loop = Loop()
         self.ready = 0  # probes that found their host ready
--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
 from gaproute.decisions.chance import RandomGenerator
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.shared.gossip import GossipNode
 
@@ -76,7 +76,7 @@
         self.turn += 1
         sender = self.names[self.turn % len(self.names)]
         began = time.process_time()
-        envelope = word_pb2.Word.FromString(data)
+        envelope = datagram_pb2.Word.FromString(data)
         self.node.receive_encoded(self.now, sender, lambda: decode(envelope.weak))
         self.spent += time.process_time() - began
 
--- a/gaproute/peers/membership_wire.py
+++ b/gaproute/peers/membership_wire.py
@@ -5,7 +5,7 @@
 
 from google.protobuf.message import DecodeError
 
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 from gaproute.shared.membership import MembershipMessage, MemberUpdate, MessageKind
 
 PROTOCOL_VERSION = 1
@@ -33,7 +33,7 @@
 
 def encode_message(message: MembershipMessage) -> bytes:
     """Encodes a membership message as a datagram."""
-    envelope = word_pb2.Word(
+    envelope = datagram_pb2.Word(
         version=PROTOCOL_VERSION, kind=message.kind, number=message.sequence, target=message.target
     )
     fields_and_updates = [(envelope.sender, message.sender)]
@@ -45,7 +45,7 @@
 
 def encode_payload(kind: PayloadKind, sender: str, data: bytes) -> bytes:
     """Encodes a payload of another component as a datagram."""
-    envelope = word_pb2.Word(version=PROTOCOL_VERSION, kind=kind, weak=data)
+    envelope = datagram_pb2.Word(version=PROTOCOL_VERSION, kind=kind, weak=data)
     envelope.sender.name = sender
     return bytes(envelope.SerializeToString())
 
@@ -56,7 +56,7 @@
     Protocol versions one below and one above `PROTOCOL_VERSION` are supported too.
     """
     try:
-        envelope = word_pb2.Word.FromString(data)
+        envelope = datagram_pb2.Word.FromString(data)
     except DecodeError:
         return None
     if abs(envelope.version - PROTOCOL_VERSION) > 1:
--- a/gaproute/peers/observation_messages.py
+++ b/gaproute/peers/observation_messages.py
@@ -1,4 +1,4 @@
-"""Static types for the messages in `lore.proto`, since protoc generates classes without type annotations.
+"""Static types for the messages in `observation.proto`; protoc generates classes without type annotations.
 
 Ages are in microseconds. Start times of hosts are in ns since 1970; 0 means unknown.
 """
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -18,7 +18,7 @@
     own_observations,
 )
 from gaproute.decisions.reports.ports import ObservationSource
-from gaproute.peers import lore_pb2, observation_wire
+from gaproute.peers import observation_pb2, observation_wire
 from gaproute.peers.observation_messages import ObservationRequest
 from gaproute.units import MICRO, MILLI
 
@@ -98,7 +98,7 @@
             self._read_chunk(now, transfer, cpu_time_at_start)
         chunk = transfer.chunks[position]
         more = transfer.has_chunk_after(position)
-        tail = lore_pb2.Told(
+        tail = observation_pb2.Told(
             next=number * CURSORS_PER_TRANSFER + position + 1 if more else 0,
             held_us=(now - chunk.built_at) // MICRO,
         )
@@ -136,7 +136,7 @@
 
     def _read_chunk(self, now: int, transfer: Transfer, cpu_time_at_start: int) -> None:
         """Encodes the next chunk, until it is full or the slice of CPU time is spent."""
-        answer = lore_pb2.Told(
+        answer = observation_pb2.Told(
             version=observation_wire.PROTOCOL_VERSION, life=self.run_id, mark=transfer.started_at
         )
         names_length = 0
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -14,7 +14,7 @@
     Value,
 )
 from gaproute.decisions.reports.shared_observations import SharedObservations
-from gaproute.peers import lore_pb2
+from gaproute.peers import observation_pb2
 from gaproute.peers.observation_messages import FigureMessage, ObservationAnswer, ObservationRequest
 from gaproute.units import MICRO
 
@@ -40,13 +40,13 @@
 
 def encode_request(cursor: int = 0, run_id: int = 0, mark: int = 0) -> bytes:
     """Encodes a request for observations."""
-    request = lore_pb2.Ask(version=PROTOCOL_VERSION, cursor=cursor, life=run_id, mark=mark)
+    request = observation_pb2.Ask(version=PROTOCOL_VERSION, cursor=cursor, life=run_id, mark=mark)
     return bytes(request.SerializeToString())
 
 
 def decode_request(data: bytes) -> ObservationRequest:
     """Decodes a request. Raises DecodeError if it is malformed."""
-    request: ObservationRequest = lore_pb2.Ask.FromString(data)
+    request: ObservationRequest = observation_pb2.Ask.FromString(data)
     return request
 
 
@@ -55,7 +55,7 @@
     if len(data) > MAX_ANSWER_BYTES:
         return None
     try:
-        answer: ObservationAnswer = lore_pb2.Told.FromString(data)
+        answer: ObservationAnswer = observation_pb2.Told.FromString(data)
     except DecodeError:
         return None
     return answer if abs(answer.version - PROTOCOL_VERSION) <= 1 else None
--- a/tests/decisions/reports/test_observation_exchange.py
+++ b/tests/decisions/reports/test_observation_exchange.py
@@ -6,7 +6,7 @@
 from helpers import MILLI
 
 from gaproute.appliance.status import warm_instances
-from gaproute.peers.lore_pb2 import Told
+from gaproute.peers.observation_pb2 import Told
 
 
 @pytest.fixture
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -8,7 +8,7 @@
 from gaproute.appliance.status import status
 from gaproute.config import ConfigurationError, read_configuration
 from gaproute.loop.addresses import parse_address
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 
 
 def test_gateways_gossip_if_configured_and_count_undecodable_datagrams(fleet):
@@ -31,7 +31,7 @@
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     host, _, port = second.peers.peer_server.address.rpartition(":")
     for body in (b"x" * 900, b"", b"\x01" * 64):
-        message = word_pb2.Word(version=1, kind=6, weak=body)
+        message = datagram_pb2.Word(version=1, kind=6, weak=body)
         message.sender.name = "third"
         sender.sendto(message.SerializeToString(), (host, int(port)))
     sender.sendto(b"\xff" * 1400, (host, int(port)))
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.gossip.wire import amount_code
 from gaproute.peers.membership_wire import decode_message as decode_membership
@@ -116,4 +116,4 @@
 
 
 def test_the_membership_decoder_ignores_gossip_messages():
-    assert decode_membership(word_pb2.Word(version=1, kind=6, weak=b"x").SerializeToString()) is None
+    assert decode_membership(datagram_pb2.Word(version=1, kind=6, weak=b"x").SerializeToString()) is None
--- a/tests/peers/test_observation_transfers.py
+++ b/tests/peers/test_observation_transfers.py
@@ -10,7 +10,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import parse_address
 from gaproute.peers import PeerServer, observation_wire
-from gaproute.peers.lore_pb2 import Ask, Told
+from gaproute.peers.observation_pb2 import Ask, Told
 
 
 def request_observations(server, **fields):
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.loop.addresses import parse_address
 from gaproute.peers import PeerServer, observation_wire
-from gaproute.peers.lore_pb2 import Told
+from gaproute.peers.observation_pb2 import Told
 
 
 def peer_address(appliance):
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.version import Version
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encode_table_change
@@ -169,7 +169,7 @@
 
 def datagram_length(message, name, address):
     """Bytes of a datagram on the network, headers included."""
-    datagram = word_pb2.Word(
+    datagram = datagram_pb2.Word(
         version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, address)
     )
     datagram.sender.name = name
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -17,7 +17,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import parse_address
 from gaproute.loop.datagrams import DatagramSocket
-from gaproute.peers import word_pb2
+from gaproute.peers import datagram_pb2
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.peer_server import PeerServer
@@ -242,7 +242,7 @@
     host, port = two.peer_server.address.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for body in (b"", b"noise" * 50, b"\x01" * 900) * 5:
-            datagram = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=body)
+            datagram = datagram_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=body)
             datagram.sender.name = "stranger"
             stranger.sendto(datagram.SerializeToString(), (host, int(port)))
     fleet.wait_until(lambda: {"other fleet", "not understood"} <= set(two.rejection_reasons()))
@@ -265,7 +265,7 @@
         where = f"127.0.0.1:{silent.getsockname()[1]}"
         for reported_address in (where, "127.0.0.1:1", "nowhere", "127.0.0.1:99999"):
             unavailable = Announcement(FLEET, Version(1 << 40, 1), 7)
-            datagram = word_pb2.Word(
+            datagram = datagram_pb2.Word(
                 version=1, kind=7, weak=wire.encode_datagram(unavailable, reported_address)
             )
             datagram.sender.name = f"liar-{reported_address}"
