--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -22,7 +22,7 @@
 NEXT_READ_EVENT = EPOLLIN | EPOLLONESHOT
 NOT_PARKED, PARKED, QUEUED = 0, 1, 2  # QUEUED: the connection has sent bytes and waits to be read
 
-_GROWTH_ENTRIES = 1024  # by which the arrays grow
+_GROWTH_ENTRIES = 1024  # the arrays grow by this many
 _MAX_REQUEST_COUNT = 65535  # largest value that an entry of `request_counts` stores
 
 
@@ -64,7 +64,7 @@
 
     @property
     def addresses(self) -> dict[str, int]:
-        """The ids of the addresses that have connections."""
+        """The ids of the addresses that have connections, by address."""
         return self.address_counts.ids
 
     def add_owner(self, owner: ConnectionOwner) -> int:
@@ -203,7 +203,7 @@
         if timer is None or timer.call is None or timer.when > due:
             if timer is not None:
                 timer.cancel()
-            # Not before the next turn, even if the deadline has passed.
+            # The timer fires in the next turn at the earliest, even if the deadline has passed.
             self.expiry_timer = self.loop.call_at(max(due, self.loop.now() + 1), self._close_expired)
 
     def _close_expired(self) -> None:
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -54,8 +54,9 @@
         self.reported_lines: dict[str, HostLine] = {}
 
     def apply(self, update: FleetUpdate, max_hosts: int = MAX_HOSTS_PER_CELL) -> list[RejectedMember]:
-        """Applies an event and returns the rejected members; the cell has at most `max_hosts` hosts
-        afterwards.
+        """Applies an event and returns the rejected members.
+
+        The cell has at most `max_hosts` hosts afterwards.
         """
         if update.complete and not update.members:
             return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST_REASON)]
--- a/gaproute/discovery/cell_reconciler.py
+++ b/gaproute/discovery/cell_reconciler.py
@@ -41,7 +41,8 @@
     def reconcile(self, reported: CellLines, zones: Mapping[str, str]) -> None:
         """Puts the reported lines (by cell and host) in force, except for conflicting lines.
 
-        A cell without conflicts is skipped if `reported` holds the same object for the cell as before.
+        A cell without conflicts is skipped if `reported` has the same object and `zones` the same zone for it
+        as before.
         """
         changed = {
             cell: lines for cell, lines in reported.items() if not self._is_reconciled(cell, lines, zones)
--- a/gaproute/discovery/changelog/member_records.py
+++ b/gaproute/discovery/changelog/member_records.py
@@ -13,7 +13,7 @@
     "Terminating": ListedHostState.DRAINING,
     "Gone": ListedHostState.GONE,
 }
-DEFAULT_CAPACITY = 1.0  # of a host whose reported size is no capacity
+DEFAULT_CAPACITY = 1.0  # of a host whose reported size is not positive and finite
 
 
 class MemberRecord(msgspec.Struct):
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -23,7 +23,9 @@
 
 
 class MemberConverter:
-    """Converts members to endpoints. Zone names and cell names get numbers in the order of first use.
+    """Converts members to endpoints. Zones and cell names get numbers in the order of first use.
+
+    A cell that is reported as a number keeps that number.
 
     An invalid member leaves its host unchanged, so that a complete list does not remove the host. The state
     of a host is deleted when the host is removed.
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -14,7 +14,9 @@
 from gaproute.units import MILLI, SECOND
 
 SILENCE_TIMEOUT = 2 * SECOND  # two missed comments; an event counts as delivered 4 s after it is sent
-MIN_BYTES_PER_SECOND = 64 << 10  # required rate of an unfinished event: 1,024 hosts arrive even at 50 kB/s
+# An unfinished event may take SILENCE_TIMEOUT plus the time that its bytes take at this rate, so that a list
+# of 1,024 hosts arrives even at 50 kB/s.
+MIN_BYTES_PER_SECOND = 64 << 10
 CONNECT_TIMEOUT = 500 * MILLI  # many round trips, but several attempts fit in SILENCE_TIMEOUT
 FIRST_BACKOFF = 20 * MILLI  # doubled after each connection without a new event
 MAX_BACKOFF = 500 * MILLI  # short compared with the 4 s after which an event counts as delivered
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -51,7 +51,7 @@
         self.on_change, self.on_rejected, self.reader = on_change, on_rejected, reader
         self.stamp: FileStamp | int | None = None  # of the last check; an errno if it failed
         self.current_at: int | None = None
-        self.accepted = False  # whether the last read succeeded
+        self.accepted = False  # whether the content that was read last was accepted
         self.failed_reads = 0  # consecutive reads that failed for a transient reason
         self.timer: Timer | None = None
         # After a stall of the loop, the file is read before the requests that arrived during the stall.
--- a/gaproute/loop/datagrams.py
+++ b/gaproute/loop/datagrams.py
@@ -24,7 +24,7 @@
         self.dropped = 0  # messages that could not be sent
         try:
             family, target = parse_address(local_address)
-        except ValueError as error:  # the Unix socket's path is too long
+        except ValueError as error:  # a malformed address, or a Unix socket's path that is too long
             raise OSError(errno.ENAMETOOLONG, str(error)) from None
         self.path = target if isinstance(target, str) else None
         if self.path and os.path.exists(self.path):
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -51,7 +51,7 @@
 
 
 def _remove_stale_socket_file(path: str) -> None:
-    """Removes a socket file on which no process listens; bind(2) fails on a file that is in use."""
+    """Removes a socket file on which no process listens; a file in use stays, and bind(2) fails on it."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
@@ -86,7 +86,7 @@
         self.pause_timer: Timer | None = None  # ends the present pause
         self.backoff = Backoff(FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE)
         self.backlog_seen_empty = False  # whether the last `accept` found no waiting connection
-        self.backlog_since: int | None = None  # the earliest time (ns) of a connection in the backlog
+        self.backlog_since: int | None = None  # since when connections may wait in the backlog, ns
         target = requested_address[1]
         self.path = target if isinstance(target, str) and inherited is None else None
         self.sock = open_listening_socket(requested_address, backlog) if inherited is None else inherited
@@ -135,7 +135,7 @@
         return None
 
     def _record_backlog_wait(self, fd: int) -> None:
-        """Stores how long the connection may have waited in the backlog: its first bytes may be as old."""
+        """Stores since when the connection may have waited in the backlog; its first bytes may be as old."""
         if self.backlog_since is None:
             self.loop.backlogged_since.pop(fd, None)
         else:
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -42,7 +42,7 @@
         """Serves waiting connections until the time `until`; returns whether some still wait."""
 
     def evict_idle(self) -> None:
-        """Closes some idle connections, to free descriptors and memory."""
+        """Closes some idle connections, as descriptors or memory have run out."""
 
 
 class ClosingStream(Protocol):
@@ -77,9 +77,10 @@
         self.epoll.register(self._parked_epoll_fd, READ)
         # When each stream began to wait for the other side to close (`Stream.close`); the oldest first.
         self.closing_streams: dict[ClosingStream, int] = {}
-        # The age of unread bytes:
+        # The possible age of unread bytes:
         self.turns = self.late_turns = 0
-        self.read_delay = 0  # the possible age (ns) of the bytes that are read now, if they waited
+        # In a late turn, or after a wait for admission: how old the bytes that are read now may be, ns.
+        self.read_delay = 0
         self.polled_at = self.previous_poll_at = self.clock()  # when the last two polls returned
         # By descriptor: the earliest time at which its connection may have entered a listener's backlog.
         self.backlogged_since: dict[int, int] = {}
@@ -198,7 +199,10 @@
             self.admission_pending = self.connections.serve(self.clock() + MAX_ADMISSION_TIME)
 
     def _dispatch_late(self, ready: Events, late: int) -> None:
-        """Dispatches the events of a turn that is `late` ns late, and polls until nothing is readable."""
+        """Dispatches the events of a turn that is `late` ns late, before its timers fire.
+
+        It then polls again until nothing is readable, at most `MAX_POLLS_IN_LATE_TURN` times.
+        """
         self.late_turns += 1
         self.read_delay = late
         for call in self.on_late_turn:
@@ -217,7 +221,7 @@
                 self._enqueue_parked()
                 continue
             call = self.watched.get(fd)
-            if call is None:  # unwatched by an earlier callback of this turn, or still registered
+            if call is None:  # unwatched by an earlier callback of this turn, or unregistering it failed
                 self._unregister(fd)
             elif fd not in self.newly_watched:
                 self.call_guarded(call, events)
--- a/gaproute/loop/polling.py
+++ b/gaproute/loop/polling.py
@@ -1,4 +1,4 @@
-"""Waits for events by epoll, or on a clock for tests that never waits."""
+"""The wait for events by epoll, and a clock for tests that replaces this wait and never waits."""
 
 import select
 
--- a/gaproute/loop/signals.py
+++ b/gaproute/loop/signals.py
@@ -48,6 +48,5 @@
             return
         for number in dict.fromkeys(numbers):
             if number in self.callbacks:
-                loop.call_guarded(
-                    self.callbacks[number]
-                )  # an error does not keep the next callback from being called
+                # An error does not keep the next callback from being called.
+                loop.call_guarded(self.callbacks[number])
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -12,7 +12,7 @@
 from gaproute.loop.timers import Timer
 from gaproute.loop.unread import REMOTE_SHUTDOWN
 
-WRITE_HIGH_WATER = 1 << 20  # queued bytes from which on `write` returns False
+WRITE_HIGH_WATER = 1 << 20  # queued bytes from which on `write` asks its caller to wait: it returns False
 
 Data = bytes | bytearray | memoryview
 
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -15,7 +15,7 @@
 # Time between checks whether a client has closed; much shorter than the time for which an attempt may still
 # begin after its client has left.
 HANGUP_CHECK_INTERVAL = 20 * MILLI
-CLOSE_TIMEOUT = 30_000 * MILLI  # for the remaining bytes after a close, before the connection is reset
+CLOSE_TIMEOUT = 30_000 * MILLI  # to send the remaining bytes after a close; then the connection is reset
 # Time for the other side to close too, once all bytes are written: some round trips. The kernel answers bytes
 # that arrive later with a reset.
 CLOSE_WAIT = 300 * MILLI
@@ -55,7 +55,7 @@
             return
         self.closing = True
         self.loop.closing_streams[self] = self.loop.now()
-        if self.outgoing:  # while reading, a close by the other side would end the stream too early
+        if self.outgoing:  # reading pauses, as a close by the other side would end the stream too early
             self.half_closed = True
             self.pause()
             self.close_timer = self.loop.call_later(CLOSE_TIMEOUT, self.reset)
--- a/gaproute/shared/messages.py
+++ b/gaproute/shared/messages.py
@@ -15,4 +15,4 @@
 
 
 class Message(Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    """An immutable value, encoded as an array of its fields; a decoder rejects unknown fields."""
+    """An immutable value, compared by value and encoded as an array; a decoder rejects unknown fields."""
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -56,7 +56,7 @@
 
 
 def _append(node: NodeState, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
-    """Appends the entries that the log lacks; returns False if an entry conflicts or is invalid."""
+    """Appends the entries that the log lacks; False if one would replace a committed entry or is invalid."""
     log = node.log
     for index, entry in enumerate(entries, prev_index + 1):
         if log.term_at(index) == entry.term:
--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -33,7 +33,10 @@
     def __init__(
         self, log: Log, class_names: Sequence[str], trace_one_in: int = DEFAULT_TRACE_ONE_IN
     ) -> None:
-        """`class_names`: of the request classes, by index; `trace_one_in`: 1 traces all requests, 0 none."""
+        """`class_names`: names of the request classes, by index.
+
+        `trace_one_in`: 1 traces all requests, 0 none.
+        """
         self.log, self.class_names = log, class_names
         self.trace_one_in = trace_one_in
         self.counts: Counter[tuple[str, ...]] = Counter()  # by (counter name, label, ...)
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -59,9 +59,8 @@
         lines = [line for cell_lines in in_force.values() for line in cell_lines.values()]
         assert len({line.name for line in lines}) == len({line.where for line in lines}) == len(lines)
         assert all(line.zone in ("", ZONES[name]) for name in in_force for line in in_force[name].values())
-        last = {
-            name: (state, zone) for name, _, state, zone in rows
-        }  # the last member of members host counts
+        # If an event has several members of one host, the last one counts.
+        last = {name: (state, zone) for name, _, state, zone in rows}
         for name, (state, _) in last.items():
             if name in before.get(cell, {}):
                 assert state == "active" or name not in in_force[cell] or in_force[cell][name].state == state
--- a/tests/loop/conftest.py
+++ b/tests/loop/conftest.py
@@ -24,7 +24,7 @@
 @pytest.fixture
 def loop():
     """A loop on a stepped clock; no error, timer, registration or descriptor may be left after the test."""
-    gc.collect()  # frees what earlier tests left open, which could otherwise happen between the two counts
+    gc.collect()  # closes what earlier tests left open; done later, it would change the second count
     before = open_descriptors()
     loop = Loop(SteppedClock(now=7 * SECOND))
     loop.reported_errors = []
