--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -63,7 +63,7 @@
             watch.read()
 
     def current_at(self) -> dict[str, int | None]:
-        """By cell: when its file was last seen without the change being applied, ns of the loop's clock."""
+        """By cell: when its file was last seen before the change being applied, ns of the loop's clock."""
         return {cell: watch.current_at for cell, watch in self.watches.items()}
 
     def close(self) -> None:
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -105,7 +105,7 @@
         """Does nothing, as change logs send each change at once."""
 
     def current_at(self) -> dict[str, int | None]:
-        """By cell: when its list was last known without the change being applied, ns of the loop's clock."""
+        """By cell: when its list was last known before the change being applied, ns of the loop's clock."""
         return {cell: followed.watcher.current_at for cell, followed in self.followed.items()}
 
     def status(self) -> JsonObject:
@@ -152,7 +152,7 @@
         self._schedule_apply()
 
     def _schedule_apply(self) -> None:
-        """Applies the received events now, or at the end of the interval in which events were applied last.
+        """Applies the received events now, or once `apply_interval` has passed since events were applied.
 
         The interval bounds the cost of a flood of events.
         """
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -23,7 +23,7 @@
 
 
 def max_shutdown_time(configuration: Configuration) -> int:
-    """The time after which the process ends even if requests or connections are left."""
+    """The time from the stop until the process ends even if requests or connections are left."""
     return LATE_REQUEST_TIME + configuration.max_deadline + LEAVE_TIME
 
 
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -126,7 +126,7 @@
 
 def _tune_garbage_collection() -> None:
     gc.collect()
-    gc.freeze()  # so that no collection examines the objects made at the start, which takes 20 ms and more
+    gc.freeze()  # so that no collection examines the objects of the start, which would take 20 ms and more
     gc.set_threshold(*GC_THRESHOLDS)
 
 
--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -28,7 +28,7 @@
 from gaproute.decisions.cells.version import Version
 
 MAX_TABLE_BYTES = 16 << 20  # bytes or characters of the whole file
-MAX_TABLE_LINES = 2 * bounds.MAX_CELLS  # one comment line for each cell
+MAX_TABLE_LINES = 2 * bounds.MAX_CELLS  # enough for one comment line for each cell
 MAX_LINE_LENGTH = 16 << 10  # characters
 MAX_MISTAKES = 1_000
 MAX_FOUND_LENGTH = 300  # characters of `Mistake.found`
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -53,8 +53,8 @@
     def assign_process_slot(self, number: int, count: int) -> None:
         """Makes this the configuration of process `number` of `count` that share the addresses for clients.
 
-        The process gets a name, other listen addresses and file names of its own. If it has an address for
-        peers and no peers-file, the other processes become its peers.
+        The process gets its own name, its own file names, and its own addresses except those for clients. If
+        it has an address for peers and no peers-file, the other processes become its peers.
         """
         base = self.name
         self.name = f"{base}-{number}"
--- a/gaproute/config/migration.py
+++ b/gaproute/config/migration.py
@@ -18,7 +18,7 @@
 
 # The directives that a deployment prescribes; the operator's other lines are copied unchanged.
 SHAPE_DIRECTIVES = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
-NAMED_SHAPE_DIRECTIVES = ("track", "tenant")  # several lines each, told apart by name
+NAMED_SHAPE_DIRECTIVES = ("track", "tenant")  # each may have several lines, which differ by name
 NO_CAPACITIES_REASON = "the new deployment reports no capacities of hosts"
 NO_PROBES_REASON = "the new deployment allows no probes"
 
--- a/gaproute/maintenance/capacity_floor.py
+++ b/gaproute/maintenance/capacity_floor.py
@@ -40,7 +40,7 @@
     assumed_failure: str = ""
 
 
-# The result where no gateway reports demand.
+# The shortfalls if no gateway reports demand: then no capacity counts as sufficient.
 DEMAND_UNKNOWN = [Shortfall(CapacityKey("demand", WHOLE_FLEET), 0, 0, "unknown")]
 
 
--- a/gaproute/maintenance/controller.py
+++ b/gaproute/maintenance/controller.py
@@ -2,10 +2,10 @@
 
 Comments refer to these rules by number:
 
-1. A round takes hosts out of service and hands them over to its crew only while it holds the maintenance
-   turn, a lease that one round of the fleet holds at a time. Two rounds therefore never rely on the same
-   warm capacity. A round that has held the turn for long takes out no more hosts, waits until its hosts are
-   back and releases the turn for a while.
+1. A round takes hosts out of service, orders loads and hands hosts over to its crew only while it holds the
+   maintenance turn, a lease that one round of the fleet holds at a time. Two rounds therefore never rely on
+   the same warm capacity. A round that has held the turn for long takes out no more hosts, waits until its
+   hosts are back and releases the turn for a while.
 2. When the turn is granted, the estimate of warm capacity starts from nothing: only hosts that answered a
    probe after the grant count, with the functions seen after the grant. The previous holder may have handed
    hosts over until its lease ended; such a host drains, is absent or reports a new incarnation. Hosts that
--- a/gaproute/maintenance/load_planning.py
+++ b/gaproute/maintenance/load_planning.py
@@ -1,6 +1,7 @@
 """Plans which functions are loaded at which hosts, so that the capacity suffices while hosts are away.
 
-A host loads one function at a time. Hosts that will be taken out soon are the last choice for loads.
+A host loads one function at a time. Hosts that will be taken out soon replace the capacity of others
+only if no other host can.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -87,7 +88,7 @@
                     self._add_load(FunctionLoad(host, function))
 
     def plan_preparations(self, away: Collection[str], candidates: Sequence[str]) -> None:
-        """Plans loads against present shortfalls, or else against those that a next departure causes."""
+        """Plans loads against present shortfalls, or else against those that a departure would cause."""
         self.departure_positions = {name: position for position, name in enumerate(candidates)}
         for leaving in ((), *((name,) for name in candidates)):
             self._plan_against_shortfalls(tuple((*away, *leaving)))
--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -69,7 +69,7 @@
 
     @property
     def lease_duration(self) -> int:
-        """The duration of the campaign's leases: renewed at half time, they still have time for a rollout."""
+        """Duration of the campaign's leases: at the renewal after half of it, a whole rollout still fits."""
         return 2 * (self.min_lease_time + RENEWAL_MARGIN)
 
 
--- a/gaproute/rollouts/campaign_validation.py
+++ b/gaproute/rollouts/campaign_validation.py
@@ -109,12 +109,12 @@
     if not rate:
         reserved = sorted(strictest_reservations(campaigns).items())
         listed = ", ".join(f"{name} {lanes}" for name, lanes in reserved)
-        yield f"reserved_lanes: no lanes may be lent where a copy fits, lower ones than {listed} would fit"
+        yield f"reserved_lanes: no lanes may be lent where a copy fits; reserve less than {listed} there"
     elif campaign.rate > rate:
         yield f"rate: {campaign.rate:g} rollouts a second exceed the highest possible rate, {rate:.1f}"
     elif campaign.deadline and rollouts * SECOND > rate * campaign.deadline:
         possible_per_step = int(rate * campaign.deadline / SECOND / campaign.steps)
         yield (
-            f"deadline: {rollouts} rollouts in {campaign.deadline / 1e9:.0f} s are impossible, "
-            f"possible are {rollouts / rate:.0f} s or {possible_per_step} rollouts a step"
+            f"deadline: {rollouts} rollouts in {campaign.deadline / 1e9:.0f} s are impossible; "
+            f"{rollouts / rate:.0f} s or {possible_per_step} rollouts a step are possible"
         )
--- a/gaproute/rollouts/greedy.py
+++ b/gaproute/rollouts/greedy.py
@@ -1,8 +1,8 @@
 """A greedy planner of copies.
 
 The planner first keeps the loaded copies that gain lanes. Then it repeatedly adds the copy with the greatest
-net gain of lanes, among equal ones that of the campaign with the greatest unmet demand, as long as the net
-gain exceeds the cost of the load.
+net gain of lanes, as long as the net gain exceeds the cost of the load. Among copies of equal net gain, the
+one of the campaign with the greatest unmet demand relative to its weight comes first.
 """
 
 from typing import NamedTuple
--- a/gaproute/rollouts/host_allotment.py
+++ b/gaproute/rollouts/host_allotment.py
@@ -35,8 +35,8 @@
     `surplus_leases`: leases that get no more rollouts and are released once none is in flight under them.
     `in_flight`: number of rollouts in flight by campaign.
     `ignore_until`: reports of queries before this time are ignored.
-    `max_lease_lanes`: lanes of the next lease request. A rejection halves it, since the pool may have some of
-    the requested lanes free.
+    `max_lease_lanes`: lanes of the next lease request. A rejection halves it, since the pool may have only
+    some of the requested lanes free.
     """
 
     def __init__(self, host: str) -> None:
@@ -83,7 +83,7 @@
         return empty
 
     def restore_lease_size(self, now: int, open_leases: Sequence[LeaseRequest]) -> None:
-        """Restores the full lease size `RETRY_PAUSE` after the retry time if one of the leases is held."""
+        """Restores the full lease size if a lease is held and `RETRY_PAUSE` has passed since `retry_at`."""
         held = any(lease.state == LeaseState.HELD for lease in open_leases)
         if held and now >= self.retry_at + RETRY_PAUSE:
             self.max_lease_lanes = MAX_LEASE_LANES
@@ -126,7 +126,7 @@
         self.leases[lease] += 1
 
     def remove_rollout(self, campaign: str, lease: LeaseRequest, *, host_full: bool) -> None:
-        """Uncounts a rollout that ended. `host_full`: the host rejected it because it had no free lane."""
+        """Removes an ended rollout from the counts. `host_full`: rejected because no lane was free."""
         self.in_flight[campaign] -= 1
         if not self.in_flight[campaign]:
             del self.in_flight[campaign]
--- a/gaproute/rollouts/host_assignment.py
+++ b/gaproute/rollouts/host_assignment.py
@@ -57,7 +57,7 @@
     owners: dict[str, str] = {}
 
     def rank(host: str, gateway: str) -> tuple[bool, bool, int, str]:
-        """Sort key: gateways below their share of lanes, then in the host's zone, then with few lanes."""
+        """Sort key: below the share of lanes first, then in the host's zone, then with the fewest lanes."""
         return lanes[gateway] >= max_lanes, zones.get(gateway) != zones.get(host), lanes[gateway], gateway
 
     for host in hosts:
--- a/gaproute/rollouts/solver.py
+++ b/gaproute/rollouts/solver.py
@@ -16,7 +16,7 @@
     PlanningProblem,
 )
 
-TIME_LIMIT_SECONDS = 2.0  # a plan is followed for half a minute
+TIME_LIMIT_SECONDS = 2.0  # short relative to the half minute for which a plan is followed
 RELATIVE_GAP = 0.01  # of a plan's value; a smaller gap is below the forecast's accuracy
 ROUNDING_TOLERANCE = 1e-4  # lanes by which the solver's value may be below a whole number
 LOADED_COPY_COST = 0.001  # lanes; makes the solver drop loaded copies that gain no lanes
--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -1,10 +1,10 @@
 """The last valid cell table on disk, which a gateway uses after its start until it receives a newer one.
 
-The file consists of a magic number, a checksum and the encoded table, and it is replaced atomically. A file
-that is torn, has the table of another fleet or has no table is quarantined for the operator, and the gateway
-starts without a table. Failures are counted and reported once in an outage, while the gateway uses the table
-in memory. After a transient read failure the file is not overwritten until it was read, since it may have a
-newer table than the other gateways.
+The file consists of a magic number, a checksum of the encoded table and that table, and it is replaced
+atomically. A file that is torn, has the table of another fleet or has no table is quarantined for the
+operator, and the gateway starts without a table. Failures are counted and reported once in an outage, while
+the gateway uses the table in memory. After a transient read failure the file is not overwritten until it was
+read, since it may have a newer table than the other gateways.
 """
 
 import os
--- a/tests/rollouts/test_campaign.py
+++ b/tests/rollouts/test_campaign.py
@@ -60,8 +60,8 @@
         ({"rate": 17.0}, "campaign c: rate: 17 rollouts a second exceed the highest possible rate, 16.0"),
         (
             {"deadline": 50 * SECOND},
-            "campaign c: deadline: 1000 rollouts in 50 s are impossible, "
-            "possible are 62 s or 80 rollouts a step",
+            "campaign c: deadline: 1000 rollouts in 50 s are impossible; "
+            "62 s or 80 rollouts a step are possible",
         ),
         (
             {"deadline": 100 * SECOND, "rate": 1.0},
@@ -79,8 +79,8 @@
         ),
         (
             {"reserved_lanes": {"a": 16, "b": 16}},
-            "campaign c: reserved_lanes: no lanes may be lent where a copy fits, "
-            "lower ones than a 16, b 16 would fit",
+            "campaign c: reserved_lanes: no lanes may be lent where a copy fits; "
+            "reserve less than a 16, b 16 there",
         ),
     ],
 )
