--- a/benchmarks/fleet/__init__.py
+++ b/benchmarks/fleet/__init__.py
@@ -2,7 +2,7 @@
 
 | module | what it does |
 | --- | --- |
-| `clock`, `world`, `terms` | the clock, the fleet with its messages and counts, the terms of its deployment |
+| `clock`, `world`, `terms` | the clock, the fleet with its messages and counts, its routing settings |
 | `hosts`, `gateways`, `traffic` | stand-in hosts, gateways on the simulated clock, requests |
 | `faults` | what goes wrong in a play |
 | `measures`, `evenness` | how evenly hosts are loaded, and tables of plays |
--- a/benchmarks/fleet/cold_play.py
+++ b/benchmarks/fleet/cold_play.py
@@ -9,7 +9,7 @@
 from benchmarks.fleet.clock import MILLI, SECOND
 from benchmarks.fleet.cold_days import ColdDay, Kind
 from benchmarks.fleet.hosts import CAPACITY, LANES
-from benchmarks.fleet.terms import fleet_terms
+from benchmarks.fleet.terms import fleet_routing_settings
 from benchmarks.fleet.warming_gateways import WarmingHostGateway
 from benchmarks.fleet.warming_hosts import OVERLOAD, WARM_UP_TIME, WarmingHost
 from benchmarks.fleet.world import FleetWorld
@@ -71,7 +71,7 @@
 
     def make_gateway(self, number: int, seed: int, rows: Sequence[face.ListedHost]) -> WarmingHostGateway:
         """A gateway that starts now."""
-        terms = fleet_terms(self.gateway_count)._replace(
+        routing_settings = fleet_routing_settings(self.gateway_count)._replace(
             warm_up_share=self.day.share,
             warm_up_time=WARM_UP_TIME,
             warm_up_overload=OVERLOAD,
@@ -80,7 +80,7 @@
             probe_price=0.0 if self.day.free_probes else PROBE_PRICE,
             peers_allowed=not self.day.free_probes,
         )
-        decisions = self.make_decisions(self, seed, terms, self.clock.now)
+        decisions = self.make_decisions(self, seed, routing_settings, self.clock.now)
         return WarmingHostGateway(self, number, decisions, rows)
 
     def restart(self, number: int) -> None:
--- a/benchmarks/fleet/split_choice.py
+++ b/benchmarks/fleet/split_choice.py
@@ -163,7 +163,7 @@
         self,
         world: GatewayWorld,
         number: int,
-        terms: RoutingSettings,
+        routing_settings: RoutingSettings,
         now: int,
         selector_type: type[SplitSelector] = SplitSelector,
     ) -> None:
@@ -172,7 +172,7 @@
             selector_type.host_loads_type,
             selector_type.function_mix_type,
         )
-        super().__init__(number, terms, now)
+        super().__init__(number, routing_settings, now)
         assert isinstance(self.selector, SplitSelector)
         self.selector.world, self.selector.number = world, number
 
--- a/benchmarks/fleet/terms.py
+++ b/benchmarks/fleet/terms.py
@@ -1,10 +1,10 @@
-"""The terms of a play's deployment, as the decisions of its gateways take them."""
+"""The routing settings of a play's deployment, as the decisions of its gateways take them."""
 
 from __future__ import annotations
 
 from benchmarks.fleet.clock import MILLI
 from benchmarks.fleet.hosts import COLD_SHARE, COLD_TIME
-from benchmarks.terms import SINGLE_GATEWAY_TERMS
+from benchmarks.terms import SINGLE_GATEWAY_ROUTING_SETTINGS
 from gaproute import interface as face
 
 REQUEST_CLASSES = (
@@ -17,9 +17,9 @@
 )
 
 
-def fleet_terms(gateways: int) -> face.RoutingSettings:
-    """The terms of a fleet of so many gateways, which share load reports that probes bring."""
-    return SINGLE_GATEWAY_TERMS._replace(
+def fleet_routing_settings(gateways: int) -> face.RoutingSettings:
+    """The routing settings of a fleet of so many gateways, which share load reports that probes bring."""
+    return SINGLE_GATEWAY_ROUTING_SETTINGS._replace(
         request_classes=REQUEST_CLASSES,
         reports_by_probe=True,
         reported_figures=("cpu_busy", "memory_busy"),
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -10,7 +10,7 @@
 from benchmarks.fleet.clock import MILLI, EventClock
 from benchmarks.fleet.gateways import FleetGateway, FleetRequest
 from benchmarks.fleet.hosts import CAPACITY, FleetHost
-from benchmarks.fleet.terms import fleet_terms
+from benchmarks.fleet.terms import fleet_routing_settings
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
 
@@ -18,15 +18,15 @@
 HISTORY_STEP, HISTORY_STEPS = 25 * MILLI, 48  # between samples of the requests in flight; samples stored
 COUNTED = ("tasks", "delivered", "probes", "words", "orders", "connections", "loads")
 
-# Makes one gateway's decisions: takes the world, a seed, the terms and the time.
+# Makes one gateway's decisions: takes the world, a seed, the routing settings and the time.
 DecisionsFactory = Callable[[Any, int, face.RoutingSettings, int], Any]
 # Whether a message is handed over: takes the world, the sender, the receiver and the payload.
 DeliveryFilter = Callable[["FleetWorld", FleetGateway, FleetGateway, bytes], bool]
 
 
-def todays_decisions(world: Any, seed: int, terms: face.RoutingSettings, now: int) -> Gateway:
+def todays_decisions(world: Any, seed: int, routing_settings: face.RoutingSettings, now: int) -> Gateway:
     """The decisions as they are."""
-    return Gateway(seed, terms, now)
+    return Gateway(seed, routing_settings, now)
 
 
 class Watcher(Protocol):
@@ -94,7 +94,9 @@
 
     def make_gateway(self, number: int, seed: int, rows: Sequence[face.ListedHost]) -> FleetGateway:
         """A gateway that starts now."""
-        decisions = self.make_decisions(self, seed, fleet_terms(self.gateway_count), self.clock.now)
+        decisions = self.make_decisions(
+            self, seed, fleet_routing_settings(self.gateway_count), self.clock.now
+        )
         return FleetGateway(self, number, decisions, rows)
 
     def host_rows(self) -> list[face.ListedHost]:
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -35,7 +35,7 @@
     ("gaproute.decisions.routing", "gaproute.decisions.chance"),
     ("gaproute.policy", "gaproute.policy"),
 )
-EARLIER_NAMES = {  # of fields of the terms, in earlier revisions
+EARLIER_NAMES = {  # of fields of the routing settings, in earlier revisions
     "load_orders_allowed": "orders_allowed",
     "load_orders_free": "order_free",
     "load_order_share": "order_share",
@@ -58,7 +58,7 @@
     "RandomGenerator": "Chance",
     "RoutingSettings": "Terms",
 }
-TERMS: dict[str, Any] = {
+ROUTING_SETTINGS: dict[str, Any] = {
     "tenant_shares": (),
     "over_share_value": 1.0,
     "keep_alive": 10 * SECOND,
@@ -122,10 +122,12 @@
     return getattr(module, name, None) or getattr(module, EARLIER_CLASSES[name])
 
 
-def known_terms(fields: Sequence[str]) -> dict[str, Any]:
-    """The terms by the names that the revision has for them."""
-    terms = TERMS | {earlier: TERMS[name] for name, earlier in EARLIER_NAMES.items()}
-    return {name: terms[name] for name in fields if name in terms}
+def known_routing_settings(fields: Sequence[str]) -> dict[str, Any]:
+    """The routing settings by the names that the revision has for them."""
+    routing_settings = ROUTING_SETTINGS | {
+        earlier: ROUTING_SETTINGS[name] for name, earlier in EARLIER_NAMES.items()
+    }
+    return {name: routing_settings[name] for name in fields if name in routing_settings}
 
 
 def make_gateway(revision: Revision, hosts: int) -> Any:
@@ -134,8 +136,8 @@
     idempotent, everybody = interface.Idempotency.IDEMPOTENT, find_class(interface, "IdempotencyScope").ALL
     request_class = interface.RequestClass(idempotent, everybody, 0, SECOND, 4 * SECOND, 1.0)
     settings = find_class(interface, "RoutingSettings")
-    terms = settings((request_class,), **known_terms(settings._fields))
-    gateway = revision.gateway(7, terms, 0)
+    routing_settings = settings((request_class,), **known_routing_settings(settings._fields))
+    gateway = revision.gateway(7, routing_settings, 0)
     active = find_class(interface, "ListedHostState").ACTIVE
     rows = [
         interface.ListedHost(f"h{number}", number % 3, number % 5, active, 4.0, None)
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -33,7 +33,7 @@
 FIXED_SUBSET, CELLS = "a fixed subset of 20 hosts", "cells"
 WAYS = (EVERY_HOST, TWO_BY_CHANCE, FIXED_SUBSET, CELLS)
 
-MakeDecisions = Callable[[int, face.RoutingSettings], Any]  # takes a seed and the terms
+MakeDecisions = Callable[[int, face.RoutingSettings], Any]  # takes a seed and the routing settings
 ChooseHosts = Callable[[Random, Sequence[CellHost]], Sequence[CellHost]]
 
 
@@ -87,7 +87,7 @@
         random = Random(seed)
         for number in range(shape.gateways):
             location = location_of(number, shape)
-            decisions = make_decisions(seed + number, self.terms)
+            decisions = make_decisions(seed + number, self.routing_settings)
             gateway = CellGateway(self, location.name, location.zone, decisions)
             self.gateways[location.name] = gateway
             hosts = choose_hosts(random, list(self.hosts.values()))
@@ -95,12 +95,12 @@
             gateway.housekeep()
 
 
-def todays_decisions(seed: int, terms: face.RoutingSettings) -> Gateway:
+def todays_decisions(seed: int, routing_settings: face.RoutingSettings) -> Gateway:
     """A gateway as today."""
-    return Gateway(seed, terms, 0)
+    return Gateway(seed, routing_settings, 0)
 
 
-def two_by_chance(seed: int, terms: face.RoutingSettings) -> TwoByChance:
+def two_by_chance(seed: int, routing_settings: face.RoutingSettings) -> TwoByChance:
     """A gateway that draws two hosts."""
     return TwoByChance(seed)
 
--- a/benchmarks/scale/cells/terms.py
+++ b/benchmarks/scale/cells/terms.py
@@ -1,9 +1,9 @@
-"""The terms of a play's deployment, and its classes of calls."""
+"""The routing settings of a play's deployment, and its classes of calls."""
 
 from __future__ import annotations
 
 from benchmarks.fleet.clock import SECOND
-from benchmarks.terms import SINGLE_GATEWAY_TERMS
+from benchmarks.terms import SINGLE_GATEWAY_ROUTING_SETTINGS
 from gaproute import interface as face
 
 CALL_TIME = 8 * SECOND  # that a client waits
@@ -16,9 +16,9 @@
 )
 
 
-def cell_terms(gateways: int, keep_alive: int) -> face.RoutingSettings:
-    """The terms of a fleet of so many gateways, without load orders and probes."""
-    return SINGLE_GATEWAY_TERMS._replace(
+def cell_routing_settings(gateways: int, keep_alive: int) -> face.RoutingSettings:
+    """The routing settings of a fleet of so many gateways, without load orders and probes."""
+    return SINGLE_GATEWAY_ROUTING_SETTINGS._replace(
         request_classes=REQUEST_CLASSES,
         keep_alive=keep_alive,
         load_orders_allowed=False,
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.cells.gateways import CallEnd, CellGateway, ServedRequest
 from benchmarks.scale.cells.hosts import CallService, CellHost
 from benchmarks.scale.cells.network import ZoneNetwork
-from benchmarks.scale.cells.terms import CALL_TIME, IDEMPOTENT, NON_IDEMPOTENT, cell_terms
+from benchmarks.scale.cells.terms import CALL_TIME, IDEMPOTENT, NON_IDEMPOTENT, cell_routing_settings
 from gaproute import interface as face
 from gaproute.decisions.cells import invariants
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -89,7 +89,7 @@
         self.hosts_of: dict[str, list[str]] = {}  # names, by cell
         for cell in table.cells:
             self.add_cell(cell)
-        self.terms, self._seed = cell_terms(shape.gateways, keep_alive), seed
+        self.routing_settings, self._seed = cell_routing_settings(shape.gateways, keep_alive), seed
         self.gateways: dict[str, CellGateway] = {}
         for number in numbers:
             self.add_gateway(number)
@@ -105,7 +105,7 @@
     def add_gateway(self, number: int) -> CellGateway:
         """Add a gateway that is played in full."""
         location = location_of(number, self.shape)
-        decisions = CellularGateway(self._seed + number, self.terms, self.clock.now, location)
+        decisions = CellularGateway(self._seed + number, self.routing_settings, self.clock.now, location)
         gateway = CellGateway(self, location.name, location.zone, decisions)
         self.gateways[location.name] = gateway
         self.adopt(gateway, self.table)
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.cells.evenness import KEEP_ALIVE
 from benchmarks.scale.cells.fleet import Shape, location_of, make_table
 from benchmarks.scale.cells.popularity import Popularity
-from benchmarks.scale.cells.terms import CALL_TIME, cell_terms
+from benchmarks.scale.cells.terms import CALL_TIME, cell_routing_settings
 from benchmarks.scale.measurement import Measurements, measure
 from benchmarks.scale.meters import processor_us
 from gaproute import interface as face
@@ -35,7 +35,7 @@
 def made(cells: int, gateways: int = 16_000, entries: int = 32) -> tuple[CellularGateway, TableHolder]:
     """A gateway with its host lists, and the holder of its table."""
     shape = Shape(cells, HOSTS, gateways, entries)
-    gateway = CellularGateway(7, cell_terms(gateways, KEEP_ALIVE), 0, location_of(1, shape))
+    gateway = CellularGateway(7, cell_routing_settings(gateways, KEEP_ALIVE), 0, location_of(1, shape))
     stands = location_of(1, shape)
     holder = TableHolder("play", lambda cell: trim_entries(cell, stands.name))
     holder.replace(make_table(shape))
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import retained_bytes
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, grown
-from benchmarks.terms import SINGLE_GATEWAY_TERMS
+from benchmarks.terms import SINGLE_GATEWAY_ROUTING_SETTINGS
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import HostLoadReport, Wait
 
@@ -81,7 +81,7 @@
 
 def first_list(hosts: int, seed: int) -> float:
     """Milliseconds of the first complete list."""
-    gateway, listed = Gateway(seed, SINGLE_GATEWAY_TERMS, 0), rows(hosts)
+    gateway, listed = Gateway(seed, SINGLE_GATEWAY_ROUTING_SETTINGS, 0), rows(hosts)
     return cpu_ms(lambda: gateway.update_hosts(0, listed, complete=True))
 
 
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -5,7 +5,7 @@
 from benchmarks.scale.gateways import MILLI, SECOND, Caller
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.plays import CPU, cpu_ms, grown
-from benchmarks.terms import SINGLE_GATEWAY_TERMS
+from benchmarks.terms import SINGLE_GATEWAY_ROUTING_SETTINGS
 from gaproute.decisions.chance import RandomGenerator
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
@@ -16,15 +16,15 @@
 REPEATS = 2_000
 PICKS = 20
 LATE = 4 * SECOND  # answers come so long after their calls at the most, in no order
-REPORT_SHARING_TERMS = SINGLE_GATEWAY_TERMS._replace(
+REPORT_SHARING_ROUTING_SETTINGS = SINGLE_GATEWAY_ROUTING_SETTINGS._replace(
     reported_figures=("cpu_busy", "memory_busy"), probe_price=1e-6, peers_allowed=True, gateways=2
 )
 
 
 def _full_limiter(calls: int) -> tuple[LoadOrderLimiter, int, int]:
     """A limiter with so many delivered calls in its window; the time, ns; the time between two calls, ns."""
-    terms = SINGLE_GATEWAY_TERMS
-    limiter = LoadOrderLimiter(terms.load_orders_free, terms.load_order_share, WINDOW)
+    routing_settings = SINGLE_GATEWAY_ROUTING_SETTINGS
+    limiter = LoadOrderLimiter(routing_settings.load_orders_free, routing_settings.load_order_share, WINDOW)
     gap = WINDOW // calls
     for number in range(calls):
         limiter.record_delivery(number * gap, number * gap)
@@ -48,7 +48,7 @@
 def pick(hosts: int, seed: int) -> float:
     """Milliseconds of choosing the host to probe."""
     active, chance = Caller(hosts, seed).gateway.active_hosts, RandomGenerator(seed)
-    sharing = LoadReportSharing(REPORT_SHARING_TERMS)
+    sharing = LoadReportSharing(REPORT_SHARING_ROUTING_SETTINGS)
     for _ in range(PICKS):
         sharing.record_delivery()
     times = iter(range(SECOND, 2 * SECOND, MILLI))
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -1,9 +1,10 @@
-"""Gateways' decisions to be measured: terms, host lists, and a caller that answers each attempt at once."""
+"""Gateways' decisions to be measured: routing settings, host lists, and a caller that answers each attempt
+at once."""
 
 from collections.abc import Generator, Iterator
 from typing import Any
 
-from benchmarks.terms import SINGLE_GATEWAY_TERMS
+from benchmarks.terms import SINGLE_GATEWAY_ROUTING_SETTINGS
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.parameters import MIX_SIZE
@@ -42,7 +43,7 @@
 
     def __init__(self, hosts: int, seed: int, report: face.HostLoadReport | None = None):
         self.now, self.calls, self.report = SECOND, 0, report
-        self.gateway = Gateway(seed, SINGLE_GATEWAY_TERMS, self.now)
+        self.gateway = Gateway(seed, SINGLE_GATEWAY_ROUTING_SETTINGS, self.now)
         self.gateway.update_hosts(self.now, rows(hosts), complete=True)
 
     def call(self, function: str) -> str:
--- a/benchmarks/terms.py
+++ b/benchmarks/terms.py
@@ -1,10 +1,10 @@
-"""Terms of a deployment from which the benchmarks' gateways start."""
+"""Routing settings of a deployment from which the benchmarks' gateways start."""
 
 from gaproute import interface as face
 
 SECOND = 1_000_000_000
 
-SINGLE_GATEWAY_TERMS = face.RoutingSettings(
+SINGLE_GATEWAY_ROUTING_SETTINGS = face.RoutingSettings(
     request_classes=(
         face.RequestClass(face.Idempotency.IDEMPOTENT, face.IdempotencyScope.ALL, 0, SECOND, 4 * SECOND, 1.0),
     ),
--- a/gaproute/benchlink/batch_dispatcher.py
+++ b/gaproute/benchlink/batch_dispatcher.py
@@ -115,8 +115,11 @@
             self.failures[number] = _describe_error(error)
 
     def _open_instance(self, number: int, line: lines.OpenInstance) -> None:
-        seed, terms = decoding.decode_integer(line.seed), decoding.decode_terms(line.settings)
-        self.instances[number] = Instance(self.gateway_factory, seed, terms, self.now)
+        seed, routing_settings = (
+            decoding.decode_integer(line.seed),
+            decoding.decode_routing_settings(line.settings),
+        )
+        self.instances[number] = Instance(self.gateway_factory, seed, routing_settings, self.now)
 
     def _kill_instance(self, number: int) -> None:
         self.instances.pop(number, None)
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -80,9 +80,9 @@
 
 
 @decoder
-def decode_terms(text: str) -> interface.RoutingSettings:
+def decode_routing_settings(text: str) -> interface.RoutingSettings:
     """Converts the settings of an instance to the settings of the routing decisions."""
-    return settings.read_terms(json.loads(text))
+    return settings.read_routing_settings(json.loads(text))
 
 
 @decoder
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -18,10 +18,16 @@
     """
 
     def __init__(
-        self, gateway_factory: GatewayFactory, seed: int, terms: interface.RoutingSettings, now: int
+        self,
+        gateway_factory: GatewayFactory,
+        seed: int,
+        routing_settings: interface.RoutingSettings,
+        now: int,
     ) -> None:
-        super().__init__(gateway_factory(seed, terms, now))
-        self.results_with_request_count = RESULTS_WITH_REQUEST_COUNT if terms.same_function_counted else ()
+        super().__init__(gateway_factory(seed, routing_settings, now))
+        self.results_with_request_count = (
+            RESULTS_WITH_REQUEST_COUNT if routing_settings.same_function_counted else ()
+        )
         self.wait_numbers: dict[str, str] = {}  # by key: the number of the current wait
         self.timer_count = 0
         self.reply_lines: list[str] = []  # lines of the next reply
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -28,13 +28,13 @@
         self,
         loop: Loop,
         gateway: CellularGateway,
-        terms: interface.RoutingSettings,
+        routing_settings: interface.RoutingSettings,
         hosts: Hosts,
         record: GatewayRecord,
         id_prefix: str,
         entry_gateways: EntryGatewayClients,
     ) -> None:
-        super().__init__(loop, gateway, terms, hosts, record, id_prefix)
+        super().__init__(loop, gateway, routing_settings, hosts, record, id_prefix)
         self.entry_gateways = entry_gateways
         self.forwarded_in = 0  # requests received from other gateways
         self.forwarded_out = 0  # attempts sent to other gateways
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -25,13 +25,13 @@
         self,
         loop: Loop,
         gateway: DecisionModule,
-        terms: interface.RoutingSettings,
+        routing_settings: interface.RoutingSettings,
         hosts: Hosts,
         record: GatewayRecord,
         id_prefix: str,
     ) -> None:
         """`id_prefix`: the prefix of the gateway's ids of requests, which no other gateway may have."""
-        super().__init__(gateway, loop, record, hosts, terms.request_classes)
+        super().__init__(gateway, loop, record, hosts, routing_settings.request_classes)
         self.id_prefix = id_prefix
         self.wait_timers: dict[str, Timer] = {}  # by key
         self.submitted_count = 0  # number of submitted requests
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -53,21 +53,23 @@
     """
 
     def __init__(
-        self, seed: int, terms: RoutingSettings, now: int, location: GatewayLocation | None = None
+        self, seed: int, routing_settings: RoutingSettings, now: int, location: GatewayLocation | None = None
     ) -> None:
         """Without a `location`, tables with several cells are rejected."""
-        self.terms, self.location = terms, location
-        self.single_gateway: Gateway | None = Gateway(seed, terms, now)
+        self.routing_settings, self.location = routing_settings, location
+        self.single_gateway: Gateway | None = Gateway(seed, routing_settings, now)
         self.previous_single_gateway: Gateway | None = None
         self.table: CellTable | None = None
         self.chance = RandomGenerator(seed ^ CHANCE_SALT)
-        self.local = LocalCells(seed, terms)
+        self.local = LocalCells(seed, routing_settings)
         self.entries = EntrySelector(location.name if location else "")
         self.demand = Demand(now, self._fleet_scope(1.0))
         self.health = CellHealth(self.entries.own_name, self.chance, location)
         self.loads, self.spill = CellLoads(), SpillBudget()
         self.recorder = AttemptRecorder(self.local, self.entries, self.health, self.demand, self.loads)
-        self.remote = RemoteCells(self.entries, self.health, self.local, cancel_allowed=terms.cancel_allowed)
+        self.remote = RemoteCells(
+            self.entries, self.health, self.local, cancel_allowed=routing_settings.cancel_allowed
+        )
         self.view = CellView(now, location) if location else None
         self.homes: HomeCells | None = None
         self.selector: CellSelector | None = None
@@ -161,9 +163,9 @@
         self.local.retain(())
 
     def _fleet_scope(self, regional_share: float) -> FleetScope:
-        gateways = self.terms.gateways
+        gateways = self.routing_settings.gateways
         regional = max(1, round(gateways * regional_share))
-        return FleetScope(gateways, regional, max(1, self.terms.keep_alive))
+        return FleetScope(gateways, regional, max(1, self.routing_settings.keep_alive))
 
     # Requests
 
@@ -174,9 +176,11 @@
         """
         if self.single_gateway is None:
             assert self.router is not None
-            return self.router.serve(RequestProgress(now, request, self.terms, forwarded), forwarded)
+            return self.router.serve(
+                RequestProgress(now, request, self.routing_settings, forwarded), forwarded
+            )
         if forwarded is not None and not self._knows_hosts_of(forwarded.cell):
-            return self._reject_unknown_cell(RequestProgress(now, request, self.terms, forwarded))
+            return self._reject_unknown_cell(RequestProgress(now, request, self.routing_settings, forwarded))
         actions: Actions[None] = self.single_gateway.serve(now, request)
         return actions
 
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -32,9 +32,9 @@
     `end_by`: the time by which every request must have its answer because the process ends, ns, or `NEVER`.
     """
 
-    def __init__(self, seed: int, terms: RoutingSettings) -> None:
-        self.seed, self.terms = seed, terms
-        self.load_order_limiter = LoadOrderLimiter.from_settings(terms)
+    def __init__(self, seed: int, routing_settings: RoutingSettings) -> None:
+        self.seed, self.routing_settings = seed, routing_settings
+        self.load_order_limiter = LoadOrderLimiter.from_settings(routing_settings)
         self.gateways: dict[str, Gateway] = {}  # by cell
         self.loads: dict[str, _CachedLoad] = {}  # by cell
         self.housekeepers: dict[str, Housekeeper] = {}  # by cell
@@ -62,7 +62,7 @@
 
     def new_gateway(self, now: int) -> Gateway:
         """Makes a gateway for a cell, with the shared limit on load orders and the current `end_by`."""
-        gateway = Gateway(self.seed, self.terms, now, self.load_order_limiter)
+        gateway = Gateway(self.seed, self.routing_settings, now, self.load_order_limiter)
         gateway.end_by = self.end_by
         return gateway
 
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -40,14 +40,18 @@
     """The state of one request. `now` is the time of the last event of the request, ns."""
 
     def __init__(
-        self, now: int, request: Request, terms: RoutingSettings, forwarded: Forwarded | None = None
+        self,
+        now: int,
+        request: Request,
+        routing_settings: RoutingSettings,
+        forwarded: Forwarded | None = None,
     ) -> None:
         self.request, self.now = request, now
         self.hops = forwarded.hops if forwarded is not None else 0
-        self.request_class = terms.request_classes[request.request_class]
+        self.request_class = routing_settings.request_classes[request.request_class]
         self.deadline: int = now + request.time_left
-        self.attempt_limit = terms.attempt_limit
-        self.retry_after = min(terms.retry_after_limit, self.request_class.latency_objective)
+        self.attempt_limit = routing_settings.attempt_limit
+        self.retry_after = min(routing_settings.retry_after_limit, self.request_class.latency_objective)
         self.attempts = 0
         self.first_sent_at: int | None = None
         self.in_flight: dict[int, AttemptInFlight] = {}  # by number
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -55,8 +55,8 @@
 
     def __init__(self, environment: CellGatewayEnvironment, parts: Parts) -> None:
         self._environment, self._loop = environment, environment.loop
-        now, terms = self._loop.now(), environment.configuration.routing_settings
-        self.cellular = CellularGateway(environment.seed, terms, now, environment.location)
+        now, routing_settings = self._loop.now(), environment.configuration.routing_settings
+        self.cellular = CellularGateway(environment.seed, routing_settings, now, environment.location)
         self.decisions = HostsOfKnownCells(self.cellular)
         self.listeners: list[HostListListener] = []
         self._route_sampler = RouteSampler(environment, self.cellular)
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -53,7 +53,7 @@
     """A valid configuration, with the routing and deployment settings decoded from it."""
 
     configuration: Configuration
-    terms: interface.RoutingSettings
+    routing_settings: interface.RoutingSettings
     deployment: settings.DeploymentSettings
 
 
@@ -73,7 +73,7 @@
     configuration = _decode_file(path, _read_bytes(path))
     _check_fields(path, configuration)
     loaded = _decode_settings(path, configuration)
-    if not loaded.terms.request_classes:
+    if not loaded.routing_settings.request_classes:
         raise ConfigurationRejectedError(
             f"{path}: settings: no request class is defined; at least one is required"
         )
@@ -126,7 +126,7 @@
     section = configuration.settings
     try:
         return LoadedConfiguration(
-            configuration, settings.read_terms(section), settings.read_deployment(section)
+            configuration, settings.read_routing_settings(section), settings.read_deployment(section)
         )
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
         raise ConfigurationRejectedError(f"{path}: settings: {error!r}") from None
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -50,7 +50,7 @@
         trace_one_in: int = DEFAULT_TRACE_ONE_IN,
     ) -> None:
         """`configuration_path`: read again on reload; `name` and `listen` override those of the file."""
-        self.configuration, self.terms, self.deployment = loaded
+        self.configuration, self.routing_settings, self.deployment = loaded
         self.name = name or self.configuration.name
         self.listen = listen or self.configuration.listen
         self.loop = loop or Loop()
@@ -69,7 +69,7 @@
         self.reloader = ConfigurationReloader(
             self.loop, self.log, configuration_path, self._apply_configuration
         )
-        deadlines = tuple(request_class.hard_limit for request_class in self.terms.request_classes)
+        deadlines = tuple(request_class.hard_limit for request_class in self.routing_settings.request_classes)
         self.shutdown = GracefulShutdown(self.loop, self.log, self.core, deadlines)
         self.front: JsonRpcFront | None = None  # None until `start`
         self.status: StatusLog | None = None  # None until `start`
@@ -90,11 +90,13 @@
         )
 
     def _make_core(self) -> None:
-        self.gateway = Gateway(self.seed, self.terms, self.loop.now())
+        self.gateway = Gateway(self.seed, self.routing_settings, self.loop.now())
         travel_time = self.gateway.load_order_limiter.max_transit_time
         if travel_time:
             self.host_client.order_timeout = min(self.host_client.order_timeout, travel_time)
-        self.core = Core(self.loop, self.gateway, self.terms, self.host_client, self.record, self.name)
+        self.core = Core(
+            self.loop, self.gateway, self.routing_settings, self.host_client, self.record, self.name
+        )
 
     # Start
 
@@ -104,7 +106,11 @@
         Errors: OSError if the gateway cannot listen on its address; `start` may then be called again.
         """
         front = self.front = self._create_front()
-        if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
+        if (
+            self.routing_settings.peers_allowed
+            and self.configuration.peer_listen
+            and self.configuration.peers_all
+        ):
             self.peer_reports.open()
         chance = RandomGenerator(self.seed + CHANGE_LOG_SEED_OFFSET)
         self.host_list.start(self.configuration.known, self.configuration.changelog, chance)
@@ -126,7 +132,7 @@
             parse_address(self.listen),
             self.core,
             self.deployment.class_names,
-            self.terms.request_classes,
+            self.routing_settings.request_classes,
             self.is_ready,
             response_margin(),
         )
@@ -193,7 +199,7 @@
             limits=self.configuration.limits,
             report_names=self.deployment.report_names,
             prices=self.configuration.settings.get("prices"),
-            gateways=self.terms.gateways,
+            gateways=self.routing_settings.gateways,
         )
 
     def _log_error(self, error: BaseException) -> None:
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -1,8 +1,8 @@
 """Reads the platform's settings object, for the bench adapter and for a gateway that serves sockets.
 
 The platform defines the keys of the object; no other module uses them. Unknown keys are ignored, and a value
-that is missing or null counts as 0, false or empty. `read_terms` and `read_deployment` raise KeyError,
-ValueError, TypeError, AttributeError or OverflowError for invalid settings.
+that is missing or null counts as 0, false or empty. `read_routing_settings` and `read_deployment` raise
+KeyError, ValueError, TypeError, AttributeError or OverflowError for invalid settings.
 """
 
 from collections.abc import Mapping
@@ -42,7 +42,7 @@
     cancel_allowed: bool = True  # whether hosts may be notified of a cancelled request
 
 
-def read_terms(settings: Mapping[str, Any]) -> interface.RoutingSettings:
+def read_routing_settings(settings: Mapping[str, Any]) -> interface.RoutingSettings:
     """Reads the settings of the routing decisions."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     rules, prices = _section(settings, "rules"), _section(settings, "prices")
--- a/tests/benchlink/test_instance.py
+++ b/tests/benchlink/test_instance.py
@@ -1,7 +1,7 @@
 """The exact lines that an instance writes for its actions, and the fields of lines that it reads."""
 
 import pytest
-from helpers import TERMS
+from helpers import ROUTING_SETTINGS
 
 from gaproute import interface
 from gaproute.benchlink.decoding import encode_milliseconds
@@ -23,7 +23,7 @@
 
 
 def reply_to_actions(*actions):
-    instance = Instance(lambda *_: ScriptedDecisions(actions), 1, TERMS, 0)
+    instance = Instance(lambda *_: ScriptedDecisions(actions), 1, ROUTING_SETTINGS, 0)
     instance.start_request(5 * MILLI, REQUEST)
     return instance.reply_lines
 
@@ -47,14 +47,14 @@
 
 
 def test_a_payload_is_broadcast_in_hexadecimal():
-    instance = Instance(lambda *_: ScriptedDecisions(()), 1, TERMS, 0)
+    instance = Instance(lambda *_: ScriptedDecisions(()), 1, ROUTING_SETTINGS, 0)
     instance.broadcast(b"\x00\xffhi")
     assert instance.reply_lines == ["SAY all 00ff6869"]
 
 
 def test_a_timer_of_a_wait_that_is_over_is_ignored():
     instance = Instance(
-        lambda *_: ScriptedDecisions((interface.Wait(7 * MILLI), interface.Fail())), 1, TERMS, 0
+        lambda *_: ScriptedDecisions((interface.Wait(7 * MILLI), interface.Fail())), 1, ROUTING_SETTINGS, 0
     )
     instance.start_request(0, REQUEST)
     instance.timer_fired(7 * MILLI, "r1|0")
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -1,7 +1,7 @@
 """The core with scripted decisions and scripted hosts, on a clock that only the waits of the loop advance."""
 
 import pytest
-from helpers import TERMS
+from helpers import ROUTING_SETTINGS
 
 from gaproute import interface
 from gaproute.core.core import Core
@@ -61,7 +61,7 @@
     core = Core(
         loop,
         ScriptedDecisions(serve),
-        TERMS,
+        ROUTING_SETTINGS,
         ScriptedHosts(),
         GatewayRecord(IgnoringLog(), ["a", "b", "c"]),
         "g",
--- a/tests/decisions/cells/test_all_slow.py
+++ b/tests/decisions/cells/test_all_slow.py
@@ -2,7 +2,7 @@
 
 import pytest
 from cells_tables import cells, table
-from helpers import TERMS, Drive, task
+from helpers import ROUTING_SETTINGS, Drive, task
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -19,7 +19,10 @@
 def all_slow_gateway():
     """A gateway that has just found every cell slow."""
     gateway = CellularGateway(
-        7, TERMS._replace(hedging_allowed=False), 0, GatewayLocation("gateway1", "region0", "zone0")
+        7,
+        ROUTING_SETTINGS._replace(hedging_allowed=False),
+        0,
+        GatewayLocation("gateway1", "region0", "zone0"),
     )
     gateway.adopt(0, table(cells(8, entries=2)))
     for name in gateway.table.by_name:
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -5,7 +5,7 @@
 import pytest
 from cells_tables import cell, cells, table
 from cellular_gateways import LOCATION, function_with_home, make_gateway
-from helpers import TERMS, Drive, row, task
+from helpers import ROUTING_SETTINGS, Drive, row, task
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -122,10 +122,12 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_gateway_of_one_cell_yields_the_same_actions_as_one_without_cells(seed):
-    terms = TERMS._replace(reports_by_probe=True, reported_figures=("in_hand",), probe_price=0.0)
-    plain_actions = RandomPlay(Gateway(7, terms, 0), seed, False).play(2500)
-    untabled_actions = RandomPlay(CellularGateway(7, terms, 0), seed, False).play(2500)
-    gateway = CellularGateway(7, terms, 0, LOCATION)
+    routing_settings = ROUTING_SETTINGS._replace(
+        reports_by_probe=True, reported_figures=("in_hand",), probe_price=0.0
+    )
+    plain_actions = RandomPlay(Gateway(7, routing_settings, 0), seed, False).play(2500)
+    untabled_actions = RandomPlay(CellularGateway(7, routing_settings, 0), seed, False).play(2500)
+    gateway = CellularGateway(7, routing_settings, 0, LOCATION)
     gateway.adopt(0, table([cell("only")]))
     assert gateway.cells_to_follow() == ("only",)
     one_cell_actions = RandomPlay(gateway, seed, True).play(2500)
@@ -137,7 +139,7 @@
 
 
 def test_attributes_of_the_single_gateway_can_be_read():
-    gateway = CellularGateway(7, TERMS, 0)
+    gateway = CellularGateway(7, ROUTING_SETTINGS, 0)
     gateway.update_hosts(0, [row("a"), row("b")], complete=True)
     assert gateway.active_hosts == gateway.single_gateway.active_hosts
     assert gateway.hint_instance("a", "f", 4, 5)
@@ -162,7 +164,7 @@
 
 
 def test_requests_of_a_single_cell_end_after_it_becomes_one_of_several():
-    gateway = CellularGateway(7, TERMS, 0, LOCATION)
+    gateway = CellularGateway(7, ROUTING_SETTINGS, 0, LOCATION)
     gateway.adopt(0, table(cells(1)))
     gateway.update_hosts(0, [row("a"), row("b")], complete=True, cell="cell0")
     drive = Drive(gateway, task("t"))
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -4,7 +4,7 @@
 
 import pytest
 from cells_tables import cell, cells, table
-from helpers import TERMS, Drive, row, task
+from helpers import ROUTING_SETTINGS, Drive, row, task
 
 from gaproute import interface as face
 from gaproute.decisions.cells.attempt_recorder import MIN_MEAN_DURATION
@@ -14,13 +14,13 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
-ADVICE = min(TERMS.retry_after_limit, TERMS.request_classes[0].latency_objective)
+ADVICE = min(ROUTING_SETTINGS.retry_after_limit, ROUTING_SETTINGS.request_classes[0].latency_objective)
 
 
 def make_gateway_without_table(**options):
-    """A gateway in zone 0 that has no table; `options`: changed terms."""
-    terms = TERMS._replace(hedging_allowed=False, **options)
-    return CellularGateway(7, terms, 0, GatewayLocation("gateway1", "region0", "zone0"))
+    """A gateway in zone 0 that has no table; `options`: changed routing settings."""
+    routing_settings = ROUTING_SETTINGS._replace(hedging_allowed=False, **options)
+    return CellularGateway(7, routing_settings, 0, GatewayLocation("gateway1", "region0", "zone0"))
 
 
 def make_gateway(count=26, entries=2, **options):
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -4,7 +4,7 @@
 
 import cells_tables
 import pytest
-from helpers import TERMS, Drive, task
+from helpers import ROUTING_SETTINGS, Drive, task
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -13,15 +13,17 @@
 
 MILLI = 1_000_000
 IDEMPOTENT_WITH_KEY = 1
-MAX_TIME_LEFT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].deduplication_window - MAX_TRANSIT_TIME
+MAX_TIME_LEFT = ROUTING_SETTINGS.request_classes[IDEMPOTENT_WITH_KEY].deduplication_window - MAX_TRANSIT_TIME
 
 
 def drive_after_first_attempt(result=face.Result.RESET, time_left=MAX_TIME_LEFT, **options):
     """Drives a request with a key whose first attempt ended with `result`; `options` change its class."""
-    request_classes = list(TERMS.request_classes)
+    request_classes = list(ROUTING_SETTINGS.request_classes)
     request_classes[IDEMPOTENT_WITH_KEY] = request_classes[IDEMPOTENT_WITH_KEY]._replace(**options)
-    terms = TERMS._replace(hedging_allowed=False, request_classes=tuple(request_classes))
-    gateway = CellularGateway(7, terms, 0, GatewayLocation("gateway1", "region0", "zone0"))
+    routing_settings = ROUTING_SETTINGS._replace(
+        hedging_allowed=False, request_classes=tuple(request_classes)
+    )
+    gateway = CellularGateway(7, routing_settings, 0, GatewayLocation("gateway1", "region0", "zone0"))
     gateway.adopt(0, cells_tables.table(cells_tables.cells(26)))
     name = next(name for name in map("f{}".format, range(1_000)) if gateway.homes.first(name) == "cell7")
     request = task("t", name, IDEMPOTENT_WITH_KEY, time_left=time_left)
--- a/tests/decisions/cells/test_suspicion.py
+++ b/tests/decisions/cells/test_suspicion.py
@@ -2,7 +2,7 @@
 
 import pytest
 from cells_tables import cells, table
-from helpers import TERMS, Drive, row, task
+from helpers import ROUTING_SETTINGS, Drive, row, task
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -73,7 +73,7 @@
 
 def make_gateway():
     """A gateway in zone 0 that knows the hosts of cell 0."""
-    gateway = CellularGateway(7, TERMS._replace(hedging_allowed=False), 0, OWN)
+    gateway = CellularGateway(7, ROUTING_SETTINGS._replace(hedging_allowed=False), 0, OWN)
     gateway.adopt(0, table(cells(26)))
     gateway.update_hosts(0, [row(f"cell0-{host}") for host in "abc"], complete=True, cell="cell0")
     return gateway
--- a/tests/decisions/routing/test_host_selector.py
+++ b/tests/decisions/routing/test_host_selector.py
@@ -3,8 +3,8 @@
 import pytest
 from helpers import (
     MILLI,
+    ROUTING_SETTINGS,
     SECOND,
-    TERMS,
     row,
     task,
 )
@@ -63,7 +63,7 @@
 
 def test_a_function_uses_hosts_in_proportion_to_its_share():
     def chosen_ranks(seed, name):
-        gateway = Gateway(seed, TERMS, 0)
+        gateway = Gateway(seed, ROUTING_SETTINGS, 0)
         gateway.update_hosts(0, list(map(row, "abcdefgh")), complete=True)
         gateway.function_mix.recent.extend((["f"] + ["g"] * 7) * 32)
         assert gateway.function_mix.host_demand("f") == 1
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -1,7 +1,7 @@
 """Load reports that gateways share, and the budget for probes."""
 
 import pytest
-from helpers import SECOND, TERMS, Drive, row, task
+from helpers import ROUTING_SETTINGS, SECOND, Drive, row, task
 from helpers import gateway as make_gateway
 from hypothesis import given
 from hypothesis import strategies as st
@@ -136,7 +136,7 @@
     rows = [row(str(number)) for number in range(40)]
     probed = set()
     for seed in range(40):
-        gateway = Gateway(seed * 7919, TERMS._replace(**SHARING_SETTINGS), 0)
+        gateway = Gateway(seed * 7919, ROUTING_SETTINGS._replace(**SHARING_SETTINGS), 0)
         gateway.update_hosts(0, rows, complete=True)
         gateway.report_sharing.probe_budget = 1
         probed.add(
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -7,7 +7,7 @@
 from benchmarks.cold import HARD, ColdDay, day, play
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Result
-from gaproute.settings import read_terms
+from gaproute.settings import read_routing_settings
 
 
 def test_a_choice_in_a_fleet_of_cold_hosts_scores_each_host_once():
@@ -44,7 +44,7 @@
     late = gateway.hosts_by_id["cold"].warm_at - 1
     gateway.slow_start.record_answer(late, gateway.hosts_by_id["a"])
     certain_load = gateway.settings.warm_up_overload * gateway.settings.warm_up_share
-    assert read_terms({"rules": {"fall_multiple": 3}}).warm_up_overload == 3
+    assert read_routing_settings({"rules": {"fall_multiple": 3}}).warm_up_overload == 3
     assert (
         gateway.slow_start.available_share(gateway.hosts_by_id["cold"], late)
         > certain_load
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -6,16 +6,16 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, nothing
 
-from gaproute.benchlink.decoding import decode_terms
+from gaproute.benchlink.decoding import decode_routing_settings
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
 from gaproute.fronts.jsonrpc.errors import ErrorCode
-from gaproute.settings import read_deployment, read_terms
+from gaproute.settings import read_deployment, read_routing_settings
 from gaproute.standins.platform import arg
 
 
-def test_the_bench_adapter_and_the_gateway_read_the_same_terms_from_the_settings():
-    assert decode_terms(json.dumps(SETTINGS)) == read_terms(SETTINGS)
+def test_the_bench_adapter_and_the_gateway_read_the_same_routing_settings_from_the_settings():
+    assert decode_routing_settings(json.dumps(SETTINGS)) == read_routing_settings(SETTINGS)
     deployment = read_deployment(SETTINGS)
     assert (deployment.class_names, deployment.requests_per_connection, deployment.idle_time) == (
         ("fault-check", "repair-order"),
--- a/tests/standins/test_platform_host.py
+++ b/tests/standins/test_platform_host.py
@@ -228,16 +228,21 @@
         peers_all="127.0.0.1:4",
     )
     command, environment = configuration.write(tmp_path)
-    made, terms, deployment = platform_configuration.read_configuration(environment["EDGE_CONFIG"])
+    made, routing_settings, deployment = platform_configuration.read_configuration(environment["EDGE_CONFIG"])
     assert command[-1] == "gaproute.platform"
     assert (made.name, made.peers_all) == ("g1", "127.0.0.1:4")
-    assert (terms.gateways, terms.attempt_limit, terms.warm_up_share, terms.peers_allowed) == (
+    assert (
+        routing_settings.gateways,
+        routing_settings.attempt_limit,
+        routing_settings.warm_up_share,
+        routing_settings.peers_allowed,
+    ) == (
         40,
         3,
         0.5,
         True,
     )
-    assert [track.idempotency.name for track in terms.request_classes] == [
+    assert [track.idempotency.name for track in routing_settings.request_classes] == [
         "IDEMPOTENT",
         "NON_IDEMPOTENT",
         "IDEMPOTENT_WITH_KEY",
--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -9,7 +9,7 @@
 import json
 from types import SimpleNamespace
 
-from helpers import TERMS, row
+from helpers import ROUTING_SETTINGS, row
 from scripted import MILLI, SECOND, HeldDials
 
 from gaproute import interface
@@ -28,7 +28,7 @@
 REPEAT_WINDOW = 300 * MILLI  # for which hosts recognize an idempotency key
 REQUEST_CLASSES = tuple(
     request_class._replace(deduplication_window=REPEAT_WINDOW, latency_objective=200 * MILLI)
-    for request_class in TERMS.request_classes
+    for request_class in ROUTING_SETTINGS.request_classes
 )
 NEVER_RAN_ANSWERS = ("overload", "not_here", "nobody")
 ANSWERS = ("served", "served", "served", "crashed", "garbled", *NEVER_RAN_ANSWERS)
@@ -117,14 +117,21 @@
             cancel_allowed=cancel,
         )
         self.hosts = JsonLinesClient(self.loop, ConnectionReusePolicy(), deployment, 64)
-        terms = TERMS._replace(
+        routing_settings = ROUTING_SETTINGS._replace(
             request_classes=REQUEST_CLASSES, cancel_allowed=cancel, hedging_allowed=hedging
         )
         self.record = GatewayRecord(
             SimpleNamespace(error=lambda event, **fields: self.errors.append(fields)), "pgs", 0
         )
         self.hosts.on_host_removed = self.record.forget_host
-        self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
+        self.core = Core(
+            self.loop,
+            Gateway(7, routing_settings, self.loop.now()),
+            routing_settings,
+            self.hosts,
+            self.record,
+            "g",
+        )
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.incarnations = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
         self.requests, self.attempts = [], []
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -1,5 +1,5 @@
-"""Builders shared by the tests: terms, lists, tasks, outcomes, a driver for one generator, a gateway on
-sockets."""
+"""Builders shared by the tests: routing settings, lists, tasks, outcomes, a driver for one generator,
+a gateway on sockets."""
 
 import io
 import json
@@ -28,7 +28,7 @@
     idempotency=face.Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window=2 * SECOND
 )
 NON_IDEMPOTENT = IDEMPOTENT._replace(idempotency=face.Idempotency.NON_IDEMPOTENT)
-TERMS = face.RoutingSettings(
+ROUTING_SETTINGS = face.RoutingSettings(
     (IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT),
     (),
     1.0,
@@ -69,8 +69,8 @@
     )
 
 
-def gateway(*rows, **terms):
-    made = Gateway(7, TERMS._replace(**terms), 0)
+def gateway(*rows, **routing_settings):
+    made = Gateway(7, ROUTING_SETTINGS._replace(**routing_settings), 0)
     made.update_hosts(0, rows or [row("a"), row("b"), row("c")], complete=True)
     return made
 
