--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -53,13 +53,13 @@
         self.log_file: RaftLogFile | None = None
         if name in line.names and line.votes is not None:
             self.log_file = self._open_raft_log(line.votes, record)
-        self.hosted_node = RaftNodeRunner(
+        self.node_runner = RaftNodeRunner(
             NodeEnvironment(loop, record, random_source, partial(RaftTransport, loop, name, self.peers)),
             ConfiguredRaftGroup(name, line.names),
             NodeStorage(LeaseTable(max_duration=line.longest), self.log_file, time.time_ns() // MILLI),
         )
         last_number = secrets.randbits(RUN_NUMBER_BITS) << REQUEST_NUMBER_BITS
-        self.requests = OperatorRequests(self.hosted_node.lease_client, line.longest, last_number)
+        self.requests = OperatorRequests(self.node_runner.lease_client, line.longest, last_number)
         self.timer: Timer | None = None
 
     @staticmethod
@@ -83,7 +83,7 @@
 
     def handle_messages(self, server: Server, request: Request) -> None:
         """Handles a batch of Raft messages from another gateway."""
-        self.hosted_node.transport.handle(server, request)
+        self.node_runner.transport.handle(server, request)
 
     def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
         """Carries out an operator's command. Errors: `LeaseRequestError`."""
@@ -93,11 +93,11 @@
 
     def table(self) -> JsonObject:
         """The lease table for operators; its JSON keys are older than the names in the code."""
-        return {"errands": self.requests.all_statuses(self.loop.now()), **self.hosted_node.status()}
+        return {"errands": self.requests.all_statuses(self.loop.now()), **self.node_runner.status()}
 
     def _run_due_work(self) -> None:
         self.requests.tick(self.loop.now())
-        self.hosted_node.run_due()
+        self.node_runner.run_due()
         if self.timer is not None:
             self.timer.cancel()
         due = self.requests.due
@@ -107,12 +107,12 @@
 
     def stop(self) -> None:
         """Releases all leases; `close` has to follow."""
-        self.hosted_node.stop()
+        self.node_runner.stop()
 
     def close(self) -> None:
         """Cancels the timer, and closes the sockets and the Raft log file."""
         if self.timer is not None:
             self.timer.cancel()
-        self.hosted_node.close()
+        self.node_runner.close()
         if self.log_file is not None:
             self.log_file.close()
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -28,7 +28,7 @@
         line = environment.configuration.raft_group
         assert line is not None
         self._peer_addresses: dict[str, str] = {}  # changed in place: the transport holds it too
-        self.hosted_node = RaftNodeRunner(
+        self.node_runner = RaftNodeRunner(
             NodeEnvironment(
                 self._loop,
                 environment.record,
@@ -60,8 +60,8 @@
                 return
             self._rejected += self._request.state == LeaseState.REJECTED
             self._expired += self._request.state == LeaseState.EXPIRED
-        self._request = self.hosted_node.lease_client.acquire(now, f"gateway/{self._name}", LEASE_DURATION)
-        self.hosted_node.run_due()
+        self._request = self.node_runner.lease_client.acquire(now, f"gateway/{self._name}", LEASE_DURATION)
+        self.node_runner.run_due()
 
     def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
         """Take the addresses of the configured gateways."""
@@ -70,12 +70,12 @@
 
     def counters(self) -> dict[str, int]:
         """`entries`: a member's leases and log entries; `bytes`: counted by the simulated transport alone."""
-        hosted_node, transport = self.hosted_node, self.hosted_node.transport
-        node = hosted_node.node
+        node_runner, transport = self.node_runner, self.node_runner.transport
+        node = node_runner.node
         return {
             "messages": transport.counts["sent"],
             "bytes": transport.counts["bytes"],
-            "entries": 0 if node is None else len(hosted_node.machine.leases) + len(node.log.entries),
+            "entries": 0 if node is None else len(node_runner.machine.leases) + len(node.log.entries),
             "held": int(self.is_held),
             "refused": self._rejected,
             "ended": self._expired,
@@ -83,4 +83,4 @@
 
     def close(self) -> None:
         """End without releasing the lease: it expires."""
-        self.hosted_node.close()
+        self.node_runner.close()
--- a/gaproute/hollow/peer_server.py
+++ b/gaproute/hollow/peer_server.py
@@ -22,7 +22,7 @@
         assert isinstance(environment.loop, Loop)
         hosts: HostListPart = parts["hosts"]
         leases: LeasePart = parts["leases"]
-        raft_transport = leases.hosted_node.transport
+        raft_transport = leases.node_runner.transport
         assert isinstance(raft_transport, RaftTransport)
         self._peer_server = PeerServer(
             environment.loop,
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -72,7 +72,7 @@
 
     def leader(self):
         def leaders():
-            return [name for name in "abc" if self.gates[name].peers.leases.hosted_node.node.is_leader]
+            return [name for name in "abc" if self.gates[name].peers.leases.node_runner.node.is_leader]
 
         self.testbed.until(leaders)
         return leaders()[0]
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -41,7 +41,7 @@
 
 class Group:
     def __init__(self, folder, names=("a", "b", "c")):
-        self.folder, self.names, self.loop, self.peers, self.hosted_nodes = folder, names, Loop(), {}, {}
+        self.folder, self.names, self.loop, self.peers, self.node_runners = folder, names, Loop(), {}, {}
         for number, name in enumerate((*names, "h")):
             self.start(name, number)
 
@@ -59,10 +59,10 @@
         )
         hosted.disk = disk
         self.peers[name] = hosted.transport.listen(self.peers.get(name, "127.0.0.1:0"))
-        self.hosted_nodes[name] = hosted
+        self.node_runners[name] = hosted
 
     def stop(self, name):
-        hosted = self.hosted_nodes.pop(name)
+        hosted = self.node_runners.pop(name)
         hosted.close()
         if hosted.disk is not None:
             hosted.disk.close()
@@ -74,7 +74,7 @@
             self.loop.turn()
 
     def close(self):
-        for name in list(self.hosted_nodes):
+        for name in list(self.node_runners):
             self.stop(name)
         self.loop.close()
 
@@ -84,7 +84,7 @@
             (
                 name
                 for name in self.names
-                if name in self.hosted_nodes and self.hosted_nodes[name].node.is_leader
+                if name in self.node_runners and self.node_runners[name].node.is_leader
             ),
             None,
         )
@@ -109,32 +109,32 @@
 
 
 def test_a_lease_survives_the_failure_and_the_restart_of_the_leader(group):
-    client = group.hosted_nodes["h"].lease_client
+    client = group.node_runners["h"].lease_client
     lease = client.acquire(group.loop.now(), "host-7", 10 * SECOND)
-    group.hosted_nodes["h"].run_due()
+    group.node_runners["h"].run_due()
     group.run_until(lambda: lease.state == "held")
     assert lease.is_valid_at(group.loop.now())
     assert lease.fencing_token == 1
     stopped = group.leader
     commit_index, incarnation = (
-        group.hosted_nodes[stopped].node.commit_index,
-        group.hosted_nodes[stopped].node.incarnation,
+        group.node_runners[stopped].node.commit_index,
+        group.node_runners[stopped].node.incarnation,
     )
     group.stop(stopped)
     other_lease = client.acquire(group.loop.now(), "host-8", 10 * SECOND)
-    group.hosted_nodes["h"].run_due()
+    group.node_runners["h"].run_due()
     group.run_until(lambda: other_lease.state == "held")
     assert lease.is_valid_at(group.loop.now())
     assert other_lease.fencing_token == 2
     group.start(stopped)
-    node = group.hosted_nodes[stopped].node
+    node = group.node_runners[stopped].node
     assert node.incarnation == incarnation
     assert node.log.last_index >= commit_index - 1
     group.run_until(lambda: len(node.machine.leases) == 2)
-    assert not any(hosted.node.violations for hosted in group.hosted_nodes.values() if hosted.node)
+    assert not any(hosted.node.violations for hosted in group.node_runners.values() if hosted.node)
     assert "leader" in [
         fields["role"]
-        for _, event, fields in group.hosted_nodes[group.leader].record.events
+        for _, event, fields in group.node_runners[group.leader].record.events
         if event == "raft_role_changed"
     ]
 
@@ -143,7 +143,7 @@
 def test_an_unusable_log_file_is_quarantined_and_the_node_joins_again(group, damage):
     group.run_until(lambda: group.leader)
     name, other = [name for name in group.names if name != group.leader]
-    incarnation = group.hosted_nodes[name].node.incarnation
+    incarnation = group.node_runners[name].node.incarnation
     group.stop(name)
     path = group.folder / name
     if damage == "torn":
@@ -153,8 +153,8 @@
     else:
         path.write_bytes((group.folder / other).read_bytes())
     group.start(name)
-    hosted = group.hosted_nodes[name]
-    assert hosted.node.incarnation not in (incarnation, group.hosted_nodes[other].node.incarnation)
+    hosted = group.node_runners[name]
+    assert hosted.node.incarnation not in (incarnation, group.node_runners[other].node.incarnation)
     assert hosted.node.store.is_blank
     assert [event for _, event, _ in hosted.record.events] == ["raft_log_discarded"]
     assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock file and the quarantined file
@@ -163,7 +163,7 @@
 
 def test_invalid_batches_are_counted_by_reason_and_ignored(group):
     group.run_until(lambda: group.leader)
-    hosted = group.hosted_nodes["a"]
+    hosted = group.node_runners["a"]
     valid_message = wire.encode_message(AppendEntriesResponse(1, 1, True, 1))
     for body, reason in (
         (b"", "noise"),
@@ -190,7 +190,7 @@
     assert hosted.node.rejections["stranger"] == 1
     assert hosted.node.term == term
     assert post(group, "h", wire.encode_batch("b", [valid_message])) == 204
-    assert group.hosted_nodes["h"].transport.counts["refused: no keeper here"] == 1
+    assert group.node_runners["h"].transport.counts["refused: no keeper here"] == 1
 
 
 def test_the_rate_of_messages_and_the_queue_to_an_unreachable_peer_are_bounded(group):
@@ -199,7 +199,7 @@
     statuses = [post(group, "a", full_batch) for _ in range(MAX_MESSAGE_BURST // wire.MAX_BATCH_MESSAGES + 2)]
     assert statuses[0] == 204
     assert statuses[-1] == 429
-    transport = group.hosted_nodes["h"].transport
+    transport = group.node_runners["h"].transport
     group.peers["dead"] = "127.0.0.1:1"
     for _ in range(1000):
         transport.send("dead", BootstrapProbe(1, 0, True))
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -81,7 +81,7 @@
     def start(self):
         record = SimpleNamespace(event=lambda level, what, **fields: self.events.append((what, fields)))
         self.leases = LeaseService(self.loop, "a", self.raft_group, record, RandomGenerator(1))
-        return self.leases.hosted_node.node
+        return self.leases.node_runner.node
 
     def advance(self, span):
         end = self.loop.now() + span
@@ -127,7 +127,7 @@
         assert node.is_leader
         number = run.disk.counts["write"]
         run.disk.plan = FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in range(1, 4)]))
-        request = run.leases.hosted_node.lease_client.acquire(run.loop.now(), "host-7", SECOND)
+        request = run.leases.node_runner.lease_client.acquire(run.loop.now(), "host-7", SECOND)
         run.leases._run_due_work()
         run.advance(SECOND)
         assert node.storage_failure
