--- a/gaproute/decisions/cells/actions.py
+++ b/gaproute/decisions/cells/actions.py
@@ -10,7 +10,7 @@
 Resumption = int | tuple[int, Outcome | None] | None
 Returned = TypeVar("Returned")
 Actions = Generator[Action, Resumption, Returned]
-FinalAnswer = Reject | Fail
+FinalAction = Reject | Fail
 
 
 class Wakeup(NamedTuple):
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from itertools import islice
 
-from gaproute.decisions.cells.actions import Actions, FinalAnswer, Resumption, Wakeup, wakeup_of
+from gaproute.decisions.cells.actions import Actions, FinalAction, Resumption, Wakeup, wakeup_of
 from gaproute.decisions.cells.attempt_recorder import AttemptRecorder, CellAttempt
 from gaproute.decisions.cells.choice import CellChoice, CellSelector
 from gaproute.decisions.cells.entries import CellUnknown, Forwarded
@@ -60,7 +60,7 @@
 
     def serve(self, progress: RequestProgress, forwarded: Forwarded | None) -> Actions[None]:
         """Yields the actions for one request, from its acceptance to its one final answer."""
-        answer: FinalAnswer | None = self._answer_without_cell(progress, forwarded)
+        answer: FinalAction | None = self._answer_without_cell(progress, forwarded)
         for choice in self._cell_choices(progress, forwarded):
             answer = yield from self._serve_in_cell(progress, choice)
             if answer is None or isinstance(answer, Fail):
@@ -112,7 +112,7 @@
         """
         return answer.reason in UNAVAILABLE_REASONS or self.spill.try_spend()
 
-    def _serve_in_cell(self, progress: RequestProgress, choice: CellChoice) -> Actions[FinalAnswer | None]:
+    def _serve_in_cell(self, progress: RequestProgress, choice: CellChoice) -> Actions[FinalAction | None]:
         """Serves the request in one cell; returns its final answer, or None if that was yielded already."""
         name = choice.cell
         if choice.trial:
@@ -132,7 +132,7 @@
 
     def _run_actions(
         self, progress: RequestProgress, name: str, actions: Actions[None], gateway: Gateway | None
-    ) -> Actions[FinalAnswer | None]:
+    ) -> Actions[FinalAction | None]:
         """Yields the actions that serve the request in a cell, and tracks its attempts."""
         value: Resumption = None
         while True:
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from gaproute.decisions.cells.actions import FinalAnswer
+from gaproute.decisions.cells.actions import FinalAction
 from gaproute.decisions.cells.entries import Forwarded
 from gaproute.decisions.routing.parameters import NEVER
 from gaproute.interface import (
@@ -107,7 +107,7 @@
             return False
         return self.attempts < self.attempt_limit and self.now < self.deadline
 
-    def final_answer(self, reason: RejectReason) -> FinalAnswer:
+    def final_answer(self, reason: RejectReason) -> FinalAction:
         """The final answer if nothing more can be tried; a rejection only if the request may run again."""
         if self.is_idempotent or not (self.may_have_run or self.in_flight):
             return Reject(self.retry_after, reason)
