--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -158,12 +158,12 @@
 
     # Load orders, probes, gossip
 
-    def order_load(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, instances: int) -> None:
         """See `Driver`."""
         self._use_connection(host)
         world = self.world
         world.counts["orders"] += 1
-        world.clock.after(ROUND_TRIP, self._order_answered, host, function, copies)
+        world.clock.after(ROUND_TRIP, self._order_answered, host, function, instances)
 
     def _order_answered(self, host: str, function: str, copies: int) -> None:
         self.gateway.load_order_ended(self.world.clock.now, host, function, face.Result.OK, copies)
--- a/benchmarks/fleet/warming_gateways.py
+++ b/benchmarks/fleet/warming_gateways.py
@@ -52,9 +52,9 @@
         super().reject_request(key, rejection)
         self.world.retry_later(function, self.client_attempts[key])
 
-    def order_load(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, instances: int) -> None:
         """See `Driver`."""
-        super().order_load(host, function, copies)
+        super().order_load(host, function, instances)
         self._count_work(host, LOAD_ORDER_WORK)
 
     def probe_host(self, host: str) -> None:
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -57,9 +57,9 @@
         """Cancels an attempt."""
         self.reply_lines.append(f"RECALL {key} {number}")
 
-    def order_load(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, instances: int) -> None:
         """Sends a load order to a host."""
-        self.reply_lines.append(f"HOLD_THERE {host} {copies} {function}")
+        self.reply_lines.append(f"HOLD_THERE {host} {instances} {function}")
 
     def probe_host(self, host: str) -> None:
         """Sends a health check to a host."""
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -144,12 +144,12 @@
     def watch_host_list(self) -> None:
         """Does nothing: a running gateway receives its host list without a request."""
 
-    def order_load(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, instances: int) -> None:
         """Sends a load order to a host."""
         self.record.count_load_order(host)
         ordered_at = self.loop.now()
         self.hosts.order(
-            host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
+            host, function, instances, partial(self._order_answered, ordered_at, host, function, instances)
         )
 
     def _order_answered(
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -39,8 +39,8 @@
         """Cancels an attempt, unless it has ended."""
 
     @abstractmethod
-    def order_load(self, host: str, function: str, copies: int) -> None:
-        """Sends a load order to a host; `copies` is `instances` of `interface.LoadOrder`."""
+    def order_load(self, host: str, function: str, instances: int) -> None:
+        """Sends a load order to a host; `instances` as in `interface.LoadOrder`."""
 
     @abstractmethod
     def probe_host(self, host: str) -> None:
@@ -138,8 +138,8 @@
         match action:
             case interface.Cancel(number):
                 self.cancel_attempt(key, number)
-            case interface.LoadOrder(host, function, copies):
-                self.order_load(host, function, copies)
+            case interface.LoadOrder(host, function, instances):
+                self.order_load(host, function, instances)
             case interface.Probe(host):
                 self.probe_host(host)
             case interface.Reject():
