--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -25,13 +25,13 @@
         self,
         loop: Loop,
         gateway: DecisionModule,
-        terms: interface.RoutingSettings,
+        routing_settings: interface.RoutingSettings,
         hosts: Hosts,
         record: GatewayRecord,
         id_prefix: str,
     ) -> None:
         """`id_prefix`: the prefix of the gateway's ids of requests, which no other gateway may have."""
-        super().__init__(gateway, loop, record, hosts, terms.request_classes)
+        super().__init__(gateway, loop, record, hosts, routing_settings.request_classes)
         self.id_prefix = id_prefix
         self.wait_timers: dict[str, Timer] = {}  # by key
         self.submitted_count = 0  # number of submitted requests
@@ -144,12 +144,12 @@
     def watch_host_list(self) -> None:
         """Does nothing: a running gateway receives its host list without a request."""
 
-    def order_load(self, host: str, function: str, copies: int) -> None:
+    def order_load(self, host: str, function: str, instances: int) -> None:
         """Sends a load order to a host."""
         self.record.count_load_order(host)
         ordered_at = self.loop.now()
         self.hosts.order(
-            host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
+            host, function, instances, partial(self._order_answered, ordered_at, host, function, instances)
         )
 
     def _order_answered(
