--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -50,7 +50,8 @@
         """Asks this process to stop together with all others; it first accepts the clients in the queue."""
         self._close_liveness_pipe()
         if not self.ready.ready:
-            self.stop()  # a child that does not serve yet does not watch the pipe, and has accepted no client
+            # Before the child serves, it does not watch the liveness pipe, and has accepted no client to wait for
+            self.stop()
 
     def kill(self) -> None:
         """Kills the process."""
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -123,7 +123,7 @@
 @at_option
 @json_option
 def knows(address: str, *, as_json: bool) -> None:
-    """List the warm instances that a running gateway expects, the most recently used first."""
+    """List the instances that a running gateway expects to be warm, the most recently used first."""
     columns = ("host", "function", "last use", "known by")
     list_objects(address, b"/knows", columns, _instance_row, as_json=as_json)
 
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -84,7 +84,7 @@
     ) -> None:
         """Parks a connection until it sends bytes or its idle deadline `idle_until` (ns) comes.
 
-        `registered`: whether this connection was parked before, so that its descriptor is in the epoll.
+        `registered`: whether this connection was parked before, so that the epoll already has its descriptor.
         """
         if fd >= len(self.states):
             self._grow(fd + _GROWTH_ENTRIES)
@@ -169,7 +169,8 @@
         if len(self.pending_registrations) < len(waiting):
             self.register_backoff.reset()
         else:
-            self.evict_idle()  # which first queues the connections that have sent bytes
+            # First puts the connections that have sent bytes in the queue to be read, so they are not closed as idle
+            self.evict_idle()
 
     def poll_pending_registrations(self) -> None:
         """Queues connections that have sent bytes and are not registered with the epoll."""
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -71,14 +71,14 @@
             self.advance_generator(HOUSEKEEPING, self.housekeeping_generator, None, now)
 
     def start_request(self, now: int, request: interface.Request) -> None:
-        """Starts a request's generator."""
+        """Creates and starts the generator of a request."""
         generator = self.request_generator(now, request)
         self.generators[request.id] = generator
         self.attempt_counts[request.id] = 0
         self.advance_generator(request.id, generator, None, now)
 
     def request_generator(self, now: int, request: interface.Request) -> ActionGenerator:
-        """Creates the generator of a request."""
+        """Creates the generator that makes the decisions about a request; a subclass may replace it."""
         return self.gateway.serve(now, request)
 
     def wait_elapsed(self, key: str, now: int) -> None:
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -85,6 +85,6 @@
         self.attempts: dict[int, AttemptInFlight] = {}  # by attempt number
         self.attempt_count = 0  # number of started attempts
         self.may_have_run = False  # whether an attempt that has ended may have run
-        self.cell_unknown = False  # whether it was rejected for an unknown cell
-        self.found = interface.InstanceStatus.UNKNOWN  # reported with the answer
+        self.cell_unknown = False  # whether the request was rejected with `CellUnknown`
+        self.found = interface.InstanceStatus.UNKNOWN  # instance status, reported with the final answer
         self.log_step: Callable[..., None] | None = None  # None: not traced
--- a/gaproute/decisions/admission/restarts.py
+++ b/gaproute/decisions/admission/restarts.py
@@ -24,7 +24,8 @@
 
     def __init__(self, chance: RandomGenerator) -> None:
         self.early_exit_counts: dict[int, int] = {}  # by process slot: consecutive early exits
-        self.last_start_time: int | None = None  # time of the latest start, which may be in the future
+        # The latest reserved start time (ns); it may be in the future.
+        self.last_start_time: int | None = None
         self._chance = chance
 
     def schedule_restart(self, now: int, slot: int, uptime: int) -> int:
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -21,11 +21,12 @@
 LONG_DECAY_TIME = 1_800 * SECOND
 # Standard deviations by which a count is estimated low: up to two arrivals count as none
 ESTIMATE_MARGIN = 1.5
-MAX_WORK_SHARE_PER_HOME = 0.01  # of a mean cell's work, that a function may bring to one home
+# Largest work that a function may bring to one of its homes, as a share of the work of a mean cell
+MAX_WORK_SHARE_PER_HOME = 0.01
 SHRINK_FACTOR = 4  # the homes are halved when the number needed is smaller by this factor
 # Expected requests at a home within the keep-alive time: an instance is then unloaded for 1 of 55 requests
 REQUESTS_PER_KEEP_ALIVE = 4.0
-MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, except to more homes
+MIN_PLACEMENT_TIME = 60 * SECOND  # shortest time between two changes of a placement, except to more homes
 DEFAULT_DURATION = SECOND // 10  # of a request, until one was measured
 DURATION_WEIGHT = 0.1  # of the newest request in the mean duration of a function
 FLEET_DURATION_WEIGHT = DURATION_WEIGHT / 10  # the same in the mean of all functions
@@ -118,9 +119,10 @@
         return self._mean_duration_of(demand) if demand is not None else self.fleet_duration
 
     def placement(self, now: int, function: str, cells: float, regional_cells: float) -> Placement:
-        """The placement of the function.
+        """Updates the function's placement, where its demand requires another one, and returns it.
 
-        `cells`, `regional_cells`: capacity of the fleet and of the own region, in cells of mean capacity.
+        `cells`: capacity of the fleet, as a multiple of the mean capacity of a cell; `regional_cells`: the
+        same for the own region.
         """
         demand = self.functions.get(function)
         if demand is None:
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -18,9 +18,10 @@
 from gaproute.interface import Attempt, Reject
 from gaproute.units import SECOND
 
-# One from the gateway that accepted the request to an entry, one more if that entry does not know the cell
+# The gateway that accepted a request forwards it to an entry; an entry that does not know the cell forwards
+# it once more
 MAX_HOPS = 2
-MAX_ENTRIES_USED_PER_CELL = 4  # the first in this gateway's order; two are tried for one request
+MAX_ENTRIES_USED_PER_CELL = 4  # the first entries in this gateway's order; one request tries at most two
 # Stored backoffs and answer times per cell, above which those of entries outside the table are dropped
 MAX_ENTRY_STATES_PER_CELL = 4
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # time for which an entry is avoided
--- a/gaproute/decisions/reports/hint_selector.py
+++ b/gaproute/decisions/reports/hint_selector.py
@@ -93,7 +93,7 @@
     def warm_hints(
         self, now: int, start_times: HostStartTimes, functions: Iterable[str] | None = None
     ) -> list[WarmHint]:
-        """Returns the warm instances to hint of the given functions; None stands for all functions.
+        """Returns the warm instances of these functions that become hints; None stands for all functions.
 
         Of each function, the most recent observations are selected: enough for the hosts that its share of
         the requests could fill, and at least `MIN_HINTED_INSTANCES`.
--- a/gaproute/decisions/routing/request_attempts.py
+++ b/gaproute/decisions/routing/request_attempts.py
@@ -23,7 +23,8 @@
         self.may_have_run: list[SentAttempt] = []  # ended attempts that may have run
         # The earliest attempt that may have run or may still run.
         self.first_possible_run: SentAttempt | None = None
-        self.failed_hosts: list[Host] = []  # hosts of ended attempts, except those with no instance loaded
+        # Hosts of ended attempts, whatever their result, except those whose result is NOT_LOADED.
+        self.failed_hosts: list[Host] = []
         self.attempt_count = 0  # attempts sent so far
 
     def record_sent(self, attempt: int, host: Host, now: int) -> None:
--- a/gaproute/discovery/cell_reconciler.py
+++ b/gaproute/discovery/cell_reconciler.py
@@ -26,8 +26,10 @@
 
 
 class CellReconciler:
-    """Holds the lines in force. `lines_in_force`: by cell and host; `rejection_reasons`: by cell and host,
-    why the reported line is not in force.
+    """Holds the host lines that are in force.
+
+    `lines_in_force`: these lines, by cell and host. `rejection_reasons`: why the reported line of a host is
+    not in force, by cell and host.
     """
 
     def __init__(self) -> None:
@@ -71,9 +73,9 @@
 def _choose_lines(
     candidates: list[Candidate], owners: Owners, zones: Mapping[str, str]
 ) -> tuple[CellLines, dict[str, dict[str, str]]]:
-    """Returns (lines in force by cell, rejection reasons by cell and host). Each name and address goes to the
-    first line that uses it.
+    """Chooses the host lines to put in force: each name and address goes to the first line that uses it.
 
+    Returns the chosen lines, by cell and host, and the reasons for rejecting the others, by cell and host.
     Enters the hosts of the chosen lines in `owners`.
     """
     chosen: CellLines = {cell: {} for cell in owners}
--- a/gaproute/hosts/jsonlines/line_reader.py
+++ b/gaproute/hosts/jsonlines/line_reader.py
@@ -38,7 +38,7 @@
                 line = b"".join((*self.unfinished_parts, line))
                 self.unfinished_parts, self.unfinished_bytes = [], 0
             if len(line) > self.max_line_bytes:
-                raise MalformedLineError("line from the host exceeds the maximum length", replies)
+                raise MalformedLineError("the host sent a line above the maximum length", replies)
             try:
                 replies.append(decode_reply(line))
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -47,5 +47,5 @@
             self.unfinished_parts.append(rest)
             self.unfinished_bytes += len(rest)
             if self.unfinished_bytes > self.max_line_bytes:
-                raise MalformedLineError("line from the host exceeds the maximum length", replies)
+                raise MalformedLineError("the host sent a line above the maximum length", replies)
         return replies
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -107,13 +107,13 @@
             self._fail(413, f"the body is over {self.body_limit} bytes")
 
     def on_headers_complete(self) -> None:
-        """Called when the head is complete."""
+        """Called when the parser has decoded the whole head."""
         assert self.message is not None
         self.in_head, self.head_bytes, self.section_bytes = False, 0, 0
         self.message.keep_alive = self.parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        """Called for a part of the body."""
+        """Called with the next part of the body."""
         self.wants_continue = False
         self.section_bytes += len(body)
         if self.section_bytes > self.body_limit:
@@ -121,7 +121,7 @@
         self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Called when the message is complete."""
+        """Called when the parser has decoded the whole message."""
         message, self.message, self.wants_continue = self.message, None, False
         assert message is not None
         message.body = b"".join(self.body_parts) if len(self.body_parts) != 1 else self.body_parts[0]
@@ -144,7 +144,7 @@
         self._begin(Request(self.arrival_time()))
 
     def on_url(self, url: bytes) -> None:
-        """Called for a part of the request's target."""
+        """Called with the next part of the request's target."""
         request = self.message
         assert request is not None
         request.target += url
@@ -179,7 +179,7 @@
         self._begin(Response())
 
     def on_headers_complete(self) -> None:
-        """Called when the head is complete."""
+        """Called when the parser has decoded the whole head."""
         super().on_headers_complete()
         assert self.message is not None
         self.message.status = self.parser.get_status_code()
--- a/gaproute/maintenance/invariants.py
+++ b/gaproute/maintenance/invariants.py
@@ -63,7 +63,7 @@
 def check_estimate(controller: RoundController, now: int, status: FleetStatus) -> list[str]:
     """Violations where the estimate of warm capacity exceeds what was reported or seen lately."""
     if controller.log.is_over:
-        return []  # the estimate is no longer updated
+        return []  # the estimate of warm capacity is not updated once the round is over
     return [
         violation
         for name, functions in controller.estimate.warm_lanes.items()
--- a/gaproute/maintenance/orders.py
+++ b/gaproute/maintenance/orders.py
@@ -47,6 +47,6 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantRejection:
-    """The answer to a maintenance crew that a host is not handed over now, with the reason."""
+    """Tells a maintenance crew that the host it asked for is not handed over to it now, and why."""
 
     reason: str
--- a/gaproute/rollouts/host_allotment.py
+++ b/gaproute/rollouts/host_allotment.py
@@ -7,8 +7,10 @@
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
 from gaproute.units import MILLI
 
-RETRY_PAUSE = 300 * MILLI  # after a rejected lease request, until the next request
-MAX_LEASE_LANES = 4  # in a lease: fewer lanes need more renewals, more lanes cannot be released in parts
+RETRY_PAUSE = 300 * MILLI  # time between a rejected lease request and the next request
+# Largest number of lanes of one lease. Smaller leases need more renewals; a larger lease holds more lanes
+# that are released only together.
+MAX_LEASE_LANES = 4
 # A host that is warming up gets a quarter of its rollouts; the rest of its reduced capacity is production's.
 WARM_UP_DIVISOR = 4
 
--- a/gaproute/rollouts/solver.py
+++ b/gaproute/rollouts/solver.py
@@ -66,7 +66,8 @@
     def add_copies(self) -> None:
         """Adds variables for copies and their lanes.
 
-        A copy begins in at most one slot and remains. A loaded copy begins in the first slot without a load.
+        A copy begins in at most one slot and remains. A copy that is already loaded begins in slot 0 or not
+        at all, and needs no load.
         """
         for demand, host in self.places:
             place = demand.name, host
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -30,7 +30,7 @@
 MAX_SNAPSHOTS = 2  # complete encoded documents cached for gateways that fetch them in parts
 SNAPSHOT_REUSE_TIME = 30 * SECOND  # how long a cached document is sent to further gateways
 
-# Budgets; the two rates together are about 4 kB per second
+# Budgets; the rates for messages and for answers are together about 4 kB per second
 MESSAGE_BYTES_PER_SECOND = 2_000  # datagrams and pulls
 MESSAGE_BURST_BYTES = 8_000
 ANSWER_BYTES_PER_SECOND = 2_000  # answers to pulls
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -41,10 +41,12 @@
 class KindLimits(NamedTuple):
     """The limits of the sets of one kind."""
 
-    label: str  # the name of the kind at the operators' address
-    partitions: int  # sets of this kind that one gateway sends; warm instances are divided by function
-    max_entries: int  # in one set: the entries with the greatest amounts, or the latest ones
-    entry_bytes: int
+    label: str  # name of the kind in the status that the operators' address serves
+    # Number of sets of this kind that one gateway sends, one for each partition; only warm instances have
+    # several partitions, by the key of the function
+    partitions: int
+    max_entries: int  # of one set, which has the entries with the greatest amounts, or the latest ones
+    entry_bytes: int  # size of one entry in a message
     max_age: int  # age above which a set does not count, ns
 
 
@@ -62,14 +64,14 @@
 class HostEntry(NamedTuple):
     """Requests in flight at a host, or its estimated available capacity."""
 
-    host: int  # key
+    host: int  # 32-bit key of the host's name
     amount: float
 
 
 class DemandEntry(NamedTuple):
     """Arrivals per second of a function in a request class, and their standard deviation."""
 
-    function: int  # key
+    function: int  # 32-bit key of the function's name
     request_class: int
     rate: float
     deviation: float
@@ -78,8 +80,8 @@
 class WarmInstanceEntry(NamedTuple):
     """A warm instance, and its age: the time from when it was seen until the set was made."""
 
-    host: int  # key
-    function: int  # key
+    host: int  # 32-bit key of the host's name
+    function: int  # 32-bit key of the function's name
     age: int
 
 
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -135,7 +135,7 @@
         return self.status(now, self.last_request_number)
 
     def status(self, now: int, number: int) -> RequestStatus:
-        """The status of one request, for the operators' address."""
+        """The status of the lease request `number`, as the operators' address returns it."""
         operator_request = self.requests[number]
         request, time_left = operator_request.request, 0
         if request.is_valid_at(now) and request.expires_at is not None:
@@ -154,7 +154,7 @@
         }
 
     def all_statuses(self, now: int) -> list[RequestStatus]:
-        """The statuses of all requests by number, including those that ended recently."""
+        """The statuses of all lease requests, ordered by number, including requests that ended recently."""
         return [self.status(now, number) for number in sorted(self.requests)]
 
     @property
--- a/gaproute/shared/messages.py
+++ b/gaproute/shared/messages.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-MAX_COUNT = 1 << 48  # of terms, indexes and incarnations; no correct term or index comes near it
+MAX_COUNT = 1 << 48  # largest valid term, index or incarnation; no correct term or index comes near it
 MAX_NAME_LENGTH = 128  # characters of a name
 
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -100,7 +100,7 @@
                 # The last step, so that the state machine stays empty if the disk cannot be used
                 self.restore_state(loaded.snapshot)
         except ValueError as error:
-            raise UnusableDiskError(f"a record or the snapshot is invalid: {error}") from error
+            raise UnusableDiskError(f"a stored record or snapshot cannot be restored: {error}") from error
         self.incarnation, self.term, self.voted_for = loaded.incarnation, loaded.term, loaded.voted_for
         self.log, self.snapshot = loaded.log, loaded.snapshot
 
--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -135,7 +135,7 @@
             self.quarantine(f"{MAX_FAILED_READS} reads in a row failed: {error}")
 
     def _decode(self, content: bytes) -> StoredTable:
-        """Errors: UnusableTableError."""
+        """Checks and decodes the content of the file. Errors: UnusableTableError."""
         if len(content) > MAX_FILE_BYTES:
             raise UnusableTableError(f"the file has more than {MAX_FILE_BYTES} bytes")
         if not content.startswith(MAGIC):
@@ -163,7 +163,10 @@
 
 
 def _check_version(table: StoredTable, newest_known: tuple[int, int]) -> None:
-    """Errors: UnusableTableError."""
+    """Checks that the table is not older than `newest_known`, the version (term, number) of other gateways.
+
+    Errors: UnusableTableError.
+    """
     if (table.term, table.number) < newest_known:
         term, number = newest_known
         raise UnusableTableError(
