--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -50,7 +50,7 @@
         """Asks this process to stop together with all others; it first accepts the clients in the queue."""
         self._close_liveness_pipe()
         if not self.ready.ready:
-            # Before the child serves, it does not watch the liveness pipe, and has accepted no client to wait for
+            # Until the child serves, it does not watch the liveness pipe and has accepted no client
             self.stop()
 
     def kill(self) -> None:
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -169,7 +169,7 @@
         if len(self.pending_registrations) < len(waiting):
             self.register_backoff.reset()
         else:
-            # First puts the connections that have sent bytes in the queue to be read, so they are not closed as idle
+            # It first queues the connections that have sent bytes, so that they are not closed as idle
             self.evict_idle()
 
     def poll_pending_registrations(self) -> None:
